--- a/ochreflow/app/config.py
+++ b/ochreflow/app/config.py
@@ -10,6 +10,7 @@
 from ..core.fleet import Names, News
 from ..core.limits import MB
 from ..core.ports import Address
+from ..errors import OchreflowError
 from ..membership.directory import ListError, read_news
 from ..policy.interface import Settings
 from ..policy.settings import Transport, nested_settings, nested_transport
@@ -18,7 +19,7 @@
 MEMORY_MB = 192  # likewise
 
 
-class ConfigError(Exception):
+class ConfigError(OchreflowError):
     """The sidecar can't start; the text says why in one line."""
 
 
--- a/ochreflow/app/operator.py
+++ b/ochreflow/app/operator.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from ..core.log import PER_SECOND
+from ..errors import OchreflowError
 from ..http.clients import HEAD_MOST, IDLE_MOST, SLOW_READER
 from .units import UNITS, HostPort, Seconds, Size
 
@@ -88,7 +89,7 @@
     admission: AdmissionTable = AdmissionTable()
 
 
-class FaultsError(Exception):
+class FaultsError(OchreflowError):
     """Everything that is wrong with a file, a line each."""
 
     def __init__(self, faults: list[str]) -> None:
--- a/ochreflow/http/grammar.py
+++ b/ochreflow/http/grammar.py
@@ -10,6 +10,7 @@
 
 from ..core.body import Body
 from ..core.ports import Call
+from ..errors import OchreflowError
 from ..policy.interface import Effect, Settings
 
 DEADLINE = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
@@ -17,7 +18,7 @@
 COST = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")
 
 
-class RequestError(Exception):
+class RequestError(OchreflowError):
     """A request that is answered here and never reaches the module."""
 
     def __init__(self, code: int, text: str, cls: int | None = None) -> None:
--- a/ochreflow/membership/directory.py
+++ b/ochreflow/membership/directory.py
@@ -12,6 +12,7 @@
 from ..core.fleet import Listed, Names, News
 from ..core.log import log
 from ..core.ports import Address
+from ..errors import OchreflowError
 from ..policy.interface import Endpoint, State
 from .silence import Waits
 
@@ -20,7 +21,7 @@
 CALLS_APART = 0.1  # seconds between calls that are answered at once with nothing new
 
 
-class ListError(ValueError):
+class ListError(OchreflowError, ValueError):
     """What came is no list of servers."""
 
 
--- a/ochreflow/policy/settings.py
+++ b/ochreflow/policy/settings.py
@@ -6,6 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+from ..errors import OchreflowError
 from . import interface as api
 
 EFFECTS = {"pure": api.Effect.SAFE, "token": api.Effect.KEYED, "side_effect": api.Effect.UNSAFE}
@@ -20,7 +21,7 @@
 }
 
 
-class SettingError(ValueError):
+class SettingError(OchreflowError, ValueError):
     """A required setting is missing or unreadable; the text names it."""
 
 
--- a/ochreflow/wirehost.py
+++ b/ochreflow/wirehost.py
@@ -11,6 +11,7 @@
 import traceback
 from typing import BinaryIO
 
+from .errors import OchreflowError
 from .policy import interface as api
 from .policy.logic import Balancer
 from .policy.settings import SettingError, parse_settings
@@ -65,7 +66,7 @@
 }
 
 
-class FrameError(Exception):
+class FrameError(OchreflowError):
     """The input is no frame of this protocol."""
 
 
