--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -392,7 +392,7 @@
             except Exception:
                 self.fault("an attempt could not be given up")
         if not attempt.over:  # its carrier failed: whatever may have begun may have run
-            end = status if attempt.let_begin else Status.MOOT
+            end = status if attempt.let_begin else Status.NOT_SENT
             self.end_attempt(attempt.held, attempt, end, None, ())
 
     def _abandon(self, held: Held) -> None:
@@ -452,7 +452,7 @@
         call = held.call
         wait = self.time_left(held, attempt)
         if held.attempts > self.settings.max_attempts or wait <= 0 or call.body.spent:
-            self.end_attempt(held, attempt, Status.MOOT, None, ())
+            self.end_attempt(held, attempt, Status.NOT_SENT, None, ())
             return
         timeout = wait / SECOND if call.body.complete else None
         try:
@@ -460,7 +460,7 @@
         except Exception:
             self.fault("an attempt could not be started")
             if not attempt.let_begin:
-                self.end_attempt(held, attempt, Status.MOOT, None, ())
+                self.end_attempt(held, attempt, Status.NOT_SENT, None, ())
             # Else it may run: its end is still told by its carrier, or by the last guard.
 
     def time_left(self, held: Held, attempt: Attempt) -> int:
--- a/ochreflow/core/fleet.py
+++ b/ochreflow/core/fleet.py
@@ -95,7 +95,7 @@
         server, state = endpoint.server, endpoint.state
         known = self.listed.get(server)
         if known is None:
-            if state is State.GONE:
+            if state is State.REMOVED:
                 return
             host, port = entry.address
             log.info("server_known", name=entry.name, server=server, host=host, port=port)
@@ -105,7 +105,7 @@
                 log.info("server_state", name=entry.name, server=server, state=state.name.lower())
             if known.since_ms != entry.since_ms:
                 log.info("server_restarted", name=entry.name, server=server)
-        if state is State.GONE:
+        if state is State.REMOVED:
             self._leave(server, entry)
             return
         self.listed[server] = entry
@@ -115,5 +115,5 @@
     def _leave(self, server: int, entry: Listed) -> None:
         del self.listed[server]
         for carrier in self.carriers:
-            carrier.update(server, entry.address, entry.since_ms, State.GONE)
+            carrier.update(server, entry.address, entry.since_ms, State.REMOVED)
             carrier.forget(server)
--- a/ochreflow/core/ports.py
+++ b/ochreflow/core/ports.py
@@ -95,7 +95,7 @@
     def write_within(self) -> float:
         """Seconds within which its last byte has to go out; infinite: any, 0: it must not begin any more.
 
-        An attempt that must not begin ends as `MOOT`, and so does one whose last byte is late.
+        An attempt that must not begin ends as `NOT_SENT`, and so does one whose last byte is late.
         """
         ...
 
--- a/ochreflow/http/exchange.py
+++ b/ochreflow/http/exchange.py
@@ -169,7 +169,7 @@
             return
         connection.discard_unsent()
         # What the system still held may have arrived all the same, with its acknowledgement on the way.
-        self.give_up(Status.MOOT if connection.unwritten else Status.CANCELLED)
+        self.give_up(Status.NOT_SENT if connection.unwritten else Status.CANCELLED)
 
     def give_up(self, status: Status) -> None:
         """Stop waiting. Its connection is closed first, so that no later attempt overlaps with it."""
@@ -178,7 +178,7 @@
         if self.opening is not None:
             self.opening.cancel()
         connection = self.connection
-        if (connection is None or connection.unwritten) and status is not Status.MOOT:
+        if (connection is None or connection.unwritten) and status is not Status.NOT_SENT:
             status = Status.CONNECT_FAILED  # the system never took its last byte: it can't have run
         if connection is not None:
             connection.exchange = None
--- a/ochreflow/http/response.py
+++ b/ochreflow/http/response.py
@@ -53,7 +53,7 @@
     if response.code == 200:
         return Status.OK
     if response.code in REFUSALS and response.not_run:
-        return Status.FULL
+        return Status.REJECTED
     return Status.ERROR
 
 
--- a/ochreflow/http/upstream.py
+++ b/ochreflow/http/upstream.py
@@ -103,7 +103,7 @@
             result = self._try_send(connection, exchange)
             if result is SendResult.REJECTED:
                 self._return_idle(connection)
-                self.loop.call_soon(exchange.end, Status.MOOT)
+                self.loop.call_soon(exchange.end, Status.NOT_SENT)
             if result is not SendResult.DEAD:
                 return
             connection.close()  # found dead before anything was written: no attempt was made
@@ -170,14 +170,14 @@
     def _open(self, target: Target, exchange: Exchange) -> None:
         if self.descriptors.full and not self.close_oldest() and not self.descriptors.make_room():
             # The own lack says nothing of the server, which must not be held to have failed.
-            self.loop.call_soon(exchange.end, Status.MOOT)
+            self.loop.call_soon(exchange.end, Status.NOT_SENT)
             return
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         except OSError:  # out of descriptors in spite of the count: room for the repeat, which is due soon
             if not self.close_oldest():
                 self.descriptors.make_room()
-            self.loop.call_soon(exchange.end, Status.MOOT)
+            self.loop.call_soon(exchange.end, Status.NOT_SENT)
             return
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = Connection(self, target, sock)
@@ -209,7 +209,7 @@
         result = SendResult.DEAD if connection.closed else self._try_send(connection, exchange)
         if result is SendResult.REJECTED:
             self.keep(connection)
-            exchange.end(Status.MOOT)
+            exchange.end(Status.NOT_SENT)
         elif result is SendResult.DEAD:
             connection.close()
             exchange.end(Status.CONNECT_FAILED)
@@ -230,7 +230,7 @@
                 continue
             result = self._try_send(connection, exchange)
             if result is SendResult.REJECTED:
-                self.loop.call_soon(exchange.end, Status.MOOT)
+                self.loop.call_soon(exchange.end, Status.NOT_SENT)
                 continue
             if result is SendResult.STARTED:
                 del target.opening[exchange]
--- a/ochreflow/http/upstream_connection.py
+++ b/ochreflow/http/upstream_connection.py
@@ -247,7 +247,7 @@
         status = classify(response)
         # Where part of the request is still on its way, what has come is no answer to it, and the rest may
         # arrive after the connection is closed.
-        doubtful = status is Status.FULL and not self.arrived
+        doubtful = status is Status.REJECTED and not self.arrived
         self.exchange = None
         self.answered_at = monotonic()
         self.pause_response(False)
--- a/ochreflow/membership/directory.py
+++ b/ochreflow/membership/directory.py
@@ -16,7 +16,7 @@
 from ..policy.interface import Endpoint, State
 from .silence import Waits
 
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.REMOVED}
 ANSWER_WITHIN = 3.5  # seconds beyond a call's own wait: discovery works through calls in turn
 CALLS_APART = 0.1  # seconds between calls that are answered at once with nothing new
 
--- a/ochreflow/policy/fleet.py
+++ b/ochreflow/policy/fleet.py
@@ -98,7 +98,7 @@
             else:
                 server.ready = entry.state is State.READY
                 server.zone, server.cell = entry.zone, entry.cell
-            self.servers[entry.server].listed = entry.state is not State.GONE
+            self.servers[entry.server].listed = entry.state is not State.REMOVED
         before = len(self.near) + len(self.far)
         self.regroup()
         after = len(self.near) + len(self.far)
--- a/ochreflow/policy/health.py
+++ b/ochreflow/policy/health.py
@@ -58,12 +58,12 @@
             server.trial_out = False
         if status in UNWRITTEN:
             self.rules.pace.give_back(server, cls, sent)
-        if status is Status.MOOT:
+        if status is Status.NOT_SENT:
             return
         if status in (Status.OK, Status.ERROR):
             server.sound += SOUND_SMOOTHING * ((status is Status.OK) - server.sound)
         if status is not Status.CANCELLED:
-            server.answers = status in (Status.OK, Status.ERROR, Status.FULL)
+            server.answers = status in (Status.OK, Status.ERROR, Status.REJECTED)
         if status is Status.OK:
             self.latency.learn_usual(cls, took, self.limit.pressure >= 1.0)
             self.rules.pace.earn(server, cls)
@@ -76,7 +76,7 @@
                 self.readmit(server)
             self.sample(server, took / base)
             self.pick.heed(server, event.report, took / base)
-        elif status is Status.FULL:
+        elif status is Status.REJECTED:
             self.sample(server, max(FULL_SAMPLE, server.rel))
             self.rules.pace.lose(server)
             server.last_ok = self.ctx.now  # busy, but alive
--- a/ochreflow/policy/interface.py
+++ b/ochreflow/policy/interface.py
@@ -31,16 +31,16 @@
 
     OK = 0
     ERROR = 1  # the server answered with an error; may have run
-    FULL = 2  # rejected unseen
+    REJECTED = 2  # turned down before any work was done on it: queue full or draining
     TIMEOUT = 3  # no answer in time; may have run, or run still
     CONNECT_FAILED = 4  # no connection was made
     RESET = 5  # the connection broke; may have run
     CANCELLED = 6  # called off; may have run
-    MOOT = 7  # never sent
+    NOT_SENT = 7  # never sent, or not completely: it has not run
 
 
 class State(IntEnum):
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
--- a/ochreflow/policy/records.py
+++ b/ochreflow/policy/records.py
@@ -8,8 +8,10 @@
 
 SECOND = 1_000_000_000
 OUT, NEVER_RAN, MAY_HAVE_RUN = range(3)
-UNWRITTEN = frozenset((Status.CONNECT_FAILED, Status.MOOT))  # ends of attempts that cost no server any work
-PROVES_NOT_RUN = UNWRITTEN | {Status.FULL}
+UNWRITTEN = frozenset(
+    (Status.CONNECT_FAILED, Status.NOT_SENT)
+)  # ends of attempts that cost no server any work
+PROVES_NOT_RUN = UNWRITTEN | {Status.REJECTED}
 OVERDUE, REPEAT, WATCH = range(3)  # kinds of timers
 UNSENT_MOST = 0.45  # of a request's time may pass with nothing sent, while another try is still of use
 
--- a/ochreflow/rehearsal/build.py
+++ b/ochreflow/rehearsal/build.py
@@ -9,6 +9,13 @@
 from pathlib import Path
 from types import ModuleType
 
+# What earlier builds call the names used here: owner (empty: the module itself), name, earlier name.
+_EARLIER_NAMES = (
+    ("Status", "REJECTED", "FULL"),
+    ("Status", "NOT_SENT", "MOOT"),
+    ("State", "REMOVED", "GONE"),
+)
+
 
 @dataclass(slots=True)
 class Policy:
@@ -33,4 +40,14 @@
             sys.modules[name] = importlib.util.module_from_spec(spec)
             spec.loader.exec_module(sys.modules[name])
     parts = (importlib.import_module(f"{name}.{part}") for part in ("interface", "logic", "settings"))
-    return Policy(*parts)
+    interface, *rest = parts
+    _add_earlier_names(interface)
+    return Policy(interface, *rest)
+
+
+def _add_earlier_names(interface: ModuleType) -> None:
+    """Let a simulation speak to an earlier build by the names of this one."""
+    for owner, name, earlier in _EARLIER_NAMES:
+        holder = getattr(interface, owner) if owner else interface
+        if not hasattr(holder, name):
+            setattr(holder, name, getattr(holder, earlier))
--- a/ochreflow/rehearsal/pace.py
+++ b/ochreflow/rehearsal/pace.py
@@ -147,7 +147,7 @@
         took = server.take(now, fleet.random.expovariate(1.0 / WORK))
         last = self.deadlines[ident] - MARGIN - now
         if took is None:
-            fleet.clock.after(0.001, self.end, ident, attempt, number, status.FULL, fleet.clock.now)
+            fleet.clock.after(0.001, self.end, ident, attempt, number, status.REJECTED, fleet.clock.now)
         elif took > last:
             fleet.clock.after(last, self.end, ident, attempt, number, status.TIMEOUT, fleet.clock.now)
         else:
@@ -230,7 +230,7 @@
 
     def tell(self, sidecar: Sidecar) -> None:
         state = self.policy.interface.State
-        changed = [self.entry(number, state.GONE) for number in self.cold]
+        changed = [self.entry(number, state.REMOVED) for number in self.cold]
         changed += [self.entry(self.first + number, state.READY, self.started) for number in self.cold]
         sidecar.post(self.policy.interface.Membership(self.policy.interface.ListKind.DELTA, 2, changed))
 
--- a/ochreflow/rehearsal/play.py
+++ b/ochreflow/rehearsal/play.py
@@ -113,7 +113,7 @@
             ZONES.index(one["zone"]),
             0,
             one["group"],
-            states.get(one["status"], self.api.State.GONE),
+            states.get(one["status"], self.api.State.REMOVED),
             1.0,
             one["since_ms"] * 1_000_000,
         )
--- a/ochreflow/rehearsal/sidecar.py
+++ b/ochreflow/rehearsal/sidecar.py
@@ -146,7 +146,7 @@
         wait = min(action.timeout_ns, last) if action.timeout_ns > 0 else last
         node = self.nodes.node(action.server)
         if held.attempts > self.settings.max_attempts or wait <= 0:
-            self._end(action.id, at, self.api.Status.MOOT)
+            self._end(action.id, at, self.api.Status.NOT_SENT)
         elif node is None or not node.alive:
             self.clock.after(2 * HOP, self._end, action.id, at, self.api.Status.CONNECT_FAILED)
         else:
@@ -166,7 +166,7 @@
         elif reply.code == 200:
             self._end(number, at, status.OK, reply.body)
         else:
-            self._end(number, at, status.FULL if reply.not_run else status.ERROR)
+            self._end(number, at, status.REJECTED if reply.not_run else status.ERROR)
 
     def _end(self, number: int, at: int, status: Any, body: str = "") -> None:
         attempt = self.attempts.pop((number, at), None)
@@ -177,7 +177,7 @@
         known = self.api.Status
         held = self.held.get(number)
         if held is not None:
-            held.may_have_run |= status not in (known.FULL, known.CONNECT_FAILED, known.MOOT)
+            held.may_have_run |= status not in (known.REJECTED, known.CONNECT_FAILED, known.NOT_SENT)
             if status is known.OK:
                 self._finish(number, "served", body)
         took = self.clock.now - attempt.sent
--- a/ochreflow/wirehost.py
+++ b/ochreflow/wirehost.py
@@ -50,14 +50,14 @@
 STATUS = {
     200: api.Status.OK,
     500: api.Status.ERROR,
-    503: api.Status.FULL,
+    503: api.Status.REJECTED,
     504: api.Status.TIMEOUT,
     502: api.Status.CONNECT_FAILED,
     598: api.Status.RESET,
     499: api.Status.CANCELLED,
-    410: api.Status.MOOT,
+    410: api.Status.NOT_SENT,
 }
-STATES = {0: api.State.GONE, 1: api.State.READY, 2: api.State.DRAINING}
+STATES = {0: api.State.REMOVED, 1: api.State.READY, 2: api.State.DRAINING}
 LIST_KINDS = {
     0: api.ListKind.DELTA,
     1: api.ListKind.FULL,
@@ -159,7 +159,7 @@
         number, offset, count = SNAPSHOT_ROWS.unpack_from(body, at)
         rows = _slice(body, tail_at, offset, count * ENTRY.size)
         self.lists[number] = [
-            api.Endpoint(server, zone, kind, cell, STATES.get(phase, api.State.GONE), weight, started)
+            api.Endpoint(server, zone, kind, cell, STATES.get(phase, api.State.REMOVED), weight, started)
             for server, zone, kind, cell, phase, weight, started in ENTRY.iter_unpack(rows)
         ]
 
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -16,7 +16,7 @@
     StreamStarted,
 )
 
-NEVER = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
+NEVER = (Status.REJECTED, Status.CONNECT_FAILED, Status.NOT_SENT)
 
 
 class BrokenRuleError(AssertionError):
--- a/tests/duplicate_model.py
+++ b/tests/duplicate_model.py
@@ -209,7 +209,7 @@
             return
         within = self.watcher.write_within()
         if within <= 0.0:
-            self.end(Status.MOOT)
+            self.end(Status.NOT_SENT)
             return
         self.copy = self.carrier.rule.first_byte(self.carrier.loop.now, self.call, self.server)
         if within < float("inf"):
@@ -241,7 +241,7 @@
         """Its server ends it. One that proves nothing may come before the request is whole."""
         if self.over or not self.begun:
             return
-        if status is Status.FULL:
+        if status is Status.REJECTED:
             self.copy.never_ran = True
         if status is Status.RESET and not self.may_run:
             status = Status.CONNECT_FAILED
@@ -260,7 +260,7 @@
 
     def _too_late(self):
         if not self.over and not self.may_run:
-            self.end(Status.MOOT)
+            self.end(Status.NOT_SENT)
 
     def wait(self, seconds):
         self.wait_no_more()
@@ -275,7 +275,7 @@
         pass
 
     def give_up(self, status):
-        if status is not Status.MOOT and not self.may_run:
+        if status is not Status.NOT_SENT and not self.may_run:
             status = Status.CONNECT_FAILED
         self.end(status)
 
@@ -328,7 +328,7 @@
         """As `connect`, but its end is told later, never from within the start."""
         within = carriage.watcher.write_within()
         if within <= 0.0:
-            self.loop.call_soon(carriage.end, Status.MOOT)
+            self.loop.call_soon(carriage.end, Status.NOT_SENT)
         else:
             carriage.connect()
 
--- a/tests/line_front.py
+++ b/tests/line_front.py
@@ -13,7 +13,7 @@
 from ochreflow.core.ports import Call
 from ochreflow.policy.interface import State, Status
 
-ENDS = {"ok": Status.OK, "full": Status.FULL, "error": Status.ERROR}
+ENDS = {"ok": Status.OK, "full": Status.REJECTED, "error": Status.ERROR}
 
 
 class LineCarriage(asyncio.Protocol):
@@ -38,7 +38,7 @@
             return
         self.transport = transport
         if not self.watcher.write_within():
-            self.end(Status.MOOT)
+            self.end(Status.NOT_SENT)
             return
         self.begun = True
         if self.carrier.writes_in_part:
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -112,7 +112,7 @@
             break
         when, again = later[0]
         assert when < first + 4 * SECOND
-        actions = balancer.handle(when + MS, Outcome(1, number, again.server, Status.FULL, MS, False))
+        actions = balancer.handle(when + MS, Outcome(1, number, again.server, Status.REJECTED, MS, False))
         when += MS
     open_request = balancer.open.get(1)
     if open_request is not None:
@@ -146,7 +146,7 @@
 # What ends prove
 
 
-@pytest.mark.parametrize("second", [Status.CONNECT_FAILED, Status.MOOT, Status.FULL])
+@pytest.mark.parametrize("second", [Status.CONNECT_FAILED, Status.NOT_SENT, Status.REJECTED])
 def test_a_second_outcome_of_an_attempt_takes_nothing_back(second):
     balancer, now = make(effect=Effect.KEYED, scope=Scope.CELL, entries=None)
     sent = send_one(balancer, now, 1)
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -179,7 +179,7 @@
     assert dispositions(stage, call) == [wanted]
 
 
-@pytest.mark.parametrize("ends", [(Status.FULL, Status.RESET), (Status.RESET, Status.FULL)])
+@pytest.mark.parametrize("ends", [(Status.REJECTED, Status.RESET), (Status.RESET, Status.REJECTED)])
 def test_two_copies_of_which_one_may_have_run_are_not_refused_by_the_last_guard(ends):
     stage = Stage(["keyed by cell"])
     call = stage.ask()
@@ -219,7 +219,7 @@
 # Ends that contradict what is known
 
 
-@pytest.mark.parametrize("lie", [Status.CONNECT_FAILED, Status.MOOT])
+@pytest.mark.parametrize("lie", [Status.CONNECT_FAILED, Status.NOT_SENT])
 def test_an_attempt_that_was_written_cannot_end_as_never_sent(lie):
     stage = Stage()
     call = stage.ask()
@@ -231,14 +231,14 @@
     assert dispositions(stage, call) == [Disposition.ABORTED]
 
 
-@pytest.mark.parametrize("status", [Status.CONNECT_FAILED, Status.MOOT, Status.FULL])
+@pytest.mark.parametrize("status", [Status.CONNECT_FAILED, Status.NOT_SENT, Status.REJECTED])
 def test_an_upload_that_ended_before_its_last_byte_is_not_sent_again_and_may_be_refused(status):
     """Its body is gone; no server has all of it."""
     stage = Stage()
     call = stage.ask(complete=False)
     carriage = stage.attempt(call)
     carriage.connect()
-    if status is Status.FULL:
+    if status is Status.REJECTED:
         carriage.answer(status)
     else:
         carriage.end(status)
--- a/tests/test_duplicate_faults.py
+++ b/tests/test_duplicate_faults.py
@@ -56,7 +56,7 @@
 
 
 ENDS = {
-    "full": lambda carriage: carriage.answer(Status.FULL),
+    "full": lambda carriage: carriage.answer(Status.REJECTED),
     "error": lambda carriage: carriage.answer(Status.ERROR),
     "reset": lambda carriage: carriage.answer(Status.RESET),
     "ok": lambda carriage: carriage.answer(Status.OK),
--- a/tests/test_duplicate_machine.py
+++ b/tests/test_duplicate_machine.py
@@ -30,7 +30,7 @@
     "begins to be answered": lambda carriage: carriage.begin(),
     "is served": lambda carriage: carriage.answer(Status.OK),
     "fails": lambda carriage: carriage.answer(Status.ERROR),
-    "is full": lambda carriage: carriage.answer(Status.FULL),
+    "is full": lambda carriage: carriage.answer(Status.REJECTED),
     "is reset": lambda carriage: carriage.answer(Status.RESET),
 }
 CLIENTS = ["a request comes", "a body ends", "a body breaks", "a client leaves", "the process ends"]
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -169,7 +169,7 @@
     run(play())
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
+@pytest.mark.parametrize("state", [State.DRAINING, State.REMOVED])
 def test_nothing_begins_at_a_server_that_drains_by_the_module(tmp_path, state):
     """Even where the carrier has not been told yet: one owner judges."""
 
@@ -261,7 +261,7 @@
                 sidecar.upstreams.update(number, (HOST, server.port), 1, State.READY)
                 stage.loop.open.set()
                 assert (await read_message(reader)).code == 200
-            assert ends == [Status.MOOT, Status.OK] and len(server.got) == 1
+            assert ends == [Status.NOT_SENT, Status.OK] and len(server.got) == 1
 
     run(play())
 
@@ -371,7 +371,7 @@
     return pool, server
 
 
-@pytest.mark.parametrize("size, status", [(8 * MB, Status.MOOT), (32 * 1024, Status.CANCELLED)])
+@pytest.mark.parametrize("size, status", [(8 * MB, Status.NOT_SENT), (32 * 1024, Status.CANCELLED)])
 def test_what_has_not_arrived_when_its_window_ends_never_does(size, status):
     """Held by the own buffer, or by the system: it would arrive whole once the server reads again."""
 
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -163,7 +163,7 @@
         if how == "time-out":
             exchange.give_up(Status.TIMEOUT)
         else:
-            pool.update(1, server.getsockname(), 0, State.DRAINING if how == "drain" else State.GONE)
+            pool.update(1, server.getsockname(), 0, State.DRAINING if how == "drain" else State.REMOVED)
         assert await end == (Status.CONNECT_FAILED, None)
         await until(lambda: not pool.connections and not pool.targets[1].opening)
         for sock in fill:
@@ -322,7 +322,7 @@
             raise OSError(errno.EMFILE, "Too many open files")
 
         monkeypatch.setattr(upstream.socket, "socket", exhausted)
-        assert await start(pool)[1] == (Status.MOOT, None)  # it says nothing of the server
+        assert await start(pool)[1] == (Status.NOT_SENT, None)  # it says nothing of the server
         monkeypatch.setattr(upstream.socket, "socket", real)
         assert (await start(pool)[1])[0] is Status.OK
         pool.close()
@@ -342,7 +342,7 @@
         waits = [start(pool, 2)[1] for _ in range(8)]
         await until(lambda: len(other.got) == 8)
         assert not pool.targets[1].idle and pool.descriptors.held == 8
-        assert await start(pool, 2)[1] == (Status.MOOT, None)
+        assert await start(pool, 2)[1] == (Status.NOT_SENT, None)
         assert not any(end.done() for end in waits)
         pool.close()
         for end in waits:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -459,7 +459,7 @@
     sent = balancer.handle(now, Request(7, 0, 0, now + 2 * SECOND, uploading=True))
     (server,) = {action.server for action in sent if isinstance(action, Send)}
     now += MS
-    balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(server, state=State.GONE)]))
+    balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(server, state=State.REMOVED)]))
     balancer.handle(now + MS, Uploaded(7, now + 2 * SECOND))
     assert balancer.fleet.inflight == 0
     balancer.handle(now + 2 * MS, Outcome(7, 0, server, Status.OK, MS, True))
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -50,7 +50,7 @@
             if balancer is made[0]:
                 log += actions
         for action in [a for a in log[-3:] if isinstance(a, Send) and a.id == ident]:
-            status = rng.choice([Status.OK, Status.FULL, Status.RESET])
+            status = rng.choice([Status.OK, Status.REJECTED, Status.RESET])
             log += made[0].handle(now, Outcome(ident, 0, action.server, status, 5 * MS, status is Status.OK))
     return log
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -40,8 +40,8 @@
 TICK = 5 * MS
 STATUSES = [Status.OK] * 6 + [
     Status.ERROR,
-    Status.FULL,
-    Status.FULL,
+    Status.REJECTED,
+    Status.REJECTED,
     Status.TIMEOUT,
     Status.CONNECT_FAILED,
     Status.RESET,
@@ -179,7 +179,7 @@
         if kind is not ListKind.FAILED:
             some = rng.sample(range(12), rng.randrange(0, 12))
             states = [State.READY] * 3 + [State.DRAINING]
-            states += [State.GONE] if kind is ListKind.DELTA else []
+            states += [State.REMOVED] if kind is ListKind.DELTA else []
             entries = [
                 endpoint(n, n % 3, n // 3, rng.choice(states), rng.choice([0, 0, self.now])) for n in some
             ]
--- a/tests/test_response_proof.py
+++ b/tests/test_response_proof.py
@@ -167,7 +167,7 @@
     proven = case in PROOF
     for size in (1, 2, 7, len(data)):
         pieces = [data[at : at + size] for at in range(0, len(data), size)]
-        assert (parse(pieces, then is close) is Status.FULL) == proven, size
+        assert (parse(pieces, then is close) is Status.REJECTED) == proven, size
 
 
 class LargeRequest:
@@ -232,7 +232,7 @@
             await asyncio.sleep(0)
         assert exchange.connection.unwritten
         server.sendall(REFUSAL)
-        assert await end is Status.FULL
+        assert await end is Status.REJECTED
         assert not request.pool.connections
         assert len(await request.read(server)) < len(request.payload)
         request.listener.close()
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("effect", list(Effect))
-@pytest.mark.parametrize("status", [Status.FULL, Status.CONNECT_FAILED])
+@pytest.mark.parametrize("status", [Status.REJECTED, Status.CONNECT_FAILED])
 def test_what_never_ran_is_repeated_elsewhere_after_a_delay(effect, status):
     balancer, now = make(effect=effect)
     first = send_one(balancer, now, 1)
@@ -49,7 +49,7 @@
         for seed in range(20):
             balancer, now = make(effect=Effect.SAFE, seed=seed)
             first = send_one(balancer, now, 1, length)
-            done = _later(balancer, now, _finish(balancer, now, 1, first.server, Status.FULL))
+            done = _later(balancer, now, _finish(balancer, now, 1, first.server, Status.REJECTED))
             seen.append(next(when for when, a in done if isinstance(a, Send)) - now)
         assert len(set(seen)) > 15
         waits[length] = sum(seen)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(
-    "status, spent", [(Status.CONNECT_FAILED, 0.0), (Status.FULL, 0.25), (Status.RESET, 1.0)]
+    "status, spent", [(Status.CONNECT_FAILED, 0.0), (Status.REJECTED, 0.25), (Status.RESET, 1.0)]
 )
 def test_a_repeat_costs_what_the_attempt_before_it_may_have_cost_a_server(status, spent):
     balancer, now = make(servers=6, effect=Effect.SAFE)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -55,7 +55,7 @@
 def test_nothing_follows_a_drop():
     balancer, now = make(effect=Effect.SAFE)
     first = send_one(balancer, now, 1)
-    actions = balancer.handle(now + MS, Outcome(1, 0, first.server, Status.FULL, MS, False))
+    actions = balancer.handle(now + MS, Outcome(1, 0, first.server, Status.REJECTED, MS, False))
     balancer.handle(now + MS, Dropped(1))
     balancer.handle(now + MS, Dropped(1))
     done = play_timers(balancer, now + MS, actions, now + 3 * SECOND)
@@ -67,7 +67,7 @@
     balancer, now = make(entries=entries, effect=Effect.SAFE)
     first = send_one(balancer, now, 1)
     other = 3 - first.server
-    actions = balancer.handle(now, Outcome(1, 0, first.server, Status.FULL, MS, False))
+    actions = balancer.handle(now, Outcome(1, 0, first.server, Status.REJECTED, MS, False))
     balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(other, state=State.DRAINING)]))
     done = play_timers(balancer, now, actions, now + SECOND)
     assert {a.server for _, a in done if isinstance(a, Send)} <= {first.server}
--- a/tests/test_second_answer.py
+++ b/tests/test_second_answer.py
@@ -144,7 +144,7 @@
         await stage.read(server)
         assert monotonic() - answered >= 0.05
         server.sendall(REFUSAL)
-        assert (await end)[0] is Status.FULL  # here it is a proof
+        assert (await end)[0] is Status.REJECTED  # here it is a proof
         assert len(stage.pool.connections) == 1
         stage.close()
 
@@ -175,7 +175,7 @@
         server = await stage.accept()
         await stage.read(server)
         server.sendall(REFUSAL)
-        assert (await end)[0] is Status.FULL
+        assert (await end)[0] is Status.REJECTED
         stage.close()
 
     run(play())
@@ -347,7 +347,7 @@
         _, end = stage.start(safe=False)
         await stage.read(server)
         server.sendall(REFUSAL + REAL)
-        assert (await end)[0] not in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
+        assert (await end)[0] not in (Status.REJECTED, Status.CONNECT_FAILED, Status.NOT_SENT)
         assert not stage.pool.connections
         stage.close()
 
