--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -232,13 +232,13 @@
         """What is done for each kind of action."""
         return {
             api.Send: self._send,
-            api.Refuse: self._refuse,
+            api.Reject: self._refuse,
             api.Fail: self._fail,
             api.Cancel: self._cancel,
             api.SetTimer: self._set_timer,
             api.Probe: self._probe,
             api.CloseIdle: self._close_idle,
-            api.Tell: self._tell,
+            api.PublishGossip: self._tell,
             api.Watch: self._watch,
             api.Fetch: self._fetch,
             api.Log: self._log,
@@ -251,7 +251,7 @@
         # Whole milliseconds, upwards: the loop counts in these, and an early bell rings for nothing.
         self.loop.call_later(-(-action.after_ns // MS) / 1000, self.post, api.Timer(action.token))
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: api.Reject) -> None:
         self._decided(
             action.id, Verdict(Disposition.DECLINED, Reason.DECIDED, retry_after_ns=action.retry_after_ns)
         )
@@ -263,7 +263,7 @@
         for carrier in self.carriers:
             carrier.close_idle(action.server)
 
-    def _tell(self, action: api.Tell) -> None:
+    def _tell(self, action: api.PublishGossip) -> None:
         if self.peers is not None:
             self.peers.tell(action.data, action.peer)
 
@@ -298,7 +298,7 @@
             return
         held.uploading = not call.body.complete
         if held.uploading:
-            call.body.on_spent = partial(self.post, api.Spent(held.id))
+            call.body.on_spent = partial(self.post, api.BodyDiscarded(held.id))
         else:
             self._set_guard(held)
         self.post(
@@ -338,7 +338,7 @@
                 verdict = Verdict(Disposition.ABORTED, Reason.DECIDED)
             self._finish(held, verdict)
         self._abandon(held)
-        self.post(api.Dropped(held.id))
+        self.post(api.RequestCancelled(held.id))
 
     def left(self, call: Call) -> None:
         """The client of a request has gone: it is over, and what is out for it the module may call off."""
@@ -348,7 +348,7 @@
             if log.debugging:
                 self._tell_verdict(held.door, call, Disposition.ABORTED, Reason.LEFT)
             self._abandon(held)
-            self.post(api.Dropped(held.id))
+            self.post(api.RequestCancelled(held.id))
 
     def turned_away(self, door: Door, cls: int, disposition: Disposition) -> None:
         """A front answered by itself what never became a request: it is counted all the same."""
@@ -412,7 +412,7 @@
         if held.owed:
             disposition = Disposition.ABORTED if held.may_have_run else Disposition.DECLINED
             self._finish(held, Verdict(disposition, Reason.OUT_OF_TIME))
-            self.post(api.Dropped(held.id))
+            self.post(api.RequestCancelled(held.id))
 
     def _finish(self, held: Held, verdict: Verdict) -> None:
         """Give the one final answer."""
@@ -498,7 +498,7 @@
         """The last byte of an attempt whose body was still coming has been written: it begins now."""
         held.uploading = False
         attempt.sent_ns = self.now()
-        self.post(api.Uploaded(held.id, held.call.deadline_ns))
+        self.post(api.BodyUploaded(held.id, held.call.deadline_ns))
 
     def begin_answer(self, held: Held, attempt: Attempt, head: object, length: int | None) -> bool:
         """An answer begins to reach the client; from here on it has no deadline, only a pace."""
@@ -582,7 +582,7 @@
         self.fleet.names.keep(set(self.balancer.fleet.servers) | set(self.fleet.listed))
 
     def on_peer(self, sender: int, data: bytes) -> None:
-        self.post(api.PeerMessage(sender, data))
+        self.post(api.GossipReceived(sender, data))
 
     # Housekeeping and the end
 
--- a/ochreflow/policy/interface.py
+++ b/ochreflow/policy/interface.py
@@ -142,19 +142,19 @@
     cost_ns: int = 0  # expected work; 0: not told
     is_retry: bool = False
     is_write: bool = False
-    uploading: bool = False  # its body is still coming: its deadline is set anew by `Uploaded`
+    uploading: bool = False  # its body is still coming: its deadline is set anew by `BodyUploaded`
     waited_ns: int = 0  # since it had come, behind others of its client, before it was taken up
 
 
 @dataclass(slots=True)
-class Spent:
+class BodyDiscarded:
     """The body is not held whole any more: no further attempt could bring it."""
 
     id: int
 
 
 @dataclass(slots=True)
-class Uploaded:
+class BodyUploaded:
     """The last byte of a body that was still coming has been written: its attempt begins now."""
 
     id: int
@@ -183,7 +183,7 @@
 
 
 @dataclass(slots=True)
-class Dropped:
+class RequestCancelled:
     id: int
 
 
@@ -196,7 +196,7 @@
 
 
 @dataclass(slots=True)
-class PeerMessage:
+class GossipReceived:
     sender: int
     data: bytes
 
@@ -217,7 +217,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """Final: surely had no harmful effect, a new try does no harm."""
 
     id: int
@@ -248,7 +248,7 @@
 
 
 @dataclass(slots=True)
-class Tell:
+class PublishGossip:
     data: bytes
     peer: int | None = None  # None: every peer
 
@@ -277,13 +277,13 @@
 Event = (
     Membership
     | Request
-    | Spent
-    | Uploaded
+    | BodyDiscarded
+    | BodyUploaded
     | Outcome
     | StreamStarted
-    | Dropped
+    | RequestCancelled
     | ProbeResult
-    | PeerMessage
+    | GossipReceived
     | Timer
 )
-Action = Send | Refuse | Fail | Cancel | Probe | CloseIdle | Tell | Watch | Fetch | SetTimer | Log
+Action = Send | Reject | Fail | Cancel | Probe | CloseIdle | PublishGossip | Watch | Fetch | SetTimer | Log
--- a/ochreflow/policy/logic.py
+++ b/ochreflow/policy/logic.py
@@ -47,13 +47,13 @@
             Request: self._on_request,
             Outcome: self._on_outcome,
             api.Timer: self._on_timer,
-            api.Dropped: self._on_dropped,
+            api.RequestCancelled: self._on_dropped,
             api.Membership: lambda event: self.limit.shrink(self.fleet.take(event)),
-            api.PeerMessage: self.shares.hear,
+            api.GossipReceived: self.shares.hear,
             api.ProbeResult: self._on_probe,
             api.StreamStarted: self._on_stream,
-            api.Spent: self._on_spent,
-            api.Uploaded: self._on_uploaded,
+            api.BodyDiscarded: self._on_spent,
+            api.BodyUploaded: self._on_uploaded,
         }
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
@@ -122,7 +122,7 @@
         elif not req.planned:
             self._plan_repeat(req)
 
-    def _on_dropped(self, event: api.Dropped) -> None:
+    def _on_dropped(self, event: api.RequestCancelled) -> None:
         if event.id in self.open:
             self._forget(self.open[event.id])
 
@@ -135,11 +135,11 @@
         self.health.ended(Outcome(event.id, event.attempt, event.server, Status.OK, event.duration_ns, False))
         self._cancel_others(req, event.attempt)
 
-    def _on_spent(self, event: api.Spent) -> None:
+    def _on_spent(self, event: api.BodyDiscarded) -> None:
         if event.id in self.open:
             self.open[event.id].spent = True
 
-    def _on_uploaded(self, event: api.Uploaded) -> None:
+    def _on_uploaded(self, event: api.BodyUploaded) -> None:
         """From here on the attempt is like any other: its server has all of it."""
         req = self.open.get(event.id)
         if req is None or not req.uploading:
@@ -221,7 +221,7 @@
                     left = min(left, spare)  # another try may still be in time; a later one hardly earns
                 most = min(self.ctx.settings.max_retry_after_ns, left * RETRY_AFTER)
                 wait = int(most * self.ctx.random.uniform(RETRY_AFTER_LEAST, 1.0))
-            self.ctx.actions.append(api.Refuse(req.id, wait))
+            self.ctx.actions.append(api.Reject(req.id, wait))
         else:
             self.ctx.actions.append(api.Fail(req.id))
         self._forget(req)
--- a/ochreflow/policy/shares.py
+++ b/ochreflow/policy/shares.py
@@ -2,7 +2,7 @@
 
 import struct
 
-from .interface import PeerMessage, Tell
+from .interface import GossipReceived, PublishGossip
 from .records import SECOND, Context
 
 SHARES_EVERY = 0.5  # shortest deadlines between judgements: bursts rise within seconds
@@ -36,7 +36,7 @@
         self.asked = [0.0] * len(self.asked)
         if self.ctx.settings.can_tell and self.ctx.settings.fleet_size > 1:
             told = [min(int(ask * RATE_UNIT), 0xFFFFFFFF) for ask in self.asks]
-            self.ctx.actions.append(Tell(self.rates.pack(*told)))
+            self.ctx.actions.append(PublishGossip(self.rates.pack(*told)))
         self.judge()
 
     def judge(self) -> None:
@@ -58,7 +58,7 @@
             for ask, tenant in zip(asks, tenants, strict=True)
         ]
 
-    def hear(self, event: PeerMessage) -> None:
+    def hear(self, event: GossipReceived) -> None:
         """A peer's rates by tenant; anything of another length is not ours and skipped."""
         if len(event.data) == self.rates.size and event.sender < self.ctx.settings.fleet_size:
             rates = [value / RATE_UNIT for value in self.rates.unpack(event.data)]
--- a/ochreflow/rehearsal/build.py
+++ b/ochreflow/rehearsal/build.py
@@ -14,6 +14,8 @@
     ("Status", "REJECTED", "FULL"),
     ("Status", "NOT_SENT", "MOOT"),
     ("State", "REMOVED", "GONE"),
+    ("", "Reject", "Refuse"),
+    ("", "RequestCancelled", "Dropped"),
 )
 
 
--- a/ochreflow/rehearsal/pace.py
+++ b/ochreflow/rehearsal/pace.py
@@ -122,7 +122,7 @@
                 self.fleet.clock.at(
                     self.fleet.clock.now + action.after_ns, self.post, api.Timer(action.token)
                 )
-            elif kind is api.Refuse or kind is api.Fail:
+            elif kind is api.Reject or kind is api.Fail:
                 del self.attempts[action.id], self.deadlines[action.id]
 
     def ask(self) -> None:
--- a/ochreflow/rehearsal/sidecar.py
+++ b/ochreflow/rehearsal/sidecar.py
@@ -114,7 +114,7 @@
     def left(self, number: int) -> None:
         """Its client has gone."""
         if self.held.pop(number, None) is not None:
-            self.post(self.api.Dropped(number))
+            self.post(self.api.RequestCancelled(number))
 
     def _finish(self, number: int, outcome: str, body: str = "", retry_after_ns: int = 0) -> None:
         held = self.held.pop(number, None)
@@ -130,7 +130,7 @@
                 self._end(number, at, self.api.Status.TIMEOUT)
         if number in self.held:
             self._finish(number, "failed" if held.may_have_run else "refused")
-            self.post(self.api.Dropped(number))
+            self.post(self.api.RequestCancelled(number))
 
     # Attempts
 
@@ -191,7 +191,7 @@
         kind = type(action)
         if kind is api.Send:
             self._send(action)
-        elif kind is api.Refuse:
+        elif kind is api.Reject:
             self._finish(action.id, "refused", "", action.retry_after_ns)
         elif kind is api.Fail:
             self._finish(action.id, "failed")
--- a/ochreflow/wirehost.py
+++ b/ochreflow/wirehost.py
@@ -133,7 +133,7 @@
         if code == 22:
             return api.Timer(BELL.unpack_from(body, at)[0])
         if code == 21:
-            return api.Dropped(DROPPED.unpack_from(body, at)[0])
+            return api.RequestCancelled(DROPPED.unpack_from(body, at)[0])
         if code == 17:
             scope, version, number = ENDPOINTS.unpack_from(body, at)
             kind = LIST_KINDS.get(scope)
@@ -146,7 +146,7 @@
             return api.Membership(kind, version, self.lists[number])
         if code == 24:
             sender, offset, size = NOTE_FROM.unpack_from(body, at)
-            return api.PeerMessage(sender, _slice(body, tail_at, offset, size))
+            return api.GossipReceived(sender, _slice(body, tail_at, offset, size))
         if code == 23:
             server, reason, took, columns, *report = HEALTH.unpack_from(body, at)
             status = STATUS.get(reason, api.Status.ERROR)
@@ -176,13 +176,13 @@
                 add(DISPATCH.pack(25, i, act.id, act.timeout_ns, act.server))
             elif kind is api.SetTimer:
                 add(SET_TIMER.pack(27, i, act.after_ns, act.token))
-            elif kind is api.Refuse:
+            elif kind is api.Reject:
                 add(TURN_AWAY.pack(23, i, act.id, act.retry_after_ns))
             elif kind is api.Fail:
                 add(ABORT.pack(26, i, act.id))
             elif kind is api.Cancel:
                 add(RETRACT.pack(17, i, act.id, act.attempt))
-            elif kind is api.Tell:
+            elif kind is api.PublishGossip:
                 peer = EVERY_PEER if act.peer is None else act.peer
                 add(SHARE.pack(16, i, peer, len(self.tail), len(act.data)))
                 self.tail += act.data
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -7,7 +7,7 @@
     Membership,
     Outcome,
     Probe,
-    Refuse,
+    Reject,
     Request,
     Scope,
     Send,
@@ -69,11 +69,11 @@
         for action in actions:
             if isinstance(action, Send):
                 self._send(now, action)
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, Reject | Fail):
                 need(action.id in self.requests, "answers an unknown request")
                 cls, _, ended, attempts = self.requests[action.id]
                 need(not ended, "a second final answer")
-                if isinstance(action, Refuse):
+                if isinstance(action, Reject):
                     self._refusal(self.settings.classes[cls], attempts)
                 self.requests[action.id][2] = True
             elif isinstance(action, Probe):
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -11,18 +11,18 @@
 
 from ochreflow.core.stats import Disposition
 from ochreflow.policy.interface import (
-    Dropped,
+    BodyUploaded,
     Effect,
     ListKind,
     Membership,
     Outcome,
-    Refuse,
+    Reject,
     Request,
+    RequestCancelled,
     Scope,
     Send,
     Status,
     StreamStarted,
-    Uploaded,
 )
 
 AFTER = 300 * MS  # enough for a repeat that is allowed to be planned and sent
@@ -153,7 +153,7 @@
     balancer.handle(now, Outcome(1, 0, sent.server, Status.RESET, MS, False))
     actions = balancer.handle(now, Outcome(1, 0, sent.server, second, MS, False))
     assert not balancer.open[1].never_ran()
-    assert not kinds(actions, Refuse)
+    assert not kinds(actions, Reject)
 
 
 def test_an_outcome_of_an_attempt_that_was_never_decided_sends_nothing():
@@ -161,17 +161,17 @@
     send_one(balancer, now, 1)
     actions = balancer.handle(now, Outcome(1, 5, 100, Status.CONNECT_FAILED, MS, False))
     done = actions + [action for _, action in play_timers(balancer, now, actions, now + 3 * SECOND)]
-    assert not kinds(done, Send, Refuse)
+    assert not kinds(done, Send, Reject)
 
 
 @pytest.mark.parametrize("status", list(Status))
 def test_an_outcome_after_a_drop_sends_nothing(status):
     balancer, now = make(effect=Effect.UNSAFE)
     sent = send_one(balancer, now, 1)
-    balancer.handle(now, Dropped(1))
+    balancer.handle(now, RequestCancelled(1))
     actions = balancer.handle(now, Outcome(1, 0, sent.server, status, MS, False))
     done = actions + [action for _, action in play_timers(balancer, now, actions, now + 3 * SECOND)]
-    assert not kinds(done, Send, Refuse)
+    assert not kinds(done, Send, Reject)
 
 
 @pytest.mark.parametrize("status", list(Status))
@@ -192,10 +192,10 @@
     (when, second), *_ = [
         one for one in play_timers(balancer, now, actions, now + SECOND) if isinstance(one[1], Send)
     ]
-    balancer.handle(when, Uploaded(1, when + 2 * SECOND))
+    balancer.handle(when, BodyUploaded(1, when + 2 * SECOND))
     assert (1, 1) in balancer.fleet.servers[second.server].out
     actions = balancer.handle(when, Outcome(1, 1, second.server, Status.RESET, MS, False))
-    assert not kinds(actions, Refuse, Send)
+    assert not kinds(actions, Reject, Send)
 
 
 def test_a_drained_list_does_not_free_a_request_that_may_have_run():
@@ -205,7 +205,7 @@
     balancer.handle(now, Membership(ListKind.FULL, 2, []))
     assert gone.ready and not gone.listed and gone.id in balancer.fleet.servers
     actions = balancer.handle(now, Outcome(1, 0, sent.server, Status.RESET, MS, False))
-    assert not kinds(actions, Send, Refuse)
+    assert not kinds(actions, Send, Reject)
 
 
 # A fault as an attempt is decided
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -10,9 +10,9 @@
 from ochreflow.core.ports import Reason
 from ochreflow.core.stats import Disposition
 from ochreflow.policy.interface import (
-    Dropped,
     Effect,
     Outcome,
+    RequestCancelled,
     Scope,
     Status,
 )
@@ -116,7 +116,7 @@
         raise RecursionError("injected")
 
     stage.engine.balancer.handle = fail
-    stage.engine.post(Dropped(9999))
+    stage.engine.post(RequestCancelled(9999))
     stage.engine.balancer.handle = handle
     assert len([one for one in stage.carrier.out if one.call is call]) == 1
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -7,22 +7,22 @@
 
 from ochreflow import Balancer
 from ochreflow.policy.interface import (
+    BodyUploaded,
     Effect,
+    GossipReceived,
     ListKind,
     Membership,
     Outcome,
-    PeerMessage,
-    Refuse,
+    PublishGossip,
+    Reject,
     Request,
     RequestClass,
     Send,
     SetTimer,
     State,
     Status,
-    Tell,
     Tenant,
     Timer,
-    Uploaded,
 )
 
 
@@ -81,7 +81,7 @@
 
 
 def share(log, kind):
-    done = [a for _, a in log if isinstance(a, Send | Refuse)]
+    done = [a for _, a in log if isinstance(a, Send | Reject)]
     return sum(isinstance(a, kind) for a in done) / len(done)
 
 
@@ -99,15 +99,15 @@
 
 
 def test_nothing_is_refused_while_answers_are_in_time(feed):
-    assert share(feed.run(10, 100, fast), Refuse) == 0
+    assert share(feed.run(10, 100, fast), Reject) == 0
 
 
 def test_work_is_refused_when_all_answers_are_late_and_again_taken_when_they_are_not(feed):
     feed.run(5, 100, fast)
     feed.run(3, 100, late)
-    assert share(feed.run(3, 100, late), Refuse) > 0.3
+    assert share(feed.run(3, 100, late), Reject) > 0.3
     feed.run(10, 100, fast)
-    assert share(feed.run(3, 100, fast), Refuse) < 0.05
+    assert share(feed.run(3, 100, fast), Reject) < 0.05
 
 
 def test_the_usual_latency_is_not_learned_from_a_collapse(feed):
@@ -146,12 +146,12 @@
 def test_the_limit_lets_go_within_a_second_of_a_burst(feed):
     """Guards against refusing all that comes until a queue has drained that would have drained by itself."""
     took = Queues(feed, 40 * MS)  # six servers: 150 a second
-    assert share(feed.run(10, 75, took), Refuse) == 0
+    assert share(feed.run(10, 75, took), Reject) == 0
     burst = feed.run(5, 375, took)
     sent = sum(isinstance(action, Send) for _, action in burst)
-    assert share(burst, Refuse) > 0.4 and sent > 0.9 * 150 * 5  # the fleet is kept busy
+    assert share(burst, Reject) > 0.4 and sent > 0.9 * 150 * 5  # the fleet is kept busy
     feed.run(1, 75, took)
-    assert share(feed.run(5, 75, took), Refuse) == 0
+    assert share(feed.run(5, 75, took), Reject) == 0
 
 
 def test_what_a_burst_is_let_in_comes_in_time(feed):
@@ -195,7 +195,7 @@
 def test_one_hung_server_does_not_make_the_sidecar_refuse(feed):
     feed.run(5, 100, fast)
     log = feed.run(8, 100, lambda server: None if server == 101 else 40 * MS)
-    assert share(log, Refuse) < 0.02
+    assert share(log, Reject) < 0.02
 
 
 def test_one_long_request_does_not_eject_its_server():
@@ -239,7 +239,7 @@
     by_parity = {"cls": lambda n: n % 2}
     feed.run(5, 100, fast, **by_parity)
     log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.fleet.inflight) * MS, **by_parity)
-    refused = [a.id % 2 for _, a in log if isinstance(a, Refuse)]
+    refused = [a.id % 2 for _, a in log if isinstance(a, Reject)]
     return refused.count(0), refused.count(1)
 
 
@@ -261,9 +261,9 @@
         "left": lambda n: 900 * MS if n % 2 else left,
         "again": lambda n: marked and n % 2 == 0,
     }
-    assert share(feed.run(5, 100, fast, **old), Refuse) == 0
+    assert share(feed.run(5, 100, fast, **old), Reject) == 0
     log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.fleet.inflight) * MS, **old)
-    refused = [a.id % 2 for _, a in log if isinstance(a, Refuse)]
+    refused = [a.id % 2 for _, a in log if isinstance(a, Reject)]
     assert refused.count(0) > 1.5 * refused.count(1)
     assert refused.count(0) > 0
 
@@ -274,7 +274,7 @@
     old = {"left": lambda n: 1500 * MS if n % 2 else 1400 * MS}  # of 2 s, so these are 0.6 s old
     feed.run(5, 100, fast, **old)
     log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.fleet.inflight) * MS, **old)
-    refused = [a for _, a in log if isinstance(a, Refuse)]
+    refused = [a for _, a in log if isinstance(a, Reject)]
     waits = {kind: [a.retry_after_ns for a in refused if a.id % 2 == kind] for kind in (0, 1)}
     assert min(waits[1]) > 0 and max(waits[1]) < 500 * MS / 2
     assert min(waits[0]) > 500 * MS / 2
@@ -284,9 +284,9 @@
     tenants = [Tenant("calm", 0.5, 50.0), Tenant("loud", 0.5, 50.0)]
     feed = Feed(*make(servers=6, effect=Effect.UNSAFE, tenants=tenants, over_share_worth=0.1))
     loud_mostly = {"tenant": lambda n: n % 5 != 0}
-    assert share(feed.run(5, 200, fast, **loud_mostly), Refuse) == 0
+    assert share(feed.run(5, 200, fast, **loud_mostly), Reject) == 0
     log = feed.run(6, 200, lambda server: 350 * MS, **loud_mostly)
-    refused = [a.id for _, a in log if isinstance(a, Refuse)]
+    refused = [a.id for _, a in log if isinstance(a, Reject)]
     sent = [a.id for _, a in log if isinstance(a, Send)]
     rate = {loud: sum((n % 5 != 0) == loud for n in refused) for loud in (True, False)}
     asked = {loud: rate[loud] + sum((n % 5 != 0) == loud for n in sent) for loud in (True, False)}
@@ -299,10 +299,10 @@
     balancer = Balancer(config, 1)
     balancer.handle(START, Membership(ListKind.FULL, 1, [endpoint(n) for n in range(4)]))
     feed = Feed(balancer, START)
-    told = [a.data for _, a in feed.run(5, 20, fast, tenant=lambda n: 0) if isinstance(a, Tell)]
+    told = [a.data for _, a in feed.run(5, 20, fast, tenant=lambda n: 0) if isinstance(a, PublishGossip)]
     assert told
-    balancer.handle(feed.now, PeerMessage(1, told[-1][:3]))
-    balancer.handle(feed.now, PeerMessage(1, told[-1]))
+    balancer.handle(feed.now, GossipReceived(1, told[-1][:3]))
+    balancer.handle(feed.now, GossipReceived(1, told[-1]))
     feed.run(2, 20, fast, tenant=lambda n: 0)
     assert balancer.shares.over_share[0] > 0.5  # 20 here and 20 there, of 10
     assert balancer.shares.over_share[1] == 0.0
@@ -316,7 +316,7 @@
     assert feed.balancer.fleet.inflight < 80
     calm = Feed(*make(servers=40, effect=Effect.UNSAFE, fleet_size=8))
     calm.run(5, 50, fast)
-    assert share(calm.run(2, 150, fast), Refuse) < 0.05  # a burst that is answered is no such thing
+    assert share(calm.run(2, 150, fast), Reject) < 0.05  # a burst that is answered is no such thing
 
 
 @pytest.mark.parametrize("effect", list(Effect))
@@ -380,7 +380,7 @@
     """Guards the client's time: told early and when to come back, it may yet be served."""
     balancer, now = make(entries=[], effect=Effect.UNSAFE)
     done = play_timers(balancer, now, balancer.handle(now, request(7, now)), now + 2 * SECOND)
-    ((when, refuse),) = [(when, action) for when, action in done if isinstance(action, Refuse)]
+    ((when, refuse),) = [(when, action) for when, action in done if isinstance(action, Reject)]
     assert now < when < now + SECOND and refuse.retry_after_ns > 0
 
 
@@ -421,7 +421,7 @@
     actions = []
     for more_of_them in range(1, 9):
         actions += balancer.handle(now, request(1000 + more_of_them, now))
-    return [a.server for a in actions if isinstance(a, Send)], [a for a in actions if isinstance(a, Refuse)]
+    return [a.server for a in actions if isinstance(a, Send)], [a for a in actions if isinstance(a, Reject)]
 
 
 def test_in_an_overload_a_server_that_fails_in_part_does_what_would_be_refused():
@@ -449,8 +449,8 @@
     feed = Feed(*make(servers=60, effect=Effect.UNSAFE, fleet_size=40))
     feed.run(5, 7, fast)
     feed.run(1, 700, fast)
-    assert share(feed.run(2, 700, fast), Refuse) < 0.4
-    assert share(feed.run(1, 700, fast), Refuse) < 0.1
+    assert share(feed.run(2, 700, fast), Reject) < 0.4
+    assert share(feed.run(1, 700, fast), Reject) < 0.1
 
 
 def test_a_body_that_is_through_at_a_server_that_left_meanwhile_is_not_held_for_ever():
@@ -460,7 +460,7 @@
     (server,) = {action.server for action in sent if isinstance(action, Send)}
     now += MS
     balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(server, state=State.REMOVED)]))
-    balancer.handle(now + MS, Uploaded(7, now + 2 * SECOND))
+    balancer.handle(now + MS, BodyUploaded(7, now + 2 * SECOND))
     assert balancer.fleet.inflight == 0
     balancer.handle(now + 2 * MS, Outcome(7, 0, server, Status.OK, MS, True))
     assert balancer.fleet.inflight == 0
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -13,7 +13,6 @@
 from ochreflow.policy.fleet import Fleet
 from ochreflow.policy.interface import (
     Cancel,
-    Dropped,
     Effect,
     Fail,
     ListKind,
@@ -21,8 +20,9 @@
     Outcome,
     Probe,
     ProbeResult,
-    Refuse,
+    Reject,
     Request,
+    RequestCancelled,
     RequestClass,
     Scope,
     Send,
@@ -116,7 +116,7 @@
             if isinstance(action, SetTimer):
                 assert action.after_ns > 0
                 self.later(self.now + action.after_ns, lambda token=action.token: Timer(token))
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, Reject | Fail):
                 self.ended.add(action.id)
             elif isinstance(action, Send):
                 self._sent(action)
@@ -170,7 +170,7 @@
             return None
         self.ended.add(ident)
         self.checker.requests[ident][2] = True
-        return Dropped(ident)
+        return RequestCancelled(ident)
 
     def change_list(self):
         rng = self.rng
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import MS, SECOND, kinds, make, play_timers, request, send_one, serve
 
-from ochreflow.policy.interface import Effect, Fail, Outcome, Refuse, Send, Status, Timer
+from ochreflow.policy.interface import Effect, Fail, Outcome, Reject, Send, Status, Timer
 
 
 def _finish(balancer, now, ident, server, status, attempt=0, final=False):
@@ -31,7 +31,7 @@
     balancer, now = make(effect=Effect.UNSAFE)
     first = send_one(balancer, now, 1)
     done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
-    assert [a for _, a in done if isinstance(a, Send | Refuse | Fail)] == [Fail(1)]
+    assert [a for _, a in done if isinstance(a, Send | Reject | Fail)] == [Fail(1)]
 
 
 @pytest.mark.parametrize("status", [Status.TIMEOUT, Status.RESET])
@@ -60,13 +60,13 @@
     balancer, now = make(effect=Effect.SAFE)
     first = send_one(balancer, now, 1)
     actions = _finish(balancer, now, 1, first.server, Status.ERROR)
-    assert any(isinstance(a, Refuse | Fail) for a in actions)
+    assert any(isinstance(a, Reject | Fail) for a in actions)
 
 
 def test_no_time_left_is_answered_at_once():
     balancer, now = make()
     actions = balancer.handle(now, request(5, now, 0))
-    assert [type(a) for a in actions] == [Refuse]
+    assert [type(a) for a in actions] == [Reject]
 
 
 def test_many_failures_at_once_share_one_budget():
@@ -76,7 +76,7 @@
     done = []
     for sent in [send_one(balancer, now, ident) for ident in range(1000, 1024)]:
         done += balancer.handle(now, Outcome(sent.id, 0, sent.server, Status.RESET, MS, False))
-    refused = sum(isinstance(action, Refuse | Fail) for action in done)
+    refused = sum(isinstance(action, Reject | Fail) for action in done)
     again = []
     for step in range(1, 400):
         again += kinds(balancer.handle(now + step * 5 * MS, Timer(balancer.timer_token)), Send)
@@ -92,7 +92,7 @@
         now += 200 * MS
         actions = balancer.handle(now, request(ident, now))
         attempt = 0
-        while not kinds(actions, Refuse):
+        while not kinds(actions, Reject):
             if sent := kinds(actions, Send):
                 there = sent[0].server % 4 < 2  # half of each zone
                 status = Status.OK if there else Status.CONNECT_FAILED
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,15 +5,15 @@
 from ochreflow import Balancer
 from ochreflow.policy.interface import (
     Cancel,
-    Dropped,
     Effect,
     Fail,
+    GossipReceived,
     ListKind,
     Membership,
     Outcome,
-    PeerMessage,
     ProbeResult,
-    Refuse,
+    Reject,
+    RequestCancelled,
     Scope,
     Send,
     SetTimer,
@@ -31,15 +31,15 @@
     first = send_one(balancer, now, 1)
     late = now + 2 * SECOND
     actions = balancer.handle(late, Outcome(1, 0, first.server, Status.TIMEOUT, 2 * SECOND, False))
-    assert kinds(actions, Fail, Refuse) == [Fail(1)]
+    assert kinds(actions, Fail, Reject) == [Fail(1)]
 
 
 def test_without_servers_a_request_is_held_and_refused_before_the_client_gives_up():
     balancer, now = make(entries=[])
     actions = balancer.handle(now, request(1, now, SECOND))
-    assert not kinds(actions, Send, Refuse, Fail)
+    assert not kinds(actions, Send, Reject, Fail)
     done = play_timers(balancer, now, actions, now + 3 * SECOND)
-    answers = [(when, a) for when, a in done if isinstance(a, Refuse | Fail)]
+    answers = [(when, a) for when, a in done if isinstance(a, Reject | Fail)]
     assert len(answers) == 1
     assert answers[0][0] < now + SECOND
 
@@ -56,10 +56,10 @@
     balancer, now = make(effect=Effect.SAFE)
     first = send_one(balancer, now, 1)
     actions = balancer.handle(now + MS, Outcome(1, 0, first.server, Status.REJECTED, MS, False))
-    balancer.handle(now + MS, Dropped(1))
-    balancer.handle(now + MS, Dropped(1))
+    balancer.handle(now + MS, RequestCancelled(1))
+    balancer.handle(now + MS, RequestCancelled(1))
     done = play_timers(balancer, now + MS, actions, now + 3 * SECOND)
-    assert not [a for _, a in done if isinstance(a, Send | Refuse | Fail)]
+    assert not [a for _, a in done if isinstance(a, Send | Reject | Fail)]
 
 
 def test_draining_and_gone_servers_get_nothing_not_even_planned_repeats():
@@ -87,7 +87,7 @@
         assert {(a.server - 1) // 2 for _, a in done if isinstance(a, Send)} <= {(first.server - 1) // 2}
         end = now + 2 * SECOND
         ended = balancer.handle(end, Outcome(1, 1, first.server, Status.TIMEOUT, SECOND, False))
-        assert not kinds([a for _, a in done] + ended, Refuse)
+        assert not kinds([a for _, a in done] + ended, Reject)
 
 
 def lose(balancer, now, server):
@@ -275,14 +275,14 @@
     for event in (
         Outcome(99, 0, 12345, Status.OK, MS, True),
         Outcome(99, 3, 100, Status.TIMEOUT, MS, False),
-        Dropped(98),
+        RequestCancelled(98),
         StreamStarted(97, 0, 12345, MS),
         ProbeResult(12345, Status.OK, MS),
-        PeerMessage(1, b"\xff"),
-        PeerMessage(7, b"1234"),
+        GossipReceived(1, b"\xff"),
+        GossipReceived(7, b"1234"),
         Timer(4242),
     ):
-        assert not kinds(balancer.handle(now, event), Send, Refuse, Fail)
+        assert not kinds(balancer.handle(now, event), Send, Reject, Fail)
 
 
 def test_nothing_is_sent_after_a_stream_has_started():
@@ -299,7 +299,7 @@
     actions = balancer.handle(now, request(1, now, SECOND))
     done = [(now, a) for a in actions] + play_timers(balancer, now, actions, now + 3 * SECOND)
     assert not [a for _, a in done if isinstance(a, Send)]
-    assert [when < now + SECOND for when, a in done if isinstance(a, Refuse)] == [True]
+    assert [when < now + SECOND for when, a in done if isinstance(a, Reject)] == [True]
 
 
 def test_a_server_that_falls_over_at_once_is_no_crash():
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -369,7 +369,7 @@
             assert (await read_message(reader)).code == 200
             writer.close()
             kinds = [type(event) for event in events if not isinstance(event, api.Timer)]
-            assert kinds == [api.Request, api.Spent, api.Outcome]
+            assert kinds == [api.Request, api.BodyDiscarded, api.Outcome]
             assert events[0].uploading
             outcome = next(event for event in events if isinstance(event, api.Outcome))
             assert outcome.status is api.Status.CONNECT_FAILED
