--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -59,7 +59,7 @@
             config.names,
             known.version,
             self.engine.on_news,
-            pushed=not settings.must_ask,
+            pushed=not settings.polling_required,
             waits=waits(settings.drain_grace_ns),
         )
         self.engine.start(self.directory, known)
--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -193,7 +193,7 @@
         """Begin with the list as it was known last, and with whatever tells of its changes."""
         self.source = source
         self._apply(known, api.ListKind.CACHED)
-        if not self.settings.must_ask:
+        if not self.settings.polling_required:
             source.watch(True)
         self._sweep()
 
--- a/ochreflow/policy/fleet.py
+++ b/ochreflow/policy/fleet.py
@@ -111,11 +111,11 @@
         the failed call began: what that took, the span and an answer fit into TOLD_IN and the grace.
         """
         settings, hung = self.ctx.settings, self.ctx.now - self.asked_at
-        if not settings.must_ask:
+        if not settings.polling_required:
             return
-        first = settings.must_ask_in_ns * max(WATCH_SPREAD, WATCH_EACH * settings.fleet_size)
+        first = settings.polling_interval_ns * max(WATCH_SPREAD, WATCH_EACH * settings.fleet_size)
         told = TOLD_IN + settings.drain_grace_ns - ANSWER - hung * (hung <= 2 * ANSWER)  # longer: was taken
-        span = min(max(first, 2 * self.span), settings.must_ask_in_ns * WATCH_MOST, told)
+        span = min(max(first, 2 * self.span), settings.polling_interval_ns * WATCH_MOST, told)
         least = WATCH_STEADY if self.span >= span else WATCH_LEAST
         self.span = span
         self.watch_at = self.ctx.now + int(span * self.ctx.random.uniform(least, 1.0)) + 1
--- a/ochreflow/policy/interface.py
+++ b/ochreflow/policy/interface.py
@@ -59,8 +59,8 @@
     name: str
     objective_ns: int
     deadline_ns: int
-    worth: float
-    late_worth: float
+    priority_weight: float
+    late_priority_weight: float
     effect: Effect
     scope: Scope = Scope.ALL
     window_ns: int = 0
@@ -80,24 +80,24 @@
     zones: list[str]
     zone: int = 0
     tenants: list[Tenant] = field(default_factory=list)
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
+    over_quota_weight: float = 1.0
+    weight_by_work: bool = False
     index: int = 0
     fleet_size: int = 1
     tick_ns: int = 5_000_000
-    must_ask: bool = False  # discovery answers only when asked
-    must_ask_in_ns: int = 10_000_000_000
+    polling_required: bool = False  # discovery answers only when asked
+    polling_interval_ns: int = 10_000_000_000
     drain_grace_ns: int = 0
     answer_slack_ns: int = 0
     start_capacity: float = 1.0
-    warm_within_ns: int = 0
+    warm_up_ns: int = 0
     overload_factor: float = 3.0
     overload_for_ns: int = 3_000_000_000
     max_attempts: int = 1
-    second_copies: bool = False
+    hedging: bool = False
     can_cancel: bool = False
     can_probe: bool = False
-    can_tell: bool = False
+    can_gossip: bool = False
     retry_after: bool = False
     max_retry_after_ns: int = 0
     connect_timeout_ns: int = 0
--- a/ochreflow/policy/limit.py
+++ b/ochreflow/policy/limit.py
@@ -88,7 +88,7 @@
             in_time = min(max(spec.objective_ns - usual, 0.0) / (spec.deadline_ns - span), 1.0)
         else:
             in_time = 1.0
-        return (in_time + (1.0 - in_time) * spec.late_worth) * _part(left, usual)
+        return (in_time + (1.0 - in_time) * spec.late_priority_weight) * _part(left, usual)
 
     def admit(self, req: Open, value: float) -> bool:
         """Refuse early what would make the requests in flight outgrow what is answered in time.
@@ -99,7 +99,7 @@
             self.correct()
         share = self.share_of[req.cls]
         if self.shares.over_share and self.ctx.random.random() < self.shares.over_share[req.tenant]:
-            share = LIMIT_CHEAP + (share - LIMIT_CHEAP) * self.ctx.settings.over_share_worth
+            share = LIMIT_CHEAP + (share - LIMIT_CHEAP) * self.ctx.settings.over_quota_weight
         limit = self.limit * share * value
         if self.fleet.sees_little and limit < 1.0 and not self.fleet.inflight:
             # A thousand sidecars with a request each now and then are not held back by a limit of one.
@@ -152,8 +152,8 @@
 
     def density(self, cls: int) -> float:
         """Worth for the server time it takes."""
-        worth = self.ctx.settings.classes[cls].worth
-        return worth if self.ctx.settings.worth_by_work else worth / self.latency.usual[cls]
+        weight = self.ctx.settings.classes[cls].priority_weight
+        return weight if self.ctx.settings.weight_by_work else weight / self.latency.usual[cls]
 
     def unit(self, cls: int) -> float:
         """The latency of a class at which pressure is 1."""
--- a/ochreflow/policy/logic.py
+++ b/ochreflow/policy/logic.py
@@ -272,7 +272,7 @@
         unsafe = req.spec.effect is Effect.UNSAFE
         if req.planned or req.streaming or unsafe or not self.repeats.affordable(req):
             return
-        if self.ctx.settings.second_copies:
+        if self.ctx.settings.hedging:
             self._plan_repeat(req)
         elif self.ctx.settings.can_cancel:
             self.ctx.actions.append(api.Cancel(req.id, number))
--- a/ochreflow/policy/pace.py
+++ b/ochreflow/policy/pace.py
@@ -30,9 +30,9 @@
     def tally(self) -> None:
         """Learn the usual load of warm servers, of a cell as a part of its kinds'. None warm: it stays."""
         passed = self.ctx.now - max(self.tallied, self.fleet.began)
-        if passed < TALLY_EVERY * max(self.ctx.shortest, self.ctx.settings.warm_within_ns):
+        if passed < TALLY_EVERY * max(self.ctx.shortest, self.ctx.settings.warm_up_ns):
             return
-        span = min(self.ctx.now - self.fleet.began, self.ctx.settings.warm_within_ns) + 1
+        span = min(self.ctx.now - self.fleet.began, self.ctx.settings.warm_up_ns) + 1
         carried: dict[Any, list[float]] = defaultdict(list)
         for server in self.fleet.near + self.fleet.far:
             if self.ramp(server) >= 1.0:
@@ -70,7 +70,7 @@
 
     def ramp(self, server: Server) -> float:
         """The least part of its capacity that a server has by now, by the settings."""
-        start, warm = self.ctx.settings.start_capacity, self.ctx.settings.warm_within_ns
+        start, warm = self.ctx.settings.start_capacity, self.ctx.settings.warm_up_ns
         age = max(self.ctx.now - server.started, 0)
         if not server.started or age >= warm:
             return 1.0
--- a/ochreflow/policy/rules.py
+++ b/ochreflow/policy/rules.py
@@ -26,7 +26,7 @@
         for other, at in enumerate(req.attempts):
             if other == number or at.state == NEVER_RAN:
                 continue
-            if spec.effect is Effect.UNSAFE or (at.state == OUT and not self.ctx.settings.second_copies):
+            if spec.effect is Effect.UNSAFE or (at.state == OUT and not self.ctx.settings.hedging):
                 return 0
             apart = at.cell != server.cell if spec.scope is Scope.CELL else at.zone != server.zone
             if spec.effect is Effect.KEYED and spec.scope is not Scope.ALL and apart:
--- a/ochreflow/policy/shares.py
+++ b/ochreflow/policy/shares.py
@@ -34,7 +34,7 @@
             for number, asked in enumerate(self.asked):
                 self.asks[number] += SHARES_SMOOTHING * (asked * SECOND / passed - self.asks[number])
         self.asked = [0.0] * len(self.asked)
-        if self.ctx.settings.can_tell and self.ctx.settings.fleet_size > 1:
+        if self.ctx.settings.can_gossip and self.ctx.settings.fleet_size > 1:
             told = [min(int(ask * RATE_UNIT), 0xFFFFFFFF) for ask in self.asks]
             self.ctx.actions.append(PublishGossip(self.rates.pack(*told)))
         self.judge()
--- a/ochreflow/rehearsal/build.py
+++ b/ochreflow/rehearsal/build.py
@@ -17,6 +17,7 @@
     ("", "Reject", "Refuse"),
     ("", "RequestCancelled", "Dropped"),
 )
+_EARLIER_FIELDS = {"warm_up_ns": "warm_within_ns"}  # of `Settings`
 
 
 @dataclass(slots=True)
@@ -53,3 +54,11 @@
         holder = getattr(interface, owner) if owner else interface
         if not hasattr(holder, name):
             setattr(holder, name, getattr(holder, earlier))
+    fields = interface.Settings.__dataclass_fields__
+    if not _EARLIER_FIELDS.keys() <= fields.keys():
+        made = interface.Settings
+
+        def settings(**given: object) -> object:
+            return made(**{_EARLIER_FIELDS.get(name, name): value for name, value in given.items()})
+
+        interface.Settings = settings  # type: ignore[attr-defined]  # a module's attribute
--- a/ochreflow/rehearsal/pace.py
+++ b/ochreflow/rehearsal/pace.py
@@ -102,7 +102,7 @@
             index=number,
             fleet_size=fleet.sidecars,
             start_capacity=START_CAPACITY,
-            warm_within_ns=int(WARM_WITHIN * SECOND),
+            warm_up_ns=int(WARM_WITHIN * SECOND),
             overload_factor=FACTOR,
             overload_for_ns=int(FOR * SECOND),
             max_attempts=3,
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -99,7 +99,7 @@
             need(state != "streaming", "sends beside a stream")
             if state == "never":
                 continue
-            need(state != "out" or self.settings.second_copies, "two attempts out")
+            need(state != "out" or self.settings.hedging, "two attempts out")
             need(spec.effect is not Effect.UNSAFE, "an effect twice: unsafe")
             if spec.effect is Effect.KEYED:
                 need(now < sent + spec.window_ns, "an effect twice: after the window")
@@ -113,7 +113,7 @@
     def _pace(self, now, target):
         """Sends to a cold server: what it answered, twice, and its part of what this sidecar gets done."""
         age = now - target.started_ns
-        warm = self.settings.warm_within_ns
+        warm = self.settings.warm_up_ns
         if not target.started_ns or age >= warm:
             return
         tally = self.cold[target.server]
--- a/tests/duplicate_model.py
+++ b/tests/duplicate_model.py
@@ -143,7 +143,7 @@
         if other.ended and not other.may_have_run:
             return
         what = f"{call_name(asked)}: {copy} after {other}"
-        if not other.ended and not self.settings.second_copies:
+        if not other.ended and not self.settings.hedging:
             self.findings.append(f"two out: {what}")
         if spec.effect is Effect.UNSAFE:
             self.findings.append(f"unsafe: {what}")
@@ -399,10 +399,10 @@
         "classes": classes,
         "zones": ["a", "b"],
         "max_attempts": 4,
-        "second_copies": True,
+        "hedging": True,
         "can_cancel": True,
         "start_capacity": 0.2,
-        "warm_within_ns": 10 * SECOND,
+        "warm_up_ns": 10 * SECOND,
         "retry_after": True,
         "max_retry_after_ns": SECOND,
     }
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -81,7 +81,7 @@
 
 def test_the_window_of_a_request_whose_body_was_still_coming_runs_from_its_first_byte():
     """Its last byte went out late: servers that count from its beginning have forgotten it sooner."""
-    stage = Stage(["keyed everywhere"], warm_within_ns=0)
+    stage = Stage(["keyed everywhere"], warm_up_ns=0)
     call = stage.ask(complete=False)
     stage.end_body(call)
     stage.carrier.blocked = True
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("unproven", [Status.TIMEOUT, Status.RESET, Status.CANCELLED])
 def test_a_first_copy_that_may_have_run_bounds_all_later_ones_by_its_window(unproven):
     """Whatever ends in between: attempts proven not to have run move no window."""
-    balancer, now = make(effect=Effect.KEYED, scope=Scope.ALL, max_attempts=9, second_copies=False)
+    balancer, now = make(effect=Effect.KEYED, scope=Scope.ALL, max_attempts=9, hedging=False)
     sent = send_one(balancer, now, 1, 20 * SECOND)
     first = now
     actions = balancer.handle(now + MS, Outcome(1, 0, sent.server, unproven, MS, False))
--- a/tests/test_duplicate_machine.py
+++ b/tests/test_duplicate_machine.py
@@ -49,11 +49,9 @@
 
     cls = ""  # set by each test
 
-    @initialize(seed=any_of, second_copies=st.booleans(), can_cancel=st.booleans(), complete=st.booleans())
-    def begin(self, seed, second_copies, can_cancel, complete):
-        self.stage = Stage(
-            [self.cls], SERVERS, seed, second_copies=second_copies, can_cancel=can_cancel, max_attempts=6
-        )
+    @initialize(seed=any_of, hedging=st.booleans(), can_cancel=st.booleans(), complete=st.booleans())
+    def begin(self, seed, hedging, can_cancel, complete):
+        self.stage = Stage([self.cls], SERVERS, seed, hedging=hedging, can_cancel=can_cancel, max_attempts=6)
         self.stage.engine.balancer.repeats.tokens = REPEATS
         self.calls = [self.stage.ask(), self.stage.ask(complete=complete)]
         self.ended = False
--- a/tests/test_duplicate_search.py
+++ b/tests/test_duplicate_search.py
@@ -45,13 +45,13 @@
     return Copy(at, attempt, server, began, at if not_before is None else not_before, 100)
 
 
-def kinds(cls, *events, second_copies=True, places=None):
+def kinds(cls, *events, hedging=True, places=None):
     def stood(server, begin, end):
         stays = (places or {}).get(server, [PLACES[server]])
         ends = [stay.since for stay in stays[1:]] + [1e9]
         return [stay for stay, until in zip(stays, ends, strict=True) if stay.since <= end and until >= begin]
 
-    return [one.kind for one in judge(cls, events, stood, second_copies)]
+    return [one.kind for one in judge(cls, events, stood, hedging)]
 
 
 # The judge: second copies
@@ -157,22 +157,22 @@
 
 def test_a_second_copy_while_one_is_out_breaks_it_where_the_settings_forbid_that():
     both = (copy(1.0), copy(1.2, 1, 2), AttemptEnded(1.4, 0))
-    assert kinds(SAFE, *both, second_copies=False) == [Kind.OVERLAP]
-    assert kinds(SAFE, *both, second_copies=True) == []
+    assert kinds(SAFE, *both, hedging=False) == [Kind.OVERLAP]
+    assert kinds(SAFE, *both, hedging=True) == []
 
 
 def test_a_second_copy_after_the_first_ended_is_none_beside_it():
-    assert kinds(SAFE, copy(1.0), AttemptEnded(1.1, 0), copy(1.2, 1, 2), second_copies=False) == []
+    assert kinds(SAFE, copy(1.0), AttemptEnded(1.1, 0), copy(1.2, 1, 2), hedging=False) == []
 
 
 def test_a_copy_of_which_the_server_read_the_rest_later_may_have_been_given_up_before():
     late = copy(1.4, 0, 1, began=1.0)
-    assert kinds(SAFE, late, copy(1.2, 1, 2), AttemptEnded(1.4, 0), second_copies=False) == []
+    assert kinds(SAFE, late, copy(1.2, 1, 2), AttemptEnded(1.4, 0), hedging=False) == []
 
 
 def test_a_copy_that_waited_unread_may_have_come_and_gone_before_the_other():
     waited = copy(1.2, 1, 2, not_before=0.5)
-    assert kinds(SAFE, copy(1.0), waited, AttemptEnded(1.4, 0), second_copies=False) == []
+    assert kinds(SAFE, copy(1.0), waited, AttemptEnded(1.4, 0), hedging=False) == []
 
 
 # The judge: final answers and closes
@@ -377,7 +377,7 @@
     return replace(
         plan,
         sidecars=2,
-        second_copies=False,
+        hedging=False,
         attempts_most=3,
         connect_timeout=0.25,
         classes=classes,
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -282,7 +282,7 @@
 
 def test_a_tenant_over_its_share_is_refused_first_and_only_in_overload():
     tenants = [Tenant("calm", 0.5, 50.0), Tenant("loud", 0.5, 50.0)]
-    feed = Feed(*make(servers=6, effect=Effect.UNSAFE, tenants=tenants, over_share_worth=0.1))
+    feed = Feed(*make(servers=6, effect=Effect.UNSAFE, tenants=tenants, over_quota_weight=0.1))
     loud_mostly = {"tenant": lambda n: n % 5 != 0}
     assert share(feed.run(5, 200, fast, **loud_mostly), Reject) == 0
     log = feed.run(6, 200, lambda server: 350 * MS, **loud_mostly)
@@ -295,7 +295,7 @@
 
 def test_peers_rates_are_told_and_taken_and_corrupt_ones_skipped():
     tenants = [Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0)]
-    config = settings(effect=Effect.UNSAFE, tenants=tenants, can_tell=True, fleet_size=2, index=0)
+    config = settings(effect=Effect.UNSAFE, tenants=tenants, can_gossip=True, fleet_size=2, index=0)
     balancer = Balancer(config, 1)
     balancer.handle(START, Membership(ListKind.FULL, 1, [endpoint(n) for n in range(4)]))
     feed = Feed(balancer, START)
@@ -354,7 +354,7 @@
 
 def test_attempts_whose_answers_are_lost_do_not_fill_the_limit():
     """Guards against a network that drops answers: they filled the limit, and all was refused."""
-    balancer, now = make(servers=4, effect=Effect.UNSAFE, second_copies=False)
+    balancer, now = make(servers=4, effect=Effect.UNSAFE, hedging=False)
     sent = {}
     for ident in range(400):
         now += 5 * MS
@@ -401,7 +401,7 @@
 
 def crowded(status, errors=2, **more):
     """Four servers, of which one was ejected after so many failures; the others are full to the limit."""
-    balancer, now = make(entries=[endpoint(100 + n) for n in range(4)], second_copies=False, **more)
+    balancer, now = make(entries=[endpoint(100 + n) for n in range(4)], hedging=False, **more)
     balancer.limit.correct()
     ident = failed = 0
     while failed < errors or not balancer.fleet.ejected:
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -56,7 +56,7 @@
 
 
 def test_a_start_that_lies_ahead_of_the_own_clock_is_no_crash_where_nothing_warms_up():
-    balancer, now = make(entries=[endpoint(1, started=START + 5 * SECOND)], warm_within_ns=0)
+    balancer, now = make(entries=[endpoint(1, started=START + 5 * SECOND)], warm_up_ns=0)
     assert send_one(balancer, now, 1).server == 1
 
 
@@ -90,7 +90,7 @@
 
 def test_what_warm_servers_carried_is_remembered_while_none_is_warm():
     """It was counted over all servers and faded with their answers: a fleet that had gone stayed unused."""
-    balancer, now = began([endpoint(1), endpoint(2)], warm_within_ns=60 * SECOND)
+    balancer, now = began([endpoint(1), endpoint(2)], warm_up_ns=60 * SECOND)
     now = carry(balancer, now, {1: 10, 2: 10})
     balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(n, started=now) for n in (1, 2)]))
     server = balancer.fleet.servers[1]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -117,7 +117,7 @@
 
 
 def test_no_second_copy_where_forbidden_but_the_first_is_called_off_at_a_lost_server():
-    balancer, now = make(effect=Effect.SAFE, second_copies=False)
+    balancer, now = make(effect=Effect.SAFE, hedging=False)
     waiting, actions, now = lose(balancer, now, 100)
     assert {a.id for a in kinds(actions, Cancel)} == set(waiting)
     called_off = Outcome(waiting[0], 0, 100, Status.CANCELLED, 6 * MS, False)
@@ -127,7 +127,7 @@
 
 
 def test_what_waits_at_a_lost_server_is_repeated_beside_it_where_allowed():
-    balancer, now = make(effect=Effect.SAFE, second_copies=True)
+    balancer, now = make(effect=Effect.SAFE, hedging=True)
     waiting, actions, now = lose(balancer, now, 100)
     done = play_timers(balancer, now, actions, now + SECOND)
     assert {a.id for _, a in done if isinstance(a, Send)} & set(waiting)
@@ -136,7 +136,7 @@
 
 def test_a_late_attempt_at_a_server_not_known_to_be_bad_is_not_repeated():
     """Incidents i921dec, i4efe13: quiet sidecars find every server silent and doubled the load."""
-    balancer, now = make(effect=Effect.SAFE, second_copies=True)
+    balancer, now = make(effect=Effect.SAFE, hedging=True)
     done = play_timers(balancer, now, balancer.handle(now, request(1, now)), now + 2 * SECOND)
     assert not [a for _, a in done if isinstance(a, Send)]
 
@@ -242,7 +242,10 @@
 def test_asking_discovery_is_jittered_and_repeated_after_a_failure():
     starts = set()
     for seed in range(10):
-        balancer, now = Balancer(settings(must_ask=True, must_ask_in_ns=10 * SECOND), seed), START
+        balancer, now = (
+            Balancer(settings(polling_required=True, polling_interval_ns=10 * SECOND), seed),
+            START,
+        )
         armed = balancer.handle(now, Membership(ListKind.CACHED, 1, [endpoint(1)]))
         done = play_timers(balancer, now, armed, now + 10 * SECOND)
         asked = [when for when, a in done if isinstance(a, Watch)]
@@ -257,7 +260,7 @@
     """herd+vast: 40 calls in half a second to a service of ten a second; most waited too long."""
     first, again = [], []
     for seed in range(40):
-        wanted = settings(must_ask=True, must_ask_in_ns=10 * SECOND, fleet_size=40)
+        wanted = settings(polling_required=True, polling_interval_ns=10 * SECOND, fleet_size=40)
         balancer, now = Balancer(wanted, seed), START
         armed = balancer.handle(now, Membership(ListKind.CACHED, 1, [endpoint(1)]))
         asked = [when for when, a in play_timers(balancer, now, armed, now + 10 * SECOND)]
@@ -271,7 +274,7 @@
 
 
 def test_odd_input_is_harmless():
-    balancer, now = make(tenants=[Tenant("t", 1.0, 10.0)], can_tell=True, fleet_size=2)
+    balancer, now = make(tenants=[Tenant("t", 1.0, 10.0)], can_gossip=True, fleet_size=2)
     for event in (
         Outcome(99, 0, 12345, Status.OK, MS, True),
         Outcome(99, 3, 100, Status.TIMEOUT, MS, False),
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -212,7 +212,7 @@
         self.told = {}  # index -> when
         grace_ns = int(grace * SECOND)
         self.balancer = Balancer(
-            settings(must_ask=not pushed, fleet_size=fleet, drain_grace_ns=grace_ns), seed
+            settings(polling_required=not pushed, fleet_size=fleet, drain_grace_ns=grace_ns), seed
         )
         self.directory = Directory(
             loop,
@@ -481,7 +481,7 @@
 
 def test_an_outage_of_hours_ends_no_asking():
     """The span was doubled by a power of the failures, which went beyond any number at the 1024th."""
-    balancer, now = Balancer(settings(must_ask=True), 1), START
+    balancer, now = Balancer(settings(polling_required=True), 1), START
     for _ in range(1500):
         actions = balancer.handle(now, Membership(ListKind.FAILED, 0, []))
         while not any(isinstance(action, Watch) for action in actions):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -188,7 +188,7 @@
     assert [c.effect for c in got.classes] == [Effect.SAFE, Effect.KEYED]
     assert got.classes[1].scope is Scope.ZONE
     assert got.classes[1].window_ns == 500
-    assert got.max_attempts == 3 and got.second_copies and got.can_cancel and not got.can_probe
+    assert got.max_attempts == 3 and got.hedging and got.can_cancel and not got.can_probe
     assert got.tenants[0].quota_per_s == 10.0
 
 
