--- a/ochreflow/http/grammar.py
+++ b/ochreflow/http/grammar.py
@@ -76,13 +76,13 @@
         if cls is None:
             raise RequestError(404, "unknown class")
         spec = self.specs[cls]
-        if method != (b"GET" if spec.effect is Effect.SAFE else b"POST"):
+        if method != (b"GET" if spec.effect is Effect.IDEMPOTENT else b"POST"):
             raise RequestError(405, "the method is not that of the class", cls)
         ident = headers.get(b"x-request-id")
         if not ident:
             raise RequestError(400, "X-Request-Id is missing", cls)
         # Guards the rule on effects: without the key no server could drop a repeat.
-        if spec.effect is Effect.KEYED and not headers.get(b"idempotency-key"):
+        if spec.effect is Effect.IDEMPOTENT_WITH_KEY and not headers.get(b"idempotency-key"):
             raise RequestError(400, "Idempotency-Key is missing", cls)
         wait = spec.deadline_ns
         if (value := headers.get(b"x-deadline")) is not None:
--- a/ochreflow/policy/health.py
+++ b/ochreflow/policy/health.py
@@ -35,7 +35,7 @@
         self.latency, self.fleet, self.rules = limit.latency, pick.fleet, pick.rules
         self.ejects = ejects  # told of a server that has just been ejected
         self.since_trial = TRIAL_EVERY  # own requests
-        self.has_safe = any(spec.effect is Effect.SAFE for spec in ctx.settings.classes)
+        self.has_safe = any(spec.effect is Effect.IDEMPOTENT for spec in ctx.settings.classes)
 
     def ended(self, event: Outcome) -> Server | None:
         """Whatever became of an attempt, it is in flight no more. Its server, if that is still known."""
@@ -132,7 +132,7 @@
 
     def trial(self, req: Open) -> Server | None:
         """An ejected server that is due for one request: of a class safe to repeat, if there is any."""
-        if req.attempts or (self.has_safe and req.spec.effect is not Effect.SAFE):
+        if req.attempts or (self.has_safe and req.spec.effect is not Effect.IDEMPOTENT):
             return None
         self.since_trial += 1
         if self.since_trial < TRIAL_EVERY:
--- a/ochreflow/policy/interface.py
+++ b/ochreflow/policy/interface.py
@@ -13,9 +13,9 @@
 class Effect(IntEnum):
     """Whether a request may run more than once."""
 
-    SAFE = 0  # any number of times
-    KEYED = 1  # repeats are dropped inside a group of servers for a while
-    UNSAFE = 2  # never twice
+    IDEMPOTENT = 0  # any number of times
+    IDEMPOTENT_WITH_KEY = 1  # servers drop a retry with the same idempotency key for a while
+    NON_IDEMPOTENT = 2  # at most once
 
 
 class Scope(IntEnum):
--- a/ochreflow/policy/logic.py
+++ b/ochreflow/policy/logic.py
@@ -269,7 +269,7 @@
 
     def _rescue(self, req: Open, number: int) -> None:
         """Repeat an attempt that its server seems to have lost, where the class and the site allow it."""
-        unsafe = req.spec.effect is Effect.UNSAFE
+        unsafe = req.spec.effect is Effect.NON_IDEMPOTENT
         if req.planned or req.streaming or unsafe or not self.repeats.affordable(req):
             return
         if self.ctx.settings.hedging:
--- a/ochreflow/policy/rules.py
+++ b/ochreflow/policy/rules.py
@@ -26,17 +26,17 @@
         for other, at in enumerate(req.attempts):
             if other == number or at.state == NEVER_RAN:
                 continue
-            if spec.effect is Effect.UNSAFE or (at.state == OUT and not self.ctx.settings.hedging):
+            if spec.effect is Effect.NON_IDEMPOTENT or (at.state == OUT and not self.ctx.settings.hedging):
                 return 0
             apart = at.cell != server.cell if spec.scope is Scope.CELL else at.zone != server.zone
-            if spec.effect is Effect.KEYED and spec.scope is not Scope.ALL and apart:
+            if spec.effect is Effect.IDEMPOTENT_WITH_KEY and spec.scope is not Scope.ALL and apart:
                 return 0
         end = self._window_end(req, number)
         return end if self.ctx.now < end else 0
 
     def _window_end(self, req: Open, but: int) -> int:
         """Until when servers drop a repeat of what may have run, by its first copy but for this one."""
-        if req.spec.effect is not Effect.KEYED:
+        if req.spec.effect is not Effect.IDEMPOTENT_WITH_KEY:
             return NO_END
         begun = [one.decided for n, one in enumerate(req.attempts) if n != but and one.state != NEVER_RAN]
         return min(begun) + req.spec.window_ns - self.ctx.settings.tick_ns if begun else NO_END
@@ -44,7 +44,9 @@
     def may_refuse(self, req: Open) -> bool:
         """Whether a refusal, which invites the client to try again, does no harm."""
         spec = req.spec
-        if spec.effect is Effect.SAFE or (spec.effect is Effect.KEYED and spec.scope is Scope.ALL):
+        if spec.effect is Effect.IDEMPOTENT or (
+            spec.effect is Effect.IDEMPOTENT_WITH_KEY and spec.scope is Scope.ALL
+        ):
             return True
         return req.never_ran()
 
@@ -52,5 +54,5 @@
         """Whether the rules allow any further attempt at all, wherever it went."""
         if len(req.attempts) >= self.ctx.settings.max_attempts or req.spent:
             return False
-        unsafe = req.spec.effect is Effect.UNSAFE
+        unsafe = req.spec.effect is Effect.NON_IDEMPOTENT
         return req.never_ran() if unsafe else self.ctx.now < self._window_end(req, len(req.attempts))
--- a/ochreflow/policy/settings.py
+++ b/ochreflow/policy/settings.py
@@ -9,7 +9,11 @@
 from ..errors import OchreflowError
 from . import interface as api
 
-EFFECTS = {"pure": api.Effect.SAFE, "token": api.Effect.KEYED, "side_effect": api.Effect.UNSAFE}
+EFFECTS = {
+    "pure": api.Effect.IDEMPOTENT,
+    "token": api.Effect.IDEMPOTENT_WITH_KEY,
+    "side_effect": api.Effect.NON_IDEMPOTENT,
+}
 SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
 REPORTS = {
     "active": "inflight",
--- a/ochreflow/rehearsal/build.py
+++ b/ochreflow/rehearsal/build.py
@@ -11,6 +11,7 @@
 
 # What earlier builds call the names used here: owner (empty: the module itself), name, earlier name.
 _EARLIER_NAMES = (
+    ("Effect", "IDEMPOTENT", "SAFE"),
     ("Status", "REJECTED", "FULL"),
     ("Status", "NOT_SENT", "MOOT"),
     ("State", "REMOVED", "GONE"),
--- a/ochreflow/rehearsal/pace.py
+++ b/ochreflow/rehearsal/pace.py
@@ -94,7 +94,7 @@
         self.fleet = fleet
         self.api = api = fleet.policy.interface
         spec = api.RequestClass(
-            "only", int(OBJECTIVE * SECOND), int(DEADLINE * SECOND), 1.0, 0.2, api.Effect.SAFE
+            "only", int(OBJECTIVE * SECOND), int(DEADLINE * SECOND), 1.0, 0.2, api.Effect.IDEMPOTENT
         )
         settings = api.Settings(
             classes=[spec],
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -84,7 +84,9 @@
                 need(action.attempt < len(self.requests[action.id][3]), "cancels what was never sent")
 
     def _refusal(self, spec, attempts):
-        harmless = spec.effect is Effect.SAFE or (spec.effect is Effect.KEYED and spec.scope is Scope.ALL)
+        harmless = spec.effect is Effect.IDEMPOTENT or (
+            spec.effect is Effect.IDEMPOTENT_WITH_KEY and spec.scope is Scope.ALL
+        )
         need(harmless or all(a[2] == "never" for a in attempts), "refuses what may have run")
 
     def _send(self, now, action):
@@ -100,8 +102,8 @@
             if state == "never":
                 continue
             need(state != "out" or self.settings.hedging, "two attempts out")
-            need(spec.effect is not Effect.UNSAFE, "an effect twice: unsafe")
-            if spec.effect is Effect.KEYED:
+            need(spec.effect is not Effect.NON_IDEMPOTENT, "an effect twice: unsafe")
+            if spec.effect is Effect.IDEMPOTENT_WITH_KEY:
                 need(now < sent + spec.window_ns, "an effect twice: after the window")
                 if spec.scope is Scope.CELL:
                     need(server.cell == target.cell, "an effect twice: another cell")
--- a/tests/duplicate_model.py
+++ b/tests/duplicate_model.py
@@ -19,11 +19,11 @@
 from ochreflow.policy.interface import Effect, Endpoint, RequestClass, Scope, Settings, State, Status
 
 CLASSES = {
-    "safe": (Effect.SAFE, Scope.ALL),
-    "keyed everywhere": (Effect.KEYED, Scope.ALL),
-    "keyed by zone": (Effect.KEYED, Scope.ZONE),
-    "keyed by cell": (Effect.KEYED, Scope.CELL),
-    "unsafe": (Effect.UNSAFE, Scope.ALL),
+    "safe": (Effect.IDEMPOTENT, Scope.ALL),
+    "keyed everywhere": (Effect.IDEMPOTENT_WITH_KEY, Scope.ALL),
+    "keyed by zone": (Effect.IDEMPOTENT_WITH_KEY, Scope.ZONE),
+    "keyed by cell": (Effect.IDEMPOTENT_WITH_KEY, Scope.CELL),
+    "unsafe": (Effect.NON_IDEMPOTENT, Scope.ALL),
 }
 WINDOW = 900 * MS
 DEADLINE = 2 * SECOND
@@ -118,7 +118,7 @@
     @property
     def may_invite(self):
         effect, scope = self.spec.effect, self.spec.scope
-        return effect is Effect.SAFE or (effect is Effect.KEYED and scope is Scope.ALL)
+        return effect is Effect.IDEMPOTENT or (effect is Effect.IDEMPOTENT_WITH_KEY and scope is Scope.ALL)
 
 
 class DuplicateRule:
@@ -145,9 +145,9 @@
         what = f"{call_name(asked)}: {copy} after {other}"
         if not other.ended and not self.settings.hedging:
             self.findings.append(f"two out: {what}")
-        if spec.effect is Effect.UNSAFE:
+        if spec.effect is Effect.NON_IDEMPOTENT:
             self.findings.append(f"unsafe: {what}")
-        if spec.effect is Effect.KEYED:
+        if spec.effect is Effect.IDEMPOTENT_WITH_KEY:
             if spec.scope is not Scope.ALL and copy.group[spec.scope] != other.group[spec.scope]:
                 self.findings.append(f"another group: {what}")
             if now >= other.first_byte_at + spec.window_ns:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -23,7 +23,7 @@
 START = 1_000 * SECOND
 
 
-def settings(effect=Effect.SAFE, scope=Scope.CELL, **more):
+def settings(effect=Effect.IDEMPOTENT, scope=Scope.CELL, **more):
     spec = RequestClass("only", 500 * MS, 2 * SECOND, 1.0, 0.2, effect, scope, 4 * SECOND)
     values = {
         "classes": [spec],
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("unproven", [Status.TIMEOUT, Status.RESET, Status.CANCELLED])
 def test_a_first_copy_that_may_have_run_bounds_all_later_ones_by_its_window(unproven):
     """Whatever ends in between: attempts proven not to have run move no window."""
-    balancer, now = make(effect=Effect.KEYED, scope=Scope.ALL, max_attempts=9, hedging=False)
+    balancer, now = make(effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.ALL, max_attempts=9, hedging=False)
     sent = send_one(balancer, now, 1, 20 * SECOND)
     first = now
     actions = balancer.handle(now + MS, Outcome(1, 0, sent.server, unproven, MS, False))
@@ -127,7 +127,7 @@
 def test_a_class_is_never_changed_in_place():
     spec = Stage().settings.classes[0]
     with pytest.raises(FrozenInstanceError):
-        spec.effect = Effect.SAFE
+        spec.effect = Effect.IDEMPOTENT
 
 
 def test_a_request_is_judged_by_its_class_as_it_was_taken():
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize("second", [Status.CONNECT_FAILED, Status.NOT_SENT, Status.REJECTED])
 def test_a_second_outcome_of_an_attempt_takes_nothing_back(second):
-    balancer, now = make(effect=Effect.KEYED, scope=Scope.CELL, entries=None)
+    balancer, now = make(effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.CELL, entries=None)
     sent = send_one(balancer, now, 1)
     balancer.handle(now, Outcome(1, 0, sent.server, Status.RESET, MS, False))
     actions = balancer.handle(now, Outcome(1, 0, sent.server, second, MS, False))
@@ -157,7 +157,7 @@
 
 
 def test_an_outcome_of_an_attempt_that_was_never_decided_sends_nothing():
-    balancer, now = make(effect=Effect.UNSAFE)
+    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
     send_one(balancer, now, 1)
     actions = balancer.handle(now, Outcome(1, 5, 100, Status.CONNECT_FAILED, MS, False))
     done = actions + [action for _, action in play_timers(balancer, now, actions, now + 3 * SECOND)]
@@ -166,7 +166,7 @@
 
 @pytest.mark.parametrize("status", list(Status))
 def test_an_outcome_after_a_drop_sends_nothing(status):
-    balancer, now = make(effect=Effect.UNSAFE)
+    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
     sent = send_one(balancer, now, 1)
     balancer.handle(now, RequestCancelled(1))
     actions = balancer.handle(now, Outcome(1, 0, sent.server, status, MS, False))
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("status", list(Status))
 def test_nothing_follows_an_answer_that_has_begun_whatever_its_end(status):
-    balancer, now = make(effect=Effect.UNSAFE)
+    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
     sent = send_one(balancer, now, 1)
     balancer.handle(now, StreamStarted(1, 0, sent.server, MS))
     actions = balancer.handle(now, Outcome(1, 0, sent.server, status, MS, False))
@@ -185,7 +185,7 @@
 
 
 def test_an_upload_that_is_through_is_counted_from_the_attempt_that_made_it():
-    balancer, now = make(effect=Effect.UNSAFE)
+    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
     actions = balancer.handle(now, Request(1, 0, 0, now + 2 * SECOND, uploading=True))
     first = kinds(actions, Send)[0]
     actions = balancer.handle(now, Outcome(1, 0, first.server, Status.CONNECT_FAILED, MS, False))
@@ -199,7 +199,7 @@
 
 
 def test_a_drained_list_does_not_free_a_request_that_may_have_run():
-    balancer, now = make(effect=Effect.UNSAFE)
+    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
     sent = send_one(balancer, now, 1)
     gone = balancer.fleet.servers[sent.server]
     balancer.handle(now, Membership(ListKind.FULL, 2, []))
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -18,7 +18,7 @@
 )
 
 UNINVITING = [
-    name for name, (effect, scope) in CLASSES.items() if effect != Effect.SAFE and scope != Scope.ALL
+    name for name, (effect, scope) in CLASSES.items() if effect != Effect.IDEMPOTENT and scope != Scope.ALL
 ]
 UNINVITING.append("unsafe")
 AFTER = 300 * MS  # enough for a repeat that is allowed to be planned and sent
--- a/tests/test_little.py
+++ b/tests/test_little.py
@@ -62,7 +62,7 @@
     entries = [endpoint(n, cell=n // 2) for n in range(40)]
     again = []
     for seed in range(20):
-        balancer, now = make(entries=entries, effect=Effect.KEYED, seed=seed)
+        balancer, now = make(entries=entries, effect=Effect.IDEMPOTENT_WITH_KEY, seed=seed)
         first = send_one(balancer, now, 1).server
         actions = balancer.handle(now + MS, Outcome(1, 0, first, Status.RESET, MS, False))
         done = play_timers(balancer, now + MS, actions, now + SECOND)
@@ -121,7 +121,7 @@
 
 
 def test_one_long_silence_outweighs_answers_of_long_ago():
-    balancer, now = make(entries=[endpoint(n) for n in range(40)], effect=Effect.UNSAFE)
+    balancer, now = make(entries=[endpoint(n) for n in range(40)], effect=Effect.NON_IDEMPOTENT)
     now, used = trickle(balancer, now, range(40), lambda server: 40 * MS)
     server = balancer.fleet.servers[used[-1]]
     before = server.rel
@@ -146,7 +146,7 @@
 
 def test_a_sidecar_with_a_request_now_and_then_sheds_in_overload_and_recovers():
     """Incident i032b0e: 1476 sidecars, each with one in flight at the most, kept 88 servers choked."""
-    balancer, now = make(entries=[endpoint(n) for n in range(40)], effect=Effect.UNSAFE)
+    balancer, now = make(entries=[endpoint(n) for n in range(40)], effect=Effect.NON_IDEMPOTENT)
     refused = {}
     ident = 0
     for phase, latency in (("before", 40 * MS), ("crowded", 900 * MS), ("after", 40 * MS)):
@@ -166,7 +166,7 @@
 @pytest.mark.parametrize("servers, failures", [(60, 1), (6, 2)])
 def test_who_asks_a_server_rarely_avoids_it_after_one_failed_connect(servers, failures):
     """herd+vast: of thirty gone servers a sidecar had found three after 5 s, as each had to fail it twice."""
-    balancer, now = make_any(servers=servers, effect=Effect.UNSAFE, fleet_size=40)
+    balancer, now = make_any(servers=servers, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     for ident in range(100):
         now += 50 * MS
         sent = send_one(balancer, now, ident)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -95,7 +95,7 @@
 
 @pytest.fixture
 def feed():
-    return Feed(*make(servers=6, effect=Effect.UNSAFE))
+    return Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT))
 
 
 def test_nothing_is_refused_while_answers_are_in_time(feed):
@@ -200,7 +200,7 @@
 
 def test_one_long_request_does_not_eject_its_server():
     """Incident i4efe13: the same attempt struck its server at each of its time-outs."""
-    feed = Feed(*make(servers=6, effect=Effect.UNSAFE))
+    feed = Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT))
     feed.run(5, 100, fast)
     before = feed.ident
     feed.run(1.9, 20, lambda server: None if feed.ident == before + 1 else 40 * MS)
@@ -214,7 +214,7 @@
 
 
 def test_broken_connections_eject_and_an_answer_readmits():
-    balancer, now = make(servers=6, effect=Effect.UNSAFE)
+    balancer, now = make(servers=6, effect=Effect.NON_IDEMPOTENT)
     sends = []
     for ident in range(30):
         sends += [a for a in balancer.handle(now, request(ident, now)) if isinstance(a, Send)]
@@ -232,8 +232,8 @@
 
 def refused_by_class(**more):
     classes = [
-        RequestClass("cheap", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.UNSAFE),
-        RequestClass("dear", 500 * MS, 2 * SECOND, 9.0, 0.2, Effect.UNSAFE),
+        RequestClass("cheap", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.NON_IDEMPOTENT),
+        RequestClass("dear", 500 * MS, 2 * SECOND, 9.0, 0.2, Effect.NON_IDEMPOTENT),
     ]
     feed = Feed(*make(servers=6, classes=classes, **more))
     by_parity = {"cls": lambda n: n % 2}
@@ -270,7 +270,7 @@
 
 def test_a_refused_client_is_asked_back_within_its_aim_unless_that_has_passed():
     """Later, and its next try could only be late: much of what was served in i8cc3a0 was."""
-    feed = Feed(*make(servers=6, effect=Effect.UNSAFE, max_retry_after_ns=10 * SECOND))
+    feed = Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT, max_retry_after_ns=10 * SECOND))
     old = {"left": lambda n: 1500 * MS if n % 2 else 1400 * MS}  # of 2 s, so these are 0.6 s old
     feed.run(5, 100, fast, **old)
     log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.fleet.inflight) * MS, **old)
@@ -282,7 +282,7 @@
 
 def test_a_tenant_over_its_share_is_refused_first_and_only_in_overload():
     tenants = [Tenant("calm", 0.5, 50.0), Tenant("loud", 0.5, 50.0)]
-    feed = Feed(*make(servers=6, effect=Effect.UNSAFE, tenants=tenants, over_quota_weight=0.1))
+    feed = Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT, tenants=tenants, over_quota_weight=0.1))
     loud_mostly = {"tenant": lambda n: n % 5 != 0}
     assert share(feed.run(5, 200, fast, **loud_mostly), Reject) == 0
     log = feed.run(6, 200, lambda server: 350 * MS, **loud_mostly)
@@ -295,7 +295,7 @@
 
 def test_peers_rates_are_told_and_taken_and_corrupt_ones_skipped():
     tenants = [Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0)]
-    config = settings(effect=Effect.UNSAFE, tenants=tenants, can_gossip=True, fleet_size=2, index=0)
+    config = settings(effect=Effect.NON_IDEMPOTENT, tenants=tenants, can_gossip=True, fleet_size=2, index=0)
     balancer = Balancer(config, 1)
     balancer.handle(START, Membership(ListKind.FULL, 1, [endpoint(n) for n in range(4)]))
     feed = Feed(balancer, START)
@@ -310,11 +310,11 @@
 
 def test_a_surge_is_let_in_only_as_far_as_answers_justify():
     """Incident ibe9fc7: four times what was in flight, of late, grew with the surge until all was jammed."""
-    feed = Feed(*make(servers=40, effect=Effect.UNSAFE, fleet_size=8))
+    feed = Feed(*make(servers=40, effect=Effect.NON_IDEMPOTENT, fleet_size=8))
     feed.run(5, 50, fast)
     feed.run(0.4, 1000, lambda server: None)  # all are jammed, and none of it shows yet
     assert feed.balancer.fleet.inflight < 80
-    calm = Feed(*make(servers=40, effect=Effect.UNSAFE, fleet_size=8))
+    calm = Feed(*make(servers=40, effect=Effect.NON_IDEMPOTENT, fleet_size=8))
     calm.run(5, 50, fast)
     assert share(calm.run(2, 150, fast), Reject) < 0.05  # a burst that is answered is no such thing
 
@@ -340,8 +340,8 @@
 
 def test_only_a_safe_class_is_the_trial_where_there_is_one():
     classes = [
-        RequestClass("safe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.SAFE),
-        RequestClass("unsafe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.UNSAFE),
+        RequestClass("safe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.IDEMPOTENT),
+        RequestClass("unsafe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.NON_IDEMPOTENT),
     ]
     balancer, now = make(servers=6, classes=classes)
     balancer.health.strike(balancer.fleet.servers[100], 5.0, 1.0)
@@ -354,7 +354,7 @@
 
 def test_attempts_whose_answers_are_lost_do_not_fill_the_limit():
     """Guards against a network that drops answers: they filled the limit, and all was refused."""
-    balancer, now = make(servers=4, effect=Effect.UNSAFE, hedging=False)
+    balancer, now = make(servers=4, effect=Effect.NON_IDEMPOTENT, hedging=False)
     sent = {}
     for ident in range(400):
         now += 5 * MS
@@ -378,7 +378,7 @@
 
 def test_what_can_not_be_sent_is_refused_before_half_its_time():
     """Guards the client's time: told early and when to come back, it may yet be served."""
-    balancer, now = make(entries=[], effect=Effect.UNSAFE)
+    balancer, now = make(entries=[], effect=Effect.NON_IDEMPOTENT)
     done = play_timers(balancer, now, balancer.handle(now, request(7, now)), now + 2 * SECOND)
     ((when, refuse),) = [(when, action) for when, action in done if isinstance(action, Reject)]
     assert now < when < now + SECOND and refuse.retry_after_ns > 0
@@ -387,7 +387,7 @@
 @pytest.mark.parametrize(("waited", "sent"), [(0, False), (300 * MS, True)])
 def test_time_in_line_is_not_a_late_retrys_age(waited, sent):
     """A short deadline tells an old try; one that has only waited here behind others is not old."""
-    balancer, now = make(effect=Effect.UNSAFE)
+    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
     for ident in range(20):  # the clients' usual tries are half as long as the class allows
         send = next(a for a in balancer.handle(now, request(ident, now, SECOND)) if isinstance(a, Send))
         balancer.handle(now + 50 * MS, Outcome(ident, 0, send.server, Status.OK, 50 * MS, True))
@@ -446,7 +446,7 @@
 
 def test_who_gets_the_traffic_of_many_opens_its_limit_while_nothing_queues():
     """38 of 40 sidecars gone: the others let in a tenth of what the servers left could do, for seconds."""
-    feed = Feed(*make(servers=60, effect=Effect.UNSAFE, fleet_size=40))
+    feed = Feed(*make(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40))
     feed.run(5, 7, fast)
     feed.run(1, 700, fast)
     assert share(feed.run(2, 700, fast), Reject) < 0.4
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -38,7 +38,7 @@
 
 def _record(seed, others=0):
     rng = random.Random(5)
-    made = [Balancer(settings(effect=Effect.SAFE), seed + n) for n in range(others + 1)]
+    made = [Balancer(settings(effect=Effect.IDEMPOTENT), seed + n) for n in range(others + 1)]
     log = []
     now = START
     for balancer in made:
@@ -86,7 +86,7 @@
 
 
 def test_memory_stays_bounded_while_servers_come_and_go():
-    balancer, now = make(effect=Effect.UNSAFE)
+    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
     sizes = []
 
     def roll(ident, when):
@@ -103,7 +103,7 @@
 
 def _operations(open_requests):
     """Python function calls for 50 more requests while so many are open."""
-    balancer, now = make(effect=Effect.UNSAFE)
+    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
     for ident in range(open_requests):
         balancer.handle(now, request(10_000 + ident, now, 60 * SECOND))
     calls = 0
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("status", [Status.TIMEOUT, Status.RESET])
 def test_ambiguous_failures_end_unsafe_requests_with_a_failure(status):
-    balancer, now = make(effect=Effect.UNSAFE)
+    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
     first = send_one(balancer, now, 1)
     done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
     assert [a for _, a in done if isinstance(a, Send | Reject | Fail)] == [Fail(1)]
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("status", [Status.TIMEOUT, Status.RESET])
 def test_ambiguous_failures_of_safe_requests_are_repeated(status):
-    balancer, now = make(effect=Effect.SAFE)
+    balancer, now = make(effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
     done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
     assert [a.id for _, a in done if isinstance(a, Send)][:1] == [1]
@@ -47,7 +47,7 @@
     for length in (SECOND, 4 * SECOND):
         seen = []
         for seed in range(20):
-            balancer, now = make(effect=Effect.SAFE, seed=seed)
+            balancer, now = make(effect=Effect.IDEMPOTENT, seed=seed)
             first = send_one(balancer, now, 1, length)
             done = _later(balancer, now, _finish(balancer, now, 1, first.server, Status.REJECTED))
             seen.append(next(when for when, a in done if isinstance(a, Send)) - now)
@@ -57,7 +57,7 @@
 
 
 def test_a_plain_error_ends_the_request():
-    balancer, now = make(effect=Effect.SAFE)
+    balancer, now = make(effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
     actions = _finish(balancer, now, 1, first.server, Status.ERROR)
     assert any(isinstance(a, Reject | Fail) for a in actions)
@@ -71,7 +71,7 @@
 
 def test_many_failures_at_once_share_one_budget():
     """A lost server's attempts fail together: each repeat is paid for when planned, not when sent."""
-    balancer, now = make(servers=6, effect=Effect.SAFE)
+    balancer, now = make(servers=6, effect=Effect.IDEMPOTENT)
     now, _ = serve(balancer, now, range(40), 20 * MS)  # first tries, to save up from
     done = []
     for sent in [send_one(balancer, now, ident) for ident in range(1000, 1024)]:
@@ -86,7 +86,7 @@
 
 def test_what_reached_no_server_is_repeated_whatever_has_been_saved_up():
     """herd+vast: sidecars with an old list refused a third, each after one connect to a gone server."""
-    balancer, now = make(servers=60, effect=Effect.UNSAFE, fleet_size=40)
+    balancer, now = make(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     served = 0
     for ident in range(30):
         now += 200 * MS
@@ -114,7 +114,7 @@
     "status, spent", [(Status.CONNECT_FAILED, 0.0), (Status.REJECTED, 0.25), (Status.RESET, 1.0)]
 )
 def test_a_repeat_costs_what_the_attempt_before_it_may_have_cost_a_server(status, spent):
-    balancer, now = make(servers=6, effect=Effect.SAFE)
+    balancer, now = make(servers=6, effect=Effect.IDEMPOTENT)
     sent = send_one(balancer, now, 1)
     balancer.repeats.tokens = 1.0
     balancer.handle(now + MS, Outcome(1, 0, sent.server, status, MS, False))
@@ -122,7 +122,7 @@
 
 
 def test_one_request_in_ten_at_most_tries_an_avoided_server_however_many_are_due():
-    balancer, now = make(servers=60, effect=Effect.UNSAFE, fleet_size=40)
+    balancer, now = make(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     for server in list(balancer.fleet.servers.values())[:30]:
         balancer.health.eject(server)
         server.trial_at = now
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -27,7 +27,7 @@
 
 
 def test_a_timeout_at_the_deadline_is_answered_at_once():
-    balancer, now = make(effect=Effect.UNSAFE)
+    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
     first = send_one(balancer, now, 1)
     late = now + 2 * SECOND
     actions = balancer.handle(late, Outcome(1, 0, first.server, Status.TIMEOUT, 2 * SECOND, False))
@@ -53,7 +53,7 @@
 
 
 def test_nothing_follows_a_drop():
-    balancer, now = make(effect=Effect.SAFE)
+    balancer, now = make(effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
     actions = balancer.handle(now + MS, Outcome(1, 0, first.server, Status.REJECTED, MS, False))
     balancer.handle(now + MS, RequestCancelled(1))
@@ -64,7 +64,7 @@
 
 def test_draining_and_gone_servers_get_nothing_not_even_planned_repeats():
     entries = [endpoint(1), endpoint(2)]
-    balancer, now = make(entries=entries, effect=Effect.SAFE)
+    balancer, now = make(entries=entries, effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
     other = 3 - first.server
     actions = balancer.handle(now, Outcome(1, 0, first.server, Status.REJECTED, MS, False))
@@ -80,7 +80,7 @@
 def test_a_keyed_repeat_stays_in_the_cell_and_is_never_refused():
     entries = [endpoint(1, cell=0), endpoint(2, cell=0), endpoint(3, cell=1), endpoint(4, cell=1)]
     for seed in range(20):
-        balancer, now = make(entries=entries, seed=seed, effect=Effect.KEYED, scope=Scope.CELL)
+        balancer, now = make(entries=entries, seed=seed, effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.CELL)
         first = send_one(balancer, now, 1)
         actions = balancer.handle(now, Outcome(1, 0, first.server, Status.RESET, MS, False))
         done = play_timers(balancer, now, actions, now + SECOND)
@@ -117,7 +117,7 @@
 
 
 def test_no_second_copy_where_forbidden_but_the_first_is_called_off_at_a_lost_server():
-    balancer, now = make(effect=Effect.SAFE, hedging=False)
+    balancer, now = make(effect=Effect.IDEMPOTENT, hedging=False)
     waiting, actions, now = lose(balancer, now, 100)
     assert {a.id for a in kinds(actions, Cancel)} == set(waiting)
     called_off = Outcome(waiting[0], 0, 100, Status.CANCELLED, 6 * MS, False)
@@ -127,7 +127,7 @@
 
 
 def test_what_waits_at_a_lost_server_is_repeated_beside_it_where_allowed():
-    balancer, now = make(effect=Effect.SAFE, hedging=True)
+    balancer, now = make(effect=Effect.IDEMPOTENT, hedging=True)
     waiting, actions, now = lose(balancer, now, 100)
     done = play_timers(balancer, now, actions, now + SECOND)
     assert {a.id for _, a in done if isinstance(a, Send)} & set(waiting)
@@ -136,14 +136,14 @@
 
 def test_a_late_attempt_at_a_server_not_known_to_be_bad_is_not_repeated():
     """Incidents i921dec, i4efe13: quiet sidecars find every server silent and doubled the load."""
-    balancer, now = make(effect=Effect.SAFE, hedging=True)
+    balancer, now = make(effect=Effect.IDEMPOTENT, hedging=True)
     done = play_timers(balancer, now, balancer.handle(now, request(1, now)), now + 2 * SECOND)
     assert not [a for _, a in done if isinstance(a, Send)]
 
 
 def test_a_silent_server_is_left_alone_and_an_answer_brings_it_back():
     entries = [endpoint(n) for n in range(1, 7)]
-    balancer, now = make(entries=entries, effect=Effect.UNSAFE)
+    balancer, now = make(entries=entries, effect=Effect.NON_IDEMPOTENT)
     ident = 0
     hung = 3
 
@@ -179,7 +179,7 @@
 
 def test_a_fast_error_does_not_look_like_a_fast_server():
     entries = [endpoint(n) for n in range(1, 7)]
-    balancer, now = make(entries=entries, effect=Effect.UNSAFE)
+    balancer, now = make(entries=entries, effect=Effect.NON_IDEMPOTENT)
     chosen = dict.fromkeys(range(1, 7), 0)
     for ident in range(400):
         now += 10 * MS
@@ -195,7 +195,7 @@
 
 def test_a_cold_server_gets_less_than_its_fair_share_until_it_answers():
     warm = [endpoint(n) for n in range(1, 5)]
-    balancer, now = make(entries=warm, effect=Effect.UNSAFE)
+    balancer, now = make(entries=warm, effect=Effect.NON_IDEMPOTENT)
     cold_sends = 0
     for ident in range(600):
         now += 10 * MS
@@ -221,7 +221,7 @@
 
 
 def test_a_new_sidecar_does_not_flood_a_cold_server():
-    balancer, now = make(entries=[endpoint(1), endpoint(2, started=START)], effect=Effect.UNSAFE)
+    balancer, now = make(entries=[endpoint(1), endpoint(2, started=START)], effect=Effect.NON_IDEMPOTENT)
     sends = []
     for ident in range(50):
         sends += kinds(balancer.handle(now, request(ident, now)), Send)
@@ -232,7 +232,7 @@
     """The walk over a group used to pass over one server when its first step was not to the next."""
     for seed in range(60):
         entries = [endpoint(100 + n, cell=n // 2) for n in range(6)]  # two to a cell
-        balancer, now = make(entries=entries, effect=Effect.KEYED, scope=Scope.CELL, seed=seed)
+        balancer, now = make(entries=entries, effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.CELL, seed=seed)
         first = send_one(balancer, now, 1).server
         actions = balancer.handle(now + MS, Outcome(1, 0, first, Status.RESET, MS, False))
         done = play_timers(balancer, now + MS, actions, now + SECOND)
@@ -289,7 +289,7 @@
 
 
 def test_nothing_is_sent_after_a_stream_has_started():
-    balancer, now = make(effect=Effect.SAFE)
+    balancer, now = make(effect=Effect.IDEMPOTENT)
     actions = balancer.handle(now, request(1, now))
     first = kinds(actions, Send)[0]
     actions += balancer.handle(now + MS, StreamStarted(1, 0, first.server, MS))
@@ -313,7 +313,7 @@
 
 
 def test_when_every_server_was_lost_requests_still_go_out():
-    balancer, now = make(entries=[endpoint(1)], effect=Effect.UNSAFE)
+    balancer, now = make(entries=[endpoint(1)], effect=Effect.NON_IDEMPOTENT)
     sends = []
     for ident in range(4):
         sends += kinds(balancer.handle(now, request(ident, now)), Send)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -185,7 +185,7 @@
 
 def test_settings_are_read_and_unknown_keys_skipped():
     got = settings.parse_settings(TEXT)
-    assert [c.effect for c in got.classes] == [Effect.SAFE, Effect.KEYED]
+    assert [c.effect for c in got.classes] == [Effect.IDEMPOTENT, Effect.IDEMPOTENT_WITH_KEY]
     assert got.classes[1].scope is Scope.ZONE
     assert got.classes[1].window_ns == 500
     assert got.max_attempts == 3 and got.hedging and got.can_cancel and not got.can_probe
