--- a/benchmarks/worse_builds.py
+++ b/benchmarks/worse_builds.py
@@ -23,9 +23,9 @@
 POLICY = Path("ochreflow/policy")
 WORSE = {  # the file that is changed, what in it, and into what
     "as it is": None,
-    "no ejection": ("health.py", "STRIKES = 2.0", "STRIKES = 1e9"),
+    "no ejection": ("outlier_detection.py", "STRIKES = 2.0", "STRIKES = 1e9"),
     "random pick": (
-        "pick.py",
+        "endpoint_picker.py",
         "if best is None or delay < lowest:",
         "if best is None or self.ctx.random.random() < 0.5:",
     ),
--- a/ochreflow/cli/main.py
+++ b/ochreflow/cli/main.py
@@ -216,7 +216,7 @@
     """Play builds A and B on the same scenarios and seeds, and tell whether B is better.
 
     A build is "." (this checkout), a git revision, or either with constants changed, such as
-    ".,policy/health.py:STRIKES=3.0".
+    ".,policy/outlier_detection.py:STRIKES=3.0".
     """
     try:
         from ..lab.compare import compare
--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -16,10 +16,10 @@
 from typing import Any
 
 from ..policy import interface as api
+from ..policy.balancer import Balancer
 from ..policy.interface import Settings, Status
-from ..policy.logic import Balancer
-from ..policy.records import PROVES_NOT_RUN, UNWRITTEN
-from ..policy.rules import NO_END
+from ..policy.safety_rules import NO_END
+from ..policy.state_records import PROVES_NOT_RUN, UNWRITTEN
 from .fleet import Fleet, Names, News
 from .lifecycle import Lifecycle
 from .limits import Usage
--- a/ochreflow/http/calls.py
+++ b/ochreflow/http/calls.py
@@ -12,7 +12,7 @@
 from .response import Response
 from .upstream import Upstreams
 
-CONNECT_WITHIN = 2.0  # seconds, as long as an answer may take: `policy/fleet.py` counts on no more
+CONNECT_WITHIN = 2.0  # seconds, as long as an answer may take: `policy/endpoint_set.py` counts on no more
 IDLE_MOST = 30.0
 ANSWER_MOST = 4 * 1024 * 1024
 SERVICE = 0  # the one target
--- a/ochreflow/lab/builds.py
+++ b/ochreflow/lab/builds.py
@@ -2,7 +2,7 @@
 
 .                                   the checkout as it is
 HEAD~3                              a revision, in a folder of its own
-.,policy/health.py:STRIKES=1e9       one whose constant has another value
+.,policy/outlier_detection.py:STRIKES=1e9       one whose constant has another value
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
     """Give a constant of a module another value."""
     match = CHANGE.fullmatch(change)
     if match is None:
-        raise BuildError(f"{change}: wanted FILE:NAME=VALUE, such as policy/health.py:STRIKES=3.0")
+        raise BuildError(f"{change}: wanted FILE:NAME=VALUE, such as policy/outlier_detection.py:STRIKES=3.0")
     name, constant, value = match.groups()
     path = package / name
     if not path.exists():
--- a/ochreflow/policy/logic.py
+++ b/ochreflow/policy/balancer.py
@@ -1,9 +1,9 @@
 """Every decision of a sidecar. The types it takes and returns are in `ochreflow/policy/interface.py`.
 
 `Balancer` takes events and owns the open requests; each concern has a module that owns what it learns:
-`fleet` (the list), `latency`, `rules` (and cold servers), `pick`, `limit` (admission), `shares` (tenants),
-`health`, `repeats`. The ordinary path of a request is `_on_request` -> `Picker.pick` -> `Limit.admit` ->
-`_send` -> `_on_outcome`, and for a failed attempt `_plan_repeat` -> `_try`.
+`endpoint_set`, `latency`, `slow_start`, `safety_rules`, `endpoint_picker`, `concurrency_limiter`,
+`tenant_quota`, `outlier_detection`, `retry_policy`. The ordinary path of a request is `_on_request` ->
+`Picker.pick` -> `Limit.admit` -> `_send` -> `_on_outcome`, and for a failed attempt `_plan_repeat` -> `_try`.
 """
 
 import heapq
@@ -11,17 +11,17 @@
 from typing import Any
 
 from . import interface as api
-from .fleet import Fleet
-from .health import EJECT_SHARE, EJECT_SHARE_ON_SILENCE, HINT_STRIKE, Health
+from .concurrency_limiter import Limit
+from .endpoint_picker import Picker
+from .endpoint_set import Fleet
 from .interface import Action, Effect, Event, Outcome, Request, Settings, Status
 from .latency import Latencies
-from .limit import Limit
-from .pace import Pace
-from .pick import Picker
-from .records import OUT, OVERDUE, REPEAT, WATCH, Attempt, Context, Open, Server
-from .repeats import Repeats
-from .rules import Rules
-from .shares import Shares
+from .outlier_detection import EJECT_SHARE, EJECT_SHARE_ON_SILENCE, HINT_STRIKE, Health
+from .retry_policy import Repeats
+from .safety_rules import Rules
+from .slow_start import Pace
+from .state_records import OUT, OVERDUE, REPEAT, WATCH, Attempt, Context, Open, Server
+from .tenant_quota import Shares
 
 RETRY_AFTER = 0.5  # of the time left or to the aim, as advice with a refusal: a new try has the other half
 RETRY_AFTER_LEAST = 0.5  # of it after jitter, lest refused clients come back together
--- a/ochreflow/policy/limit.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -2,11 +2,11 @@
 
 import math
 
-from .fleet import Fleet
+from .endpoint_set import Fleet
 from .interface import Request
 from .latency import Latencies
-from .records import SECOND, Context, Open, Server
-from .shares import Shares
+from .state_records import SECOND, Context, Open, Server
+from .tenant_quota import Shares
 
 PRESSURE_AIM = 0.45  # of the aim: with a mean of half the aim about one answer in eight is late
 PRESSURE_USUAL = 1.4  # times the usual latency, where the aim is hardly more than that
--- a/ochreflow/policy/pick.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -3,10 +3,10 @@
 import math
 from collections import defaultdict
 
-from .fleet import Fleet
+from .endpoint_set import Fleet
 from .latency import Latencies
-from .records import SECOND, Context, Group, Open, Server
-from .rules import Rules
+from .safety_rules import Rules
+from .state_records import SECOND, Context, Group, Open, Server
 
 SMOOTHING = 0.08  # weight of a new sample of one server: work varies far more than servers do
 FORGET_GAPS = 20.0  # estimates halve their distance to the mean in so many usual gaps between answers
--- a/ochreflow/policy/fleet.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -1,7 +1,7 @@
 """The server list: who may be sampled, what is in flight at them, and when to ask for news of them."""
 
 from .interface import ListKind, Membership, State, Watch
-from .records import SECOND, WATCH, Context, Server
+from .state_records import SECOND, WATCH, Context, Server
 
 SET_LEAST = 2  # servers of each side (own zone, others) sampled from at the least: a pick of two needs two
 SET_SPAN = 1.0  # ... or as many as are asked in so many shortest deadlines: each is heard from so often
--- a/ochreflow/policy/latency.py
+++ b/ochreflow/policy/latency.py
@@ -1,6 +1,6 @@
 """What answers take: by class, of late and usually; and how many come."""
 
-from .records import SECOND, Context
+from .state_records import SECOND, Context
 
 CLASS_SMOOTHING = 0.03  # the class mean moves slower than any server, being the common yardstick
 UNKNOWN_LATENCY = 0.25  # of the aim, the class yardstick before any answer
--- a/ochreflow/policy/health.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable
 
+from .concurrency_limiter import PRESSURE_FULL, Limit
+from .endpoint_picker import SMOOTHING, Picker
 from .interface import Effect, Outcome, Status
-from .limit import PRESSURE_FULL, Limit
-from .pick import SMOOTHING, Picker
-from .records import SECOND, UNWRITTEN, Context, Open, Server
+from .state_records import SECOND, UNWRITTEN, Context, Open, Server
 
 FAILURE_SAMPLE = 4.0  # what a failure counts at least: a fast error must not look like a fast server
 SMOOTHING_SPAN = 3.0  # shortest deadlines after which an old estimate counts half against a new sample
--- a/ochreflow/policy/repeats.py
+++ b/ochreflow/policy/retry_policy.py
@@ -1,8 +1,8 @@
 """Repeats: full jitter, one bounded budget."""
 
 from .latency import Latencies
-from .records import Context, Open
-from .rules import Rules
+from .safety_rules import Rules
+from .state_records import Context, Open
 
 # The delay before repeat n is uniform(FLOOR, min(CAP, BASE * 2^min(n, 6))) of the time left.
 BACKOFF_FLOOR = 0.004  # a few ticks of a usual deadline: enough to leave the tick of the failure
--- a/ochreflow/policy/rules.py
+++ b/ochreflow/policy/safety_rules.py
@@ -1,8 +1,8 @@
 """What may be done: every send passes `may_send`, its first byte `write_by`, every refusal `may_refuse`."""
 
 from .interface import Effect, Scope
-from .pace import Pace
-from .records import NEVER_RAN, OUT, Context, Open, Server
+from .slow_start import Pace
+from .state_records import NEVER_RAN, OUT, Context, Open, Server
 
 NO_END = 1 << 62  # ns; later than any time
 
--- a/ochreflow/policy/pace.py
+++ b/ochreflow/policy/slow_start.py
@@ -3,9 +3,9 @@
 from collections import defaultdict
 from typing import Any
 
-from .fleet import Fleet
+from .endpoint_set import Fleet
 from .latency import Latencies
-from .records import SECOND, Context, Server
+from .state_records import SECOND, Context, Server
 
 PACE = 0.75  # of what makes a server fall, if the usual load of one were all it can do: times its ramp
 PACE_EARN = 1.5  # requests for each one answered, while no warm server has answered to go by
--- a/ochreflow/policy/shares.py
+++ b/ochreflow/policy/tenant_quota.py
@@ -3,7 +3,7 @@
 import struct
 
 from .interface import GossipReceived, PublishGossip
-from .records import SECOND, Context
+from .state_records import SECOND, Context
 
 SHARES_EVERY = 0.5  # shortest deadlines between judgements: bursts rise within seconds
 SHARES_SMOOTHING = 0.5  # weight of the latest such span
--- a/ochreflow/rehearsal/build.py
+++ b/ochreflow/rehearsal/build.py
@@ -26,27 +26,28 @@
     """Its three modules that others speak to."""
 
     interface: ModuleType
-    logic: ModuleType
+    balancer: ModuleType
     settings: ModuleType
 
 
 def load(folder: Path | None) -> Policy:
     """Load `folder`/ochreflow/policy, or this package's own. FileNotFoundError if there is none."""
-    name = "ochreflow.policy"
+    package = "ochreflow"
     if folder is not None:
-        place = (folder / "ochreflow" / "policy").resolve()
-        name = f"_policy_{abs(hash(place)):x}"
-        if name not in sys.modules:
-            init = place / "__init__.py"
-            spec = importlib.util.spec_from_file_location(name, init, submodule_search_locations=[str(place)])
-            if spec is None or spec.loader is None or not init.exists():
-                raise FileNotFoundError(f"{place}: no decision module there")
-            sys.modules[name] = importlib.util.module_from_spec(spec)
-            spec.loader.exec_module(sys.modules[name])
-    parts = (importlib.import_module(f"{name}.{part}") for part in ("interface", "logic", "settings"))
-    interface, *rest = parts
+        place = (folder / "ochreflow").resolve()
+        if not (place / "policy" / "__init__.py").exists():
+            raise FileNotFoundError(f"{place / 'policy'}: no decision module there")
+        package = f"_build_{abs(hash(place)):x}"
+        if package not in sys.modules:
+            # An empty parent package: only the decision module and the errors below it are loaded.
+            sys.modules[package] = parent = ModuleType(package)
+            parent.__path__ = [str(place)]
+    name = f"{package}.policy"
+    interface = importlib.import_module(f"{name}.interface")
     _add_earlier_names(interface)
-    return Policy(interface, *rest)
+    renamed = importlib.util.find_spec(f"{name}.balancer") is not None
+    balancer = importlib.import_module(f"{name}.{'balancer' if renamed else 'logic'}")
+    return Policy(interface, balancer, importlib.import_module(f"{name}.settings"))
 
 
 def _add_earlier_names(interface: ModuleType) -> None:
--- a/ochreflow/rehearsal/pace.py
+++ b/ochreflow/rehearsal/pace.py
@@ -107,7 +107,7 @@
             overload_for_ns=int(FOR * SECOND),
             max_attempts=3,
         )
-        self.balancer = fleet.policy.logic.Balancer(settings, seed)
+        self.balancer = fleet.policy.balancer.Balancer(settings, seed)
         self.attempts: dict[int, int] = {}  # of each request that is owed an answer
         self.deadlines: dict[int, float] = {}
         self.number = 0
--- a/ochreflow/rehearsal/sidecar.py
+++ b/ochreflow/rehearsal/sidecar.py
@@ -62,7 +62,7 @@
         self.api = policy.interface
         self.settings = policy.settings.nested_settings(given)
         self.classes = {spec.name: number for number, spec in enumerate(self.settings.classes)}
-        self.balancer = policy.logic.Balancer(self.settings, seed)
+        self.balancer = policy.balancer.Balancer(self.settings, seed)
         self.clock = clock
         self.nodes = nodes
         self.stage = stage
--- a/ochreflow/wirehost.py
+++ b/ochreflow/wirehost.py
@@ -13,7 +13,7 @@
 
 from .errors import OchreflowError
 from .policy import interface as api
-from .policy.logic import Balancer
+from .policy.balancer import Balancer
 from .policy.settings import SettingError, parse_settings
 
 HEADER = struct.Struct("<QI")
--- a/tests/test_duplicate_faults.py
+++ b/tests/test_duplicate_faults.py
@@ -7,10 +7,34 @@
 from duplicate_model import CLASSES, Stage
 from helpers import MS
 
-from ochreflow.policy import fleet, health, latency, limit, logic, pace, pick, records, repeats, rules, shares
+from ochreflow.policy import (
+    balancer,
+    concurrency_limiter,
+    endpoint_picker,
+    endpoint_set,
+    latency,
+    outlier_detection,
+    retry_policy,
+    safety_rules,
+    slow_start,
+    state_records,
+    tenant_quota,
+)
 from ochreflow.policy.interface import State, Status
 
-MODULES = (fleet, health, latency, limit, logic, pace, pick, records, repeats, rules, shares)
+MODULES = (
+    balancer,
+    concurrency_limiter,
+    endpoint_picker,
+    endpoint_set,
+    latency,
+    outlier_detection,
+    retry_policy,
+    safety_rules,
+    slow_start,
+    state_records,
+    tenant_quota,
+)
 PARTS = {
     kind
     for module in MODULES
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -31,7 +31,7 @@
     }
     assert not too_long
     assert not [name for name, text in texts.items() if not text.startswith('"""')]
-    assert "ochreflow/policy/interface.py" in texts["logic.py"].splitlines()[0]
+    assert "ochreflow/policy/interface.py" in texts["balancer.py"].splitlines()[0]
     apart = {"__init__.py", "interface.py", "settings.py"}  # what they speak in, and how settings are read
     assert {path.name for path in (ROOT / "ochreflow" / "policy").glob("*.py")} == apart | set(texts)
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -10,7 +10,8 @@
 from hypothesis import strategies as st
 
 from ochreflow import Balancer, Settings
-from ochreflow.policy.fleet import Fleet
+from ochreflow.policy.endpoint_picker import Picker
+from ochreflow.policy.endpoint_set import Fleet
 from ochreflow.policy.interface import (
     Cancel,
     Effect,
@@ -32,10 +33,9 @@
     Tenant,
     Timer,
 )
-from ochreflow.policy.pace import Pace
-from ochreflow.policy.pick import Picker
-from ochreflow.policy.repeats import Repeats
-from ochreflow.policy.rules import Rules
+from ochreflow.policy.retry_policy import Repeats
+from ochreflow.policy.safety_rules import Rules
+from ochreflow.policy.slow_start import Pace
 
 TICK = 5 * MS
 STATUSES = [Status.OK] * 6 + [
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -65,7 +65,7 @@
 def test_a_folder_without_a_module_is_told(tmp_path):
     with pytest.raises(FileNotFoundError, match="no decision module"):
         load(tmp_path)
-    assert load(None) is not load(None) and load(None).logic is load(None).logic
+    assert load(None) is not load(None) and load(None).balancer is load(None).balancer
 
 
 def test_nodes_of_a_pod_drop_each_other_s_repeats():
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -56,7 +56,7 @@
         TROUBLED,
     ),
     "no repeat beyond the class": (
-        "policy/rules.py",
+        "policy/safety_rules.py",
         "apart = at.cell != server.cell if spec.scope",
         "apart = at.zone != server.zone if spec.scope",
         KILLED,
@@ -68,7 +68,7 @@
         DRAINED,
     ),
     "no cold node pushed over": (
-        "policy/rules.py",
+        "policy/safety_rules.py",
         "        return self.pace.allows(server, req.cls, False)",
         "        return bool(server.started) or self.ctx.random.random() < 0.1",
         COLD,
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -20,7 +20,7 @@
 from ochreflow.membership import directory
 from ochreflow.membership.directory import Directory
 from ochreflow.membership.silence import OVERDUE_LEAST, TOLD_AFTER, WAIT_MS, waits
-from ochreflow.policy import fleet as fleet_module
+from ochreflow.policy import endpoint_set as endpoint_set_module
 from ochreflow.policy.interface import ListKind, Membership, SetTimer, Timer, Watch
 
 SECOND = 1_000_000_000
@@ -402,9 +402,9 @@
 
 
 def test_times_that_the_parts_count_on_agree():
-    assert fleet_module.ANSWER == TOLD_AFTER * SECOND == ANSWER * SECOND
+    assert endpoint_set_module.ANSWER == TOLD_AFTER * SECOND == ANSWER * SECOND
     assert CONNECT_WITHIN <= ANSWER < directory.ANSWER_WITHIN
-    assert fleet_module.TOLD_IN == TOLD_IN * SECOND
+    assert endpoint_set_module.TOLD_IN == TOLD_IN * SECOND
 
 
 def test_a_discovery_without_whole_lists_is_asked_no_more_often_than_one_that_is_down():
