--- a/ochreflow/rehearsal/build.py
+++ b/ochreflow/rehearsal/build.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import importlib
-import importlib.util
 import sys
 from dataclasses import dataclass
 from pathlib import Path
@@ -21,16 +20,16 @@
 
 def load(folder: Path | None) -> Policy:
     """Load `folder`/ochreflow/policy, or this package's own. FileNotFoundError if there is none."""
-    name = "ochreflow.policy"
+    package = "ochreflow"
     if folder is not None:
-        place = (folder / "ochreflow" / "policy").resolve()
-        name = f"_policy_{abs(hash(place)):x}"
-        if name not in sys.modules:
-            init = place / "__init__.py"
-            spec = importlib.util.spec_from_file_location(name, init, submodule_search_locations=[str(place)])
-            if spec is None or spec.loader is None or not init.exists():
-                raise FileNotFoundError(f"{place}: no decision module there")
-            sys.modules[name] = importlib.util.module_from_spec(spec)
-            spec.loader.exec_module(sys.modules[name])
-    parts = (importlib.import_module(f"{name}.{part}") for part in ("interface", "logic", "settings"))
-    return Policy(*parts)
+        place = (folder / "ochreflow").resolve()
+        package = f"_build_{abs(hash(place)):x}"
+        if package not in sys.modules:
+            if not (place / "policy" / "__init__.py").exists():
+                raise FileNotFoundError(f"{place / 'policy'}: no decision module there")
+            # A parent without code of its own: what the module imports from beside it is that build's too.
+            parent = ModuleType(package)
+            parent.__path__ = [str(place)]
+            sys.modules[package] = parent
+    parts = ("interface", "logic", "settings")
+    return Policy(*(importlib.import_module(f"{package}.policy.{part}") for part in parts))
