--- a/benchmarks/worse_builds.py
+++ b/benchmarks/worse_builds.py
@@ -18,7 +18,7 @@
 from ochreflow.lab.differences import interval
 from ochreflow.lab.runs import results, scenarios_of
 from ochreflow.lab.scenario import names
-from ochreflow.rehearsal.play import rehearse
+from ochreflow.simulation.play import simulate
 
 POLICY = Path("ochreflow/policy")
 WORSE = {  # the file that is changed, what in it, and into what
@@ -58,7 +58,7 @@
     ]
     worth: dict[str, dict[tuple[str, int], float]] = defaultdict(dict)
     broken: dict[str, int] = defaultdict(int)
-    for result in results(rehearse, work, jobs):
+    for result in results(simulate, work, jobs):
         worth[result["build"]][result["scenario"], result["seed"]] = result["worth"]
         broken[result["build"]] += result["verdict"] == "broken"
     told: dict[str, object] = {}
--- a/ochreflow/cli/main.py
+++ b/ochreflow/cli/main.py
@@ -159,12 +159,12 @@
     """Stand-ins and tools that break things on purpose."""
 
 
-def _player(rehearse: bool) -> Player:
+def _player(simulated: bool) -> Player:
     """What plays a scenario: processes on loopback, or the decision module alone in simulated time."""
-    if rehearse:
-        from ..rehearsal.play import rehearse as play_dry
+    if simulated:
+        from ..simulation.play import simulate
 
-        return play_dry
+        return simulate
     from ..lab.demo import play
 
     return play
@@ -175,10 +175,10 @@
 @click.option("--seeds", type=click.IntRange(1, 1000), default=1, show_default=True, help="Runs of each.")
 @click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Runs at a time.")
 @click.option("--seconds", type=click.FloatRange(2, 3600), help="In place of the scenario's own length.")
-@click.option("--rehearse", is_flag=True, help="The decision module alone, in simulated time.")
+@click.option("--rehearse", "simulated", is_flag=True, help="The decision module alone, in simulated time.")
 @click.option("--out", metavar="FILE", help="A JSON line for each run is added to it.")
 def lab_run(
-    scenarios: tuple[str, ...], seeds: int, jobs: int, seconds: float | None, rehearse: bool, out: str | None
+    scenarios: tuple[str, ...], seeds: int, jobs: int, seconds: float | None, simulated: bool, out: str | None
 ) -> int:
     """Play scenarios of the library, or of files that end in .toml, and judge each run."""
     from ..lab.runs import run_all
@@ -187,7 +187,7 @@
     if not scenarios:
         raise click.UsageError(f"name a scenario: {', '.join(names())}")
     try:
-        return run_all(_player(rehearse), list(scenarios), seeds, jobs, seconds, out)
+        return run_all(_player(simulated), list(scenarios), seeds, jobs, seconds, out)
     except ScenarioError as error:
         raise click.UsageError(str(error)) from None
 
@@ -199,7 +199,7 @@
 @click.option("--seeds", type=click.IntRange(1, 1000), default=8, show_default=True, help="Runs of each.")
 @click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Runs at a time.")
 @click.option("--seconds", type=click.FloatRange(2, 3600), help="In place of the scenario's own length.")
-@click.option("--rehearse", is_flag=True, help="The decision module alone, in simulated time.")
+@click.option("--rehearse", "simulated", is_flag=True, help="The decision module alone, in simulated time.")
 @click.option("--out", metavar="FILE", help="A JSON line for each run is added to it.")
 @click.option("--html", metavar="FILE", help="Write a report with plots there.")
 def lab_compare(
@@ -209,7 +209,7 @@
     seeds: int,
     jobs: int,
     seconds: float | None,
-    rehearse: bool,
+    simulated: bool,
     out: str | None,
     html: str | None,
 ) -> int:
@@ -228,7 +228,7 @@
 
     chosen = list(scenarios) or names()
     try:
-        return compare(_player(rehearse), (a, b), chosen, seeds, jobs, seconds, out, html)
+        return compare(_player(simulated), (a, b), chosen, seeds, jobs, seconds, out, html)
     except (ScenarioError, BuildError) as error:
         raise click.UsageError(str(error)) from None
 
@@ -242,8 +242,8 @@
 @click.option("--html", metavar="FILE", help="Write plots of the first seed there.")
 def lab_trace(courses: tuple[str, ...], seeds: int, jobs: int, html: str | None) -> int:
     """Trace the limit on what is in flight, in simulated time, against an oracle that knows the capacity."""
-    from ..rehearsal.courses import COURSES
-    from ..rehearsal.show import run
+    from ..simulation.courses import COURSES
+    from ..simulation.show import run
 
     if unknown := [name for name in courses if name not in COURSES]:
         raise click.UsageError(f"{unknown[0]}: no such course; there are {', '.join(COURSES)}")
@@ -263,7 +263,7 @@
     fleets: tuple[str, ...], seeds: int, jobs: int, slow: bool, unequal: bool, program: Path | None
 ) -> int:
     """Measure, in simulated time, what all sidecars together send to cold servers against what one bears."""
-    from ..rehearsal.pace import FLEETS, run
+    from ..simulation.pace import FLEETS, run
 
     known = [f"{sidecars}/{servers}" for sidecars, servers in FLEETS]
     if unknown := [name for name in fleets if name not in known]:
--- a/ochreflow/lab/model.py
+++ b/ochreflow/lab/model.py
@@ -2,7 +2,7 @@
 
 The caller tells what happens and when, in seconds of any clock that never runs back; it is told what to
 write down and whom to answer, and when to come back. The same model runs behind sockets (`node.py`) and in
-simulated time (`ochreflow.rehearsal`). The work in hand shares the cores evenly.
+simulated time (`ochreflow.simulation`). The work in hand shares the cores evenly.
 """
 
 from __future__ import annotations
--- a/ochreflow/rehearsal/play.py
+++ b/ochreflow/simulation/play.py
@@ -119,7 +119,7 @@
         )
 
 
-class Rehearsal:
+class Simulation:
     """One run."""
 
     def __init__(self, scenario: Scenario, seed: int, policy: Policy) -> None:
@@ -294,6 +294,6 @@
         return Played(report, 0.0, [], series(clients, nodes, stage, self.scenario.seconds), digest)
 
 
-def rehearse(scenario: Scenario, seed: int, program: Path | None = None) -> Played:
+def simulate(scenario: Scenario, seed: int, program: Path | None = None) -> Played:
     """Play it with the decision module of a build; this package's own without `program`."""
-    return Rehearsal(scenario, seed, load(program)).run()
+    return Simulation(scenario, seed, load(program)).run()
--- a/ochreflow/rehearsal/trace.py
+++ b/ochreflow/simulation/trace.py
@@ -10,7 +10,7 @@
 from ..lab.scenario import Scenario
 from .build import load
 from .clock import BEGIN, SECOND
-from .play import Rehearsal
+from .play import Simulation
 
 STEP = 0.5  # seconds
 SHEDDING = 0.05  # the share of a step's requests that went without an attempt, from which it counts as shed
@@ -43,7 +43,7 @@
     shed_after: float  # the share without an attempt in the five seconds after the trouble's end
 
 
-class _Sampled(Rehearsal):
+class _Sampled(Simulation):
     """A run that is looked at while it goes on."""
 
     def run_traced(self) -> tuple[Trace, Any]:
@@ -90,7 +90,7 @@
     return made, _figures(made, ended * scenario.seconds)
 
 
-def _oracle(run: Rehearsal) -> set[str]:
+def _oracle(run: Simulation) -> set[str]:
     """What could be answered in time by a fleet that is one queue, whose capacity is known at each moment."""
     scenario = run.scenario
     events = [
@@ -122,12 +122,12 @@
     return could
 
 
-def _capacity(run: Rehearsal, at: float) -> float:
+def _capacity(run: Simulation, at: float) -> float:
     """Warm cores of the fleet at a time."""
     return sum(_nodes(run, at).values())
 
 
-def _nodes(run: Rehearsal, at: float) -> dict[int, float]:
+def _nodes(run: Simulation, at: float) -> dict[int, float]:
     """The nodes that are there at a time, and the warm cores that each is worth, by the scenario."""
     scenario = run.scenario
     fleet = scenario.fleet
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -13,9 +13,9 @@
 from ochreflow.lab.judge import SECOND
 from ochreflow.lab.ledger import read
 from ochreflow.lab.scenario import Burst
-from ochreflow.rehearsal.build import load
-from ochreflow.rehearsal.clock import BEGIN
-from ochreflow.rehearsal.play import Rehearsal
+from ochreflow.simulation.build import load
+from ochreflow.simulation.clock import BEGIN
+from ochreflow.simulation.play import Simulation
 
 SECONDS, RATE = 8.0, 70
 
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize("name", FAILURES)
 def test_in_simulated_time_the_same_seed_gives_the_same_digest(name):
     given, seen = FAILURES[name]
-    runs = [Rehearsal(given, 4, load(None)) for _ in range(2)]
+    runs = [Simulation(given, 4, load(None)) for _ in range(2)]
     played = [run.run() for run in runs]
     assert played[0].digest == played[1].digest
     assert played[0].verdict == 0, played[0].report.findings[:3]
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -5,7 +5,7 @@
 from test_operator_file import command
 
 from ochreflow.policy.interface import ListKind, Membership
-from ochreflow.rehearsal.pace import PARTS, over, play, ramped, worst
+from ochreflow.simulation.pace import PARTS, over, play, ramped, worst
 
 
 def restarted(balancer, now, number=9, cell=0):
--- a/tests/test_rehearsal.py
+++ b/tests/test_simulation.py
@@ -6,16 +6,16 @@
 
 from ochreflow.core import engine
 from ochreflow.lab.scenario import names, read_scenario
-from ochreflow.rehearsal import sidecar
-from ochreflow.rehearsal.build import load
-from ochreflow.rehearsal.play import Rehearsal, rehearse
+from ochreflow.simulation import sidecar
+from ochreflow.simulation.build import load
+from ochreflow.simulation.play import Simulation, simulate
 
 OF_THE_MODULE = [rule for rule, (file, *_) in SABOTAGE.items() if file.startswith("policy/")]
 
 
 @pytest.mark.parametrize("name", names())
 def test_the_library_keeps_every_rule(name):
-    played = rehearse(read_scenario(name), 3)
+    played = simulate(read_scenario(name), 3)
     assert played.verdict == 0, played.report.findings[:3]
     took = [took for matters in played.report.matters.values() for took in matters.values()]
     assert sum(time is not None for time in took) > 0.8 * len(took) > 500
@@ -23,7 +23,7 @@
 
 def test_the_same_seed_gives_the_same_bytes_and_another_one_others():
     made = read_scenario("odd-clients")
-    digests = [rehearse(made, seed).digest for seed in (5, 5, 6)]
+    digests = [simulate(made, seed).digest for seed in (5, 5, 6)]
     assert digests[0] == digests[1] != digests[2]
 
 
@@ -31,22 +31,22 @@
 def test_a_sabotaged_module_is_convicted(rule, tmp_path):
     file, old, new, made = SABOTAGE[rule]
     for seed in range(1, 9):  # what chance decides needs some seeds; a good module breaks nothing in any
-        assert rehearse(made, seed).verdict == 0
+        assert simulate(made, seed).verdict == 0
     program = sabotaged(tmp_path, file, old, new)
     found = {
-        finding.rule for seed in range(1, 9) for finding in rehearse(made, seed, program).report.findings
+        finding.rule for seed in range(1, 9) for finding in simulate(made, seed, program).report.findings
     }
     assert rule in found
 
 
 def test_what_is_lost_while_a_sidecar_is_killed_is_counted_and_excused():
-    played = rehearse(read_scenario("kill-loop"), 1)
+    played = simulate(read_scenario("kill-loop"), 1)
     lost = sum(counts["lost"] for counts in played.report.by_class.values())
     assert lost > 10 and played.verdict == 0
 
 
 def test_the_margins_are_those_of_the_engine():
-    """The rehearsal may not import it, and keeps its own copy."""
+    """The simulation may not import it, and keeps its own copy."""
     assert sidecar.ATTEMPT_MARGIN_NS == engine.ATTEMPT_MARGIN_NS
     assert sidecar.GUARD_MARGIN_NS == engine.GUARD_MARGIN_NS
 
@@ -54,9 +54,9 @@
 @pytest.mark.parametrize("made", [TROUBLED, DRAINED, KILLED, COLD])
 def test_what_is_offered_depends_on_the_seed_alone(made):
     """Slower nodes answer less, and are asked the same."""
-    first = rehearse(made, 2).report.matters
+    first = simulate(made, 2).report.matters
     slower = msgspec.structs.replace(made, fleet=msgspec.structs.replace(made.fleet, cores=1))
-    again = rehearse(slower, 2).report.matters
+    again = simulate(slower, 2).report.matters
     assert {name: set(idents) for name, idents in first.items()} == {
         name: set(idents) for name, idents in again.items()
     }
@@ -69,7 +69,7 @@
 
 
 def test_nodes_of_a_pod_drop_each_other_s_repeats():
-    pods = Rehearsal(read_scenario("odd-clients"), 1, load(None))
+    pods = Simulation(read_scenario("odd-clients"), 1, load(None))
     pods.run()
     nodes = pods.list.nodes
     assert nodes["node-1"].model.pod is nodes["node-2"].model.pod is not nodes["node-3"].model.pod
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -4,9 +4,9 @@
 import pytest
 from test_operator_file import command
 
-from ochreflow.rehearsal.courses import COURSES
-from ochreflow.rehearsal.play import rehearse
-from ochreflow.rehearsal.trace import trace
+from ochreflow.simulation.courses import COURSES
+from ochreflow.simulation.play import simulate
+from ochreflow.simulation.trace import trace
 
 replace = msgspec.structs.replace
 
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(("sidecars", "cores"), [(1, 2), (4, 2), (16, 4)])
 def test_a_fleet_that_is_cold_as_a_whole_is_put_to_work_at_once(sidecars, cores):
     """With no answer there was no pace, and with no pace no answer, until the fleet was warm by its clock."""
-    played = rehearse(cold(sidecars, cores, 65.0 * cores), 1)
+    played = simulate(cold(sidecars, cores, 65.0 * cores), 1)
     assert played.verdict == 0
     took = [time for matters in played.report.matters.values() for time in matters.values()]
     assert sum(time is not None for time in took) > 0.9 * len(took)
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize(("sidecars", "cores"), [(1, 1), (4, 1), (1, 4), (16, 4)])
 def test_no_cold_fleet_is_pushed_over_by_far_more_than_it_can_bear(sidecars, cores):
     given = cold(sidecars, cores, 300.0 * cores, warm_within=30.0, start_capacity=0.05)
-    assert not rehearse(replace(given, seconds=16.0), 1).report.findings
+    assert not simulate(replace(given, seconds=16.0), 1).report.findings
 
 
 def test_a_trace_counts_every_request_once_and_the_oracle_knows_the_fleet():
