--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -1,6 +1,6 @@
 """Drives the decision module: what fronts, carriers and sources tell it, its actions, and a last guard.
 
-It knows no protocol. A front takes requests in and is owed a verdict on each; a carrier brings attempts
+It knows no protocol. A front takes requests in and is owed a response on each; a carrier brings attempts
 to servers and says what their ends prove; a source tells of servers (`ports.py`).
 """
 
@@ -25,7 +25,7 @@
 from .limits import Usage
 from .log import log
 from .names import UsedNames
-from .ports import Call, Carriage, Carrier, Front, Owed, Reason, Source, Teller, Verdict
+from .ports import Call, Carriage, Carrier, FinalResponse, Front, Reason, ResponseSink, Source, Teller
 from .stats import Disposition, Gauges, Stats, render
 
 MS = 1_000_000
@@ -117,7 +117,7 @@
         return self.engine.begin_answer(self.held, self, head, length)
 
     def part(self, data: bytes) -> None:
-        self.held.owed_to.part(self.held.call, data)
+        self.held.response_sink.part(self.held.call, data)
 
     def ended(self, status: Status, answer: object, report: tuple[float, ...]) -> None:
         self.engine.end_attempt(self.held, self, status, answer, report)
@@ -129,7 +129,7 @@
 
     id: int
     call: Call
-    owed_to: Owed
+    response_sink: ResponseSink
     door: Door
     timer: asyncio.TimerHandle | None = None
     attempts: int = 0
@@ -253,11 +253,12 @@
 
     def _refuse(self, action: api.Reject) -> None:
         self._decided(
-            action.id, Verdict(Disposition.DECLINED, Reason.DECIDED, retry_after_ns=action.retry_after_ns)
+            action.id,
+            FinalResponse(Disposition.DECLINED, Reason.DECIDED, retry_after_ns=action.retry_after_ns),
         )
 
     def _fail(self, action: api.Fail) -> None:
-        self._decided(action.id, Verdict(Disposition.ABORTED, Reason.DECIDED))
+        self._decided(action.id, FinalResponse(Disposition.ABORTED, Reason.DECIDED))
 
     def _close_idle(self, action: api.CloseIdle) -> None:
         for carrier in self.carriers:
@@ -280,21 +281,21 @@
 
     # Requests
 
-    def take(self, door: Door, owed_to: Owed, call: Call) -> None:
+    def take(self, door: Door, response_sink: ResponseSink, call: Call) -> None:
         """Take a request: from here on it is owed one final answer, which may come within this call."""
         if self.lifecycle.turns_away and call.name not in door.names.used:
-            self._turn_away(door, owed_to, call, Disposition.DECLINED, Reason.DRAINING)
+            self._turn_away(door, response_sink, call, Disposition.DECLINED, Reason.DRAINING)
             return
         # Guards servers against a second copy, here or elsewhere: a request of this name may still run.
         if not door.names.claim(call.name):
-            self._turn_away(door, owed_to, call, Disposition.ABORTED, Reason.NAME_IN_USE)
+            self._turn_away(door, response_sink, call, Disposition.ABORTED, Reason.NAME_IN_USE)
             return
-        held = Held(self.next_id, call, owed_to, door)
+        held = Held(self.next_id, call, response_sink, door)
         self.next_id += 1
         self.held[held.id] = held
         call.ticket = held.id
         if len(self.held) > self.max_open:
-            self._finish(held, Verdict(Disposition.DECLINED, Reason.CROWDED))
+            self._finish(held, FinalResponse(Disposition.DECLINED, Reason.CROWDED))
             return
         held.uploading = not call.body.complete
         if held.uploading:
@@ -333,10 +334,10 @@
         if held is None:
             return
         if held.relaying is None:
-            verdict = Verdict(disposition, Reason.BROKEN, detail=detail)
+            response = FinalResponse(disposition, Reason.BROKEN, detail=detail)
             if disposition is Disposition.DECLINED and self._may_have_run(held):
-                verdict = Verdict(Disposition.ABORTED, Reason.DECIDED)
-            self._finish(held, verdict)
+                response = FinalResponse(Disposition.ABORTED, Reason.DECIDED)
+            self._finish(held, response)
         self._abandon(held)
         self.post(api.RequestCancelled(held.id))
 
@@ -355,12 +356,12 @@
         self.stats.ended(cls, disposition, door.counts)
 
     def _turn_away(
-        self, door: Door, owed_to: Owed, call: Call, disposition: Disposition, reason: Reason
+        self, door: Door, response_sink: ResponseSink, call: Call, disposition: Disposition, reason: Reason
     ) -> None:
         self.stats.ended(call.cls, disposition, door.counts)
         if log.debugging:
             self._tell_verdict(door, call, disposition, reason)
-        owed_to.verdict(call, Verdict(disposition, reason))
+        response_sink.respond(call, FinalResponse(disposition, reason))
 
     def _tell_verdict(self, door: Door, call: Call, disposition: Disposition, reason: Reason) -> None:
         log.debug(
@@ -411,16 +412,16 @@
             self._give_up(attempt, Status.TIMEOUT)
         if held.owed:
             disposition = Disposition.ABORTED if held.may_have_run else Disposition.DECLINED
-            self._finish(held, Verdict(disposition, Reason.OUT_OF_TIME))
+            self._finish(held, FinalResponse(disposition, Reason.OUT_OF_TIME))
             self.post(api.RequestCancelled(held.id))
 
-    def _finish(self, held: Held, verdict: Verdict) -> None:
+    def _finish(self, held: Held, response: FinalResponse) -> None:
         """Give the one final answer."""
         self._settle(held)
-        self.stats.ended(held.call.cls, verdict.disposition, held.door.counts)
+        self.stats.ended(held.call.cls, response.disposition, held.door.counts)
         if log.debugging:
-            self._tell_verdict(held.door, held.call, verdict.disposition, verdict.reason)
-        held.owed_to.verdict(held.call, verdict)
+            self._tell_verdict(held.door, held.call, response.disposition, response.reason)
+        held.response_sink.respond(held.call, response)
 
     def _settle(self, held: Held) -> None:
         held.owed = False
@@ -434,10 +435,10 @@
             if attempt.carriage is not None and not attempt.carriage.begun:
                 self._give_up(attempt, Status.CANCELLED)
 
-    def _decided(self, ident: int, verdict: Verdict) -> None:
+    def _decided(self, ident: int, response: FinalResponse) -> None:
         held = self.held.get(ident)
         if held is not None:
-            self._finish(held, verdict)
+            self._finish(held, response)
 
     # Attempts
 
@@ -484,7 +485,7 @@
             return 0.0
         if call.body.spent:  # another attempt has taken it, and the module may not know
             return 0.0
-        if held.owed_to.gone(call):
+        if held.response_sink.gone(call):
             return 0.0
         try:
             end = self.balancer.write_by(now, held.id, attempt.number)
@@ -510,7 +511,7 @@
             held.timer.cancel()
         attempt.carriage.wait_no_more()
         attempt.answered_ns = self.now()
-        held.owed_to.begin(held.call, head, length, attempt.carriage.pause)
+        held.response_sink.begin(held.call, head, length, attempt.carriage.pause)
         took = attempt.answered_ns - attempt.sent_ns
         self.post(api.StreamStarted(held.id, attempt.number, attempt.server, took))
         return True
@@ -529,7 +530,7 @@
         if log.debugging:
             self._tell_attempt(held, attempt, status)
         if status is Status.OK and held.owed and held.relaying is None:
-            self._finish(held, Verdict(Disposition.SUCCEEDED, Reason.ANSWERED, answer))
+            self._finish(held, FinalResponse(Disposition.SUCCEEDED, Reason.ANSWERED, answer))
         if held.relaying is attempt and held.owed:
             self._end_answer(held, whole=status is Status.OK)
         took = (attempt.answered_ns or self.now()) - attempt.sent_ns
@@ -541,7 +542,7 @@
         self.stats.ended(held.call.cls, disposition, held.door.counts)
         if log.debugging:
             self._tell_verdict(held.door, held.call, disposition, Reason.ANSWERED if whole else Reason.CUT)
-        held.owed_to.end(held.call, whole)
+        held.response_sink.end(held.call, whole)
 
     def _tell_attempt(self, held: Held, attempt: Attempt, status: Status) -> None:
         log.debug(
--- a/ochreflow/core/ports.py
+++ b/ochreflow/core/ports.py
@@ -1,7 +1,7 @@
 """The ports of the core: what it is to whom. No protocol is known here, only who owes what to whom.
 
 clients ─ Front ──take, body_ended, left──▶ Engine ──start, give up──▶ Carrier ─ servers
-             ◀──verdict, begin, part, end── (Owed)  ◀──written, begin, part, ended── (Watcher)
+             ◀──response, begin, part, end── (Owed)  ◀──written, begin, part, ended── (Watcher)
                                               ▲ │ watch, fetch
                                         news  │ ▼
                                             Source ─ directory, files
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Verdict:
+class FinalResponse:
     """The one final answer to a request, for its front to word."""
 
     disposition: Disposition
@@ -65,10 +65,10 @@
     ticket: int = field(init=False, default=0)  # the engine's number for it; 0: not taken
 
 
-class Owed(Protocol):
-    """Whoever is owed the answer to a request: a verdict, or a flowing answer from its begin to its end."""
+class ResponseSink(Protocol):
+    """Whoever is owed the answer to a request: a response, or a flowing answer from its begin to its end."""
 
-    def verdict(self, call: Call, verdict: Verdict) -> None: ...
+    def respond(self, call: Call, response: FinalResponse) -> None: ...
 
     def begin(self, call: Call, head: object, length: int | None, pause: Pause) -> None:
         """A server's answer begins to flow. `length` in bytes; None where it is not known."""
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -14,7 +14,7 @@
 
 from ..core.body import HOLD_MOST, Body
 from ..core.engine import SECOND, Door, Engine
-from ..core.ports import Call, Pause, Reason, Verdict
+from ..core.ports import Call, FinalResponse, Pause, Reason
 from ..core.stats import Disposition
 from .clients import Clients
 from .grammar import Grammar, HttpCall, RequestError
@@ -55,7 +55,7 @@
     )
 )
 NOT_PASSED_ON = HOP_BY_HOP | {b"expect", b"x-deadline"}
-# How a verdict without a server's answer is worded, by whether trying again is harmless.
+# How a response without a server's answer is worded, by whether trying again is harmless.
 WORDED = {
     (Disposition.DECLINED, Reason.DECIDED): (503, b"refused\n"),
     (Disposition.ABORTED, Reason.DECIDED): (502, b"failed\n"),
@@ -103,19 +103,19 @@
     return b"".join(b"%s: %s\r\n" % header for header in answer.headers)
 
 
-def _worded(verdict: Verdict) -> tuple[int, bytes, bytes]:
+def _worded(response: FinalResponse) -> tuple[int, bytes, bytes]:
     """Code, header lines and body."""
-    answer = verdict.answer
-    if verdict.disposition is Disposition.SUCCEEDED:
+    answer = response.answer
+    if response.disposition is Disposition.SUCCEEDED:
         assert isinstance(answer, Answer)
         return 200, _lines(answer), answer.body
-    if verdict.reason is Reason.BROKEN:
-        broken: tuple[int, bytes] = verdict.detail  # type: ignore[assignment]  # as `_reject` gave it
+    if response.reason is Reason.BROKEN:
+        broken: tuple[int, bytes] = response.detail  # type: ignore[assignment]  # as `_reject` gave it
         return broken[0], b"", broken[1]
-    code, body = WORDED[verdict.disposition, verdict.reason]
+    code, body = WORDED[response.disposition, response.reason]
     headers = b""
-    if verdict.retry_after_ns > 0:
-        headers = b"Retry-After: %.3f\r\n" % (verdict.retry_after_ns / SECOND)
+    if response.retry_after_ns > 0:
+        headers = b"Retry-After: %.3f\r\n" % (response.retry_after_ns / SECOND)
     return code, headers, body
 
 
@@ -537,15 +537,15 @@
         """Whether its client has left: a request over HTTP/1.1 can't be cancelled but with its connection."""
         return self.current is not call or self.close_if_gone()
 
-    def verdict(self, call: Call, verdict: Verdict) -> None:
+    def respond(self, call: Call, response: FinalResponse) -> None:
         """The final answer to the request that is being served."""
         current = self.current
         if current is not call or current is None:
             return
         self.current = None
         self._let_go(current)
-        keep_alive = current.keep_alive and verdict.reason is not Reason.DRAINING
-        self._respond(*_worded(verdict), keep_alive)
+        keep_alive = current.keep_alive and response.reason is not Reason.DRAINING
+        self._respond(*_worded(response), keep_alive)
         self._pump()
         self.clients.place(self)
 
--- a/ochreflow/http/management.py
+++ b/ochreflow/http/management.py
@@ -47,7 +47,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, operated: Operated) -> None:
         self.loop = loop
-        self.calls: dict[Call, None] = {}  # in the order they came
+        self.calls: dict[ManagementConnection, None] = {}  # in the order they came
         self.server: asyncio.Server | None = None
         self.address: Address | None = None  # as it was asked for
         self.routes = {
@@ -70,11 +70,11 @@
             self.server.close()
         self.server, self.address = server, address
 
-    def call(self) -> Call:
+    def call(self) -> ManagementConnection:
         """The protocol for a new connection."""
-        return Call(self)
+        return ManagementConnection(self)
 
-    def admit(self, call: Call) -> None:
+    def admit(self, call: ManagementConnection) -> None:
         self.calls[call] = None
         if len(self.calls) > CALLS_MOST:
             # Who has been silent longest goes first. A new caller is not yet known to be silent.
@@ -103,7 +103,7 @@
     return (200, "yes\n") if yes else (503, "no\n")
 
 
-class Call(asyncio.Protocol):
+class ManagementConnection(asyncio.Protocol):
     """One connection: reads one call, answers it, closes."""
 
     def __init__(self, management: Management) -> None:
--- a/tests/duplicate_model.py
+++ b/tests/duplicate_model.py
@@ -162,12 +162,12 @@
             if other is not copy:
                 self._may_follow(now, asked, other, copy)
 
-    def verdict(self, call, verdict):
+    def respond(self, call, response):
         asked = self.asked[call.name]
         if asked.verdicts:
             self.findings.append(f"{call_name(asked)}: answered twice")
-        asked.verdicts.append(verdict)
-        if verdict.disposition is not Disposition.DECLINED:
+        asked.verdicts.append(response)
+        if response.disposition is not Disposition.DECLINED:
             return
         asked.declined = True
         if not asked.may_invite and any(copy.may_have_run for copy in asked.copies):
@@ -363,8 +363,8 @@
         self.rule = rule
         self.gone_calls = set()
 
-    def verdict(self, call, verdict):
-        self.rule.verdict(call, verdict)
+    def respond(self, call, response):
+        self.rule.respond(call, response)
 
     def gone(self, call):
         return call.name in self.gone_calls
--- a/tests/line_front.py
+++ b/tests/line_front.py
@@ -138,10 +138,10 @@
             self.calls.add(call)
             engine.take(self.front.door, self, call)
 
-    def verdict(self, call, verdict):
+    def respond(self, call, response):
         self.calls.discard(call)
-        words = ["served", "refused", "failed"][verdict.disposition]
-        self.transport.write(f"{words} {verdict.reason.value} {verdict.retry_after_ns}\n".encode())
+        words = ["served", "refused", "failed"][response.disposition]
+        self.transport.write(f"{words} {response.reason.value} {response.retry_after_ns}\n".encode())
         if self.front.closes_on_answer:
             self.transport.abort()
 
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -29,7 +29,7 @@
 
 
 def dispositions(stage, call):
-    return [verdict.disposition for verdict in stage.rule.asked[call.name].verdicts]
+    return [response.disposition for response in stage.rule.asked[call.name].verdicts]
 
 
 def copies(stage, call):
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -29,7 +29,7 @@
 
 
 def dispositions(stage, call):
-    return [verdict.disposition for verdict in verdicts(stage, call)]
+    return [response.disposition for response in verdicts(stage, call)]
 
 
 def copies(stage, call):
@@ -142,8 +142,8 @@
     call = stage.ask(complete=False)
     stage.engine.body_broken(call, Disposition.DECLINED, (503, b"too much is held\n"))
     stage.finish()
-    (verdict,) = verdicts(stage, call)
-    assert (verdict.disposition, verdict.reason) == (Disposition.DECLINED, Reason.BROKEN)
+    (response,) = verdicts(stage, call)
+    assert (response.disposition, response.reason) == (Disposition.DECLINED, Reason.BROKEN)
     assert not copies(stage, call)
 
 
@@ -202,7 +202,7 @@
     answers = []
     again = stage.ask(name="other")
     again.name = call.name
-    stage.clients.verdict = lambda _, verdict: answers.append(verdict)
+    stage.clients.respond = lambda _, response: answers.append(response)
     stage.engine.take(stage.door, stage.clients, again)
     assert [(one.disposition, one.reason) for one in answers] == [(Disposition.ABORTED, Reason.NAME_IN_USE)]
 
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -273,7 +273,7 @@
         await until(lambda: fake.got)
         reasons = []
         finish = rig.engine._finish
-        rig.engine._finish = lambda held, verdict: (reasons.append(verdict.reason), finish(held, verdict))
+        rig.engine._finish = lambda held, response: (reasons.append(response.reason), finish(held, response))
         assert await rig.ask(front, "order", "ab") == "refused"
         assert reasons == [Reason.CROWDED]
         held.writer.close()
