--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -11,9 +11,9 @@
 from ..core.fleet import News
 from ..core.limits import Descriptors, Memory, Usage
 from ..http.calls import HttpCalls
-from ..http.carrier import HttpCarrier
-from ..http.front import HttpFront
+from ..http.frontend import HttpFrontend
 from ..http.upstream import Upstreams
+from ..http.upstream_transport import HttpUpstreamTransport
 from ..membership.directory import Directory, write_news
 from ..membership.silence import waits
 from .config import Config
@@ -50,8 +50,8 @@
             settings.connect_timeout_ns / SECOND or CONNECT_WITHIN,
             config.transport.conn_idle_ns / SECOND,
         )
-        self.carrier = HttpCarrier(self.upstreams, settings.report_columns)
-        self.http = HttpFront(self.engine, self.carrier)
+        self.upstream_transport = HttpUpstreamTransport(self.upstreams, settings.report_columns)
+        self.http = HttpFrontend(self.engine, self.upstream_transport)
         self.directory = Directory(
             loop,
             partial(HttpCalls, loop),
--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -25,7 +25,17 @@
 from .limits import Usage
 from .log import log
 from .names import UsedNames
-from .ports import Call, Carriage, Carrier, FinalResponse, Front, Reason, ResponseSink, Source, Teller
+from .ports import (
+    Call,
+    EndpointSource,
+    FinalResponse,
+    Frontend,
+    GossipSender,
+    Reason,
+    ResponseSink,
+    UpstreamAttempt,
+    UpstreamTransport,
+)
 from .stats import Disposition, Gauges, Stats, render
 
 MS = 1_000_000
@@ -46,13 +56,15 @@
         return self.offset + monotonic_ns()
 
 
-class Door:
+class FrontendBinding:
     """A front as the core knows it: where its requests come in, and what carries them on."""
 
-    def __init__(self, label: str, front: Front, carrier: Carrier, counts: list[int]) -> None:
+    def __init__(
+        self, label: str, frontend: Frontend, upstream_transport: UpstreamTransport, counts: list[int]
+    ) -> None:
         self.label = label
-        self.front = front
-        self.carrier = carrier
+        self.frontend = frontend
+        self.upstream_transport = upstream_transport
         self.counts = counts
         self.names = UsedNames()  # a name means a request of this front only
 
@@ -62,7 +74,6 @@
 
     __slots__ = (
         "answered_ns",
-        "carriage",
         "engine",
         "held",
         "let_begin",
@@ -70,6 +81,7 @@
         "sent_ns",
         "server",
         "timeout_ns",
+        "upstream_attempt",
         "whole",
     )
 
@@ -83,7 +95,7 @@
         self.sent_ns = sent_ns  # when it began: for a body that was still coming, when that was through
         self.timeout_ns = timeout_ns  # from its start, as the module has it; 0: what its request has left
         self.answered_ns = 0  # when its answer began to go on to the client
-        self.carriage: Carriage | None = None  # None: it is being made, or failed meanwhile
+        self.upstream_attempt: UpstreamAttempt | None = None  # None: it is being made, or failed meanwhile
         self.let_begin = False  # its first byte may have gone out
         self.whole = False  # its last byte has
 
@@ -95,17 +107,17 @@
     @property
     def may_run(self) -> bool:
         """Whether its server may have all of it, as far as is known before its end."""
-        if self.carriage is None:
+        if self.upstream_attempt is None:
             return self.let_begin
-        return self.whole or self.carriage.may_run
+        return self.whole or self.upstream_attempt.may_run
 
-    def write_within(self) -> float:
-        within = 0.0 if self.over else self.engine.write_within(self.held, self)
+    def write_timeout_s(self) -> float:
+        within = 0.0 if self.over else self.engine.write_timeout_s(self.held, self)
         self.let_begin = self.let_begin or within > 0.0
         return within
 
-    def time_left(self) -> int:
-        return self.engine.time_left(self.held, self)
+    def remaining_time_ns(self) -> int:
+        return self.engine.remaining_time_ns(self.held, self)
 
     def written(self) -> None:
         self.whole = True
@@ -130,7 +142,7 @@
     id: int
     call: Call
     response_sink: ResponseSink
-    door: Door
+    frontend_binding: FrontendBinding
     timer: asyncio.TimerHandle | None = None
     attempts: int = 0
     may_have_run: bool = False  # some attempt has ended without a proof that it did not
@@ -161,11 +173,11 @@
         self.balancer = Balancer(settings, seed)
         self.descriptors = usage.descriptors
         self.memory = usage.memory
-        self.doors: list[Door] = []
-        self.carriers: list[Carrier] = []
-        self.fleet = Fleet(names, self.carriers)
-        self.source: Source | None = None
-        self.peers: Teller | None = None
+        self.frontend_bindings: list[FrontendBinding] = []
+        self.transports: list[UpstreamTransport] = []
+        self.fleet = Fleet(names, self.transports)
+        self.source: EndpointSource | None = None
+        self.peers: GossipSender | None = None
         self.held: dict[int, Held] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}  # those out, also of requests that are over
         self.next_id = 1
@@ -179,17 +191,21 @@
 
     # How it is put together
 
-    def open_door(self, label: str, front: Front, carrier: Carrier) -> Door:
+    def bind_frontend(
+        self, label: str, frontend: Frontend, upstream_transport: UpstreamTransport
+    ) -> FrontendBinding:
         """Let a front in. Its carrier is told of the servers that are known, and of all changes."""
-        door = Door(label, front, carrier, self.stats.open_front(label))
-        self.doors.append(door)
-        self.lifecycle.fronts.append(front)
-        if carrier not in self.carriers:
-            self.fleet.tell_all(carrier)
-            self.carriers.append(carrier)
-        return door
-
-    def start(self, source: Source, known: News) -> None:
+        frontend_binding = FrontendBinding(
+            label, frontend, upstream_transport, self.stats.add_frontend(label)
+        )
+        self.frontend_bindings.append(frontend_binding)
+        self.lifecycle.frontends.append(frontend)
+        if upstream_transport not in self.transports:
+            self.fleet.tell_all(upstream_transport)
+            self.transports.append(upstream_transport)
+        return frontend_binding
+
+    def start(self, source: EndpointSource, known: News) -> None:
         """Begin with the list as it was known last, and with whatever tells of its changes."""
         self.source = source
         self._apply(known, api.ListKind.CACHED)
@@ -261,8 +277,8 @@
         self._decided(action.id, FinalResponse(Disposition.ABORTED, Reason.DECIDED))
 
     def _close_idle(self, action: api.CloseIdle) -> None:
-        for carrier in self.carriers:
-            carrier.close_idle(action.server)
+        for upstream_transport in self.transports:
+            upstream_transport.close_idle(action.server)
 
     def _tell(self, action: api.PublishGossip) -> None:
         if self.peers is not None:
@@ -281,16 +297,16 @@
 
     # Requests
 
-    def take(self, door: Door, response_sink: ResponseSink, call: Call) -> None:
+    def take(self, frontend_binding: FrontendBinding, response_sink: ResponseSink, call: Call) -> None:
         """Take a request: from here on it is owed one final answer, which may come within this call."""
-        if self.lifecycle.turns_away and call.name not in door.names.used:
-            self._turn_away(door, response_sink, call, Disposition.DECLINED, Reason.DRAINING)
+        if self.lifecycle.turns_away and call.name not in frontend_binding.names.used:
+            self._turn_away(frontend_binding, response_sink, call, Disposition.DECLINED, Reason.DRAINING)
             return
         # Guards servers against a second copy, here or elsewhere: a request of this name may still run.
-        if not door.names.claim(call.name):
-            self._turn_away(door, response_sink, call, Disposition.ABORTED, Reason.NAME_IN_USE)
+        if not frontend_binding.names.claim(call.name):
+            self._turn_away(frontend_binding, response_sink, call, Disposition.ABORTED, Reason.NAME_IN_USE)
             return
-        held = Held(self.next_id, call, response_sink, door)
+        held = Held(self.next_id, call, response_sink, frontend_binding)
         self.next_id += 1
         self.held[held.id] = held
         call.ticket = held.id
@@ -325,8 +341,8 @@
         self._set_guard(held)
         left = call.deadline_ns - ATTEMPT_MARGIN_NS - self.now()
         for attempt in self._out(held):
-            if attempt.carriage is not None and held.relaying is not attempt:
-                attempt.carriage.wait(left / SECOND)
+            if attempt.upstream_attempt is not None and held.relaying is not attempt:
+                attempt.upstream_attempt.set_timeout(left / SECOND)
 
     def body_broken(self, call: Call, disposition: Disposition, detail: object = None) -> None:
         """The body of a request that was taken before can't be read to its end."""
@@ -347,26 +363,33 @@
         if held is not None:
             self._settle(held)
             if log.debugging:
-                self._tell_verdict(held.door, call, Disposition.ABORTED, Reason.LEFT)
+                self._tell_verdict(held.frontend_binding, call, Disposition.ABORTED, Reason.LEFT)
             self._abandon(held)
             self.post(api.RequestCancelled(held.id))
 
-    def turned_away(self, door: Door, cls: int, disposition: Disposition) -> None:
+    def turned_away(self, frontend_binding: FrontendBinding, cls: int, disposition: Disposition) -> None:
         """A front answered by itself what never became a request: it is counted all the same."""
-        self.stats.ended(cls, disposition, door.counts)
+        self.stats.ended(cls, disposition, frontend_binding.counts)
 
     def _turn_away(
-        self, door: Door, response_sink: ResponseSink, call: Call, disposition: Disposition, reason: Reason
+        self,
+        frontend_binding: FrontendBinding,
+        response_sink: ResponseSink,
+        call: Call,
+        disposition: Disposition,
+        reason: Reason,
     ) -> None:
-        self.stats.ended(call.cls, disposition, door.counts)
+        self.stats.ended(call.cls, disposition, frontend_binding.counts)
         if log.debugging:
-            self._tell_verdict(door, call, disposition, reason)
+            self._tell_verdict(frontend_binding, call, disposition, reason)
         response_sink.respond(call, FinalResponse(disposition, reason))
 
-    def _tell_verdict(self, door: Door, call: Call, disposition: Disposition, reason: Reason) -> None:
+    def _tell_verdict(
+        self, frontend_binding: FrontendBinding, call: Call, disposition: Disposition, reason: Reason
+    ) -> None:
         log.debug(
-            "verdict",
-            front=door.label,
+            "final_response",
+            frontend=frontend_binding.label,
             request=_shown(call),
             outcome=disposition.name.lower(),
             reason=reason.value,
@@ -387,9 +410,9 @@
 
     def _give_up(self, attempt: Attempt, status: Status) -> None:
         """End an attempt within this call, whatever becomes of its carrier."""
-        if attempt.carriage is not None:
+        if attempt.upstream_attempt is not None:
             try:
-                attempt.carriage.give_up(status)
+                attempt.upstream_attempt.give_up(status)
             except Exception:
                 self.fault("an attempt could not be given up")
         if not attempt.over:  # its carrier failed: whatever may have begun may have run
@@ -399,9 +422,9 @@
     def _abandon(self, held: Held) -> None:
         """Give up what is out for a request whose client or body is gone."""
         for attempt in self._out(held):
-            carriage = attempt.carriage
+            upstream_attempt = attempt.upstream_attempt
             # What is written in part is cut, so that it can't run any more.
-            if carriage is not None and (not carriage.may_run or held.relaying is attempt):
+            if upstream_attempt is not None and (not upstream_attempt.may_run or held.relaying is attempt):
                 self._give_up(attempt, Status.CANCELLED)
 
     def _guard(self, held: Held) -> None:
@@ -418,21 +441,21 @@
     def _finish(self, held: Held, response: FinalResponse) -> None:
         """Give the one final answer."""
         self._settle(held)
-        self.stats.ended(held.call.cls, response.disposition, held.door.counts)
+        self.stats.ended(held.call.cls, response.disposition, held.frontend_binding.counts)
         if log.debugging:
-            self._tell_verdict(held.door, held.call, response.disposition, response.reason)
+            self._tell_verdict(held.frontend_binding, held.call, response.disposition, response.reason)
         held.response_sink.respond(held.call, response)
 
     def _settle(self, held: Held) -> None:
         held.owed = False
-        held.door.names.ended(held.call.name)
+        held.frontend_binding.names.ended(held.call.name)
         self.held.pop(held.id, None)
         if held.timer is not None:
             held.timer.cancel()
         # Guards servers against a request without its body, which goes with the answer: what still waits
         # for a connection is not sent any more.
         for attempt in self._out(held):
-            if attempt.carriage is not None and not attempt.carriage.begun:
+            if attempt.upstream_attempt is not None and not attempt.upstream_attempt.begun:
                 self._give_up(attempt, Status.CANCELLED)
 
     def _decided(self, ident: int, response: FinalResponse) -> None:
@@ -451,21 +474,23 @@
         held.attempts += 1
         self.attempts[held.id, attempt.number] = attempt
         call = held.call
-        wait = self.time_left(held, attempt)
+        wait = self.remaining_time_ns(held, attempt)
         if held.attempts > self.settings.max_attempts or wait <= 0 or call.body.spent:
             self.end_attempt(held, attempt, Status.NOT_SENT, None, ())
             return
         timeout = wait / SECOND if call.body.complete else None
         try:
-            attempt.carriage = held.door.carrier.start(action.server, call, timeout, attempt)
+            attempt.upstream_attempt = held.frontend_binding.upstream_transport.start(
+                action.server, call, timeout, attempt
+            )
         except Exception:
             self.fault("an attempt could not be started")
             if not attempt.let_begin:
                 self.end_attempt(held, attempt, Status.NOT_SENT, None, ())
             # Else it may run: its end is still told by its carrier, or by the last guard.
 
-    def time_left(self, held: Held, attempt: Attempt) -> int:
-        """What is left to an attempt at this instant: see `Watcher.time_left`.
+    def remaining_time_ns(self, held: Held, attempt: Attempt) -> int:
+        """What is left to an attempt at this instant: see `AttemptObserver.remaining_time_ns`.
 
         Guards a server against work for nobody: told at the decision, a connection that came up late made it
         more than the client still waited. The client's time runs from the last byte of its body.
@@ -474,8 +499,8 @@
         left = call.deadline_ns - ATTEMPT_MARGIN_NS - now if call.body.complete else call.wait_ns
         return min(left, attempt.sent_ns + attempt.timeout_ns - now) if attempt.timeout_ns > 0 else left
 
-    def write_within(self, held: Held, attempt: Attempt) -> float:
-        """The one guard of an attempt's first byte: see `Watcher.write_within`.
+    def write_timeout_s(self, held: Held, attempt: Attempt) -> float:
+        """The one guard of an attempt's first byte: see `AttemptObserver.write_timeout_s`.
 
         The rules are judged at this instant and not at that of the decision: connections come up late, and
         by then a window may be over, a server may drain, the client may have left or its time have run out.
@@ -503,15 +528,15 @@
 
     def begin_answer(self, held: Held, attempt: Attempt, head: object, length: int | None) -> bool:
         """An answer begins to reach the client; from here on it has no deadline, only a pace."""
-        if not held.owed or held.relaying is not None or attempt.carriage is None:
+        if not held.owed or held.relaying is not None or attempt.upstream_attempt is None:
             return False
         held.relaying = attempt
         held.may_have_run = True
         if held.timer is not None:
             held.timer.cancel()
-        attempt.carriage.wait_no_more()
+        attempt.upstream_attempt.clear_timeout()
         attempt.answered_ns = self.now()
-        held.response_sink.begin(held.call, head, length, attempt.carriage.pause)
+        held.response_sink.begin(held.call, head, length, attempt.upstream_attempt.pause)
         took = attempt.answered_ns - attempt.sent_ns
         self.post(api.StreamStarted(held.id, attempt.number, attempt.server, took))
         return True
@@ -539,15 +564,17 @@
     def _end_answer(self, held: Held, whole: bool) -> None:
         self._settle(held)
         disposition = Disposition.SUCCEEDED if whole else Disposition.ABORTED
-        self.stats.ended(held.call.cls, disposition, held.door.counts)
+        self.stats.ended(held.call.cls, disposition, held.frontend_binding.counts)
         if log.debugging:
-            self._tell_verdict(held.door, held.call, disposition, Reason.ANSWERED if whole else Reason.CUT)
+            self._tell_verdict(
+                held.frontend_binding, held.call, disposition, Reason.ANSWERED if whole else Reason.CUT
+            )
         held.response_sink.end(held.call, whole)
 
     def _tell_attempt(self, held: Held, attempt: Attempt, status: Status) -> None:
         log.debug(
             "attempt",
-            front=held.door.label,
+            frontend=held.frontend_binding.label,
             request=_shown(held.call),
             attempt=attempt.number,
             server=attempt.server,
@@ -556,7 +583,7 @@
 
     def _cancel(self, action: api.Cancel) -> None:
         attempt = self.attempts.get((action.id, action.attempt))
-        if attempt is not None and attempt.carriage is not None:
+        if attempt is not None and attempt.upstream_attempt is not None:
             self._give_up(attempt, Status.CANCELLED)
 
     def _probe(self, action: api.Probe) -> None:
@@ -565,7 +592,7 @@
         def done(status: Status, report: tuple[float, ...]) -> None:
             self.post(api.ProbeResult(server, status, self.now() - started, report))
 
-        self.carriers[0].probe(server, PROBE_TIMEOUT, done)
+        self.transports[0].probe(server, PROBE_TIMEOUT, done)
 
     # The list of servers
 
@@ -588,10 +615,10 @@
     # Housekeeping and the end
 
     def _sweep(self) -> None:
-        for carrier in self.carriers:
-            carrier.sweep()
-        for door in self.doors:
-            door.front.sweep()
+        for upstream_transport in self.transports:
+            upstream_transport.sweep()
+        for frontend_binding in self.frontend_bindings:
+            frontend_binding.frontend.sweep()
         self.loop.call_later(SWEEP_EVERY, self._sweep)
 
     def _answer_all(self) -> None:
@@ -626,9 +653,9 @@
         self.lifecycle.close()
         if self.source is not None:
             self.source.close()
-        for carrier in self.carriers:
-            carrier.close()
+        for upstream_transport in self.transports:
+            upstream_transport.close()
         if self.peers is not None:
             self.peers.close()
-        for door in self.doors:
-            door.front.close()
+        for frontend_binding in self.frontend_bindings:
+            frontend_binding.frontend.close()
--- a/ochreflow/core/fleet.py
+++ b/ochreflow/core/fleet.py
@@ -7,7 +7,7 @@
 
 from ..policy.interface import Endpoint, ListKind, Membership, State
 from .log import log
-from .ports import Address, Carrier
+from .ports import Address, UpstreamTransport
 
 NAMES_MOST = 256  # zones, and kinds, that are told apart
 
@@ -70,15 +70,15 @@
 class Fleet:
     """Owns the list as it is known now, and brings its changes to the carriers."""
 
-    def __init__(self, names: Names, carriers: Sequence[Carrier]) -> None:
+    def __init__(self, names: Names, transports: Sequence[UpstreamTransport]) -> None:
         self.names = names
-        self.carriers = carriers
+        self.transports = transports
         self.listed: dict[int, Listed] = {}
 
-    def tell_all(self, carrier: Carrier) -> None:
+    def tell_all(self, upstream_transport: UpstreamTransport) -> None:
         """Bring a carrier that begins up to date."""
         for server, entry in self.listed.items():
-            carrier.update(server, entry.address, entry.since_ms, entry.endpoint.state)
+            upstream_transport.update(server, entry.address, entry.since_ms, entry.endpoint.state)
 
     def apply(self, news: News) -> None:
         """Take news, after the module: what carriers then give up must not go to the same server again."""
@@ -109,11 +109,11 @@
             self._leave(server, entry)
             return
         self.listed[server] = entry
-        for carrier in self.carriers:
-            carrier.update(server, entry.address, entry.since_ms, state)
+        for upstream_transport in self.transports:
+            upstream_transport.update(server, entry.address, entry.since_ms, state)
 
     def _leave(self, server: int, entry: Listed) -> None:
         del self.listed[server]
-        for carrier in self.carriers:
-            carrier.update(server, entry.address, entry.since_ms, State.REMOVED)
-            carrier.forget(server)
+        for upstream_transport in self.transports:
+            upstream_transport.update(server, entry.address, entry.since_ms, State.REMOVED)
+            upstream_transport.forget(server)
--- a/ochreflow/core/lifecycle.py
+++ b/ochreflow/core/lifecycle.py
@@ -8,7 +8,7 @@
 
 from .limits import Descriptors
 from .log import log
-from .ports import Front
+from .ports import Frontend
 
 ACCEPT_AFTER_TERM = 0.5  # seconds for which new connections still come after SIGTERM
 EMPTY_AFTER = 1.0  # seconds of a drain in which clients' next answers tell them to leave by themselves
@@ -37,7 +37,7 @@
     ) -> None:
         self.loop = loop
         self.descriptors = descriptors
-        self.fronts: list[Front] = []
+        self.frontends: list[Frontend] = []
         self.answer_all = answer_all
         self.kill_after = min(longest_deadline, DEADLINE_MOST) + KILL_AFTER_DEADLINE
         self.phase = Phase.STARTING
@@ -70,7 +70,7 @@
     @property
     def connected(self) -> int:
         """Clients of all fronts."""
-        return sum(front.connected for front in self.fronts)
+        return sum(frontend.connected for frontend in self.frontends)
 
     def serve(self) -> None:
         """The listening sockets are open."""
@@ -103,8 +103,8 @@
     def _empty(self) -> None:
         """Close what stands idle, again and again: a connection may have been busy until now."""
         self.emptying = True
-        for front in self.fronts:
-            front.close_quiet()
+        for frontend in self.frontends:
+            frontend.close_idle_connections()
         self.emptier = self.loop.call_later(EMPTY_EVERY, self._empty)
         self._end_if_done()
 
@@ -174,5 +174,5 @@
 
     def _close_doors(self) -> None:
         self.accepting = False
-        for front in self.fronts:
-            front.stop_accepting()
+        for frontend in self.frontends:
+            frontend.stop_accepting()
--- a/ochreflow/core/log.py
+++ b/ochreflow/core/log.py
@@ -37,8 +37,8 @@
     "none accepted for {seconds} s",
     "connection_refused": "a connection from {address} was refused: {reason}",
     "module": "{said}",
-    "verdict": "{front} request {request} {outcome}: {reason}",
-    "attempt": "{front} request {request} attempt {attempt} at server {server}: {status}",
+    "final_response": "{frontend} request {request} {outcome}: {reason}",
+    "attempt": "{frontend} request {request} attempt {attempt} at server {server}: {status}",
     "fault": "{reason}",
 }
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
--- a/ochreflow/core/ports.py
+++ b/ochreflow/core/ports.py
@@ -1,10 +1,8 @@
-"""The ports of the core: what it is to whom. No protocol is known here, only who owes what to whom.
+"""The ports of the core: the interfaces between it and the protocols around it. No protocol is known here.
 
-clients ─ Front ──take, body_ended, left──▶ Engine ──start, give up──▶ Carrier ─ servers
-             ◀──response, begin, part, end── (Owed)  ◀──written, begin, part, ended── (Watcher)
-                                              ▲ │ watch, fetch
-                                        news  │ ▼
-                                            Source ─ directory, files
+clients <-> Frontend --requests--> Engine --attempts--> UpstreamTransport <-> servers
+    the engine answers a `ResponseSink`, the transport reports to an `AttemptObserver`
+discovery, files -> EndpointSource --endpoint updates--> Engine --watch, fetch--> EndpointSource
 """
 
 from __future__ import annotations
@@ -85,21 +83,21 @@
         ...
 
 
-class Watcher(Protocol):
+class AttemptObserver(Protocol):
     """Whoever is asked whether an attempt may begin, and told what becomes of it.
 
-    Its carrier calls `ended` exactly once. Between the decision to send and the first byte lies a connection
-    that comes up when it likes, so each carrier asks `write_within` in the turn in which it writes that byte.
+    Its transport calls `ended` exactly once. Between the decision to send and the first byte a connection may
+    have to be made first, so each transport asks `write_timeout_s` in the turn in which it writes that byte.
     """
 
-    def write_within(self) -> float:
+    def write_timeout_s(self) -> float:
         """Seconds within which its last byte has to go out; infinite: any, 0: it must not begin any more.
 
         An attempt that must not begin ends as `NOT_SENT`, and so does one whose last byte is late.
         """
         ...
 
-    def time_left(self) -> int:
+    def remaining_time_ns(self) -> int:
         """How long its server is told to take at the most, in ns, as it stands when that is written."""
         ...
 
@@ -118,7 +116,7 @@
         ...
 
 
-class Carriage(Protocol):
+class UpstreamAttempt(Protocol):
     """An attempt on its way."""
 
     @property
@@ -131,11 +129,11 @@
         """Whether its last byte has gone out."""
         ...
 
-    def wait(self, seconds: float) -> None:
+    def set_timeout(self, seconds: float) -> None:
         """Give it up after so long."""
         ...
 
-    def wait_no_more(self) -> None: ...
+    def clear_timeout(self) -> None: ...
 
     def pause(self, paused: bool) -> None: ...
 
@@ -144,11 +142,13 @@
         ...
 
 
-class Carrier(Protocol):
+class UpstreamTransport(Protocol):
     """Whatever carries attempts to servers in one protocol."""
 
-    def start(self, server: int, call: Call, timeout: float | None, watcher: Watcher) -> Carriage:
-        """Send an attempt, which the server is told to answer within the `time_left` that its watcher has.
+    def start(
+        self, server: int, call: Call, timeout: float | None, observer: AttemptObserver
+    ) -> UpstreamAttempt:
+        """Send an attempt; its server is told to answer within the observer's `remaining_time_ns`.
 
         Its end is told later, never from within this call. Without `timeout`, in seconds, it waits until
         it is told to wait no longer: its body is still coming.
@@ -172,7 +172,7 @@
     def close(self) -> None: ...
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """Whatever takes requests from clients in one protocol."""
 
     @property
@@ -182,7 +182,7 @@
 
     def stop_accepting(self) -> None: ...
 
-    def close_quiet(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close every connection on which nothing is open, has begun or waits to be read."""
         ...
 
@@ -191,7 +191,7 @@
     def close(self) -> None: ...
 
 
-class Source(Protocol):
+class EndpointSource(Protocol):
     """Whatever tells of servers. It tells by calling `Engine.on_news`."""
 
     def watch(self, on: bool) -> None: ...
@@ -201,7 +201,7 @@
     def close(self) -> None: ...
 
 
-class Teller(Protocol):
+class GossipSender(Protocol):
     """Whatever brings messages to other sidecars."""
 
     def tell(self, data: bytes, peer: int | None) -> None: ...
--- a/ochreflow/core/stats.py
+++ b/ochreflow/core/stats.py
@@ -33,17 +33,17 @@
     def __init__(self, classes: Sequence[str]) -> None:
         self.classes = list(classes)
         self.results = [[0] * len(Disposition) for _ in self.classes]
-        self.fronts: dict[str, list[int]] = {}  # by label, the same results counted once more
+        self.frontends: dict[str, list[int]] = {}  # by label, the same results counted once more
         self.forwards = 0
 
-    def open_front(self, label: str) -> list[int]:
+    def add_frontend(self, label: str) -> list[int]:
         """The counts of one front, by disposition: requests of all classes."""
-        return self.fronts.setdefault(label, [0] * len(Disposition))
+        return self.frontends.setdefault(label, [0] * len(Disposition))
 
-    def ended(self, cls: int, disposition: Disposition, front: list[int]) -> None:
+    def ended(self, cls: int, disposition: Disposition, frontend: list[int]) -> None:
         """The one final answer to a request has been decided."""
         self.results[cls][disposition] += 1
-        front[disposition] += 1
+        frontend[disposition] += 1
 
     def forwarded(self) -> None:
         """The last byte of an attempt has been written."""
@@ -59,7 +59,7 @@
     ]
     lines += [
         f"app.fronts.{label}.{disposition.name.lower()}={counts[disposition]}"
-        for label, counts in stats.fronts.items()
+        for label, counts in stats.frontends.items()
         for disposition in Disposition
     ]
     lines += [
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -291,7 +291,7 @@
         for client in _since(self.idle, now - self.times.idle):
             client.expire()
 
-    def close_quiet(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close every connection on which nothing is open, has begun or waits to be read.
 
         Not one that has never asked: its first request may be on its way, and its time is short anyway.
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -13,7 +13,7 @@
 import httptools
 
 from ..core.body import HOLD_MOST, Body
-from ..core.engine import SECOND, Door, Engine
+from ..core.engine import SECOND, Engine, FrontendBinding
 from ..core.ports import Call, FinalResponse, Pause, Reason
 from ..core.stats import Disposition
 from .clients import Clients
@@ -131,7 +131,7 @@
     """What all connections of the front have in common."""
 
     engine: Engine
-    door: Door
+    frontend_binding: FrontendBinding
     clients: Clients
     grammar: Grammar
     hangups: HangupWatch  # of those that are not read at present
@@ -517,14 +517,16 @@
                 item = self.waiting.popleft()
                 if isinstance(item, HttpCall):
                     self.current = item
-                    self.engine.take(self.shared.door, self, item)
+                    self.engine.take(self.shared.frontend_binding, self, item)
                 elif isinstance(item, Ready):
                     ok = self.engine.lifecycle.ready
                     text = b"ready\n" if ok else b"not ready\n"
                     self._respond(200 if ok else 503, b"", text, item.keep_alive)
                 else:
                     if item.cls is not None:
-                        self.engine.turned_away(self.shared.door, item.cls, disposition(item.code))
+                        self.engine.turned_away(
+                            self.shared.frontend_binding, item.cls, disposition(item.code)
+                        )
                     keep_alive = item.keep_alive and not self.deaf
                     self._respond(item.code, b"", f"{item}\n".encode(), keep_alive)
         finally:
--- a/ochreflow/http/exchange.py
+++ b/ochreflow/http/exchange.py
@@ -101,7 +101,7 @@
         self.written = written  # called once, when the last byte has been handed to the system
         self.body = body  # follows the head, and may still be coming
         self.relay = relay  # for a response too long to be buffered; None: every response is buffered
-        self.within = within  # asked as the first byte is to go out: see `Watcher.write_within`
+        self.within = within  # asked as the first byte is to go out: see `AttemptObserver.write_timeout_s`
         self.safe = safe  # its method is: sending it again does no harm
         self.generation = 0  # of its server when it was started
         self.rejected = False  # it must not begin any more, and its end has been scheduled
@@ -132,7 +132,7 @@
         done, self.done = self.done, None
         if done is None:
             return
-        self.wait_no_more()
+        self.clear_timeout()
         if self.write_timer is not None:
             self.write_timer.cancel()
             self.write_timer = None
@@ -140,13 +140,13 @@
         self.head = self.written = self.relay = self.within = None
         done(self, status, answer)
 
-    def wait(self, seconds: float) -> None:
+    def set_timeout(self, seconds: float) -> None:
         """Give it up after so long."""
-        self.wait_no_more()
+        self.clear_timeout()
         if not self.ended and self.loop is not None:
             self.timer = self.loop.call_later(max(seconds, LEAST_WAIT), self.give_up, Status.TIMEOUT)
 
-    def wait_no_more(self) -> None:
+    def clear_timeout(self) -> None:
         """Cancel the time-out."""
         if self.timer is not None:
             self.timer.cancel()
--- a/ochreflow/http/front.py
+++ b/ochreflow/http/frontend.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from ..core.engine import Engine
-from ..core.ports import Carrier
+from ..core.ports import UpstreamTransport
 from .clients import Clients
 from .connection import ClientConnection, Shared
 from .grammar import Grammar
@@ -18,12 +18,14 @@
     def close(self) -> None: ...
 
 
-class HttpFront:
-    def __init__(self, engine: Engine, carrier: Carrier) -> None:
+class HttpFrontend:
+    def __init__(self, engine: Engine, upstream_transport: UpstreamTransport) -> None:
         self.clients = Clients(engine.descriptors)
-        self.door = engine.open_door(LABEL, self, carrier)
+        self.frontend_binding = engine.bind_frontend(LABEL, self, upstream_transport)
         self.hangups = HangupWatch(engine.loop)
-        self.shared = Shared(engine, self.door, self.clients, Grammar(engine.settings), self.hangups)
+        self.shared = Shared(
+            engine, self.frontend_binding, self.clients, Grammar(engine.settings), self.hangups
+        )
         self.servers: list[Listening] = []
 
     def connection(self) -> ClientConnection:
@@ -43,8 +45,8 @@
             server.close()
         self.servers.clear()
 
-    def close_quiet(self) -> None:
-        self.clients.close_quiet()
+    def close_idle_connections(self) -> None:
+        self.clients.close_idle_connections()
 
     def sweep(self) -> None:
         self.clients.sweep()
--- a/ochreflow/http/upstream.py
+++ b/ochreflow/http/upstream.py
@@ -86,7 +86,7 @@
         exchange.loop = self.loop
         exchange.generation = target.generation
         if timeout is not None:
-            exchange.wait(timeout)
+            exchange.set_timeout(timeout)
         self._find_connection(target, exchange)
 
     def _find_connection(self, target: Target, exchange: Exchange) -> None:
--- a/ochreflow/http/carrier.py
+++ b/ochreflow/http/upstream_transport.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ..core.body import HOLD_MOST, Body
-from ..core.ports import Address, Call, Carriage, Watcher
+from ..core.ports import Address, AttemptObserver, Call, UpstreamAttempt
 from ..policy.interface import State, Status
 from .exchange import Exchange
 from .grammar import HttpCall
@@ -16,13 +16,15 @@
 MS = 1_000_000
 
 
-class HttpCarrier:
+class HttpUpstreamTransport:
     def __init__(self, upstreams: Upstreams, report_columns: tuple[str, ...]) -> None:
         self.upstreams = upstreams
         self.reports = Reports(report_columns)
         self.probe_path = b"/-/load" if report_columns else b"/-/healthy"
 
-    def start(self, server: int, call: Call, timeout: float | None, watcher: Watcher) -> Carriage:
+    def start(
+        self, server: int, call: Call, timeout: float | None, watcher: AttemptObserver
+    ) -> UpstreamAttempt:
         assert isinstance(call, HttpCall)
         payload = self._payload(call)
         body: Body | None = call.body
@@ -30,7 +32,7 @@
             body = None
 
         def head() -> bytes:
-            left = max(watcher.time_left() // MS, 1)
+            left = max(watcher.remaining_time_ns() // MS, 1)
             return b"%sX-Deadline: %dm\r\n%s" % (payload, left, b"\r\n" if body is None else b"")
 
         def done(_: Exchange, status: Status, response: Response | None) -> None:
@@ -46,7 +48,7 @@
             watcher.written,
             body,
             watcher,
-            watcher.write_within,
+            watcher.write_timeout_s,
             safe=not call.is_write,
         )
         self.upstreams.start(server, exchange, timeout)
--- a/tests/duplicate_model.py
+++ b/tests/duplicate_model.py
@@ -188,8 +188,13 @@
 class SimulatedCarriage:
     """An attempt whose steps a test takes one by one."""
 
-    def __init__(self, carrier, server, call, watcher):
-        self.carrier, self.server, self.call, self.watcher = carrier, server, call, watcher
+    def __init__(self, upstream_transport, server, call, watcher):
+        self.upstream_transport, self.server, self.call, self.watcher = (
+            upstream_transport,
+            server,
+            call,
+            watcher,
+        )
         self.copy = None
         self.may_run = False
         self.timer = None
@@ -207,34 +212,36 @@
         """Its connection is up: its first byte goes out, and its last one unless the socket is full."""
         if self.over or self.begun:
             return
-        within = self.watcher.write_within()
+        within = self.watcher.write_timeout_s()
         if within <= 0.0:
             self.end(Status.NOT_SENT)
             return
-        self.copy = self.carrier.rule.first_byte(self.carrier.loop.now, self.call, self.server)
+        self.copy = self.upstream_transport.rule.first_byte(
+            self.upstream_transport.loop.now, self.call, self.server
+        )
         if within < float("inf"):
-            self.late = self.carrier.loop.call_later(within, self._too_late)
+            self.late = self.upstream_transport.loop.call_later(within, self._too_late)
         if not self.call.body.complete:
             self.call.body.flow(self)
-        elif not self.carrier.blocked:
+        elif not self.upstream_transport.blocked:
             self.finish()
 
     def finish(self):
         """Its last byte goes out."""
         if self.over or not self.begun or self.may_run or not self.call.body.complete:
             return
-        if self.late is not None and self.late.when <= self.carrier.loop.now:
+        if self.late is not None and self.late.when <= self.upstream_transport.loop.now:
             self._too_late()
             return
         self.may_run = True
-        self.carrier.rule.last_byte(self.carrier.loop.now, self.call, self.copy)
+        self.upstream_transport.rule.last_byte(self.upstream_transport.loop.now, self.call, self.copy)
         self.watcher.written()
 
     def body_part(self, data):
         pass
 
     def body_end(self):
-        if not self.carrier.blocked:
+        if not self.upstream_transport.blocked:
             self.finish()
 
     def answer(self, status):
@@ -262,12 +269,14 @@
         if not self.over and not self.may_run:
             self.end(Status.NOT_SENT)
 
-    def wait(self, seconds):
-        self.wait_no_more()
+    def set_timeout(self, seconds):
+        self.clear_timeout()
         if not self.over:
-            self.timer = self.carrier.loop.call_later(max(seconds, 0.001), self.give_up, Status.TIMEOUT)
+            self.timer = self.upstream_transport.loop.call_later(
+                max(seconds, 0.001), self.give_up, Status.TIMEOUT
+            )
 
-    def wait_no_more(self):
+    def clear_timeout(self):
         if self.timer is not None:
             self.timer.cancel()
 
@@ -283,16 +292,16 @@
         watcher, self.watcher = self.watcher, None
         if watcher is None:
             return
-        self.wait_no_more()
+        self.clear_timeout()
         if self.late is not None:
             self.late.cancel()
         if self.copy is not None:
             self.copy.ended = True
-        self.carrier.out.remove(self)
+        self.upstream_transport.out.remove(self)
         watcher.ended(status, "answer" if status is Status.OK else None, ())
 
 
-class SimulatedCarrier:
+class SimulatedTransport:
     """Keeps the attempts that are out, in the order of their starts."""
 
     def __init__(self, loop, rule):
@@ -305,32 +314,32 @@
         self.on_start = None
 
     def start(self, server, call, timeout, watcher):
-        carriage = SimulatedCarriage(self, server, call, watcher)
-        self.out.append(carriage)
+        upstream_attempt = SimulatedCarriage(self, server, call, watcher)
+        self.out.append(upstream_attempt)
         fails, self.starts_fail = self.starts_fail, None
         if fails == "before":
             raise RuntimeError("injected before anything was written")
         if self.states.get(server) is not State.READY:
-            self.loop.call_soon(carriage.fail_to_connect)
+            self.loop.call_soon(upstream_attempt.fail_to_connect)
         elif self.pooled or fails == "after":
             if timeout is not None:
-                carriage.wait(timeout)
-            self._connect_in_start(carriage)
+                upstream_attempt.set_timeout(timeout)
+            self._connect_in_start(upstream_attempt)
             if fails == "after":
                 raise RuntimeError("injected after it was written")
         elif timeout is not None:
-            carriage.wait(timeout)
+            upstream_attempt.set_timeout(timeout)
         if self.on_start is not None:
-            self.on_start(carriage)
-        return carriage
+            self.on_start(upstream_attempt)
+        return upstream_attempt
 
-    def _connect_in_start(self, carriage):
+    def _connect_in_start(self, upstream_attempt):
         """As `connect`, but its end is told later, never from within the start."""
-        within = carriage.watcher.write_within()
+        within = upstream_attempt.watcher.write_timeout_s()
         if within <= 0.0:
-            self.loop.call_soon(carriage.end, Status.NOT_SENT)
+            self.loop.call_soon(upstream_attempt.end, Status.NOT_SENT)
         else:
-            carriage.connect()
+            upstream_attempt.connect()
 
     def probe(self, server, timeout, done):
         pass
@@ -338,8 +347,8 @@
     def update(self, server, address, since_ms, state):
         self.states[server] = state
         if state is not State.READY:
-            for carriage in [one for one in self.out if one.server == server and not one.begun]:
-                carriage.give_up(Status.CONNECT_FAILED)
+            for upstream_attempt in [one for one in self.out if one.server == server and not one.begun]:
+                upstream_attempt.give_up(Status.CONNECT_FAILED)
 
     def forget(self, server):
         self.states.pop(server, None)
@@ -381,7 +390,7 @@
     def stop_accepting(self):
         pass
 
-    def close_quiet(self):
+    def close_idle_connections(self):
         pass
 
     def sweep(self):
@@ -417,12 +426,12 @@
         self.settings = simulated_settings(classes, **more)
         self.loop = SimulatedLoop()
         self.rule = DuplicateRule(self.settings)
-        self.carrier = SimulatedCarrier(self.loop, self.rule)
+        self.upstream_transport = SimulatedTransport(self.loop, self.rule)
         self.clients = SimulatedClients(self.rule)
         usage = Usage(Descriptors(1000), Memory(64 * MB))
         self.engine = Engine(self.loop, self.settings, 1000, seed, usage, Names(["a", "b"], ["k"]))
         self.engine.now = lambda: self.loop.now
-        self.door = self.engine.open_door("simulated", self.clients, self.carrier)
+        self.frontend_binding = self.engine.bind_frontend("simulated", self.clients, self.upstream_transport)
         self.endpoints = {
             number: Endpoint(number, number % 2, 0, number % 3, State.READY)
             for number in range(1, servers + 1)
@@ -455,7 +464,7 @@
         spec = self.settings.classes[cls]
         call = Call(name, cls, 0, 0, DEADLINE, self.loop.now + DEADLINE, 0, False, True, body)
         self.rule.asked[name] = Asked(call, spec)
-        self.engine.take(self.door, self.clients, call)
+        self.engine.take(self.frontend_binding, self.clients, call)
         return call
 
     def end_body(self, call):
@@ -471,7 +480,7 @@
 
     def attempt(self, call, number=-1):
         """Its carriage by its place among those of its request that are out."""
-        return [one for one in self.carrier.out if one.call is call][number]
+        return [one for one in self.upstream_transport.out if one.call is call][number]
 
     def run(self, ns):
         self.loop.run_until(self.loop.now + ns)
--- a/tests/line_front.py
+++ b/tests/line_frontend.py
@@ -17,18 +17,25 @@
 
 
 class LineCarriage(asyncio.Protocol):
-    def __init__(self, carrier, address, call, watcher):
-        self.carrier, self.address, self.call, self.watcher = carrier, address, call, watcher
+    def __init__(self, upstream_transport, address, call, watcher):
+        self.upstream_transport, self.address, self.call, self.watcher = (
+            upstream_transport,
+            address,
+            call,
+            watcher,
+        )
         self.begun = False
         self.may_run = False
         self.transport = None
         self.timer = None
-        self.task = carrier.loop.create_task(self.go())
+        self.task = upstream_transport.loop.create_task(self.go())
 
     async def go(self):
-        await self.carrier.gate.wait()  # open, unless a test holds attempts before their first byte
+        await (
+            self.upstream_transport.gate.wait()
+        )  # open, unless a test holds attempts before their first byte
         try:
-            await self.carrier.loop.create_connection(lambda: self, *self.address)
+            await self.upstream_transport.loop.create_connection(lambda: self, *self.address)
         except OSError:
             self.end(Status.CONNECT_FAILED)
 
@@ -37,11 +44,11 @@
             transport.abort()
             return
         self.transport = transport
-        if not self.watcher.write_within():
+        if not self.watcher.write_timeout_s():
             self.end(Status.NOT_SENT)
             return
         self.begun = True
-        if self.carrier.writes_in_part:
+        if self.upstream_transport.writes_in_part:
             transport.write(self.call.name)
             return
         transport.write(b"%s\n" % self.call.name)
@@ -55,11 +62,11 @@
     def connection_lost(self, exc):
         self.end(Status.RESET)
 
-    def wait(self, seconds):
-        self.wait_no_more()
-        self.timer = self.carrier.loop.call_later(seconds, self.give_up, Status.TIMEOUT)
+    def set_timeout(self, seconds):
+        self.clear_timeout()
+        self.timer = self.upstream_transport.loop.call_later(seconds, self.give_up, Status.TIMEOUT)
 
-    def wait_no_more(self):
+    def clear_timeout(self):
         if self.timer is not None:
             self.timer.cancel()
 
@@ -70,13 +77,13 @@
         watcher, self.watcher = self.watcher, None
         if watcher is None:
             return
-        self.wait_no_more()
+        self.clear_timeout()
         if self.transport is not None:
             self.transport.abort()
         watcher.ended(status, answer, ())
 
 
-class LineCarrier:
+class LineTransport:
     def __init__(self, loop):
         self.loop = loop
         self.addresses = {}
@@ -86,18 +93,18 @@
         self.gate.set()
 
     def start(self, server, call, timeout, watcher):
-        carriage = LineCarriage(self, self.addresses.get(server, (HOST, 1)), call, watcher)
-        self.waiting.setdefault(server, []).append(carriage)
+        upstream_attempt = LineCarriage(self, self.addresses.get(server, (HOST, 1)), call, watcher)
+        self.waiting.setdefault(server, []).append(upstream_attempt)
         if timeout is not None:
-            carriage.wait(timeout)
-        return carriage
+            upstream_attempt.set_timeout(timeout)
+        return upstream_attempt
 
     def update(self, server, address, since_ms, state):
         self.addresses[server] = address
         if state is not State.READY:
-            for carriage in self.waiting.get(server, ()):
-                if not carriage.begun:
-                    carriage.give_up(Status.CONNECT_FAILED)
+            for upstream_attempt in self.waiting.get(server, ()):
+                if not upstream_attempt.begun:
+                    upstream_attempt.give_up(Status.CONNECT_FAILED)
 
     def forget(self, server):
         self.addresses.pop(server, None)
@@ -110,23 +117,23 @@
 
     def close(self):
         for carriages in self.waiting.values():
-            for carriage in carriages:
-                carriage.task.cancel()
+            for upstream_attempt in carriages:
+                upstream_attempt.task.cancel()
 
 
 class LineClient(asyncio.Protocol):
-    def __init__(self, front):
-        self.front = front
+    def __init__(self, frontend):
+        self.frontend = frontend
         self.calls = set()
         self.buffer = b""
 
     def connection_made(self, transport):
         self.transport = transport
-        self.front.clients.add(self)
+        self.frontend.clients.add(self)
 
     def data_received(self, data):
         *lines, self.buffer = (self.buffer + data).split(b"\n")
-        engine = self.front.engine
+        engine = self.frontend.engine
         for line in lines:
             name_of_class, name, wait = line.split()
             specs = engine.settings.classes
@@ -136,33 +143,33 @@
             wait_ns = int(wait) * 1_000_000
             call = Call(name, cls, 0, 0, wait_ns, engine.now() + wait_ns, 0, False, cls > 0, body)
             self.calls.add(call)
-            engine.take(self.front.door, self, call)
+            engine.take(self.frontend.frontend_binding, self, call)
 
     def respond(self, call, response):
         self.calls.discard(call)
         words = ["served", "refused", "failed"][response.disposition]
         self.transport.write(f"{words} {response.reason.value} {response.retry_after_ns}\n".encode())
-        if self.front.closes_on_answer:
+        if self.frontend.closes_on_answer:
             self.transport.abort()
 
     def gone(self, call):
         return call not in self.calls or self.transport.is_closing()
 
     def connection_lost(self, exc):
-        self.front.clients.discard(self)
+        self.frontend.clients.discard(self)
         for call in self.calls:
-            self.front.engine.left(call)
-        self.front.engine.lifecycle.client_left()
+            self.frontend.engine.left(call)
+        self.frontend.engine.lifecycle.client_left()
 
 
-class LineFront:
+class LineFrontend:
     def __init__(self, engine, loop):
         self.engine = engine
         self.clients = set()
         self.closes_on_answer = False
         self.server = None
-        self.carrier = LineCarrier(loop)
-        self.door = engine.open_door("lines", self, self.carrier)
+        self.upstream_transport = LineTransport(loop)
+        self.frontend_binding = engine.bind_frontend("lines", self, self.upstream_transport)
 
     @property
     def connected(self):
@@ -172,7 +179,7 @@
         if self.server is not None:
             self.server.close()
 
-    def close_quiet(self):
+    def close_idle_connections(self):
         for client in [client for client in self.clients if not client.calls]:
             client.transport.close()
 
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -55,11 +55,11 @@
     """The server of the first copy has gone over to another group since: that group knows nothing of it."""
     stage = Stage([cls], servers=12, seed=seed)
     call = stage.ask()
-    carriage = stage.attempt(call)
-    carriage.connect()
-    moved(stage, carriage.server, how)
-    stage.carrier.pooled = True
-    carriage.answer(Status.RESET)
+    upstream_attempt = stage.attempt(call)
+    upstream_attempt.connect()
+    moved(stage, upstream_attempt.server, how)
+    stage.upstream_transport.pooled = True
+    upstream_attempt.answer(Status.RESET)
     stage.run(AFTER)
     assert len(copies(stage, call)) > 1
     stage.finish()
@@ -69,11 +69,11 @@
 def test_a_first_copy_that_began_after_its_server_moved_ran_in_the_new_group(seed):
     stage = Stage(["keyed by cell"], servers=12, seed=seed)
     call = stage.ask()
-    carriage = stage.attempt(call)
-    moved(stage, carriage.server, "in place")
-    carriage.connect()
-    stage.carrier.pooled = True
-    carriage.answer(Status.RESET)
+    upstream_attempt = stage.attempt(call)
+    moved(stage, upstream_attempt.server, "in place")
+    upstream_attempt.connect()
+    stage.upstream_transport.pooled = True
+    upstream_attempt.answer(Status.RESET)
     stage.run(AFTER)
     assert len(copies(stage, call)) > 1
     stage.finish()
@@ -84,15 +84,15 @@
     stage = Stage(["keyed everywhere"], warm_up_ns=0)
     call = stage.ask(complete=False)
     stage.end_body(call)
-    stage.carrier.blocked = True
-    carriage = stage.attempt(call)
-    carriage.connect()
+    stage.upstream_transport.blocked = True
+    upstream_attempt = stage.attempt(call)
+    upstream_attempt.connect()
     stage.run(WINDOW - 100 * MS)
-    carriage.finish()
-    stage.carrier.blocked = False
-    stage.carrier.pooled = True
+    upstream_attempt.finish()
+    stage.upstream_transport.blocked = False
+    stage.upstream_transport.pooled = True
     stage.run(200 * MS)
-    carriage.answer(Status.RESET)
+    upstream_attempt.answer(Status.RESET)
     stage.finish()
 
 
@@ -136,7 +136,7 @@
     call = stage.ask()
     stage.attempt(call).connect()
     stage.engine.balancer.ctx.settings.classes[0] = Stage(["safe"]).settings.classes[0]
-    stage.carrier.pooled = True
+    stage.upstream_transport.pooled = True
     stage.attempt(call).answer(Status.RESET)
     stage.finish()
     assert dispositions(stage, call) == [Disposition.ABORTED]
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -43,10 +43,10 @@
 @pytest.mark.parametrize("how", ["guard", "SIGTERM"])
 def test_an_attempt_that_failed_in_its_start_after_it_was_written_is_not_refused(cls, how):
     stage = Stage([cls])
-    stage.carrier.starts_fail = "after"
+    stage.upstream_transport.starts_fail = "after"
     call = stage.ask()
     assert len(copies(stage, call)) == 1
-    stage.attempt(call).wait_no_more()  # its time-out was not set yet
+    stage.attempt(call).clear_timeout()  # its time-out was not set yet
     if how == "SIGTERM":
         stage.engine.lifecycle._answer_all()
     stage.finish()
@@ -55,7 +55,7 @@
 
 def test_an_answer_to_an_attempt_that_failed_in_its_start_after_it_was_written_still_counts():
     stage = Stage()
-    stage.carrier.starts_fail = "after"
+    stage.upstream_transport.starts_fail = "after"
     call = stage.ask()
     stage.attempt(call).answer(Status.OK)
     stage.finish()
@@ -64,7 +64,7 @@
 
 def test_an_attempt_that_failed_in_its_start_with_nothing_written_is_made_anew():
     stage = Stage()
-    stage.carrier.starts_fail = "before"
+    stage.upstream_transport.starts_fail = "before"
     call = stage.ask()
     lost = stage.attempt(call)
     stage.run(AFTER)
@@ -78,7 +78,7 @@
 
 def test_no_attempt_is_told_to_have_ended_twice():
     stage = Stage()
-    stage.carrier.starts_fail = "before"
+    stage.upstream_transport.starts_fail = "before"
     call = stage.ask()
     lost = stage.attempt(call)
     stage.run(DEADLINE)
@@ -118,7 +118,7 @@
     stage.engine.balancer.handle = fail
     stage.engine.post(RequestCancelled(9999))
     stage.engine.balancer.handle = handle
-    assert len([one for one in stage.carrier.out if one.call is call]) == 1
+    assert len([one for one in stage.upstream_transport.out if one.call is call]) == 1
 
 
 # Refusals after something may have run
@@ -128,10 +128,10 @@
     """Its front did not know yet that it was whole: the answer must not invite a repeat."""
     stage = Stage()
     call = stage.ask(complete=False)
-    carriage = stage.attempt(call)
-    carriage.connect()
+    upstream_attempt = stage.attempt(call)
+    upstream_attempt.connect()
     call.body.end()
-    assert carriage.may_run
+    assert upstream_attempt.may_run
     stage.engine.body_broken(call, Disposition.DECLINED, (503, b"too much is held\n"))
     stage.finish()
     assert dispositions(stage, call) == [Disposition.ABORTED]
@@ -150,11 +150,11 @@
 def test_a_body_that_breaks_half_written_is_refused_and_never_whole():
     stage = Stage()
     call = stage.ask(complete=False)
-    carriage = stage.attempt(call)
-    carriage.connect()
+    upstream_attempt = stage.attempt(call)
+    upstream_attempt.connect()
     stage.engine.body_broken(call, Disposition.DECLINED, (503, b"too much is held\n"))
     call.body.end()
-    assert carriage.over and not carriage.may_run
+    assert upstream_attempt.over and not upstream_attempt.may_run
     stage.finish()
 
 
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize("reached", ["decided", "in part", "whole", "whole, then answered"])
 def test_the_last_guard_refuses_only_what_cannot_have_run(how, reached):
     stage = Stage()
-    stage.carrier.blocked = reached == "in part"
+    stage.upstream_transport.blocked = reached == "in part"
     call = stage.ask()
     if reached != "decided":
         stage.attempt(call).connect()
@@ -187,7 +187,7 @@
         stage.attempt(call).connect()
         stage.attempt(call).answer(status)
         stage.run(AFTER)
-        if not stage.carrier.out:
+        if not stage.upstream_transport.out:
             break
     stage.finish()
     assert dispositions(stage, call) == [Disposition.ABORTED]
@@ -203,7 +203,7 @@
     again = stage.ask(name="other")
     again.name = call.name
     stage.clients.respond = lambda _, response: answers.append(response)
-    stage.engine.take(stage.door, stage.clients, again)
+    stage.engine.take(stage.frontend_binding, stage.clients, again)
     assert [(one.disposition, one.reason) for one in answers] == [(Disposition.ABORTED, Reason.NAME_IN_USE)]
 
 
@@ -223,10 +223,10 @@
 def test_an_attempt_that_was_written_cannot_end_as_never_sent(lie):
     stage = Stage()
     call = stage.ask()
-    carriage = stage.attempt(call)
-    carriage.connect()
-    stage.carrier.pooled = True
-    carriage.end(lie)
+    upstream_attempt = stage.attempt(call)
+    upstream_attempt.connect()
+    stage.upstream_transport.pooled = True
+    upstream_attempt.end(lie)
     stage.finish()
     assert dispositions(stage, call) == [Disposition.ABORTED]
 
@@ -236,12 +236,12 @@
     """Its body is gone; no server has all of it."""
     stage = Stage()
     call = stage.ask(complete=False)
-    carriage = stage.attempt(call)
-    carriage.connect()
+    upstream_attempt = stage.attempt(call)
+    upstream_attempt.connect()
     if status is Status.REJECTED:
-        carriage.answer(status)
+        upstream_attempt.answer(status)
     else:
-        carriage.end(status)
+        upstream_attempt.end(status)
     stage.finish()
     assert dispositions(stage, call) == [Disposition.DECLINED]
     assert len(copies(stage, call)) == 1
@@ -251,7 +251,7 @@
     """Its first byte is asked for when the body has flowed elsewhere since the decision."""
     stage = Stage(["safe"])
     call = stage.ask(complete=False)
-    carriage = stage.attempt(call)
-    call.body.flow(carriage)
-    carriage.connect()
+    upstream_attempt = stage.attempt(call)
+    call.body.flow(upstream_attempt)
+    upstream_attempt.connect()
     assert not copies(stage, call)
--- a/tests/test_duplicate_faults.py
+++ b/tests/test_duplicate_faults.py
@@ -80,12 +80,12 @@
 
 
 ENDS = {
-    "full": lambda carriage: carriage.answer(Status.REJECTED),
-    "error": lambda carriage: carriage.answer(Status.ERROR),
-    "reset": lambda carriage: carriage.answer(Status.RESET),
-    "ok": lambda carriage: carriage.answer(Status.OK),
-    "flows": lambda carriage: carriage.begin(),
-    "silent": lambda carriage: None,
+    "full": lambda upstream_attempt: upstream_attempt.answer(Status.REJECTED),
+    "error": lambda upstream_attempt: upstream_attempt.answer(Status.ERROR),
+    "reset": lambda upstream_attempt: upstream_attempt.answer(Status.RESET),
+    "ok": lambda upstream_attempt: upstream_attempt.answer(Status.OK),
+    "flows": lambda upstream_attempt: upstream_attempt.begin(),
+    "silent": lambda upstream_attempt: None,
 }
 # What becomes of the attempts of each request, in their order; the last goes on. "refused": no connection.
 SCRIPTS = [
@@ -98,17 +98,17 @@
 ]
 
 
-def script(stage, carriage, ends):
+def script(stage, upstream_attempt, ends):
     """Play one attempt: its connection comes up, its last byte goes out, its server ends it."""
     later = stage.loop.call_later
     if ends == "refused":
-        later(0.006, carriage.fail_to_connect)
+        later(0.006, upstream_attempt.fail_to_connect)
         return
-    later(0.006, carriage.connect)
-    later(0.009, carriage.finish)
-    later(0.030, ENDS[ends], carriage)
+    later(0.006, upstream_attempt.connect)
+    later(0.009, upstream_attempt.finish)
+    later(0.030, ENDS[ends], upstream_attempt)
     if ends == "flows":
-        later(0.050, carriage.answer, Status.RESET)
+        later(0.050, upstream_attempt.answer, Status.RESET)
 
 
 def change_list(stage):
@@ -128,14 +128,14 @@
         stage = Stage([cls], seed=7)
         made = {}
 
-        def start(carriage):
-            name = carriage.call.name
+        def start(upstream_attempt):
+            name = upstream_attempt.call.name
             number = made[name] = made.get(name, -1) + 1
             scripted = SCRIPTS[name % len(SCRIPTS)]
-            script(stage, carriage, scripted[min(number, len(scripted) - 1)])
+            script(stage, upstream_attempt, scripted[min(number, len(scripted) - 1)])
 
-        stage.carrier.on_start = start
-        stage.carrier.blocked = True
+        stage.upstream_transport.on_start = start
+        stage.upstream_transport.blocked = True
         injector.armed = True
         for number in range(len(SCRIPTS)):
             stage.loop.call_later(number * 0.004, stage.ask)
--- a/tests/test_duplicate_machine.py
+++ b/tests/test_duplicate_machine.py
@@ -24,14 +24,14 @@
 ASKED_MOST = 4  # requests in one run: more only dilute what is drawn
 REPEATS = 20.0  # paid for beforehand, so that no budget hides what else would be sent
 ATTEMPT = {
-    "connects": lambda carriage: carriage.connect(),
-    "is refused": lambda carriage: carriage.fail_to_connect(),
-    "is whole": lambda carriage: carriage.finish(),
-    "begins to be answered": lambda carriage: carriage.begin(),
-    "is served": lambda carriage: carriage.answer(Status.OK),
-    "fails": lambda carriage: carriage.answer(Status.ERROR),
-    "is full": lambda carriage: carriage.answer(Status.REJECTED),
-    "is reset": lambda carriage: carriage.answer(Status.RESET),
+    "connects": lambda upstream_attempt: upstream_attempt.connect(),
+    "is refused": lambda upstream_attempt: upstream_attempt.fail_to_connect(),
+    "is whole": lambda upstream_attempt: upstream_attempt.finish(),
+    "begins to be answered": lambda upstream_attempt: upstream_attempt.begin(),
+    "is served": lambda upstream_attempt: upstream_attempt.answer(Status.OK),
+    "fails": lambda upstream_attempt: upstream_attempt.answer(Status.ERROR),
+    "is full": lambda upstream_attempt: upstream_attempt.answer(Status.REJECTED),
+    "is reset": lambda upstream_attempt: upstream_attempt.answer(Status.RESET),
 }
 CLIENTS = ["a request comes", "a body ends", "a body breaks", "a client leaves", "the process ends"]
 LISTS = ["a server moves", "a server restarts", "a server drains", "a server is ready"]
@@ -65,7 +65,7 @@
 
     @property
     def out(self):
-        return self.stage.carrier.out
+        return self.stage.upstream_transport.out
 
     @property
     def held(self):
@@ -94,7 +94,7 @@
         elif what in SOCKETS:
             self._change_sockets(what)
         elif what in FAULTS:
-            self.stage.carrier.starts_fail = what.split()[-1]
+            self.stage.upstream_transport.starts_fail = what.split()[-1]
         elif due := self.stage.loop.due():
             self.stage.loop.ring(due[which % len(due)])
         if rings:
@@ -130,9 +130,9 @@
 
     def _change_sockets(self, what):
         if what.endswith("connections"):
-            self.stage.carrier.pooled = what.startswith("idle")
+            self.stage.upstream_transport.pooled = what.startswith("idle")
         else:
-            self.stage.carrier.blocked = what.startswith("full")
+            self.stage.upstream_transport.blocked = what.startswith("full")
 
     def _end_body(self, call, breaks):
         if breaks:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -4,7 +4,7 @@
 import socket
 
 import pytest
-from line_front import Both, LineClient, LineFront
+from line_frontend import Both, LineClient, LineFrontend
 from net_helpers import (
     HOST,
     WAIT,
@@ -106,18 +106,22 @@
         data["settings"]["ceilings"]["cancel"] = False
         async with Sidecar(tmp_path / "c", data) as sidecar:
             loop = asyncio.get_running_loop()
-            lines = LineFront(sidecar.engine, loop)
-            lines.carrier.writes_in_part = True
+            lines = LineFrontend(sidecar.engine, loop)
+            lines.upstream_transport.writes_in_part = True
             lines.server = await loop.create_server(lambda: LineClient(lines), HOST, 0)
             _, writer = await asyncio.open_connection(HOST, lines.server.sockets[0].getsockname()[1])
             writer.write(b"order half 3000\n")
-            carriages = lines.carrier.waiting
-            await until(lambda: any(carriage.begun for made in carriages.values() for carriage in made))
+            carriages = lines.upstream_transport.waiting
+            await until(
+                lambda: any(
+                    upstream_attempt.begun for made in carriages.values() for upstream_attempt in made
+                )
+            )
             writer.close()
             async with asyncio.timeout(SOON):
                 await until(lambda: not sidecar.engine.held and not sidecar.engine.attempts)
-            (carriage,) = next(iter(carriages.values()))
-            assert carriage.watcher is None and carriage.transport.is_closing()
+            (upstream_attempt,) = next(iter(carriages.values()))
+            assert upstream_attempt.watcher is None and upstream_attempt.transport.is_closing()
 
     run(play())
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -477,7 +477,7 @@
                 await stage.held()
                 stage.put_forward(900 * MS)
                 stage.loop.open.set()
-                await until(lambda: any(one.carriage.begun for one in stage.engine.attempts.values()))
+                await until(lambda: any(one.upstream_attempt.begun for one in stage.engine.attempts.values()))
                 writer.write(whole[cut:])
                 assert (await read_message(reader)).code == 200
                 assert told(server.got[0]) == 3000 and server.got[0].body == body
--- a/tests/test_fronts.py
+++ b/tests/test_frontends.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from line_front import Both, LineClient, LineFront
+from line_frontend import Both, LineClient, LineFrontend
 from net_helpers import HOST, WAIT, Sidecar, config, entry, message, news, read_message, run, until
 
 from ochreflow.core import lifecycle
@@ -14,19 +14,19 @@
 
 FRONTS = ["http", "lines"]
 CODES = {200: "served", 503: "refused", 409: "failed", 502: "failed", 504: "failed"}
-pytestmark = pytest.mark.parametrize("front", FRONTS)
+pytestmark = pytest.mark.parametrize("frontend", FRONTS)
 
 
 class Asked:
     """One client of either front, with one request on its way."""
 
-    def __init__(self, front, ports):
-        self.front = front
-        self.port = ports[front]
+    def __init__(self, frontend, ports):
+        self.frontend = frontend
+        self.port = ports[frontend]
 
     async def send(self, cls, name, wait=3000):
         self.reader, self.writer = await asyncio.open_connection(HOST, self.port)
-        if self.front == "http":
+        if self.frontend == "http":
             self.writer.write(message(cls, name, f"{wait}m"))
         else:
             self.writer.write(f"{cls} {name} {wait}\n".encode())
@@ -35,7 +35,7 @@
     async def answer(self):
         """The one word of the one answer; nothing may follow it."""
         async with asyncio.timeout(WAIT):
-            if self.front == "http":
+            if self.frontend == "http":
                 word = CODES[(await read_message(self.reader)).code]
             else:
                 word = (await self.reader.readline()).decode().split()[0]
@@ -49,13 +49,13 @@
     async def __aenter__(self):
         await super().__aenter__()
         loop = asyncio.get_running_loop()
-        self.lines = LineFront(self.engine, loop)
+        self.lines = LineFrontend(self.engine, loop)
         self.lines.server = await loop.create_server(lambda: LineClient(self.lines), HOST, 0)
         self.ports = {"http": self.port, "lines": self.lines.server.sockets[0].getsockname()[1]}
         return self
 
-    async def ask(self, front, cls, name, wait=3000):
-        return await (await Asked(front, self.ports).send(cls, name, wait)).answer()
+    async def ask(self, frontend, cls, name, wait=3000):
+        return await (await Asked(frontend, self.ports).send(cls, name, wait)).answer()
 
     def tell(self, *entries, index=2):
         self.engine.on_news(read_news(news(index, *entries), self.names))
@@ -105,19 +105,19 @@
         ("order", "error", "failed", 1),
     ],
 )
-def test_one_final_answer_and_no_repeat_beyond_the_class(tmp_path, front, cls, what, word, runs):
+def test_one_final_answer_and_no_repeat_beyond_the_class(tmp_path, frontend, cls, what, word, runs):
     async def steps(rig, one, two):
-        assert await rig.ask(front, cls, "ab") == word
+        assert await rig.ask(frontend, cls, "ab") == word
         assert len(one.got + two.got) == runs
-        counts = rig.engine.stats.fronts
-        assert sum(counts[front]) == 1 and sum(sum(row) for row in counts.values()) == 1
+        counts = rig.engine.stats.frontends
+        assert sum(counts[frontend]) == 1 and sum(sum(row) for row in counts.values()) == 1
 
     play(tmp_path, first(what), steps, servers=2)
 
 
 def hold_first_bytes(rig, monkeypatch):
     """Keep every attempt from its first byte until the event is set, at both carriers."""
-    go = rig.lines.carrier.gate
+    go = rig.lines.upstream_transport.gate
     go.clear()
     connect = rig.upstreams._connect
 
@@ -129,10 +129,10 @@
     return go
 
 
-def test_nothing_new_reaches_a_draining_server_not_even_what_waits(tmp_path, front, monkeypatch):
+def test_nothing_new_reaches_a_draining_server_not_even_what_waits(tmp_path, frontend, monkeypatch):
     async def steps(rig, leaving, staying):
         go = hold_first_bytes(rig, monkeypatch)
-        waits = [await Asked(front, rig.ports).send("order", f"w{n}") for n in range(8)]
+        waits = [await Asked(frontend, rig.ports).send("order", f"w{n}") for n in range(8)]
         await until(lambda: len(rig.engine.attempts) == 8)
         number = rig.names.server("s0")
         assert any(attempt.server == number for attempt in rig.engine.attempts.values())
@@ -141,18 +141,18 @@
         words = [await asked.answer() for asked in waits]
         assert set(words) <= {"served", "refused"} and "served" in words
         for n in range(20):
-            assert await rig.ask(front, "order", f"b{n}") == "served"
+            assert await rig.ask(frontend, "order", f"b{n}") == "served"
         assert not leaving.got
         assert len(set(staying.got)) == len(staying.got) == words.count("served") + 20
 
     play(tmp_path, lambda name: "ok", steps, servers=2)
 
 
-def test_a_cold_server_gets_little_at_once(tmp_path, front):
+def test_a_cold_server_gets_little_at_once(tmp_path, frontend):
     async def steps(rig, cold, warm):
         since = int(time.time() * 1000)
         rig.tell(entry("s0", cold.address, since_ms=since), entry("s1", warm.address))
-        words = await asyncio.gather(*(rig.ask(front, "order", f"id{n}", 500) for n in range(40)))
+        words = await asyncio.gather(*(rig.ask(frontend, "order", f"id{n}", 500) for n in range(40)))
         assert set(words) <= {"failed", "refused"}
         assert len(cold.got) <= 1 and len(warm.got) >= 5
 
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize(("what", "word"), [("silent", "failed"), (None, "refused")])
-def test_the_last_guard_answers_in_the_place_of_a_deaf_module(tmp_path, front, what, word):
+def test_the_last_guard_answers_in_the_place_of_a_deaf_module(tmp_path, frontend, what, word):
     """Failed if it may have run, refused if it never did, once in either case and before its time is up."""
 
     async def steps(rig, fake):
@@ -175,7 +175,7 @@
             return handle(now, event)
 
         rig.engine.balancer.handle = deaf
-        assert await rig.ask(front, "order", "ab", 400) == word
+        assert await rig.ask(frontend, "order", "ab", 400) == word
         assert len(fake.got) == (what is not None)
         rig.engine.balancer.open.clear()
         for server in rig.engine.balancer.fleet.servers.values():
@@ -184,9 +184,9 @@
     play(tmp_path, lambda name: what, steps)
 
 
-def test_a_client_that_leaves_takes_its_attempt_along(tmp_path, front):
+def test_a_client_that_leaves_takes_its_attempt_along(tmp_path, frontend):
     async def steps(rig, fake):
-        asked = await Asked(front, rig.ports).send("order", "ab")
+        asked = await Asked(frontend, rig.ports).send("order", "ab")
         await until(lambda: fake.got)
         asked.writer.close()
         await until(lambda: fake.ended == 1, "its attempt is called off")
@@ -194,60 +194,60 @@
     play(tmp_path, lambda name: "silent", steps)
 
 
-def test_a_client_that_leaves_before_the_first_byte_reaches_no_server(tmp_path, front, monkeypatch):
+def test_a_client_that_leaves_before_the_first_byte_reaches_no_server(tmp_path, frontend, monkeypatch):
     """It goes between its attempt's connect and its write."""
 
     async def steps(rig, fake):
         go = hold_first_bytes(rig, monkeypatch)
-        asked = await Asked(front, rig.ports).send("order", "ab")
+        asked = await Asked(frontend, rig.ports).send("order", "ab")
         await until(lambda: rig.engine.attempts)
         asked.writer.close()
         await until(lambda: not rig.engine.held)
         go.set()
-        assert await rig.ask(front, "order", "cd") == "served"
+        assert await rig.ask(frontend, "order", "cd") == "served"
         assert fake.got == ["cd"]
 
     play(tmp_path, lambda name: "ok", steps)
 
 
-def test_names_belong_to_their_front(tmp_path, front):
+def test_names_belong_to_their_front(tmp_path, frontend):
     """The same name at both fronts at once is two requests; twice at one of them is one."""
 
     async def steps(rig, fake):
-        other = next(name for name in FRONTS if name != front)
-        held = [await Asked(label, rig.ports).send("order", "same") for label in (front, other)]
+        other = next(name for name in FRONTS if name != frontend)
+        held = [await Asked(label, rig.ports).send("order", "same") for label in (frontend, other)]
         await until(lambda: fake.got.count("same") == 2)
-        assert await rig.ask(front, "order", "same") == "failed"
+        assert await rig.ask(frontend, "order", "same") == "failed"
         assert fake.got.count("same") == 2
         for asked in held:
             asked.writer.close()
         await until(lambda: not rig.engine.held)
-        assert await rig.ask(front, "order", "same") == "failed"  # it has just been
+        assert await rig.ask(frontend, "order", "same") == "failed"  # it has just been
 
     play(tmp_path, lambda name: "silent", steps)
 
 
-def test_a_drain_of_the_sidecar_refuses_at_once_and_can_be_undone(tmp_path, front, monkeypatch):
+def test_a_drain_of_the_sidecar_refuses_at_once_and_can_be_undone(tmp_path, frontend, monkeypatch):
     monkeypatch.setattr(lifecycle, "EMPTY_AFTER", 0.0)
 
     async def steps(rig, fake):
-        held = await Asked(front, rig.ports).send("order", "held")
+        held = await Asked(frontend, rig.ports).send("order", "held")
         await until(lambda: fake.got)
         rig.engine.fail()
         await until(lambda: rig.engine.lifecycle.emptying)
-        assert await rig.ask(front, "order", "ab") == "refused"
+        assert await rig.ask(frontend, "order", "ab") == "refused"
         assert fake.got == ["held"]
         rig.engine.ok()
-        assert await rig.ask(front, "order", "cd") == "served"
+        assert await rig.ask(frontend, "order", "cd") == "served"
         held.writer.close()
 
     play(tmp_path, lambda name: "silent" if name == "held" else "ok", steps)
 
 
-def test_a_front_may_close_inside_the_call_that_answers_it(tmp_path, front, monkeypatch):
+def test_a_front_may_close_inside_the_call_that_answers_it(tmp_path, frontend, monkeypatch):
     async def steps(rig, fake):
         rig.lines.closes_on_answer = True
-        if front == "http":
+        if frontend == "http":
             connection = type(rig.http.connection())
             respond = connection._respond
 
@@ -257,24 +257,24 @@
 
             monkeypatch.setattr(connection, "_respond", closing)
         for n in range(5):
-            asked = await Asked(front, rig.ports).send("order", f"id{n}")
+            asked = await Asked(frontend, rig.ports).send("order", f"id{n}")
             async with asyncio.timeout(WAIT):
                 await asked.reader.read()
             asked.writer.close()
-        assert len(fake.got) == 5 and rig.engine.stats.fronts[front][0] == 5
+        assert len(fake.got) == 5 and rig.engine.stats.frontends[frontend][0] == 5
 
     play(tmp_path, lambda name: "ok", steps)
 
 
-def test_too_many_at_once_are_refused_with_their_reason(tmp_path, front):
+def test_too_many_at_once_are_refused_with_their_reason(tmp_path, frontend):
     async def steps(rig, fake):
         rig.engine.max_open = 1
-        held = await Asked(front, rig.ports).send("order", "held")
+        held = await Asked(frontend, rig.ports).send("order", "held")
         await until(lambda: fake.got)
         reasons = []
         finish = rig.engine._finish
         rig.engine._finish = lambda held, response: (reasons.append(response.reason), finish(held, response))
-        assert await rig.ask(front, "order", "ab") == "refused"
+        assert await rig.ask(frontend, "order", "ab") == "refused"
         assert reasons == [Reason.CROWDED]
         held.writer.close()
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -54,8 +54,8 @@
 
 def test_rendering_lists_every_class_from_nought():
     stats = Stats(["a", "b"])
-    stats.open_front("http")
-    stats.ended(1, Disposition.DECLINED, stats.open_front("lines"))
+    stats.add_frontend("http")
+    stats.ended(1, Disposition.DECLINED, stats.add_frontend("lines"))
     stats.forwarded()
     assert render(stats, Gauges(outstanding=3, discovered=2, ejected=1)).splitlines() == [
         "app.results.a.succeeded=0",
@@ -248,7 +248,7 @@
             front.transport.pause_reading()
             writer.write(message("order", "unread"))
             await until(lambda: not front.quiet)
-            sidecar.http.clients.close_quiet()
+            sidecar.http.clients.close_idle_connections()
             front.transport.resume_reading()
             assert (await read_message(reader)).code == 200
             writer.close()
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -475,7 +475,10 @@
                 writer.write(message("lookup", f"id{number}"))
                 await read_message(reader)
             writer.close()
-            assert len(sidecar.http.door.names.used) <= 102 and len(sidecar.http.door.names.over) <= 102
+            assert (
+                len(sidecar.http.frontend_binding.names.used) <= 102
+                and len(sidecar.http.frontend_binding.names.over) <= 102
+            )
             assert not sidecar.engine.held and not sidecar.engine.attempts
 
     run(play())
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -238,10 +238,10 @@
                 raise ZeroDivisionError("of the program")
 
             engine = sidecar.engine
-            sidecar.carrier._payload = broken
+            sidecar.upstream_transport._payload = broken
             assert (await ask(sidecar.port, message("order", "ab", "300m"))).code == 503
             assert not engine.held and not engine.attempts
-            del sidecar.carrier._payload
+            del sidecar.upstream_transport._payload
             assert (await ask(sidecar.port, message("order", "cd"))).code == 200
 
     run(play())
@@ -278,7 +278,7 @@
 def test_a_report_is_read_by_names_and_only_whole(tmp_path):
     async def play():
         async with Sidecar(tmp_path / "c", config(news(1))) as sidecar:
-            read = sidecar.carrier.reports.read
+            read = sidecar.upstream_transport.reports.read
             assert read(b"cpu=0.25, rps=3") == (3.0, 0.25)
             assert read(b"qps=3,util=0.25,more=1") == (3.0, 0.25)
             for figure in (
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -200,8 +200,11 @@
             assert await sidecar.process.wait() == 0
             lines = [json.loads(line) for line in await sidecar.rest() if line.startswith(b"{")]
         events = {line["event"]: line for line in lines}
-        verdict = {"front": "http", "request": "one", "outcome": "aborted", "reason": "decided"}
-        assert verdict.items() <= events["verdict"].items() and events["verdict"]["level"] == "debug"
+        response = {"frontend": "http", "request": "one", "outcome": "aborted", "reason": "decided"}
+        assert (
+            response.items() <= events["final_response"].items()
+            and events["final_response"]["level"] == "debug"
+        )
         assert events["attempt"]["server"] == 1 and events["attempt"]["attempt"] == 0
         assert isinstance(events["listening"]["port"], int) and "timestamp" in events["listening"]
 
@@ -236,7 +239,7 @@
     log.use(log.sink, "info", 3)
     for _ in range(10):
         log.info("module", said="x")
-        log.debug("verdict")
+        log.debug("final_response")
     log.info("draining")
     now[0] = 1.0
     log.info("module", said="y")
@@ -274,7 +277,7 @@
         imported[form] = set(done.stdout.split())
     own = {name for name in imported[None] if name.startswith("ochreflow")}
     layers = {name.split(".")[1] for name in own if "." in name}
-    assert layers == {"app", "core", "http", "membership", "policy"}
+    assert layers == {"app", "core", "errors", "http", "membership", "policy"}
     assert not own & {"ochreflow.app.operator", "ochreflow.app.logs"}
     heavy = {"click", "msgspec", "structlog", "tomllib", "yaml", "numpy", "matplotlib", "cryptography"}
     assert not imported[None] & heavy
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -103,7 +103,7 @@
         clients.times.idle = 0.0
         clients.sweep()
     elif path == "drain":
-        sidecar.http.close_quiet()
+        sidecar.http.close_idle_connections()
     else:
         clients.give_way()
 
@@ -344,7 +344,7 @@
             client.sendall(message("order", "first") + message("order", "second", "3000m", bytes(1000)))
             await until(lambda: front.unread)
             (attempt,) = sidecar.engine.attempts.values()
-            attempt.carriage.give_up(Status.CANCELLED)
+            attempt.upstream_attempt.give_up(Status.CANCELLED)
             assert front.unread and not front.current
             data, _ = await receive(client)
             assert data.count(b"HTTP/1.1") == 1 and len(data) < 1_000_000
--- a/tests/test_unwritten.py
+++ b/tests/test_unwritten.py
@@ -124,9 +124,9 @@
 
     async def partly_written(self):
         """The server that has got the first part of the request, and the attempt."""
-        await until(lambda: any(one.carriage.begun for one in self.engine.attempts.values()))
+        await until(lambda: any(one.upstream_attempt.begun for one in self.engine.attempts.values()))
         (attempt,) = self.engine.attempts.values()
-        assert not attempt.carriage.may_run  # the rest waits for room
+        assert not attempt.upstream_attempt.may_run  # the rest waits for room
         server = self.servers[attempt.server - 1]
         await until(lambda: server.accept() or server.connections)
         return server, attempt
@@ -218,7 +218,7 @@
     """Let the server make room for the rest of an attempt that ends, both before the loop has a turn."""
     server.read()
     end(server.connections[0])
-    await until(lambda: attempt.carriage.ended)
+    await until(lambda: attempt.upstream_attempt.ended)
     code = await stage.final(reader, server)
     copies = stage.whole_copies()
     assert copies <= 1, f"{copies} whole copies of one unrepeatable request"
@@ -253,7 +253,9 @@
         body = body_for()
         async with stage, client(stage, message("order", body=body)) as (reader, _):
             server, attempt = await stage.partly_written()
-            await ended_in_one_poll(stage, reader, server, attempt, lambda _: give_up(attempt.carriage))
+            await ended_in_one_poll(
+                stage, reader, server, attempt, lambda _: give_up(attempt.upstream_attempt)
+            )
 
     run(play())
 
@@ -279,7 +281,7 @@
             await until(lambda: server.read() or len(server.received[0]) > len(first))
             writer.write(parts[1])
             await until(lambda: attempt.held.call.body.complete)
-            assert not attempt.carriage.may_run  # the rest waits for room
+            assert not attempt.upstream_attempt.may_run  # the rest waits for room
             await ended_in_one_poll(stage, reader, server, attempt, end)
 
     run(play())
@@ -302,7 +304,7 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             sock.close()
             server.read()
-            await until(lambda: attempt.carriage.ended)
+            await until(lambda: attempt.upstream_attempt.ended)
             await asyncio.sleep(0)
             assert statuses == [Status.CANCELLED if stage.whole_copies() else Status.CONNECT_FAILED]
 
@@ -320,7 +322,7 @@
             if waited:
                 server, attempt = await stage.partly_written()
                 server.read()
-            await until(lambda: any(one.carriage.may_run for one in stage.engine.attempts.values()))
+            await until(lambda: any(one.upstream_attempt.may_run for one in stage.engine.attempts.values()))
             (attempt,) = stage.engine.attempts.values()
             server = stage.servers[attempt.server - 1]
             server.read()
