--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -270,11 +270,13 @@
     def _refuse(self, action: api.Reject) -> None:
         self._decided(
             action.id,
-            FinalResponse(Disposition.DECLINED, Reason.DECIDED, retry_after_ns=action.retry_after_ns),
+            FinalResponse(
+                Disposition.DECLINED, Reason.BALANCER_DECISION, retry_after_ns=action.retry_after_ns
+            ),
         )
 
     def _fail(self, action: api.Fail) -> None:
-        self._decided(action.id, FinalResponse(Disposition.ABORTED, Reason.DECIDED))
+        self._decided(action.id, FinalResponse(Disposition.ABORTED, Reason.BALANCER_DECISION))
 
     def _close_idle(self, action: api.CloseIdle) -> None:
         for upstream_transport in self.transports:
@@ -304,14 +306,16 @@
             return
         # Guards servers against a second copy, here or elsewhere: a request of this name may still run.
         if not frontend_binding.names.claim(call.name):
-            self._turn_away(frontend_binding, response_sink, call, Disposition.ABORTED, Reason.NAME_IN_USE)
+            self._turn_away(
+                frontend_binding, response_sink, call, Disposition.ABORTED, Reason.DUPLICATE_REQUEST_ID
+            )
             return
         held = Held(self.next_id, call, response_sink, frontend_binding)
         self.next_id += 1
         self.held[held.id] = held
         call.ticket = held.id
         if len(self.held) > self.max_open:
-            self._finish(held, FinalResponse(Disposition.DECLINED, Reason.CROWDED))
+            self._finish(held, FinalResponse(Disposition.DECLINED, Reason.OVERLOADED))
             return
         held.uploading = not call.body.complete
         if held.uploading:
@@ -350,9 +354,9 @@
         if held is None:
             return
         if held.relaying is None:
-            response = FinalResponse(disposition, Reason.BROKEN, detail=detail)
+            response = FinalResponse(disposition, Reason.INVALID_BODY, detail=detail)
             if disposition is Disposition.DECLINED and self._may_have_run(held):
-                response = FinalResponse(Disposition.ABORTED, Reason.DECIDED)
+                response = FinalResponse(Disposition.ABORTED, Reason.BALANCER_DECISION)
             self._finish(held, response)
         self._abandon(held)
         self.post(api.RequestCancelled(held.id))
@@ -363,7 +367,9 @@
         if held is not None:
             self._settle(held)
             if log.debugging:
-                self._tell_verdict(held.frontend_binding, call, Disposition.ABORTED, Reason.LEFT)
+                self._tell_verdict(
+                    held.frontend_binding, call, Disposition.ABORTED, Reason.CLIENT_DISCONNECTED
+                )
             self._abandon(held)
             self.post(api.RequestCancelled(held.id))
 
@@ -435,7 +441,7 @@
             self._give_up(attempt, Status.TIMEOUT)
         if held.owed:
             disposition = Disposition.ABORTED if held.may_have_run else Disposition.DECLINED
-            self._finish(held, FinalResponse(disposition, Reason.OUT_OF_TIME))
+            self._finish(held, FinalResponse(disposition, Reason.DEADLINE_EXCEEDED))
             self.post(api.RequestCancelled(held.id))
 
     def _finish(self, held: Held, response: FinalResponse) -> None:
@@ -567,7 +573,7 @@
         self.stats.ended(held.call.cls, disposition, held.frontend_binding.counts)
         if log.debugging:
             self._tell_verdict(
-                held.frontend_binding, held.call, disposition, Reason.ANSWERED if whole else Reason.CUT
+                held.frontend_binding, held.call, disposition, Reason.ANSWERED if whole else Reason.TRUNCATED
             )
         held.response_sink.end(held.call, whole)
 
--- a/ochreflow/core/ports.py
+++ b/ochreflow/core/ports.py
@@ -24,15 +24,15 @@
 class Reason(Enum):
     """Why a request ended as it did. Closed: each front has a wording for every one of them."""
 
-    ANSWERED = "answered"  # a server's whole answer
-    CUT = "cut"  # its answer had begun to reach the client and did not come to its end
-    DECIDED = "decided"  # the module gave it up
-    OUT_OF_TIME = "out_of_time"  # the last guard answered in the module's place
-    CROWDED = "crowded"  # more requests are open than may be
-    DRAINING = "draining"  # this sidecar is being emptied
-    NAME_IN_USE = "name_in_use"  # a request of this name is open or has just been
-    BROKEN = "broken"  # its body will never be whole
-    LEFT = "left"  # its client has gone
+    ANSWERED = "answered"  # a server's complete response was forwarded
+    TRUNCATED = "truncated"  # a server's response had begun to reach the client and ended early
+    BALANCER_DECISION = "balancer_decision"  # the decision module rejected or failed it
+    DEADLINE_EXCEEDED = "deadline_exceeded"  # the deadline watchdog answered in the module's place
+    OVERLOADED = "overloaded"  # more requests are open than the configuration allows
+    DRAINING = "draining"  # this sidecar is draining
+    DUPLICATE_REQUEST_ID = "duplicate_request_id"  # a request of this id is open or has just ended
+    INVALID_BODY = "invalid_body"  # its body can't be read to its end
+    CLIENT_DISCONNECTED = "client_disconnected"  # its client has disconnected
 
 
 @dataclass(slots=True)
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -57,13 +57,16 @@
 NOT_PASSED_ON = HOP_BY_HOP | {b"expect", b"x-deadline"}
 # How a response without a server's answer is worded, by whether trying again is harmless.
 WORDED = {
-    (Disposition.DECLINED, Reason.DECIDED): (503, b"refused\n"),
-    (Disposition.ABORTED, Reason.DECIDED): (502, b"failed\n"),
-    (Disposition.DECLINED, Reason.OUT_OF_TIME): (503, b"refused: out of time\n"),
-    (Disposition.ABORTED, Reason.OUT_OF_TIME): (504, b"failed: out of time\n"),
-    (Disposition.DECLINED, Reason.CROWDED): (503, b"too many open requests\n"),
+    (Disposition.DECLINED, Reason.BALANCER_DECISION): (503, b"refused\n"),
+    (Disposition.ABORTED, Reason.BALANCER_DECISION): (502, b"failed\n"),
+    (Disposition.DECLINED, Reason.DEADLINE_EXCEEDED): (503, b"refused: out of time\n"),
+    (Disposition.ABORTED, Reason.DEADLINE_EXCEEDED): (504, b"failed: out of time\n"),
+    (Disposition.DECLINED, Reason.OVERLOADED): (503, b"too many open requests\n"),
     (Disposition.DECLINED, Reason.DRAINING): (503, b"draining\n"),
-    (Disposition.ABORTED, Reason.NAME_IN_USE): (409, b"a request with this id is open or has just been\n"),
+    (Disposition.ABORTED, Reason.DUPLICATE_REQUEST_ID): (
+        409,
+        b"a request with this id is open or has just been\n",
+    ),
 }
 
 
@@ -109,7 +112,7 @@
     if response.disposition is Disposition.SUCCEEDED:
         assert isinstance(answer, Answer)
         return 200, _lines(answer), answer.body
-    if response.reason is Reason.BROKEN:
+    if response.reason is Reason.INVALID_BODY:
         broken: tuple[int, bytes] = response.detail  # type: ignore[assignment]  # as `_reject` gave it
         return broken[0], b"", broken[1]
     code, body = WORDED[response.disposition, response.reason]
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -143,7 +143,7 @@
     stage.engine.body_broken(call, Disposition.DECLINED, (503, b"too much is held\n"))
     stage.finish()
     (response,) = verdicts(stage, call)
-    assert (response.disposition, response.reason) == (Disposition.DECLINED, Reason.BROKEN)
+    assert (response.disposition, response.reason) == (Disposition.DECLINED, Reason.INVALID_BODY)
     assert not copies(stage, call)
 
 
@@ -204,7 +204,9 @@
     again.name = call.name
     stage.clients.respond = lambda _, response: answers.append(response)
     stage.engine.take(stage.frontend_binding, stage.clients, again)
-    assert [(one.disposition, one.reason) for one in answers] == [(Disposition.ABORTED, Reason.NAME_IN_USE)]
+    assert [(one.disposition, one.reason) for one in answers] == [
+        (Disposition.ABORTED, Reason.DUPLICATE_REQUEST_ID)
+    ]
 
 
 def test_a_crowded_sidecar_refuses_before_anything_was_sent():
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -275,7 +275,7 @@
         finish = rig.engine._finish
         rig.engine._finish = lambda held, response: (reasons.append(response.reason), finish(held, response))
         assert await rig.ask(frontend, "order", "ab") == "refused"
-        assert reasons == [Reason.CROWDED]
+        assert reasons == [Reason.OVERLOADED]
         held.writer.close()
 
     play(tmp_path, lambda name: "silent" if name == "held" else "ok", steps)
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -200,7 +200,7 @@
             assert await sidecar.process.wait() == 0
             lines = [json.loads(line) for line in await sidecar.rest() if line.startswith(b"{")]
         events = {line["event"]: line for line in lines}
-        response = {"frontend": "http", "request": "one", "outcome": "aborted", "reason": "decided"}
+        response = {"frontend": "http", "request": "one", "outcome": "aborted", "reason": "balancer_decision"}
         assert (
             response.items() <= events["final_response"].items()
             and events["final_response"]["level"] == "debug"
