--- a/ochreflow/app/config.py
+++ b/ochreflow/app/config.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 
 from ..core.address import split_address
-from ..core.fleet import Names, News
+from ..core.endpoints import EndpointIds, EndpointUpdate
 from ..core.limits import MB
 from ..core.ports import Address
 from ..errors import OchreflowError
-from ..membership.directory import ListError, read_news
+from ..membership.directory import ListError, parse_endpoint_update
 from ..policy.interface import Settings
 from ..policy.settings import Transport, nested_settings, nested_transport
 
@@ -37,8 +37,8 @@
     peers_all: Address | None
     settings: Settings
     transport: Transport
-    names: Names
-    known: News
+    names: EndpointIds
+    known: EndpointUpdate
 
 
 def read_config(path: str | None) -> Config:
@@ -49,7 +49,7 @@
             data = json.load(file)
         settings = nested_settings(data["settings"])
         transport = nested_transport(data["settings"])
-        names = Names(settings.zones, transport.kinds)
+        names = EndpointIds(settings.zones, transport.kinds)
         limits = data.get("limits", {})
         return Config(
             name=str(data["name"]),
@@ -65,7 +65,7 @@
             settings=settings,
             transport=transport,
             names=names,
-            known=read_news(data["known"], names),
+            known=parse_endpoint_update(data["known"], names),
         )
     except KeyError as error:
         raise ConfigError(f"{path}: {error} is missing") from None
--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -13,11 +13,11 @@
 
 import uvloop
 
-from ..core.fleet import Names, News
+from ..core.endpoints import EndpointIds, EndpointUpdate
 from ..core.limits import Descriptors, Memory, Usage
 from ..core.log import log
 from ..http.management import Management
-from ..membership.directory import ListError, read_news
+from ..membership.directory import ListError, parse_endpoint_update
 from .config import Config, ConfigError, read_config
 from .reload import Options, Reloader
 from .sidecar import Sidecar
@@ -45,12 +45,12 @@
     return sock
 
 
-def handed_list(data: object, names: Names) -> News | None:
+def handed_list(data: object, names: EndpointIds) -> EndpointUpdate | None:
     """The list that a process beside this one has: it is fresher than the configuration's."""
     if data is None:
         return None
     try:
-        return read_news(data, names)
+        return parse_endpoint_update(data, names)
     except ListError as error:
         log.warning("handed_list_unreadable", reason=str(error))
         return None
@@ -93,9 +93,9 @@
         if config.peer_listen is not None:
             from ..membership.peers import Peers
 
-            peers = Peers(config.settings.index, config.peers, config.peers_all, engine.on_peer)
+            peers = Peers(config.settings.index, config.peers, config.peers_all, engine.on_gossip)
             await loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
-            engine.peers = peers
+            engine.gossip = peers
         await management.listen(options.operators or config.management)
         if gate is not None:
             from ..http.acceptor import Acceptor
--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -7,14 +7,14 @@
 from functools import partial
 from time import monotonic
 
+from ..core.endpoints import EndpointUpdate
 from ..core.engine import SECOND, Engine
-from ..core.fleet import News
 from ..core.limits import Descriptors, Memory, Usage
 from ..http.calls import HttpCalls
 from ..http.frontend import HttpFrontend
 from ..http.upstream import Upstreams
 from ..http.upstream_transport import HttpUpstreamTransport
-from ..membership.directory import Directory, write_news
+from ..membership.directory import Directory, format_endpoint_list
 from ..membership.silence import waits
 from .config import Config
 
@@ -35,7 +35,7 @@
         loop: asyncio.AbstractEventLoop,
         config: Config,
         usage: Usage | None = None,
-        known: News | None = None,
+        known: EndpointUpdate | None = None,
     ) -> None:
         usage = usage or Usage(Descriptors(config.sockets), Memory(config.memory))
         usage.descriptors.system_limit = system_limit
@@ -58,7 +58,7 @@
             config.discovery,
             config.names,
             known.version,
-            self.engine.on_news,
+            self.engine.on_endpoint_update,
             pushed=not settings.polling_required,
             waits=waits(settings.drain_grace_ns),
         )
@@ -66,7 +66,9 @@
 
     def list_now(self) -> dict:
         """The list for a process that begins beside this one; an ending one may be long past its last."""
-        return write_news(self.directory.version or 0, self.engine.fleet.listed.values(), self.names)
+        return format_endpoint_list(
+            self.directory.version or 0, self.engine.endpoints.listed.values(), self.names
+        )
 
     def known_clients(self) -> object:
         """The gate's books for a process that begins beside this one; None without a gate."""
--- a/ochreflow/core/fleet.py
+++ b/ochreflow/core/endpoints.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Listed:
+class EndpointRecord:
     """One entry of a list, with what only carriers need."""
 
     name: str
@@ -23,19 +23,19 @@
 
 
 @dataclass(slots=True)
-class News:
+class EndpointUpdate:
     """What a source tells: the whole list, or what has changed in it."""
 
     version: int
     complete: bool
-    entries: list[Listed]
+    entries: list[EndpointRecord]
 
     def membership(self, kind: ListKind | None = None) -> Membership:
         kind = kind or (ListKind.FULL if self.complete else ListKind.DELTA)
         return Membership(kind, self.version, [entry.endpoint for entry in self.entries])
 
 
-class Names:
+class EndpointIds:
     """The numbers by which the module knows servers, zones and kinds."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
@@ -67,20 +67,20 @@
     return known.setdefault(name, len(known)) if len(known) < NAMES_MOST else known.get(name, len(known))
 
 
-class Fleet:
+class EndpointTable:
     """Owns the list as it is known now, and brings its changes to the carriers."""
 
-    def __init__(self, names: Names, transports: Sequence[UpstreamTransport]) -> None:
+    def __init__(self, names: EndpointIds, transports: Sequence[UpstreamTransport]) -> None:
         self.names = names
         self.transports = transports
-        self.listed: dict[int, Listed] = {}
+        self.listed: dict[int, EndpointRecord] = {}
 
-    def tell_all(self, upstream_transport: UpstreamTransport) -> None:
+    def synchronize(self, upstream_transport: UpstreamTransport) -> None:
         """Bring a carrier that begins up to date."""
         for server, entry in self.listed.items():
             upstream_transport.update(server, entry.address, entry.since_ms, entry.endpoint.state)
 
-    def apply(self, news: News) -> None:
+    def apply(self, news: EndpointUpdate) -> None:
         """Take news, after the module: what carriers then give up must not go to the same server again."""
         if news.complete:
             told = {entry.endpoint.server for entry in news.entries}
@@ -90,7 +90,7 @@
         for entry in news.entries:
             self._apply_entry(entry)
 
-    def _apply_entry(self, entry: Listed) -> None:
+    def _apply_entry(self, entry: EndpointRecord) -> None:
         endpoint = entry.endpoint
         server, state = endpoint.server, endpoint.state
         known = self.listed.get(server)
@@ -112,7 +112,7 @@
         for upstream_transport in self.transports:
             upstream_transport.update(server, entry.address, entry.since_ms, state)
 
-    def _leave(self, server: int, entry: Listed) -> None:
+    def _leave(self, server: int, entry: EndpointRecord) -> None:
         del self.listed[server]
         for upstream_transport in self.transports:
             upstream_transport.update(server, entry.address, entry.since_ms, State.REMOVED)
--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -20,11 +20,10 @@
 from ..policy.interface import Settings, Status
 from ..policy.safety_rules import NO_END
 from ..policy.state_records import PROVES_NOT_RUN, UNWRITTEN
-from .fleet import Fleet, Names, News
+from .endpoints import EndpointIds, EndpointTable, EndpointUpdate
 from .lifecycle import Lifecycle
 from .limits import Usage
 from .log import log
-from .names import UsedNames
 from .ports import (
     Call,
     EndpointSource,
@@ -36,6 +35,7 @@
     UpstreamAttempt,
     UpstreamTransport,
 )
+from .request_ids import RequestIdRegistry
 from .stats import Disposition, Gauges, Stats, render
 
 MS = 1_000_000
@@ -66,7 +66,7 @@
         self.frontend = frontend
         self.upstream_transport = upstream_transport
         self.counts = counts
-        self.names = UsedNames()  # a name means a request of this front only
+        self.names = RequestIdRegistry()  # a name means a request of this front only
 
 
 class Attempt:
@@ -164,7 +164,7 @@
         max_open: int,
         seed: int,
         usage: Usage,
-        names: Names,
+        names: EndpointIds,
     ) -> None:
         self.loop = loop
         self.settings = settings
@@ -175,9 +175,9 @@
         self.memory = usage.memory
         self.frontend_bindings: list[FrontendBinding] = []
         self.transports: list[UpstreamTransport] = []
-        self.fleet = Fleet(names, self.transports)
+        self.endpoints = EndpointTable(names, self.transports)
         self.source: EndpointSource | None = None
-        self.peers: GossipSender | None = None
+        self.gossip: GossipSender | None = None
         self.held: dict[int, Held] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}  # those out, also of requests that are over
         self.next_id = 1
@@ -201,11 +201,11 @@
         self.frontend_bindings.append(frontend_binding)
         self.lifecycle.frontends.append(frontend)
         if upstream_transport not in self.transports:
-            self.fleet.tell_all(upstream_transport)
+            self.endpoints.synchronize(upstream_transport)
             self.transports.append(upstream_transport)
         return frontend_binding
 
-    def start(self, source: EndpointSource, known: News) -> None:
+    def start(self, source: EndpointSource, known: EndpointUpdate) -> None:
         """Begin with the list as it was known last, and with whatever tells of its changes."""
         self.source = source
         self._apply(known, api.ListKind.CACHED)
@@ -283,8 +283,8 @@
             upstream_transport.close_idle(action.server)
 
     def _tell(self, action: api.PublishGossip) -> None:
-        if self.peers is not None:
-            self.peers.tell(action.data, action.peer)
+        if self.gossip is not None:
+            self.gossip.send(action.data, action.peer)
 
     def _watch(self, action: api.Watch) -> None:
         if self.source is not None:
@@ -602,20 +602,20 @@
 
     # The list of servers
 
-    def on_news(self, news: News | None) -> None:
+    def on_endpoint_update(self, news: EndpointUpdate | None) -> None:
         """A source has news; None: it has failed."""
         if news is None:
             self.post(api.Membership(api.ListKind.FAILED, 0, []))
         else:
             self._apply(news)
 
-    def _apply(self, news: News, kind: api.ListKind | None = None) -> None:
+    def _apply(self, news: EndpointUpdate, kind: api.ListKind | None = None) -> None:
         self.post(news.membership(kind))
-        self.fleet.apply(news)
+        self.endpoints.apply(news)
         # After changes too: on a day of replacements no whole list may ever come.
-        self.fleet.names.keep(set(self.balancer.fleet.servers) | set(self.fleet.listed))
+        self.endpoints.names.keep(set(self.balancer.fleet.servers) | set(self.endpoints.listed))
 
-    def on_peer(self, sender: int, data: bytes) -> None:
+    def on_gossip(self, sender: int, data: bytes) -> None:
         self.post(api.GossipReceived(sender, data))
 
     # Housekeeping and the end
@@ -643,7 +643,7 @@
     def report(self) -> str:
         gauges = Gauges(
             outstanding=len(self.held),
-            discovered=len(self.fleet.listed),
+            discovered=len(self.endpoints.listed),
             ejected=len(self.balancer.fleet.ejected),
         )
         return render(self.stats, gauges)
@@ -661,7 +661,7 @@
             self.source.close()
         for upstream_transport in self.transports:
             upstream_transport.close()
-        if self.peers is not None:
-            self.peers.close()
+        if self.gossip is not None:
+            self.gossip.close()
         for frontend_binding in self.frontend_bindings:
             frontend_binding.frontend.close()
--- a/ochreflow/core/names.py
+++ b/ochreflow/core/request_ids.py
@@ -10,7 +10,7 @@
 NAMES_MOST = 8192  # ... so many names of requests that are over can't be used again
 
 
-class UsedNames:
+class RequestIdRegistry:
     """Guards an open request against another one of its name, which its server would take for a second
     copy of it; and one that has just been answered against running again."""
 
--- a/ochreflow/membership/directory.py
+++ b/ochreflow/membership/directory.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from ..core.address import split_address
-from ..core.fleet import Listed, Names, News
+from ..core.endpoints import EndpointIds, EndpointRecord, EndpointUpdate
 from ..core.log import log
 from ..core.ports import Address
 from ..errors import OchreflowError
@@ -35,7 +35,7 @@
     def close(self) -> None: ...
 
 
-def read_news(data: object, names: Names) -> News:
+def parse_endpoint_update(data: object, names: EndpointIds) -> EndpointUpdate:
     """Read a list or a change of it, whole or not at all: an unreadable one leaves no names behind."""
     try:
         if not isinstance(data, dict) or not isinstance(data["endpoints"], list):
@@ -48,10 +48,10 @@
         endpoint = listed.endpoint
         endpoint.server = names.server(listed.name)
         endpoint.zone, endpoint.kind = names.zone(zone), names.kind(kind)
-    return News(version, complete, [listed for listed, _, _ in entries])
+    return EndpointUpdate(version, complete, [listed for listed, _, _ in entries])
 
 
-def write_news(version: int, entries: Iterable[Listed], names: Names) -> dict:
+def format_endpoint_list(version: int, entries: Iterable[EndpointRecord], names: EndpointIds) -> dict:
     """The whole list in the form that `read_news` reads."""
     zones, kinds = ({number: name for name, number in known.items()} for known in (names.zones, names.kinds))
     words = {state: word for word, state in STATES.items()}
@@ -74,7 +74,7 @@
     }
 
 
-def _read_entry(entry: dict) -> tuple[Listed, str, str]:
+def _read_entry(entry: dict) -> tuple[EndpointRecord, str, str]:
     """An entry without its numbers, with the names of its zone and kind."""
     since_ms = int(entry.get("since_ms") or 0)
     if since_ms < 0:
@@ -89,7 +89,7 @@
         weight=float(entry.get("weight", 1.0)),
         started_ns=since_ms * 1_000_000,
     )
-    listed = Listed(str(entry["name"]), endpoint, split_address(entry["address"]), since_ms)
+    listed = EndpointRecord(str(entry["name"]), endpoint, split_address(entry["address"]), since_ms)
     return listed, str(entry.get("zone", "")), str(entry.get("type", ""))
 
 
@@ -101,9 +101,9 @@
         loop: asyncio.AbstractEventLoop,
         calls: Callable[[Address], Calls],
         address: Address,
-        names: Names,
+        names: EndpointIds,
         version: int,
-        heard: Callable[[News | None], None],
+        heard: Callable[[EndpointUpdate | None], None],
         pushed: bool,
         waits: Waits,
     ) -> None:
@@ -191,7 +191,7 @@
             self._call("/api/targets", ANSWER_WITHIN, partial(self._watched, number))
         self._failed("no answer")
 
-    def _call(self, target: str, within: float, done: Callable[[News | None, str], None]) -> None:
+    def _call(self, target: str, within: float, done: Callable[[EndpointUpdate | None, str], None]) -> None:
         calls, taken = self.calls, self.taken
 
         def ended(body: bytes | None, reason: str) -> None:
@@ -200,27 +200,27 @@
             news = None
             if body is not None:
                 try:
-                    news = self._in_order(read_news(json.loads(body), self.names), taken)
+                    news = self._in_order(parse_endpoint_update(json.loads(body), self.names), taken)
                 except (ValueError, RecursionError) as error:
                     reason = str(error)
             done(news, reason)
 
         calls.get(target, within, ended)
 
-    def _in_order(self, news: News, taken: int) -> News:
+    def _in_order(self, news: EndpointUpdate, taken: int) -> EndpointUpdate:
         """Guards the list against answers that come after a newer one to a later call."""
         if self.version is None:
             if not news.complete:
                 raise ListError("changes came in place of the whole list")
         elif news.version < self.version:
             if taken != self.taken:
-                return News(self.version, False, [])
+                return EndpointUpdate(self.version, False, [])
             if not news.complete:
                 self.version = None
                 raise ListError("the index went back")
         return news
 
-    def _watched(self, number: int, news: News | None, reason: str) -> None:
+    def _watched(self, number: int, news: EndpointUpdate | None, reason: str) -> None:
         if number != self.round:
             if news is not None:
                 try:
@@ -253,11 +253,11 @@
             self.loop.call_later(self.waits.pushed_again, self.watch, True)
         self._take(None)
 
-    def _fetched(self, news: News | None, reason: str) -> None:
+    def _fetched(self, news: EndpointUpdate | None, reason: str) -> None:
         self._note(news, reason)
         self._take(news)
 
-    def _note(self, news: News | None, reason: str) -> None:
+    def _note(self, news: EndpointUpdate | None, reason: str) -> None:
         """Log the first failure and the recovery: an outage lasts, and what it says does not change."""
         if self.failing != (news is None):
             self.failing = news is None
@@ -266,7 +266,7 @@
             else:
                 log.info("directory_back")
 
-    def _take(self, news: News | None) -> None:
+    def _take(self, news: EndpointUpdate | None) -> None:
         if news is not None:
             self.version = news.version
             self.taken += 1
--- a/ochreflow/membership/peers.py
+++ b/ochreflow/membership/peers.py
@@ -33,7 +33,7 @@
     def error_received(self, exc: Exception) -> None:
         """A datagram may be lost; that its receiver is down tells nothing that the module could use."""
 
-    def tell(self, data: bytes, peer: int | None) -> None:
+    def send(self, data: bytes, peer: int | None) -> None:
         # Guards against a message that is over the limit, which must not leave the machine.
         if self.transport is None or self.transport.is_closing() or len(data) > DATAGRAM_MOST:
             return
--- a/tests/duplicate_model.py
+++ b/tests/duplicate_model.py
@@ -11,8 +11,8 @@
 from helpers import MS, SECOND, START
 
 from ochreflow.core.body import Body
+from ochreflow.core.endpoints import EndpointIds, EndpointRecord, EndpointUpdate
 from ochreflow.core.engine import Engine
-from ochreflow.core.fleet import Listed, Names, News
 from ochreflow.core.limits import MB, Descriptors, Memory, Usage
 from ochreflow.core.ports import Call
 from ochreflow.core.stats import Disposition
@@ -429,7 +429,7 @@
         self.upstream_transport = SimulatedTransport(self.loop, self.rule)
         self.clients = SimulatedClients(self.rule)
         usage = Usage(Descriptors(1000), Memory(64 * MB))
-        self.engine = Engine(self.loop, self.settings, 1000, seed, usage, Names(["a", "b"], ["k"]))
+        self.engine = Engine(self.loop, self.settings, 1000, seed, usage, EndpointIds(["a", "b"], ["k"]))
         self.engine.now = lambda: self.loop.now
         self.frontend_binding = self.engine.bind_frontend("simulated", self.clients, self.upstream_transport)
         self.endpoints = {
@@ -449,10 +449,10 @@
                 number, known.zone, known.kind, known.cell, known.state, 1.0, known.started_ns
             )
             since_ms = known.started_ns // MS
-            entries.append(Listed(f"s{number}", endpoint, ("host", number), since_ms))
-            self.engine.fleet.names.servers[f"s{number}"] = number
+            entries.append(EndpointRecord(f"s{number}", endpoint, ("host", number), since_ms))
+            self.engine.endpoints.names.servers[f"s{number}"] = number
             self.rule.groups[number] = {Scope.ZONE: known.zone, Scope.CELL: known.cell}
-        self.engine.on_news(News(self.version, True, entries))
+        self.engine.on_endpoint_update(EndpointUpdate(self.version, True, entries))
 
     def ask(self, cls=0, complete=True, name=None):
         """A request comes; with `complete` false, its body goes on coming."""
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -79,7 +79,7 @@
         """The module alone hears news, as it does before the carrier hears of them."""
         endpoints = []
         for name, zone, cell, state, started in entries:
-            listed = self.engine.fleet.listed[self.names.server(name)]
+            listed = self.engine.endpoints.listed[self.names.server(name)]
             listed.endpoint.zone, listed.endpoint.cell = zone, cell
             listed.endpoint.state, listed.endpoint.started_ns = state, started
             endpoints.append(listed.endpoint)
@@ -157,7 +157,9 @@
         async with stage.sidecar as sidecar, client(sidecar, message("hold")) as (reader, _):
             await stage.held()
             (waiting,) = (a.server for a in stage.engine.attempts.values())
-            name = next(e.name for e in stage.engine.fleet.listed.values() if e.endpoint.server == waiting)
+            name = next(
+                e.name for e in stage.engine.endpoints.listed.values() if e.endpoint.server == waiting
+            )
             stage.tell((name, 0, 7, State.READY, 0))
             stage.loop.open.set()
             async with asyncio.timeout(WAIT):
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -9,7 +9,7 @@
 
 from ochreflow.core import lifecycle
 from ochreflow.core.ports import Reason
-from ochreflow.membership.directory import read_news
+from ochreflow.membership.directory import parse_endpoint_update
 from ochreflow.policy import interface as api
 
 FRONTS = ["http", "lines"]
@@ -58,7 +58,7 @@
         return await (await Asked(frontend, self.ports).send(cls, name, wait)).answer()
 
     def tell(self, *entries, index=2):
-        self.engine.on_news(read_news(news(index, *entries), self.names))
+        self.engine.on_endpoint_update(parse_endpoint_update(news(index, *entries), self.names))
 
     def clean(self):
         engine = self.engine
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -20,13 +20,13 @@
     until,
 )
 
-from ochreflow.core import fleet
+from ochreflow.core import endpoints
 from ochreflow.core.address import split_address
-from ochreflow.core.fleet import Names
+from ochreflow.core.endpoints import EndpointIds
 from ochreflow.core.log import log
 from ochreflow.http.calls import HttpCalls
 from ochreflow.membership import directory, silence
-from ochreflow.membership.directory import Directory, ListError, read_news
+from ochreflow.membership.directory import Directory, ListError, parse_endpoint_update
 from ochreflow.membership.silence import TOLD_AFTER, Waits, waits
 from ochreflow.policy.interface import State
 
@@ -36,7 +36,7 @@
 
 
 def names():
-    return Names(["a", "b"], ["std"])
+    return EndpointIds(["a", "b"], ["std"])
 
 
 USUAL = waits(2_500_000_000)
@@ -398,8 +398,8 @@
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
             assert (await ask(sidecar.port, message("lookup", "ab"))).code == 200
             for index in range(2, 50):
-                sidecar.engine.on_news(
-                    read_news(news(index, entry(f"s{index}", fake.address)), sidecar.names)
+                sidecar.engine.on_endpoint_update(
+                    parse_endpoint_update(news(index, entry(f"s{index}", fake.address)), sidecar.names)
                 )
             assert len(sidecar.upstreams.targets) == 1 and len(sidecar.names.servers) <= 2
             assert (await ask(sidecar.port, message("lookup", "cd"))).code == 200
@@ -408,7 +408,7 @@
 
 
 def test_entries_of_tomorrow_are_read_with_care():
-    got = read_news(news(1, entry("s1", f"{HOST}:7", "STARTING", zone="c")), names())
+    got = parse_endpoint_update(news(1, entry("s1", f"{HOST}:7", "STARTING", zone="c")), names())
     assert got.entries[0].endpoint.state is State.DRAINING
     assert got.entries[0].endpoint.zone == 2
 
@@ -420,7 +420,7 @@
     with pytest.raises(ValueError):
         split_address(text)
     with pytest.raises(ListError):
-        read_news(news(1, entry("s1", text)), names())
+        parse_endpoint_update(news(1, entry("s1", text)), names())
 
 
 def test_an_older_answer_sets_nothing_back():
@@ -475,9 +475,11 @@
 def test_an_unreadable_list_leaves_no_names_and_new_zones_are_bounded():
     known = names()
     with pytest.raises(ListError):
-        read_news(news(1, entry("s1", f"{HOST}:7", zone="new"), entry("s2", "nowhere")), known)
+        parse_endpoint_update(news(1, entry("s1", f"{HOST}:7", zone="new"), entry("s2", "nowhere")), known)
     assert not known.servers and len(known.zones) == 2
     for number in range(3000):
-        read_news(news(1, {**entry("s1", f"{HOST}:7", zone=f"z{number}"), "type": f"k{number}"}), known)
-    assert len(known.zones) == len(known.kinds) == fleet.NAMES_MOST
+        parse_endpoint_update(
+            news(1, {**entry("s1", f"{HOST}:7", zone=f"z{number}"), "type": f"k{number}"}), known
+        )
+    assert len(known.zones) == len(known.kinds) == endpoints.NAMES_MOST
     assert known.zone("a") == 0 and known.kind("std") == 0
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -22,7 +22,7 @@
     until,
 )
 
-from ochreflow.core import names
+from ochreflow.core import request_ids
 from ochreflow.core.limits import MB, Descriptors, Memory
 from ochreflow.http import clients, connection
 from ochreflow.membership.peers import Peers
@@ -308,11 +308,11 @@
         stranger, _ = await open_peer(1, [])
         me, me_at = await open_peer(0, [(HOST, 9), known_at])
         known.peers = stranger.peers = [me_at]
-        stranger.tell(b"strange", 0)
+        stranger.send(b"strange", 0)
         known.transport.sendto(b"x" * 257, me_at)
-        known.tell(b"y" * 257, 0)
-        known.tell(b"nobody", 5)
-        known.tell(b"z" * 256, 0)
+        known.send(b"y" * 257, 0)
+        known.send(b"nobody", 5)
+        known.send(b"z" * 256, 0)
         await until(lambda: heard)
         assert heard == [(1, b"z" * 256)]
         for peer in (known, stranger, me):
@@ -465,7 +465,7 @@
 
 
 def test_the_ids_that_are_kept_are_bounded(tmp_path, monkeypatch):
-    monkeypatch.setattr(names, "NAMES_MOST", 100)
+    monkeypatch.setattr(request_ids, "NAMES_MOST", 100)
 
     async def play():
         fake = await Fake(answer_ok).start()
--- a/tests/test_net_long_day.py
+++ b/tests/test_net_long_day.py
@@ -2,7 +2,7 @@
 
 from net_helpers import HOST, Fake, Sidecar, answer_ok, ask, config, entry, message, news, run, until
 
-from ochreflow.membership.directory import read_news
+from ochreflow.membership.directory import parse_endpoint_update
 
 DAYS_WORTH = 3000
 
@@ -19,7 +19,7 @@
                     entry(f"s{number - 1}", fake.address, "DELETED"),
                     snapshot=False,
                 )
-                engine.on_news(read_news(change, sidecar.names))
+                engine.on_endpoint_update(parse_endpoint_update(change, sidecar.names))
                 if number % 20 == 0:
                     data = message("lookup", f"id{number}", "900m", b"", f"X-Key: key{number}")
                     assert (await ask(sidecar.port, data)).code == 200
@@ -49,7 +49,7 @@
             old.strikes = 5.0
             module.health.eject(old)
             change = news(2, entry("s1", fake.address, "DELETED"), entry("s2", fake.address), snapshot=False)
-            engine.on_news(read_news(change, sidecar.names))
+            engine.on_endpoint_update(parse_endpoint_update(change, sidecar.names))
             (new,) = [server for server in module.fleet.servers.values() if server.listed]
             assert new is not old and not new.ejected and not new.samples and not module.fleet.ejected
             assert (await ask(sidecar.port, message("lookup", "b"))).code == 200
@@ -65,7 +65,7 @@
             engine = sidecar.engine
             for index, status in ((2, "DELETED"), (3, "SERVING")):
                 change = news(index, entry("s1", fake.address, status), snapshot=False)
-                engine.on_news(read_news(change, sidecar.names))
+                engine.on_endpoint_update(parse_endpoint_update(change, sidecar.names))
             assert (await ask(sidecar.port, message("order", "a"))).code == 200
             assert list(sidecar.upstreams.targets) == list(engine.balancer.fleet.servers)
 
--- a/tests/test_overlap.py
+++ b/tests/test_overlap.py
@@ -10,9 +10,9 @@
 from test_process import Process
 
 from ochreflow.app.overlap import Overlap
-from ochreflow.core.fleet import Names
+from ochreflow.core.endpoints import EndpointIds
 from ochreflow.core.limits import MB, Descriptors, Memory, Usage
-from ochreflow.membership.directory import read_news, write_news
+from ochreflow.membership.directory import format_endpoint_list, parse_endpoint_update
 
 
 def usage(sockets=384, memory=80):
@@ -94,13 +94,13 @@
 
 
 def test_the_list_that_is_handed_over_reads_as_it_was():
-    names = Names(["a", "b"], ["std"])
+    names = EndpointIds(["a", "b"], ["std"])
     told = news(
         7,
         entry("s1", "127.0.0.1:1", since_ms=5, group=3, zone="b"),
         entry("s2", "127.0.0.1:2", status="DRAINING"),
     )
-    assert write_news(7, read_news(told, names).entries, names) == told
+    assert format_endpoint_list(7, parse_endpoint_update(told, names).entries, names) == told
 
 
 def test_a_new_process_knows_what_the_old_one_was_told(tmp_path):
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -26,7 +26,7 @@
 from ochreflow.core.body import HOLD_MOST, Body
 from ochreflow.core.limits import MB, Memory
 from ochreflow.http import clients, framing, upstream
-from ochreflow.membership.directory import read_news
+from ochreflow.membership.directory import parse_endpoint_update
 from ochreflow.policy import interface as api
 
 BIG = 8 * MB
@@ -205,7 +205,7 @@
                 await until(lambda: sidecar.engine.lifecycle.emptying)
             else:
                 change = news(2, entry("s1", server.address, "DRAINING"), snapshot=False)
-                sidecar.engine.on_news(read_news(change, sidecar.names))
+                sidecar.engine.on_endpoint_update(parse_endpoint_update(change, sidecar.names))
             go.set()
             assert await reader.readexactly(len(PIECE)) == PIECE
             if drains == "the sidecar":
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -15,7 +15,7 @@
 from net_helpers import HOST, entry, news
 
 from ochreflow import Balancer
-from ochreflow.core.fleet import Names
+from ochreflow.core.endpoints import EndpointIds
 from ochreflow.http.calls import CONNECT_WITHIN
 from ochreflow.membership import directory
 from ochreflow.membership.directory import Directory
@@ -218,7 +218,7 @@
             loop,
             lambda address: Line(loop, registry[address]),
             "first",
-            Names(["a"], ["std"]),
+            EndpointIds(["a"], ["std"]),
             known,
             self.hear,
             pushed,
