--- a/ochreflow/wirehost.py
+++ b/ochreflow/simulator_adapter/host.py
@@ -11,10 +11,10 @@
 import traceback
 from typing import BinaryIO
 
-from .errors import OchreflowError
-from .policy import interface as api
-from .policy.balancer import Balancer
-from .policy.settings import SettingError, parse_settings
+from ..errors import OchreflowError
+from ..policy import interface as api
+from ..policy.balancer import Balancer
+from ..policy.settings import SettingError, parse_settings
 
 HEADER = struct.Struct("<QI")
 REPLY = struct.Struct("<II")
@@ -227,13 +227,10 @@
 
 
 def main() -> int:
+    """Serve on the standard streams; the exit code, 1 where the input was broken."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (FrameError, SettingError) as error:
         print(f"ochreflow: {error}", file=sys.stderr)
         return 1
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from ochreflow import wirehost
 from ochreflow.policy import settings
 from ochreflow.policy.interface import Effect, Scope
+from ochreflow.simulator_adapter import host
 
 ROOT = Path(__file__).parent.parent
 TEXT = """\
@@ -63,7 +63,7 @@
 
 def serve(data):
     out = io.BytesIO()
-    wirehost.serve(io.BytesIO(data), out)
+    host.serve(io.BytesIO(data), out)
     return out.getvalue()
 
 
@@ -155,7 +155,11 @@
 )
 def test_a_broken_frame_is_one_line_and_a_failure(data):
     run = subprocess.run(
-        [sys.executable, "-m", "ochreflow.wirehost"], input=data, capture_output=True, cwd=ROOT, check=False
+        [sys.executable, "-m", "ochreflow.simulator_adapter"],
+        input=data,
+        capture_output=True,
+        cwd=ROOT,
+        check=False,
     )
     assert run.returncode != 0
     assert run.stdout == b""
@@ -166,7 +170,7 @@
     def fail(self, now, event):
         raise ZeroDivisionError("of the module")
 
-    monkeypatch.setattr(wirehost.Balancer, "handle", fail)
+    monkeypatch.setattr(host.Balancer, "handle", fail)
     text = TEXT.encode()
     acts, tail = records(serve(frame(1, start(4), inbound(4, 5, 10**9), tail=text)))
     assert acts[0][0] == 19
