--- a/tests/test_duplicate_search.py
+++ b/tests/test_duplicate_search.py
@@ -377,7 +377,7 @@
     return replace(
         plan,
         sidecars=2,
-        hedging=False,
+        second_copies=False,
         attempts_most=3,
         connect_timeout=0.25,
         classes=classes,
