--- /dev/null
+++ b/ochreflow/cli/common.py
@@ -0,0 +1,26 @@
+"""What the commands share: their exit codes, the form of an example, and the reading of an address."""
+
+from __future__ import annotations
+
+import click
+
+EXIT_OK = 0
+EXIT_FAILURE = 1  # what was asked for could not be done
+EXIT_USAGE_ERROR = 2  # a wrong option, argument or file
+EXIT_INTERRUPTED = 130  # by SIGINT, as a shell reports it
+
+
+def example(text: str) -> str:
+    """Format an example for the end of a command's help page."""
+    return f"\b\nExample:\n  {text}"
+
+
+def parse_address(text: str) -> tuple[str, int]:
+    """Split "HOST:PORT" into a numeric IPv4 host and a port from 0 to 65535; UsageError if it is none."""
+    from ..core.address import split_address
+
+    try:
+        return split_address(text, least_port=0)
+    except ValueError:
+        message = f'ADDRESS: found "{text}", wanted an address and a port, such as "127.0.0.1:9100"'
+        raise click.UsageError(message) from None
--- a/ochreflow/cli/duplicates.py
+++ b/ochreflow/cli/duplicates.py
@@ -7,11 +7,13 @@
 
 import click
 
+from .common import example
+
 CROSSINGS = ("early", "freeze", "second-answer", "spoilt", "sidecars", "servers", "clients", "bursts")
-EPILOG = "\b\nExample:\n  ochreflow lab duplicates --seed 7 --runs 10 --seconds 5 --build ../other-checkout"
+EXAMPLE = "ochreflow lab duplicates --seed 7 --runs 10 --seconds 5 --build ../other-checkout"
 
 
-@click.command(name="duplicates", epilog=EPILOG)
+@click.command(name="duplicates", epilog=example(EXAMPLE))
 @click.option("--seed", type=click.IntRange(0, 2**32), default=1, show_default=True, help="Of the first run.")
 @click.option(
     "--runs", type=click.IntRange(1, 10_000), default=1, show_default=True, help="Each with the next seed."
@@ -42,7 +44,8 @@
     from ..lab.duplicates.search import HERE, Search, SearchError, search
 
     if not math.isfinite(seconds):
-        raise click.UsageError(f"--seconds: {seconds} is no length")
+        message = f"--seconds: {seconds} is no length"
+        raise click.UsageError(message)
     crossings = frozenset(crossing for crossing in Crossing if crossing.value not in without)
     try:
         return search(Search(seed, runs, seconds, jobs, build or HERE, crossings, keep))
--- /dev/null
+++ b/ochreflow/cli/lab.py
@@ -0,0 +1,173 @@
+"""The commands below `ochreflow lab`: scenarios, comparisons, measurements and faults."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+import click
+
+from .common import EXIT_OK, EXIT_USAGE_ERROR, example, parse_address
+from .duplicates import duplicates
+
+if TYPE_CHECKING:
+    from ..lab.runs import Player
+
+
+@click.group(epilog=example("ochreflow lab fault --help"))
+def lab() -> None:
+    """Stand-ins and tools that break things on purpose."""
+
+
+def _player(*, simulated: bool) -> Player:
+    """Choose what runs a scenario: processes on loopback, or the decision module alone in simulated time."""
+    if simulated:
+        from ..simulation.play import simulate
+
+        return simulate
+    from ..lab.demo import play
+
+    return play
+
+
+@lab.command(name="run", epilog=example("ochreflow lab run quiet burst --seeds 3 --out results.jsonl"))
+@click.argument("scenarios", nargs=-1, metavar="SCENARIO...")
+@click.option("--seeds", type=click.IntRange(1, 1000), default=1, show_default=True, help="Runs of each.")
+@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Runs at a time.")
+@click.option("--seconds", type=click.FloatRange(2, 3600), help="In place of the scenario's own length.")
+@click.option("--rehearse", "simulated", is_flag=True, help="The decision module alone, in simulated time.")
+@click.option("--out", metavar="FILE", help="A JSON line for each run is added to it.")
+def lab_run(
+    scenarios: tuple[str, ...],
+    seeds: int,
+    jobs: int,
+    seconds: float | None,
+    *,
+    simulated: bool,
+    out: str | None,
+) -> int:
+    """Play scenarios of the library, or of files that end in .toml, and judge each run."""
+    from ..lab.runs import run_all
+    from ..lab.scenario import ScenarioError, names
+
+    if not scenarios:
+        message = f"name a scenario: {', '.join(names())}"
+        raise click.UsageError(message)
+    try:
+        return run_all(_player(simulated=simulated), list(scenarios), seeds, jobs, seconds, out)
+    except ScenarioError as error:
+        raise click.UsageError(str(error)) from None
+
+
+@lab.command(name="compare", epilog=example("ochreflow lab compare HEAD~1 . -s burst --seeds 8 --rehearse"))
+@click.argument("a")
+@click.argument("b")
+@click.option("-s", "--scenario", "scenarios", multiple=True, help="Of the library, or a file; else all.")
+@click.option("--seeds", type=click.IntRange(1, 1000), default=8, show_default=True, help="Runs of each.")
+@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Runs at a time.")
+@click.option("--seconds", type=click.FloatRange(2, 3600), help="In place of the scenario's own length.")
+@click.option("--rehearse", "simulated", is_flag=True, help="The decision module alone, in simulated time.")
+@click.option("--out", metavar="FILE", help="A JSON line for each run is added to it.")
+@click.option("--html", metavar="FILE", help="Write a report with plots there.")
+def lab_compare(
+    a: str,
+    b: str,
+    scenarios: tuple[str, ...],
+    seeds: int,
+    jobs: int,
+    seconds: float | None,
+    *,
+    simulated: bool,
+    out: str | None,
+    html: str | None,
+) -> int:
+    """Play builds A and B on the same scenarios and seeds, and tell whether B is better.
+
+    A build is "." (this checkout), a git revision, or either with constants changed, such as
+    ".,policy/outlier_detection.py:STRIKES=3.0".
+    """
+    try:
+        from ..lab.compare import compare
+    except ImportError as error:
+        message = f"{error.name} is missing: install requirements-report.txt"
+        raise click.ClickException(message) from None
+    from ..lab.builds import BuildError
+    from ..lab.scenario import ScenarioError, names
+
+    chosen = list(scenarios) or names()
+    try:
+        return compare(_player(simulated=simulated), (a, b), chosen, seeds, jobs, seconds, out, html)
+    except (ScenarioError, BuildError) as error:
+        raise click.UsageError(str(error)) from None
+
+
+@lab.command(
+    name="trace", epilog=example("ochreflow lab trace 'cold start' step --seeds 4 --html limit.html")
+)
+@click.argument("courses", nargs=-1, metavar="[COURSE...]")
+@click.option("--seeds", type=click.IntRange(1, 1000), default=4, show_default=True, help="Runs of each.")
+@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Runs at a time.")
+@click.option("--html", metavar="FILE", help="Write plots of the first seed there.")
+def lab_trace(courses: tuple[str, ...], seeds: int, jobs: int, html: str | None) -> int:
+    """Trace the limit on what is in flight, in simulated time, against an oracle that knows the capacity."""
+    from ..simulation.courses import COURSES
+    from ..simulation.show import run
+
+    if unknown := [name for name in courses if name not in COURSES]:
+        message = f"{unknown[0]}: no such course; there are {', '.join(COURSES)}"
+        raise click.UsageError(message)
+    return run(list(courses or COURSES), seeds, jobs, html)
+
+
+@lab.command(name="pace", epilog=example("ochreflow lab pace 30/10 30/60 --seeds 4 --jobs 4"))
+@click.argument("fleets", nargs=-1, metavar="[SIDECARS/SERVERS...]")
+@click.option("--seeds", type=click.IntRange(1, 1000), default=20, show_default=True, help="Runs of each.")
+@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Runs at a time.")
+@click.option("--slow", is_flag=True, help="Cold servers work at their ramp's speed, not sooner.")
+@click.option(
+    "--unequal", is_flag=True, help="Two kinds of servers, and a cell held down, as the list tells."
+)
+@click.option("--program", type=click.Path(path_type=Path), help="Another checkout, whose module is played.")
+def lab_slow_start(
+    fleets: tuple[str, ...], seeds: int, jobs: int, *, slow: bool, unequal: bool, program: Path | None
+) -> int:
+    """Measure, in simulated time, what all sidecars together send to cold servers against what one bears."""
+    from ..simulation.pace import FLEETS, run
+
+    known = [f"{sidecars}/{servers}" for sidecars, servers in FLEETS]
+    if unknown := [name for name in fleets if name not in known]:
+        message = f"{unknown[0]}: no such fleet; there are {', '.join(known)}"
+        raise click.UsageError(message)
+    return run(list(fleets), slow, unequal, seeds, jobs, program)
+
+
+lab.add_command(duplicates)
+
+
+@lab.command(epilog=example("ochreflow lab fault --to 127.0.0.1:7070 --script faults.toml --seed 7"))
+@click.option("--to", "target", metavar="ADDRESS", required=True, help="Where traffic goes on.")
+@click.option("--listen", metavar="ADDRESS", default="127.0.0.1:0", show_default=True)
+@click.option("--script", metavar="FILE", help="A TOML file of [[fault]] tables.")
+@click.option("--seed", type=int, default=1, show_default=True)
+@click.option("--control", metavar="ADDRESS", help="Steer it live: POST /faults, POST /cut, GET /transcript.")
+@click.option("--udp", is_flag=True, help="Datagrams in place of connections.")
+def fault(target: str, listen: str, script: str | None, seed: int, control: str | None, *, udp: bool) -> int:
+    """Stand between sockets: delay, cut, half-close, garble; the same way for the same seed."""
+    import asyncio
+
+    from ..lab.fault.proxy import serve
+    from ..lab.fault.script import DATAGRAM_FAULTS, STREAM_FAULTS, ScriptError, read_script
+
+    try:
+        faults = read_script(script, DATAGRAM_FAULTS if udp else STREAM_FAULTS) if script else []
+    except ScriptError as error:
+        click.echo(str(error), err=True)
+        return EXIT_USAGE_ERROR
+    listen_address, target_address = parse_address(listen), parse_address(target)
+    control_address = parse_address(control) if control else None
+    try:
+        asyncio.run(serve(listen_address, target_address, faults, seed, control_address, udp))
+    except OSError as error:
+        message = f"can't stand there: {error}"
+        raise click.ClickException(message) from None
+    return EXIT_OK
