--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -3,7 +3,8 @@
 `Balancer` takes events and owns the open requests; each concern has a module that owns what it learns:
 `endpoint_set`, `latency`, `slow_start`, `safety_rules`, `endpoint_picker`, `concurrency_limiter`,
 `tenant_quota`, `outlier_detection`, `retry_policy`. The ordinary path of a request is `_on_request` ->
-`Picker.pick` -> `Limit.admit` -> `_send` -> `_on_outcome`, and for a failed attempt `_plan_repeat` -> `_try`.
+`EndpointPicker.pick` -> `ConcurrencyLimiter.admit` -> `_send` -> `_on_outcome`, and for a failed attempt
+`_plan_repeat` -> `_try`.
 """
 
 import heapq
@@ -11,17 +12,17 @@
 from typing import Any
 
 from . import interface as api
-from .concurrency_limiter import Limit
-from .endpoint_picker import Picker
-from .endpoint_set import Fleet
+from .concurrency_limiter import ConcurrencyLimiter
+from .endpoint_picker import EndpointPicker
+from .endpoint_set import EndpointSet
 from .interface import Action, Effect, Event, Outcome, Request, Settings, Status
-from .latency import Latencies
-from .outlier_detection import EJECT_SHARE, EJECT_SHARE_ON_SILENCE, HINT_STRIKE, Health
-from .retry_policy import Repeats
-from .safety_rules import Rules
-from .slow_start import Pace
-from .state_records import OUT, OVERDUE, REPEAT, WATCH, Attempt, Context, Open, Server
-from .tenant_quota import Shares
+from .latency import LatencyEstimates
+from .outlier_detection import EJECT_SHARE, EJECT_SHARE_ON_SILENCE, HINT_STRIKE, OutlierDetector
+from .retry_policy import RetryPolicy
+from .safety_rules import SafetyRules
+from .slow_start import SlowStart
+from .state_records import OUT, OVERDUE, REPEAT, WATCH, Attempt, Context, PendingRequest, Server
+from .tenant_quota import TenantQuotas
 
 RETRY_AFTER = 0.5  # of the time left or to the aim, as advice with a refusal: a new try has the other half
 RETRY_AFTER_LEAST = 0.5  # of it after jitter, lest refused clients come back together
@@ -32,16 +33,16 @@
 class Balancer:
     def __init__(self, settings: Settings, seed: int) -> None:
         self.ctx = ctx = Context(settings, seed)
-        self.latency = Latencies(ctx)
-        self.fleet = Fleet(ctx)
-        self.pace = Pace(ctx, self.latency, self.fleet)
-        self.rules = Rules(ctx, self.pace)
-        self.picker = Picker(ctx, self.latency, self.fleet, self.rules)
-        self.shares = Shares(ctx)
-        self.limit = Limit(ctx, self.latency, self.shares, self.fleet)
-        self.health = Health(ctx, self.limit, self.picker, self._rescue_all)
-        self.repeats = Repeats(ctx, self.latency, self.rules)
-        self.open: dict[int, Open] = {}
+        self.latency = LatencyEstimates(ctx)
+        self.fleet = EndpointSet(ctx)
+        self.pace = SlowStart(ctx, self.latency, self.fleet)
+        self.rules = SafetyRules(ctx, self.pace)
+        self.picker = EndpointPicker(ctx, self.latency, self.fleet, self.rules)
+        self.shares = TenantQuotas(ctx)
+        self.limit = ConcurrencyLimiter(ctx, self.latency, self.shares, self.fleet)
+        self.health = OutlierDetector(ctx, self.limit, self.picker, self._rescue_all)
+        self.repeats = RetryPolicy(ctx, self.latency, self.rules)
+        self.open: dict[int, PendingRequest] = {}
         self.timer_armed = self.timer_token = 0
         self.handlers: dict[type, Callable[[Any], None]] = {
             Request: self._on_request,
@@ -79,7 +80,7 @@
 
     def _on_request(self, event: Request) -> None:
         spec = self.ctx.settings.classes[event.cls]
-        req = Open(event, spec, self.ctx.now)
+        req = PendingRequest(event, spec, self.ctx.now)
         self.open[req.id] = req
         self.repeats.earn()
         if self.shares.asks and not event.is_retry:
@@ -98,7 +99,7 @@
         else:
             self._end(req)
 
-    def _pick(self, req: Open) -> Server | None:
+    def _pick(self, req: PendingRequest) -> Server | None:
         if self.fleet.ejected and (trial := self.health.trial(req)):
             return trial
         return self.picker.pick(req)
@@ -173,7 +174,7 @@
                 req.planned = False
                 self._try(req)
 
-    def _send(self, req: Open, server: Server) -> None:
+    def _send(self, req: PendingRequest, server: Server) -> None:
         number = len(req.attempts)
         self.pace.allows(server, req.cls, True)
         # Both or, where something fails, neither: else its number means another attempt to whoever sends it.
@@ -186,7 +187,7 @@
         if not req.uploading:  # else its server has no work with it before the body is through
             self._count_out(req, server, number)
 
-    def _count_out(self, req: Open, server: Server, number: int) -> None:
+    def _count_out(self, req: PendingRequest, server: Server, number: int) -> None:
         """Its server has the whole of an attempt: it is in flight from now on."""
         overdue = self.health.overdue_after(server, req.cls, req.deadline - self.ctx.now)
         server.out[(req.id, number)] = (self.ctx.now, req.cls)
@@ -194,7 +195,7 @@
             self.fleet.inflight += 1
         self.ctx.at(self.ctx.now + overdue, OVERDUE, req.id, number)
 
-    def _plan_repeat(self, req: Open) -> None:
+    def _plan_repeat(self, req: PendingRequest) -> None:
         """Wait a jittered part of the time left, then repeat; or end the request."""
         delay = self.repeats.delay(req)
         if delay is not None:
@@ -203,14 +204,14 @@
         elif not req.any_out():  # an attempt still out may yet answer
             self._end(req)
 
-    def _try(self, req: Open) -> None:
+    def _try(self, req: PendingRequest) -> None:
         server = self._pick(req)
         if server is not None:
             self._send(req, server)
         elif not req.any_out():
             self._plan_repeat(req)
 
-    def _end(self, req: Open) -> None:
+    def _end(self, req: PendingRequest) -> None:
         """Give the final answer."""
         if self.rules.may_refuse(req):
             wait = 0
@@ -226,16 +227,16 @@
             self.ctx.actions.append(api.Fail(req.id))
         self._forget(req)
 
-    def _forget(self, req: Open) -> None:
+    def _forget(self, req: PendingRequest) -> None:
         del self.open[req.id]
         self._cancel_others(req, -1)
 
-    def _cancel_others(self, req: Open, keep: int) -> None:
+    def _cancel_others(self, req: PendingRequest, keep: int) -> None:
         for number, attempt in enumerate(req.attempts):
             if attempt.state == OUT and number != keep and self.ctx.settings.can_cancel:
                 self.ctx.actions.append(api.Cancel(req.id, number))
 
-    def _overdue(self, req: Open, number: int) -> None:
+    def _overdue(self, req: PendingRequest, number: int) -> None:
         """An attempt is late: evidence against a silent server, and a repeat if that one is ejected.
 
         Guards against retry storms: at a server not known to be bad either the work is long, which a repeat
@@ -267,7 +268,7 @@
             if req is not None:
                 self._rescue(req, number)
 
-    def _rescue(self, req: Open, number: int) -> None:
+    def _rescue(self, req: PendingRequest, number: int) -> None:
         """Repeat an attempt that its server seems to have lost, where the class and the site allow it."""
         unsafe = req.spec.effect is Effect.NON_IDEMPOTENT
         if req.planned or req.streaming or unsafe or not self.repeats.affordable(req):
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -2,11 +2,11 @@
 
 import math
 
-from .endpoint_set import Fleet
+from .endpoint_set import EndpointSet
 from .interface import Request
-from .latency import Latencies
-from .state_records import SECOND, Context, Open, Server
-from .tenant_quota import Shares
+from .latency import LatencyEstimates
+from .state_records import SECOND, Context, PendingRequest, Server
+from .tenant_quota import TenantQuotas
 
 PRESSURE_AIM = 0.45  # of the aim: with a mean of half the aim about one answer in eight is late
 PRESSURE_USUAL = 1.4  # times the usual latency, where the aim is hardly more than that
@@ -43,8 +43,10 @@
     return min(max((time / usual - AGE_LOST) / (AGE_SURE - AGE_LOST), 0.0), 1.0)
 
 
-class Limit:
-    def __init__(self, ctx: Context, latency: Latencies, shares: Shares, fleet: Fleet) -> None:
+class ConcurrencyLimiter:
+    def __init__(
+        self, ctx: Context, latency: LatencyEstimates, shares: TenantQuotas, fleet: EndpointSet
+    ) -> None:
         self.ctx, self.latency, self.shares, self.fleet = ctx, latency, shares, fleet
         self.try_span = [0.0] * len(latency.base)  # how long clients wait for one try
         self.pressure = PRESSURE_PRIOR
@@ -66,7 +68,7 @@
         self.limit *= part
         self.wanted_inflight *= part
 
-    def value(self, event: Request, req: Open) -> float:
+    def value(self, event: Request, req: PendingRequest) -> float:
         """The part of its worth that a request can still be expected to earn.
 
         Aim and deadline of a class run from the client's first try, and a later try is cut short at that
@@ -90,7 +92,7 @@
             in_time = 1.0
         return (in_time + (1.0 - in_time) * spec.late_priority_weight) * _part(left, usual)
 
-    def admit(self, req: Open, value: float) -> bool:
+    def admit(self, req: PendingRequest, value: float) -> bool:
         """Refuse early what would make the requests in flight outgrow what is answered in time.
 
         Guards against queues in which all is answered too late, and servers that turn slow when crowded.
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -3,10 +3,10 @@
 import math
 from collections import defaultdict
 
-from .endpoint_set import Fleet
-from .latency import Latencies
-from .safety_rules import Rules
-from .state_records import SECOND, Context, Group, Open, Server
+from .endpoint_set import EndpointSet
+from .latency import LatencyEstimates
+from .safety_rules import SafetyRules
+from .state_records import SECOND, Context, EndpointGroup, PendingRequest, Server
 
 SMOOTHING = 0.08  # weight of a new sample of one server: work varies far more than servers do
 FORGET_GAPS = 20.0  # estimates halve their distance to the mean in so many usual gaps between answers
@@ -22,10 +22,12 @@
 CROSS_WEIGHT = 4.0  # aims of delay for each point of price for a crossing
 
 
-class Picker:
-    def __init__(self, ctx: Context, latency: Latencies, fleet: Fleet, rules: Rules) -> None:
+class EndpointPicker:
+    def __init__(
+        self, ctx: Context, latency: LatencyEstimates, fleet: EndpointSet, rules: SafetyRules
+    ) -> None:
         self.ctx, self.latency, self.fleet, self.rules = ctx, latency, fleet, rules
-        self.groups: defaultdict[tuple[int, bool], Group] = defaultdict(Group)
+        self.groups: defaultdict[tuple[int, bool], EndpointGroup] = defaultdict(EndpointGroup)
         self.mean_rel = 1.0
         columns = ctx.settings.report_columns
         held = [columns.index(name) for name in ("inflight", "queue") if name in columns]
@@ -85,7 +87,7 @@
             group.unit += weight * (unit - group.unit)
             server.unit = (server.unit or group.unit) + SMOOTHING * (unit - (server.unit or group.unit))
 
-    def pick(self, req: Open) -> Server | None:
+    def pick(self, req: PendingRequest) -> Server | None:
         """Two sampled of the own zone against two sampled of the others, which pay for the crossing."""
         tried = {attempt.server for attempt in req.attempts}
         for avoided in (tried, ()) if tried else ((),):
@@ -101,7 +103,7 @@
                 return server
         return None
 
-    def sampled(self, req: Open, tried) -> list[tuple[Server, float]]:
+    def sampled(self, req: PendingRequest, tried) -> list[tuple[Server, float]]:
         """Candidates, with what is added to their delay for crossing zones."""
         if not self.fleet.sees_little:
             cross = self.cross * req.spec.objective_ns
@@ -124,7 +126,7 @@
         stands_for = self.fleet.stands_for[server.zone != self.ctx.settings.zone]
         return math.exp(self.group(server).lean) * stands_for
 
-    def group(self, server: Server) -> Group:
+    def group(self, server: Server) -> EndpointGroup:
         return self.groups[(server.kind, server.zone != self.ctx.settings.zone)]
 
     def lean(self, server: Server, rel: float) -> None:
@@ -143,7 +145,7 @@
         lean = group.lean * (1.0 - LEAN_FADE) - LEAN * min(max(excess, -1.0), LEAN_CLIP)
         group.lean = min(max(lean, -LEAN_MOST), LEAN_MOST)
 
-    def two(self, group: list[Server], req: Open, tried) -> list[Server]:
+    def two(self, group: list[Server], req: PendingRequest, tried) -> list[Server]:
         """Up to two different servers of the group that may take this request now."""
         found: list[Server] = []
         size = len(group)
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -18,7 +18,7 @@
 ANSWER = 2 * SECOND  # by the protocol: a call is answered or refused in this; so long a connect is tried
 
 
-class Fleet:
+class EndpointSet:
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
         self.servers: dict[int, Server] = {}
--- a/ochreflow/policy/latency.py
+++ b/ochreflow/policy/latency.py
@@ -9,7 +9,7 @@
 USUAL_DRIFT = 0.1  # ... and this part of that under pressure, lest it never forgives a wrong start
 
 
-class Latencies:
+class LatencyEstimates:
     """Estimates of each class, in nanoseconds: the yardstick that servers are held against."""
 
     def __init__(self, ctx: Context) -> None:
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable
 
-from .concurrency_limiter import PRESSURE_FULL, Limit
-from .endpoint_picker import SMOOTHING, Picker
+from .concurrency_limiter import PRESSURE_FULL, ConcurrencyLimiter
+from .endpoint_picker import SMOOTHING, EndpointPicker
 from .interface import Effect, Outcome, Status
-from .state_records import SECOND, UNWRITTEN, Context, Open, Server
+from .state_records import SECOND, UNWRITTEN, Context, PendingRequest, Server
 
 FAILURE_SAMPLE = 4.0  # what a failure counts at least: a fast error must not look like a fast server
 SMOOTHING_SPAN = 3.0  # shortest deadlines after which an old estimate counts half against a new sample
@@ -29,8 +29,10 @@
 SOUND_LEAST = 0.5  # of it, for a server to be of use in need: it does more good than harm
 
 
-class Health:
-    def __init__(self, ctx: Context, limit: Limit, pick: Picker, ejects: Callable[[Server], None]) -> None:
+class OutlierDetector:
+    def __init__(
+        self, ctx: Context, limit: ConcurrencyLimiter, pick: EndpointPicker, ejects: Callable[[Server], None]
+    ) -> None:
         self.ctx, self.limit, self.pick = ctx, limit, pick
         self.latency, self.fleet, self.rules = limit.latency, pick.fleet, pick.rules
         self.ejects = ejects  # told of a server that has just been ejected
@@ -130,7 +132,7 @@
         jitter = self.ctx.random.uniform(1.0 - EJECT_JITTER, 1.0 + EJECT_JITTER)
         server.trial_at = self.ctx.now + int(wait * jitter)
 
-    def trial(self, req: Open) -> Server | None:
+    def trial(self, req: PendingRequest) -> Server | None:
         """An ejected server that is due for one request: of a class safe to repeat, if there is any."""
         if req.attempts or (self.has_safe and req.spec.effect is not Effect.IDEMPOTENT):
             return None
@@ -165,7 +167,7 @@
         usual = max(usual, OVERDUE_AT_LEAST * self.latency.base[cls]) * max(server.rel, 1.0)
         return int(min(usual, OVERDUE_AT_MOST * left)) + 1
 
-    def spare(self, req: Open) -> Server | None:
+    def spare(self, req: PendingRequest) -> Server | None:
         """A server that is avoided for its errors, for a request that would else be refused.
 
         It gets no more than the others hold each, and nothing if it mostly fails or does not answer.
--- a/ochreflow/policy/retry_policy.py
+++ b/ochreflow/policy/retry_policy.py
@@ -1,8 +1,8 @@
 """Repeats: full jitter, one bounded budget."""
 
-from .latency import Latencies
-from .safety_rules import Rules
-from .state_records import Context, Open
+from .latency import LatencyEstimates
+from .safety_rules import SafetyRules
+from .state_records import Context, PendingRequest
 
 # The delay before repeat n is uniform(FLOOR, min(CAP, BASE * 2^min(n, 6))) of the time left.
 BACKOFF_FLOOR = 0.004  # a few ticks of a usual deadline: enough to leave the tick of the failure
@@ -15,8 +15,8 @@
 RETRY_RESERVE = 10.0  # ... and saved up for this many seconds of traffic, for a sudden loss of servers
 
 
-class Repeats:
-    def __init__(self, ctx: Context, latency: Latencies, rules: Rules) -> None:
+class RetryPolicy:
+    def __init__(self, ctx: Context, latency: LatencyEstimates, rules: SafetyRules) -> None:
         self.ctx, self.latency, self.rules = ctx, latency, rules
         self.tokens = RETRY_SHARE * RETRY_RESERVE
 
@@ -25,10 +25,10 @@
         most = RETRY_SHARE * RETRY_RESERVE * max(self.latency.rate, 1.0)
         self.tokens = min(self.tokens + RETRY_SHARE, most)
 
-    def affordable(self, req: Open) -> bool:
+    def affordable(self, req: PendingRequest) -> bool:
         return self.tokens >= 1.0 and self.rules.any_left(req)
 
-    def delay(self, req: Open) -> int | None:
+    def delay(self, req: PendingRequest) -> int | None:
         """How long to wait before the next repeat, in ns, and pay for it; None: no use, or not allowed."""
         left = req.deadline - self.ctx.now - self.ctx.settings.tick_ns
         ceiling = min(BACKOFF_CAP, BACKOFF_BASE * 2 ** min(req.repeats, BACKOFF_EXPONENT))
--- a/ochreflow/policy/slow_start.py
+++ b/ochreflow/policy/slow_start.py
@@ -3,8 +3,8 @@
 from collections import defaultdict
 from typing import Any
 
-from .endpoint_set import Fleet
-from .latency import Latencies
+from .endpoint_set import EndpointSet
+from .latency import LatencyEstimates
 from .state_records import SECOND, Context, Server
 
 PACE = 0.75  # of what makes a server fall, if the usual load of one were all it can do: times its ramp
@@ -14,8 +14,8 @@
 PACE_BURST = 0.25  # seconds of that pace may come at once
 
 
-class Pace:
-    def __init__(self, ctx: Context, latency: Latencies, fleet: Fleet) -> None:
+class SlowStart:
+    def __init__(self, ctx: Context, latency: LatencyEstimates, fleet: EndpointSet) -> None:
         self.ctx, self.latency, self.fleet = ctx, latency, fleet
         self.usual: dict[Any, float] = {}  # own work a second of each warm server alike; see `tally`
         self.tallied = 0
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -68,7 +68,7 @@
         self.carried = 0.0  # answered since the last tally, in requests of mean work
 
 
-class Group:
+class EndpointGroup:
     """What this sidecar believes of servers that the list describes alike: of one kind, near or far."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
     state: int = OUT
 
 
-class Open:
+class PendingRequest:
     """A request that is owed an answer."""
 
     def __init__(self, request: Request, spec: RequestClass, now: int) -> None:
--- a/ochreflow/policy/tenant_quota.py
+++ b/ochreflow/policy/tenant_quota.py
@@ -12,7 +12,7 @@
 RATE_UNIT = 64  # steps of a request a second in the peers' message
 
 
-class Shares:
+class TenantQuotas:
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
         tenants = len(ctx.settings.tenants)
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from ochreflow import Balancer, Settings
-from ochreflow.policy.endpoint_picker import Picker
-from ochreflow.policy.endpoint_set import Fleet
+from ochreflow.policy.endpoint_picker import EndpointPicker
+from ochreflow.policy.endpoint_set import EndpointSet
 from ochreflow.policy.interface import (
     Cancel,
     Effect,
@@ -33,9 +33,9 @@
     Tenant,
     Timer,
 )
-from ochreflow.policy.retry_policy import Repeats
-from ochreflow.policy.safety_rules import Rules
-from ochreflow.policy.slow_start import Pace
+from ochreflow.policy.retry_policy import RetryPolicy
+from ochreflow.policy.safety_rules import SafetyRules
+from ochreflow.policy.slow_start import SlowStart
 
 TICK = 5 * MS
 STATUSES = [Status.OK] * 6 + [
@@ -214,15 +214,15 @@
     def only_list_and_pace(self, req, server):
         return server.listed and server.ready and self.pace.allows(server, req.cls, False)
 
-    monkeypatch.setattr(Rules, "may_send", only_list_and_pace)
+    monkeypatch.setattr(SafetyRules, "may_send", only_list_and_pace)
 
 
 def broken_refusal_gate(monkeypatch):
-    monkeypatch.setattr(Rules, "may_refuse", lambda self, req: True)
+    monkeypatch.setattr(SafetyRules, "may_refuse", lambda self, req: True)
 
 
 def broken_list(monkeypatch):
-    original = Rules.may_send
+    original = SafetyRules.may_send
 
     def deaf(self, req, server):
         kept = server.ready, server.listed
@@ -234,17 +234,17 @@
     def everyone(self):
         self.near, self.far, self.ejected = list(self.servers.values()), [], []
 
-    monkeypatch.setattr(Rules, "may_send", deaf)
-    monkeypatch.setattr(Fleet, "regroup", everyone)
+    monkeypatch.setattr(SafetyRules, "may_send", deaf)
+    monkeypatch.setattr(EndpointSet, "regroup", everyone)
 
 
 def broken_answers(monkeypatch):
-    monkeypatch.setattr(Repeats, "delay", lambda self, req: SECOND * 3600)
+    monkeypatch.setattr(RetryPolicy, "delay", lambda self, req: SECOND * 3600)
 
 
 def broken_pace(monkeypatch):
-    monkeypatch.setattr(Pace, "allows", lambda self, server, cls, take: True)
-    monkeypatch.setattr(Picker, "slowness", lambda self, server: 1e-3 if server.started else 1.0)
+    monkeypatch.setattr(SlowStart, "allows", lambda self, server, cls, take: True)
+    monkeypatch.setattr(EndpointPicker, "slowness", lambda self, server: 1e-3 if server.started else 1.0)
 
 
 @pytest.mark.parametrize(
