--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -579,7 +579,7 @@
         self.post(news.membership(kind))
         self.fleet.apply(news)
         # After changes too: on a day of replacements no whole list may ever come.
-        self.fleet.names.keep(set(self.balancer.fleet.servers) | set(self.fleet.listed))
+        self.fleet.names.keep(set(self.balancer.endpoints.servers) | set(self.fleet.listed))
 
     def on_peer(self, sender: int, data: bytes) -> None:
         self.post(api.GossipReceived(sender, data))
@@ -610,7 +610,7 @@
         gauges = Gauges(
             outstanding=len(self.held),
             discovered=len(self.fleet.listed),
-            ejected=len(self.balancer.fleet.ejected),
+            ejected=len(self.balancer.endpoints.ejected),
         )
         return render(self.stats, gauges)
 
--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -34,23 +34,23 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.ctx = ctx = Context(settings, seed)
         self.latency = LatencyEstimates(ctx)
-        self.fleet = EndpointSet(ctx)
-        self.pace = SlowStart(ctx, self.latency, self.fleet)
-        self.rules = SafetyRules(ctx, self.pace)
-        self.picker = EndpointPicker(ctx, self.latency, self.fleet, self.rules)
-        self.shares = TenantQuotas(ctx)
-        self.limit = ConcurrencyLimiter(ctx, self.latency, self.shares, self.fleet)
-        self.health = OutlierDetector(ctx, self.limit, self.picker, self._rescue_all)
-        self.repeats = RetryPolicy(ctx, self.latency, self.rules)
-        self.open: dict[int, PendingRequest] = {}
+        self.endpoints = EndpointSet(ctx)
+        self.slow_start = SlowStart(ctx, self.latency, self.endpoints)
+        self.safety_rules = SafetyRules(ctx, self.slow_start)
+        self.picker = EndpointPicker(ctx, self.latency, self.endpoints, self.safety_rules)
+        self.tenant_quotas = TenantQuotas(ctx)
+        self.limiter = ConcurrencyLimiter(ctx, self.latency, self.tenant_quotas, self.endpoints)
+        self.outlier_detector = OutlierDetector(ctx, self.limiter, self.picker, self._rescue_all)
+        self.retry_policy = RetryPolicy(ctx, self.latency, self.safety_rules)
+        self.pending: dict[int, PendingRequest] = {}
         self.timer_armed = self.timer_token = 0
         self.handlers: dict[type, Callable[[Any], None]] = {
             Request: self._on_request,
             Outcome: self._on_outcome,
             api.Timer: self._on_timer,
             api.RequestCancelled: self._on_dropped,
-            api.Membership: lambda event: self.limit.shrink(self.fleet.take(event)),
-            api.GossipReceived: self.shares.hear,
+            api.Membership: lambda event: self.limiter.shrink(self.endpoints.take(event)),
+            api.GossipReceived: self.tenant_quotas.hear,
             api.ProbeResult: self._on_probe,
             api.StreamStarted: self._on_stream,
             api.BodyDiscarded: self._on_spent,
@@ -71,48 +71,55 @@
     def write_by(self, now_ns: int, ident: int, number: int) -> int:
         """Until when an attempt's last byte may go out, judged anew as its first one is to; 0: it may not."""
         self.ctx.now = now_ns
-        if (req := self.open.get(ident)) is None:
+        if (req := self.pending.get(ident)) is None:
             return 0
         server = req.attempts[number].server
         # It may have moved since the decision.
         req.attempts[number] = req.attempts[number]._replace(zone=server.zone, cell=server.cell)
-        return self.rules.write_by(req, server, number)
+        return self.safety_rules.write_by(req, server, number)
 
     def _on_request(self, event: Request) -> None:
         spec = self.ctx.settings.classes[event.cls]
         req = PendingRequest(event, spec, self.ctx.now)
-        self.open[req.id] = req
-        self.repeats.earn()
-        if self.shares.asks and not event.is_retry:
-            self.shares.count(req.tenant)
-        self.fleet.count_demand()
+        self.pending[req.id] = req
+        self.retry_policy.earn()
+        if self.tenant_quotas.asks and not event.is_retry:
+            self.tenant_quotas.count(req.tenant)
+        self.endpoints.count_demand()
         if event.deadline_ns <= self.ctx.now:
             self._end(req)
             return
         server = self._pick(req)
         if server is None:
             self._plan_repeat(req)
-        elif self.limit.admit(req, self.limit.value(event, req)):
+        elif self.limiter.admit(req, self.limiter.value(event, req)):
             self._send(req, server)
-        elif spare := self.health.spare(req):
+        elif spare := self.outlier_detector.spare(req):
             self._send(req, spare)
         else:
             self._end(req)
 
     def _pick(self, req: PendingRequest) -> Server | None:
-        if self.fleet.ejected and (trial := self.health.trial(req)):
+        if self.endpoints.ejected and (trial := self.outlier_detector.trial(req)):
             return trial
         return self.picker.pick(req)
 
     def _on_outcome(self, event: Outcome) -> None:
-        server = self.health.ended(event)
-        req = self.open.get(event.id)
+        server = self.outlier_detector.ended(event)
+        req = self.pending.get(event.id)
         if req is None:
             return
         if server and req.uploading:
-            self.health.learn(server, self.ctx.now, req.cls, event, False)  # before its body was through
+            self.outlier_detector.learn(
+                server,
+                self.ctx.now,
+                req.cls,
+                event,
+                False,
+                # It ended before its body was through.
+            )
         elif server and req.streaming and event.status is Status.RESET:
-            self.health.strike(server, 1.0, EJECT_SHARE)  # it began to answer, and broke
+            self.outlier_detector.strike(server, 1.0, EJECT_SHARE)  # it began to answer, and broke
         settled = req.settle(event.attempt, event.status)
         if event.final:
             self._forget(req)
@@ -124,35 +131,37 @@
             self._plan_repeat(req)
 
     def _on_dropped(self, event: api.RequestCancelled) -> None:
-        if event.id in self.open:
-            self._forget(self.open[event.id])
+        if event.id in self.pending:
+            self._forget(self.pending[event.id])
 
     def _on_stream(self, event: api.StreamStarted) -> None:
         """An answer has begun: what its server needed for it is known, the rest is the client's pace."""
-        req = self.open.get(event.id)
+        req = self.pending.get(event.id)
         if req is None:
             return
         req.streaming = True  # nothing more may be sent for it
-        self.health.ended(Outcome(event.id, event.attempt, event.server, Status.OK, event.duration_ns, False))
+        self.outlier_detector.ended(
+            Outcome(event.id, event.attempt, event.server, Status.OK, event.duration_ns, False)
+        )
         self._cancel_others(req, event.attempt)
 
     def _on_spent(self, event: api.BodyDiscarded) -> None:
-        if event.id in self.open:
-            self.open[event.id].spent = True
+        if event.id in self.pending:
+            self.pending[event.id].spent = True
 
     def _on_uploaded(self, event: api.BodyUploaded) -> None:
         """From here on the attempt is like any other: its server has all of it."""
-        req = self.open.get(event.id)
+        req = self.pending.get(event.id)
         if req is None or not req.uploading:
             return
         req.uploading, req.deadline = False, event.deadline_ns
         attempt = req.attempts[-1] = req.attempts[-1]._replace(sent=self.ctx.now)
         server = attempt.server
-        if self.fleet.servers.get(server.id) is server:  # else it has left
+        if self.endpoints.servers.get(server.id) is server:  # else it has left
             self._count_out(req, server, len(req.attempts) - 1)
 
     def _on_probe(self, event: api.ProbeResult) -> None:
-        server = self.fleet.servers.get(event.server)
+        server = self.endpoints.servers.get(event.server)
         if server is not None and event.status is Status.OK:
             self.picker.heed(server, event.report)
 
@@ -163,9 +172,9 @@
         while self.ctx.timers and self.ctx.timers[0][0] <= now:
             _, kind, ident, attempt = heapq.heappop(self.ctx.timers)
             if kind == WATCH:
-                self.fleet.watch()
+                self.endpoints.watch()
                 continue
-            req = self.open.get(ident)
+            req = self.pending.get(ident)
             if req is None or req.streaming:
                 continue
             if kind == OVERDUE:
@@ -176,7 +185,7 @@
 
     def _send(self, req: PendingRequest, server: Server) -> None:
         number = len(req.attempts)
-        self.pace.allows(server, req.cls, True)
+        self.slow_start.allows(server, req.cls, True)
         # Both or, where something fails, neither: else its number means another attempt to whoever sends it.
         req.attempts.append(Attempt(server, server.zone, server.cell, self.ctx.now, self.ctx.now))
         # No time-out of its own: an overdue attempt is judged by what its server did meanwhile.
@@ -189,15 +198,15 @@
 
     def _count_out(self, req: PendingRequest, server: Server, number: int) -> None:
         """Its server has the whole of an attempt: it is in flight from now on."""
-        overdue = self.health.overdue_after(server, req.cls, req.deadline - self.ctx.now)
+        overdue = self.outlier_detector.overdue_after(server, req.cls, req.deadline - self.ctx.now)
         server.out[(req.id, number)] = (self.ctx.now, req.cls)
         if not server.ejected:
-            self.fleet.inflight += 1
+            self.endpoints.inflight += 1
         self.ctx.at(self.ctx.now + overdue, OVERDUE, req.id, number)
 
     def _plan_repeat(self, req: PendingRequest) -> None:
         """Wait a jittered part of the time left, then repeat; or end the request."""
-        delay = self.repeats.delay(req)
+        delay = self.retry_policy.delay(req)
         if delay is not None:
             req.planned = True
             self.ctx.at(self.ctx.now + max(delay, 1), REPEAT, req.id)
@@ -213,7 +222,7 @@
 
     def _end(self, req: PendingRequest) -> None:
         """Give the final answer."""
-        if self.rules.may_refuse(req):
+        if self.safety_rules.may_refuse(req):
             wait = 0
             if self.ctx.settings.retry_after:
                 left: float = max(req.deadline - self.ctx.now, 0)
@@ -228,7 +237,7 @@
         self._forget(req)
 
     def _forget(self, req: PendingRequest) -> None:
-        del self.open[req.id]
+        del self.pending[req.id]
         self._cancel_others(req, -1)
 
     def _cancel_others(self, req: PendingRequest, keep: int) -> None:
@@ -249,12 +258,12 @@
         silent = server.last_ok <= sent
         if not first:
             if not silent:
-                self.health.write_off(server, (req.id, number))
+                self.outlier_detector.write_off(server, (req.id, number))
         elif not silent:
-            self.limit.press(server, req.cls, self.ctx.now - sent)  # late news is no use
+            self.limiter.press(server, req.cls, self.ctx.now - sent)  # late news is no use
         else:  # one long piece of work must not condemn a server by itself
             server.answers = False
-            self.health.strike(server, HINT_STRIKE, EJECT_SHARE_ON_SILENCE)
+            self.outlier_detector.strike(server, HINT_STRIKE, EJECT_SHARE_ON_SILENCE)
         if server.ejected:
             self._rescue(req, number)
         again = 2 * self.ctx.now - sent
@@ -264,14 +273,14 @@
     def _rescue_all(self, server: Server) -> None:
         """What waits at a server that has just been ejected is likely lost: do not wait it out."""
         for ident, number in list(server.out):
-            req = self.open.get(ident)
+            req = self.pending.get(ident)
             if req is not None:
                 self._rescue(req, number)
 
     def _rescue(self, req: PendingRequest, number: int) -> None:
         """Repeat an attempt that its server seems to have lost, where the class and the site allow it."""
         unsafe = req.spec.effect is Effect.NON_IDEMPOTENT
-        if req.planned or req.streaming or unsafe or not self.repeats.affordable(req):
+        if req.planned or req.streaming or unsafe or not self.retry_policy.affordable(req):
             return
         if self.ctx.settings.hedging:
             self._plan_repeat(req)
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -45,9 +45,9 @@
 
 class ConcurrencyLimiter:
     def __init__(
-        self, ctx: Context, latency: LatencyEstimates, shares: TenantQuotas, fleet: EndpointSet
+        self, ctx: Context, latency: LatencyEstimates, tenant_quotas: TenantQuotas, endpoints: EndpointSet
     ) -> None:
-        self.ctx, self.latency, self.shares, self.fleet = ctx, latency, shares, fleet
+        self.ctx, self.latency, self.tenant_quotas, self.endpoints = ctx, latency, tenant_quotas, endpoints
         self.try_span = [0.0] * len(latency.base)  # how long clients wait for one try
         self.pressure = PRESSURE_PRIOR
         self.press_sum = self.press_count = 0.0
@@ -100,15 +100,18 @@
         if self.ctx.now - self.limit_at >= self.limit_every:
             self.correct()
         share = self.share_of[req.cls]
-        if self.shares.over_share and self.ctx.random.random() < self.shares.over_share[req.tenant]:
+        if (
+            self.tenant_quotas.over_share
+            and self.ctx.random.random() < self.tenant_quotas.over_share[req.tenant]
+        ):
             share = LIMIT_CHEAP + (share - LIMIT_CHEAP) * self.ctx.settings.over_quota_weight
         limit = self.limit * share * value
-        if self.fleet.sees_little and limit < 1.0 and not self.fleet.inflight:
+        if self.endpoints.sees_little and limit < 1.0 and not self.endpoints.inflight:
             # A thousand sidecars with a request each now and then are not held back by a limit of one.
-            natural = self.fleet.demand * self.unit(req.cls) / SECOND
+            natural = self.endpoints.demand * self.unit(req.cls) / SECOND
             if self.ctx.random.random() < max(limit / natural, 2.0 - self.pressure, LIMIT_RARE):
                 return True
-        elif self.fleet.inflight + 1 <= max(limit, 1.0):
+        elif self.endpoints.inflight + 1 <= max(limit, 1.0):
             return True
         self.bound_at = self.ctx.now
         return False
@@ -120,32 +123,34 @@
         weight = min(passed / self.ctx.shortest, 1.0)
         self.wanted_inflight += weight * (self.done_units / passed - self.wanted_inflight)
         self.done_units = 0.0
-        self.inflight_lately = max(self.fleet.inflight, self.inflight_lately * LATELY_FADE)
+        self.inflight_lately = max(self.endpoints.inflight, self.inflight_lately * LATELY_FADE)
         self.fade()
         if self.ctx.now - self.born < self.ctx.shortest:
-            most = LIMIT_SLACK * (self.inflight_lately + self.fleet.ready_count)  # no answers to go by yet
+            most = LIMIT_SLACK * (
+                self.inflight_lately + self.endpoints.ready_count
+            )  # no answers to go by yet
         else:
             # A limit that follows what is in flight lets a surge in before the first late answer.
-            spread = LIMIT_IDLE * self.fleet.ready_count / self.ctx.settings.fleet_size
+            spread = LIMIT_IDLE * self.endpoints.ready_count / self.ctx.settings.fleet_size
             most = LIMIT_SURGE * self.wanted_inflight + LIMIT_SMALL + spread
         limit = min(self.limit, most)
         late = self.pressure > 1.0
         if late:  # what is above that binds nothing, and lowering it would not help
             limit = min(limit, max(self.inflight_lately, self.wanted_inflight))
-        bound = self.ctx.now - self.bound_at < 2 * self.limit_every or self.fleet.inflight > limit / 2
-        if late or bound or self.fleet.sees_little:
+        bound = self.ctx.now - self.bound_at < 2 * self.limit_every or self.endpoints.inflight > limit / 2
+        if late or bound or self.endpoints.sees_little:
             # The gradient of latency, and room to queue for all sidecars together: where both are level it
             # stays. In good times little in flight tells nothing of it, unless that is usual.
             # Guards against a room made for many: who gets the traffic of many opened by 0.4 a second.
-            regains = self.fleet.sees_little and not late
+            regains = self.endpoints.sees_little and not late
             room = limit if regains else math.sqrt(limit / self.ctx.settings.fleet_size)
             opens = min(max(LIMIT_CLEAR / self.pressure, 1.0), LIMIT_OPEN)
             found = limit * min(max(1.0 / self.pressure, LIMIT_CUT), opens) + room
             step = 1.0 - (1.0 - LIMIT_STEP) ** (passed / self.limit_every)  # who rarely sends, rarely looks
             limit = min(limit + step * (found - limit), most)
         # Every sidecar keeps its part of a floor, so that all together leave a tired fleet nearly idle.
-        least = LIMIT_LEAST * self.fleet.ready_count / self.ctx.settings.fleet_size
-        self.limit = max(limit, least, 0.0 if self.fleet.sees_little else 1.0)
+        least = LIMIT_LEAST * self.endpoints.ready_count / self.ctx.settings.fleet_size
+        self.limit = max(limit, least, 0.0 if self.endpoints.sees_little else 1.0)
         densities = [self.density(cls) for cls in range(len(self.latency.usual))]
         top = max(densities) or 1.0  # classes may all be worth nothing
         # What is shed first is soon the worst-served class, which the goal may weigh by itself.
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -24,9 +24,9 @@
 
 class EndpointPicker:
     def __init__(
-        self, ctx: Context, latency: LatencyEstimates, fleet: EndpointSet, rules: SafetyRules
+        self, ctx: Context, latency: LatencyEstimates, endpoints: EndpointSet, safety_rules: SafetyRules
     ) -> None:
-        self.ctx, self.latency, self.fleet, self.rules = ctx, latency, fleet, rules
+        self.ctx, self.latency, self.endpoints, self.safety_rules = ctx, latency, endpoints, safety_rules
         self.groups: defaultdict[tuple[int, bool], EndpointGroup] = defaultdict(EndpointGroup)
         self.mean_rel = 1.0
         columns = ctx.settings.report_columns
@@ -41,7 +41,7 @@
         what is in flight there is of others. Guards against all of them crowding the faster kind.
         """
         news = server.heard
-        if self.fleet.sees_little and self.ctx.now - server.load_at < LOAD_FADE * self.ctx.shortest:
+        if self.endpoints.sees_little and self.ctx.now - server.load_at < LOAD_FADE * self.ctx.shortest:
             group = self.group(server)
             known = 0.5 ** ((self.ctx.now - server.load_at) / (LOAD_FADE * self.ctx.shortest))
             load = max(group.load + (server.load - group.load) * known, len(server.out))
@@ -50,15 +50,15 @@
             news = server.load_at
         else:
             delay = (len(server.out) + 1) * self.slowness(server) * self.latency.base[cls]
-        if self.fleet.sees_little:
+        if self.endpoints.sees_little:
             stale = 1.0 - 0.5 ** ((self.ctx.now - news) / (STALE_AFTER * self.ctx.shortest))
             delay *= self.ctx.random.expovariate(1.0) ** (stale / STALE_SHARPNESS)
         return delay
 
     def slowness(self, server: Server) -> float:
         """Smoothed latency in class means, aged towards the mean, raised by an unanswered attempt."""
-        forget = FORGET_GAPS * max(self.fleet.ready_count, 1) / max(self.latency.rate, 1.0) * SECOND
-        mean = self.group(server).rel if self.fleet.sees_little else 1.0
+        forget = FORGET_GAPS * max(self.endpoints.ready_count, 1) / max(self.latency.rate, 1.0) * SECOND
+        mean = self.group(server).rel if self.endpoints.sees_little else 1.0
         rel = server.rel if server.samples else mean
         rel = mean + (rel - mean) * 0.5 ** ((self.ctx.now - server.heard) / forget)
         if server.out:
@@ -98,21 +98,21 @@
                     best, lowest = server, delay
             if best is not None:
                 return best
-        for server in self.fleet.ejected:  # nothing better: an ejected one may have recovered
-            if not server.trial_out and self.rules.may_send(req, server):
+        for server in self.endpoints.ejected:  # nothing better: an ejected one may have recovered
+            if not server.trial_out and self.safety_rules.may_send(req, server):
                 return server
         return None
 
     def sampled(self, req: PendingRequest, tried) -> list[tuple[Server, float]]:
         """Candidates, with what is added to their delay for crossing zones."""
-        if not self.fleet.sees_little:
+        if not self.endpoints.sees_little:
             cross = self.cross * req.spec.objective_ns
-            pairs = [(server, 0.0) for server in self.two(self.fleet.near, req, tried)]
-            return pairs + [(server, cross) for server in self.two(self.fleet.far, req, tried)]
+            pairs = [(server, 0.0) for server in self.two(self.endpoints.near, req, tried)]
+            return pairs + [(server, cross) for server in self.two(self.endpoints.far, req, tried)]
         # Too few own answers to know a zone or kind as overrun by its servers: two of the set, by weights
         # that follow what each group's answers took. The price of a crossing is in the weights.
-        for servers in (self.fleet.near + self.fleet.far, self.fleet.rest):
-            fit = [one for one in servers if one not in tried and self.rules.may_send(req, one)]
+        for servers in (self.endpoints.near + self.endpoints.far, self.endpoints.rest):
+            fit = [one for one in servers if one not in tried and self.safety_rules.may_send(req, one)]
             if fit:
                 break
         if len(fit) > 2:
@@ -123,7 +123,7 @@
         return [(server, 0.0) for server in fit]
 
     def weight(self, server: Server) -> float:
-        stands_for = self.fleet.stands_for[server.zone != self.ctx.settings.zone]
+        stands_for = self.endpoints.stands_for[server.zone != self.ctx.settings.zone]
         return math.exp(self.group(server).lean) * stands_for
 
     def group(self, server: Server) -> EndpointGroup:
@@ -157,7 +157,7 @@
             # The first two are a uniform pair; the walk over all beyond them only replaces unfit ones.
             ahead = turn * step if turn < 2 else turn - 1
             server = group[(at + ahead) % size]
-            if server not in found and server not in tried and self.rules.may_send(req, server):
+            if server not in found and server not in tried and self.safety_rules.may_send(req, server):
                 found.append(server)
                 if len(found) == 2:
                     break
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -31,23 +31,31 @@
 
 class OutlierDetector:
     def __init__(
-        self, ctx: Context, limit: ConcurrencyLimiter, pick: EndpointPicker, ejects: Callable[[Server], None]
+        self,
+        ctx: Context,
+        limiter: ConcurrencyLimiter,
+        picker: EndpointPicker,
+        ejects: Callable[[Server], None],
     ) -> None:
-        self.ctx, self.limit, self.pick = ctx, limit, pick
-        self.latency, self.fleet, self.rules = limit.latency, pick.fleet, pick.rules
+        self.ctx, self.limiter, self.picker = ctx, limiter, picker
+        self.latency, self.endpoints, self.safety_rules = (
+            limiter.latency,
+            picker.endpoints,
+            picker.safety_rules,
+        )
         self.ejects = ejects  # told of a server that has just been ejected
         self.since_trial = TRIAL_EVERY  # own requests
         self.has_safe = any(spec.effect is Effect.IDEMPOTENT for spec in ctx.settings.classes)
 
     def ended(self, event: Outcome) -> Server | None:
         """Whatever became of an attempt, it is in flight no more. Its server, if that is still known."""
-        server = self.fleet.servers.get(event.server)
+        server = self.endpoints.servers.get(event.server)
         attempt = (event.id, event.attempt)
         if server and attempt in server.out:
             sent, cls = server.out.pop(attempt)
             lost = attempt in server.lost
             server.lost.discard(attempt)
-            self.fleet.inflight -= not lost and not server.ejected
+            self.endpoints.inflight -= not lost and not server.ejected
             self.learn(server, sent, cls, event, lost)
         return server
 
@@ -59,7 +67,7 @@
         if server.ejected:
             server.trial_out = False
         if status in UNWRITTEN:
-            self.rules.pace.give_back(server, cls, sent)
+            self.safety_rules.slow_start.give_back(server, cls, sent)
         if status is Status.NOT_SENT:
             return
         if status in (Status.OK, Status.ERROR):
@@ -67,9 +75,9 @@
         if status is not Status.CANCELLED:
             server.answers = status in (Status.OK, Status.ERROR, Status.REJECTED)
         if status is Status.OK:
-            self.latency.learn_usual(cls, took, self.limit.pressure >= 1.0)
-            self.rules.pace.earn(server, cls)
-            self.limit.answered(server, cls, took)
+            self.latency.learn_usual(cls, took, self.limiter.pressure >= 1.0)
+            self.safety_rules.slow_start.earn(server, cls)
+            self.limiter.answered(server, cls, took)
             self.latency.learn(cls, took)
             self.latency.count_answer()
             server.strikes = 0.0
@@ -77,22 +85,22 @@
             if server.ejected:
                 self.readmit(server)
             self.sample(server, took / base)
-            self.pick.heed(server, event.report, took / base)
+            self.picker.heed(server, event.report, took / base)
         elif status is Status.REJECTED:
             self.sample(server, max(FULL_SAMPLE, server.rel))
-            self.rules.pace.lose(server)
+            self.safety_rules.slow_start.lose(server)
             server.last_ok = self.ctx.now  # busy, but alive
-            self.limit.add(PRESSURE_FULL)
+            self.limiter.add(PRESSURE_FULL)
         elif status is Status.CANCELLED:
             if took / base > server.rel:
                 self.sample(server, took / base)
         else:
             self.sample(server, max(took / base, FAILURE_SAMPLE, server.rel))
             if status is Status.TIMEOUT and server.last_ok > sent and not lost:
-                self.limit.press(server, cls, took)
+                self.limiter.press(server, cls, took)
             if status is not Status.TIMEOUT:
                 # Who asks a server less than once a deadline learns too late from a second failure.
-                rarely = self.latency.rate * self.ctx.shortest < self.fleet.ready_count * SECOND
+                rarely = self.latency.rate * self.ctx.shortest < self.endpoints.ready_count * SECOND
                 once = rarely and status is Status.CONNECT_FAILED
                 self.strike(server, STRIKES if once else 1.0, EJECT_SHARE)
             elif server.last_ok <= sent:
@@ -102,10 +110,10 @@
 
     def sample(self, server: Server, rel: float) -> None:
         fresh = 1.0 - 0.5 ** ((self.ctx.now - server.heard) / (SMOOTHING_SPAN * self.ctx.shortest))
-        weight = max(SMOOTHING, 1.0 / (server.samples + 2), fresh if self.fleet.sees_little else 0.0)
+        weight = max(SMOOTHING, 1.0 / (server.samples + 2), fresh if self.endpoints.sees_little else 0.0)
         rel = min(rel, SAMPLE_LIMIT)
         server.rel += weight * (rel - server.rel)
-        self.pick.lean(server, rel)
+        self.picker.lean(server, rel)
         server.samples += 1
         server.heard = self.ctx.now
 
@@ -114,15 +122,18 @@
         server.strikes += weight
         if server.ejected:
             self.set_trial(server)
-        elif server.strikes >= STRIKES and len(self.fleet.ejected) + 1 <= share * self.fleet.ready_count:
+        elif (
+            server.strikes >= STRIKES
+            and len(self.endpoints.ejected) + 1 <= share * self.endpoints.ready_count
+        ):
             self.eject(server)
 
     def eject(self, server: Server) -> None:
         server.ejected = True
-        self.fleet.inflight -= server.waited_for()
+        self.endpoints.inflight -= server.waited_for()
         server.ejections = 0
         self.set_trial(server)
-        self.fleet.regroup()
+        self.endpoints.regroup()
         self.ctx.log(f"ejected {server.id} after {server.strikes:.1f} strikes in a row")
         self.ejects(server)
 
@@ -139,17 +150,21 @@
         self.since_trial += 1
         if self.since_trial < TRIAL_EVERY:
             return None
-        for server in self.fleet.ejected:
-            if server.trial_at <= self.ctx.now and not server.trial_out and self.rules.may_send(req, server):
+        for server in self.endpoints.ejected:
+            if (
+                server.trial_at <= self.ctx.now
+                and not server.trial_out
+                and self.safety_rules.may_send(req, server)
+            ):
                 self.since_trial = 0
                 return server
         return None
 
     def readmit(self, server: Server) -> None:
         server.ejected = False
-        self.fleet.inflight += server.waited_for()
+        self.endpoints.inflight += server.waited_for()
         server.rel = min(server.rel, FULL_SAMPLE)
-        self.fleet.regroup()
+        self.endpoints.regroup()
 
     def write_off(self, server: Server, attempt: tuple[int, int]) -> None:
         """Take an attempt that is overdue twice out of what is in flight: its answer is most likely lost.
@@ -158,7 +173,7 @@
         until their deadlines, and all requests were refused.
         """
         if attempt not in server.lost:
-            self.fleet.inflight -= not server.ejected
+            self.endpoints.inflight -= not server.ejected
             server.lost.add(attempt)
 
     def overdue_after(self, server: Server, cls: int, left: int) -> int:
@@ -172,9 +187,9 @@
 
         It gets no more than the others hold each, and nothing if it mostly fails or does not answer.
         """
-        most = max(self.fleet.inflight / max(len(self.fleet.near) + len(self.fleet.far), 1), 1.0)
-        for server in self.fleet.ejected:
+        most = max(self.endpoints.inflight / max(len(self.endpoints.near) + len(self.endpoints.far), 1), 1.0)
+        for server in self.endpoints.ejected:
             of_use = server.answers and server.sound >= SOUND_LEAST and server.waited_for() < most
-            if of_use and self.rules.may_send(req, server):
+            if of_use and self.safety_rules.may_send(req, server):
                 return server
         return None
--- a/ochreflow/policy/retry_policy.py
+++ b/ochreflow/policy/retry_policy.py
@@ -16,8 +16,8 @@
 
 
 class RetryPolicy:
-    def __init__(self, ctx: Context, latency: LatencyEstimates, rules: SafetyRules) -> None:
-        self.ctx, self.latency, self.rules = ctx, latency, rules
+    def __init__(self, ctx: Context, latency: LatencyEstimates, safety_rules: SafetyRules) -> None:
+        self.ctx, self.latency, self.safety_rules = ctx, latency, safety_rules
         self.tokens = RETRY_SHARE * RETRY_RESERVE
 
     def earn(self) -> None:
@@ -26,7 +26,7 @@
         self.tokens = min(self.tokens + RETRY_SHARE, most)
 
     def affordable(self, req: PendingRequest) -> bool:
-        return self.tokens >= 1.0 and self.rules.any_left(req)
+        return self.tokens >= 1.0 and self.safety_rules.any_left(req)
 
     def delay(self, req: PendingRequest) -> int | None:
         """How long to wait before the next repeat, in ns, and pay for it; None: no use, or not allowed."""
@@ -37,7 +37,7 @@
         price = REPEAT_FULL if req.never_ran() else 1.0
         useless = left <= 0 or delay + BACKOFF_USEFUL * self.latency.base[req.cls] > left
         useless |= not req.written and self.ctx.now + delay > req.send_by
-        if useless or not self.rules.any_left(req):
+        if useless or not self.safety_rules.any_left(req):
             return None
         # What no server was asked is no repeat: one that starts with an old list had earned none.
         if req.written and not req.charged:
--- a/ochreflow/policy/safety_rules.py
+++ b/ochreflow/policy/safety_rules.py
@@ -8,15 +8,15 @@
 
 
 class SafetyRules:
-    def __init__(self, ctx: Context, pace: SlowStart) -> None:
-        self.ctx, self.pace = ctx, pace
+    def __init__(self, ctx: Context, slow_start: SlowStart) -> None:
+        self.ctx, self.slow_start = ctx, slow_start
 
     def may_send(self, req: PendingRequest, server: Server) -> bool:
         """Whether this request may be sent to this server now, by the rules and by pace."""
         number = len(req.attempts)
         if number >= self.ctx.settings.max_attempts or not self.write_by(req, server, number):
             return False
-        return self.pace.allows(server, req.cls, False)
+        return self.slow_start.allows(server, req.cls, False)
 
     def write_by(self, req: PendingRequest, server: Server, number: int) -> int:
         """Until when the last byte of this attempt may go out, on the clock; 0: it may not begin any more."""
--- a/ochreflow/policy/slow_start.py
+++ b/ochreflow/policy/slow_start.py
@@ -15,8 +15,8 @@
 
 
 class SlowStart:
-    def __init__(self, ctx: Context, latency: LatencyEstimates, fleet: EndpointSet) -> None:
-        self.ctx, self.latency, self.fleet = ctx, latency, fleet
+    def __init__(self, ctx: Context, latency: LatencyEstimates, endpoints: EndpointSet) -> None:
+        self.ctx, self.latency, self.endpoints = ctx, latency, endpoints
         self.usual: dict[Any, float] = {}  # own work a second of each warm server alike; see `tally`
         self.tallied = 0
 
@@ -29,12 +29,12 @@
 
     def tally(self) -> None:
         """Learn the usual load of warm servers, of a cell as a part of its kinds'. None warm: it stays."""
-        passed = self.ctx.now - max(self.tallied, self.fleet.began)
+        passed = self.ctx.now - max(self.tallied, self.endpoints.began)
         if passed < TALLY_EVERY * max(self.ctx.shortest, self.ctx.settings.warm_up_ns):
             return
-        span = min(self.ctx.now - self.fleet.began, self.ctx.settings.warm_up_ns) + 1
+        span = min(self.ctx.now - self.endpoints.began, self.ctx.settings.warm_up_ns) + 1
         carried: dict[Any, list[float]] = defaultdict(list)
-        for server in self.fleet.near + self.fleet.far:
+        for server in self.endpoints.near + self.endpoints.far:
             if self.ramp(server) >= 1.0:
                 side, kind, cell = self.groups(server)
                 carried[side].append(server.carried)
@@ -84,8 +84,8 @@
         # Where that is nothing, what a part of one core does is no push, from all sidecars together.
         alone = PACE_ALONE * SECOND / (self.latency.mean_usual() * self.ctx.settings.fleet_size)
         pace = ramp * max(PACE * self.ctx.settings.overload_factor * self.usual_load(server), alone)
-        if server in self.fleet.rest:  # left to those who sample it
-            pace /= max(self.fleet.stands_for[server.zone != self.ctx.settings.zone], 1.0)
+        if server in self.endpoints.rest:  # left to those who sample it
+            pace /= max(self.endpoints.stands_for[server.zone != self.ctx.settings.zone], 1.0)
         limit = max(1.0, pace * PACE_BURST)
         earned = pace * (self.ctx.now - (server.cold_at or server.told)) / SECOND
         server.cold_tokens, server.cold_at = min(limit, server.cold_tokens + earned), self.ctx.now
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -114,11 +114,11 @@
         assert when < first + 4 * SECOND
         actions = balancer.handle(when + MS, Outcome(1, number, again.server, Status.REJECTED, MS, False))
         when += MS
-    open_request = balancer.open.get(1)
+    open_request = balancer.pending.get(1)
     if open_request is not None:
-        server = next(iter(balancer.fleet.servers.values()))
+        server = next(iter(balancer.endpoints.servers.values()))
         balancer.ctx.now = first + 4 * SECOND
-        assert not balancer.rules.may_send(open_request, server)
+        assert not balancer.safety_rules.may_send(open_request, server)
 
 
 # The class as it was when the request was taken
@@ -152,7 +152,7 @@
     sent = send_one(balancer, now, 1)
     balancer.handle(now, Outcome(1, 0, sent.server, Status.RESET, MS, False))
     actions = balancer.handle(now, Outcome(1, 0, sent.server, second, MS, False))
-    assert not balancer.open[1].never_ran()
+    assert not balancer.pending[1].never_ran()
     assert not kinds(actions, Reject)
 
 
@@ -193,7 +193,7 @@
         one for one in play_timers(balancer, now, actions, now + SECOND) if isinstance(one[1], Send)
     ]
     balancer.handle(when, BodyUploaded(1, when + 2 * SECOND))
-    assert (1, 1) in balancer.fleet.servers[second.server].out
+    assert (1, 1) in balancer.endpoints.servers[second.server].out
     actions = balancer.handle(when, Outcome(1, 1, second.server, Status.RESET, MS, False))
     assert not kinds(actions, Reject, Send)
 
@@ -201,9 +201,9 @@
 def test_a_drained_list_does_not_free_a_request_that_may_have_run():
     balancer, now = make(effect=Effect.NON_IDEMPOTENT)
     sent = send_one(balancer, now, 1)
-    gone = balancer.fleet.servers[sent.server]
+    gone = balancer.endpoints.servers[sent.server]
     balancer.handle(now, Membership(ListKind.FULL, 2, []))
-    assert gone.ready and not gone.listed and gone.id in balancer.fleet.servers
+    assert gone.ready and not gone.listed and gone.id in balancer.endpoints.servers
     actions = balancer.handle(now, Outcome(1, 0, sent.server, Status.RESET, MS, False))
     assert not kinds(actions, Send, Reject)
 
@@ -214,17 +214,17 @@
 def test_a_fault_as_an_attempt_is_decided_leaves_the_numbers_of_attempts_in_step(monkeypatch):
     stage = Stage(["keyed by cell"])
     balancer = stage.engine.balancer
-    allows = balancer.pace.allows
+    allows = balancer.slow_start.allows
 
     def fail_to_take(server, cls, take):
         if take:
-            monkeypatch.setattr(balancer.pace, "allows", allows)
+            monkeypatch.setattr(balancer.slow_start, "allows", allows)
             raise RuntimeError("injected")
         return allows(server, cls, take)
 
-    monkeypatch.setattr(balancer.pace, "allows", fail_to_take)
+    monkeypatch.setattr(balancer.slow_start, "allows", fail_to_take)
     call = stage.ask()
     held = next(iter(stage.engine.held.values()))
-    assert held.attempts == len(balancer.open[held.id].attempts)
+    assert held.attempts == len(balancer.pending[held.id].attempts)
     stage.finish()
     assert len(dispositions(stage, call)) == 1
--- a/tests/test_duplicate_machine.py
+++ b/tests/test_duplicate_machine.py
@@ -52,7 +52,7 @@
     @initialize(seed=any_of, hedging=st.booleans(), can_cancel=st.booleans(), complete=st.booleans())
     def begin(self, seed, hedging, can_cancel, complete):
         self.stage = Stage([self.cls], SERVERS, seed, hedging=hedging, can_cancel=can_cancel, max_attempts=6)
-        self.stage.engine.balancer.repeats.tokens = REPEATS
+        self.stage.engine.balancer.retry_policy.tokens = REPEATS
         self.calls = [self.stage.ask(), self.stage.ask(complete=complete)]
         self.ended = False
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -122,7 +122,7 @@
             client(sidecar, message("hold", deadline="4000m")) as (reader, _),
         ):
             await stage.held()
-            stage.engine.balancer.repeats.tokens = 10.0  # not for want of budget
+            stage.engine.balancer.retry_policy.tokens = 10.0  # not for want of budget
             stage.put_forward(1995 * MS)  # of a window of 2 s, whose last tick of 5 ms is not used
             stage.loop.open.set()
             async with asyncio.timeout(SOON):
@@ -272,7 +272,7 @@
         warm = await Fake(answer_ok).start()
         stage = Stage(tmp_path, [entry("s0", server.address), entry("s1", warm.address)])
         given = []
-        stage.engine.balancer.pace.give_back = lambda server, cls, sent: given.append((server.id, cls))
+        stage.engine.balancer.slow_start.give_back = lambda server, cls, sent: given.append((server.id, cls))
         async with stage.sidecar as sidecar:
             stage.hold()
             async with client(sidecar, message("order")) as (reader, _):
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -62,7 +62,7 @@
 
     def clean(self):
         engine = self.engine
-        return not (engine.held or engine.attempts or engine.balancer.open or engine.memory.held)
+        return not (engine.held or engine.attempts or engine.balancer.pending or engine.memory.held)
 
 
 def play(tmp_path, act, steps, servers=1, rules=()):
@@ -177,8 +177,8 @@
         rig.engine.balancer.handle = deaf
         assert await rig.ask(front, "order", "ab", 400) == word
         assert len(fake.got) == (what is not None)
-        rig.engine.balancer.open.clear()
-        for server in rig.engine.balancer.fleet.servers.values():
+        rig.engine.balancer.pending.clear()
+        for server in rig.engine.balancer.endpoints.servers.values():
             server.out.clear()
 
     play(tmp_path, lambda name: what, steps)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -118,7 +118,9 @@
         entries = [entry(f"s{n}", fake.address) for n in range(3)]
         async with Sidecar(tmp_path / "c", config(news(1, *entries))) as sidecar, managed(sidecar) as port:
             assert (await figures(port))["app.ejected"] == 0
-            sidecar.engine.balancer.health.eject(next(iter(sidecar.engine.balancer.fleet.servers.values())))
+            sidecar.engine.balancer.outlier_detector.eject(
+                next(iter(sidecar.engine.balancer.endpoints.servers.values()))
+            )
             seen = await figures(port)
             assert seen["app.ejected"] == 1 and seen["app.discovered"] == 3
 
--- a/tests/test_net_long_day.py
+++ b/tests/test_net_long_day.py
@@ -67,6 +67,6 @@
                 change = news(index, entry("s1", fake.address, status), snapshot=False)
                 engine.on_news(read_news(change, sidecar.names))
             assert (await ask(sidecar.port, message("order", "a"))).code == 200
-            assert list(sidecar.upstreams.targets) == list(engine.balancer.fleet.servers)
+            assert list(sidecar.upstreams.targets) == list(engine.balancer.endpoints.servers)
 
     run(play())
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -257,9 +257,9 @@
             writer.close()
             await until(lambda: fake.ended == 1, "its attempt is called off")
             engine = sidecar.engine
-            await until(lambda: not engine.held and not engine.attempts and not engine.balancer.open)
+            await until(lambda: not engine.held and not engine.attempts and not engine.balancer.pending)
             assert not sidecar.http.clients.all
-            (server,) = engine.balancer.fleet.servers.values()
+            (server,) = engine.balancer.endpoints.servers.values()
             assert not server.out  # the attempt's end was told as well
 
     run(play())
@@ -333,7 +333,7 @@
         since = int(time.time() * 1000) - 2000
         known = news(1, entry("s1", f"{HOST}:9"), entry("s2", f"{HOST}:10", since_ms=since))
         async with Sidecar(tmp_path / "c", config(known)) as sidecar:
-            started = sorted(server.started for server in sidecar.engine.balancer.fleet.servers.values())
+            started = sorted(server.started for server in sidecar.engine.balancer.endpoints.servers.values())
             assert started[0] == 0
             assert 1000 * MS < sidecar.engine.now() - started[1] < 60_000 * MS
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -125,8 +125,8 @@
     limits = []
     for _ in range(10):
         feed.run(0.2, 100, fast)
-        limits.append(feed.balancer.limit.limit)
-    known_good = feed.balancer.limit.wanted_inflight
+        limits.append(feed.balancer.limiter.limit)
+    known_good = feed.balancer.limiter.wanted_inflight
     assert limits[-1] < 5 * max(known_good, limits[0])
 
 
@@ -167,29 +167,29 @@
 
 def test_one_correction_goes_a_part_of_the_way_and_little_in_flight_tells_nothing():
     balancer, now = make()
-    balancer.limit.limit, balancer.limit.limit_at, balancer.limit.born = 100.0, now, now - 100 * SECOND
-    balancer.limit.wanted_inflight = 100.0
+    balancer.limiter.limit, balancer.limiter.limit_at, balancer.limiter.born = 100.0, now, now - 100 * SECOND
+    balancer.limiter.wanted_inflight = 100.0
     step = 0.2 * (100.0 * 0.5 + 10.0 - 100.0)
     for pressure, inflight, limit in ((0.5, 10, 100.0), (4.0, 100, 100.0 + step)):
-        balancer.fleet.inflight = inflight
-        balancer.limit.press_sum, balancer.limit.press_count, balancer.limit.pressed_at = (
+        balancer.endpoints.inflight = inflight
+        balancer.limiter.press_sum, balancer.limiter.press_count, balancer.limiter.pressed_at = (
             pressure * 1e9,
             1e9,
             now,
         )
-        balancer.ctx.now = now = now + balancer.limit.limit_every
-        balancer.limit.correct()
-        assert balancer.limit.limit == pytest.approx(limit, rel=1e-6)
+        balancer.ctx.now = now = now + balancer.limiter.limit_every
+        balancer.limiter.correct()
+        assert balancer.limiter.limit == pytest.approx(limit, rel=1e-6)
 
 
 def test_a_smaller_fleet_gets_a_smaller_crowd_at_once(feed):
     """Incident i8cc3a0: two servers got what seven had carried until their answers were late."""
     feed.run(5, 100, fast)
-    before = feed.balancer.limit.limit
+    before = feed.balancer.limiter.limit
     feed.balancer.handle(feed.now, Membership(ListKind.FULL, 2, [endpoint(100), endpoint(101)]))
-    assert feed.balancer.limit.limit < 0.4 * before
+    assert feed.balancer.limiter.limit < 0.4 * before
     feed.balancer.handle(feed.now, Membership(ListKind.FULL, 3, [endpoint(100 + n) for n in range(6)]))
-    assert feed.balancer.limit.limit < 0.4 * before  # more servers show by their answers
+    assert feed.balancer.limiter.limit < 0.4 * before  # more servers show by their answers
 
 
 def test_one_hung_server_does_not_make_the_sidecar_refuse(feed):
@@ -204,13 +204,13 @@
     feed.run(5, 100, fast)
     before = feed.ident
     feed.run(1.9, 20, lambda server: None if feed.ident == before + 1 else 40 * MS)
-    assert not feed.balancer.fleet.ejected
+    assert not feed.balancer.endpoints.ejected
 
 
 def test_most_servers_silent_at_once_is_load_and_ejects_few(feed):
     feed.run(5, 100, fast)
     feed.run(4, 100, lambda server: None)
-    assert len(feed.balancer.fleet.ejected) <= 2
+    assert len(feed.balancer.endpoints.ejected) <= 2
 
 
 def test_broken_connections_eject_and_an_answer_readmits():
@@ -223,11 +223,11 @@
     now += 40 * MS
     for ident in on_first[:2]:
         balancer.handle(now, Outcome(ident, 0, 100, Status.RESET, 40 * MS, False))
-    assert [server.id for server in balancer.fleet.ejected] == [100]
+    assert [server.id for server in balancer.endpoints.ejected] == [100]
     later = [a for n in range(100, 150) for a in balancer.handle(now, request(n, now)) if isinstance(a, Send)]
     assert later and all(a.server != 100 for a in later)
     balancer.handle(now, Outcome(on_first[2], 0, 100, Status.OK, 40 * MS, True))
-    assert not balancer.fleet.ejected
+    assert not balancer.endpoints.ejected
 
 
 def refused_by_class(**more):
@@ -238,7 +238,7 @@
     feed = Feed(*make(servers=6, classes=classes, **more))
     by_parity = {"cls": lambda n: n % 2}
     feed.run(5, 100, fast, **by_parity)
-    log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.fleet.inflight) * MS, **by_parity)
+    log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.endpoints.inflight) * MS, **by_parity)
     refused = [a.id % 2 for _, a in log if isinstance(a, Reject)]
     return refused.count(0), refused.count(1)
 
@@ -262,7 +262,7 @@
         "again": lambda n: marked and n % 2 == 0,
     }
     assert share(feed.run(5, 100, fast, **old), Reject) == 0
-    log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.fleet.inflight) * MS, **old)
+    log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.endpoints.inflight) * MS, **old)
     refused = [a.id % 2 for _, a in log if isinstance(a, Reject)]
     assert refused.count(0) > 1.5 * refused.count(1)
     assert refused.count(0) > 0
@@ -273,7 +273,7 @@
     feed = Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT, max_retry_after_ns=10 * SECOND))
     old = {"left": lambda n: 1500 * MS if n % 2 else 1400 * MS}  # of 2 s, so these are 0.6 s old
     feed.run(5, 100, fast, **old)
-    log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.fleet.inflight) * MS, **old)
+    log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.endpoints.inflight) * MS, **old)
     refused = [a for _, a in log if isinstance(a, Reject)]
     waits = {kind: [a.retry_after_ns for a in refused if a.id % 2 == kind] for kind in (0, 1)}
     assert min(waits[1]) > 0 and max(waits[1]) < 500 * MS / 2
@@ -304,8 +304,8 @@
     balancer.handle(feed.now, GossipReceived(1, told[-1][:3]))
     balancer.handle(feed.now, GossipReceived(1, told[-1]))
     feed.run(2, 20, fast, tenant=lambda n: 0)
-    assert balancer.shares.over_share[0] > 0.5  # 20 here and 20 there, of 10
-    assert balancer.shares.over_share[1] == 0.0
+    assert balancer.tenant_quotas.over_share[0] > 0.5  # 20 here and 20 there, of 10
+    assert balancer.tenant_quotas.over_share[1] == 0.0
 
 
 def test_a_surge_is_let_in_only_as_far_as_answers_justify():
@@ -313,7 +313,7 @@
     feed = Feed(*make(servers=40, effect=Effect.NON_IDEMPOTENT, fleet_size=8))
     feed.run(5, 50, fast)
     feed.run(0.4, 1000, lambda server: None)  # all are jammed, and none of it shows yet
-    assert feed.balancer.fleet.inflight < 80
+    assert feed.balancer.endpoints.inflight < 80
     calm = Feed(*make(servers=40, effect=Effect.NON_IDEMPOTENT, fleet_size=8))
     calm.run(5, 50, fast)
     assert share(calm.run(2, 150, fast), Reject) < 0.05  # a burst that is answered is no such thing
@@ -323,8 +323,8 @@
 def test_an_ejected_server_is_tried_again_one_request_at_a_time_by_any_class_where_none_is_safe(effect):
     """Incident ifc0f20: no class of the site was safe, so what had recovered stayed ejected for good."""
     balancer, now = make(servers=6, effect=effect)
-    lost = balancer.fleet.servers[100]
-    balancer.health.strike(lost, 5.0, 1.0)
+    lost = balancer.endpoints.servers[100]
+    balancer.outlier_detector.strike(lost, 5.0, 1.0)
     assert lost.ejected
     tried = []
     for step in range(1000):
@@ -344,7 +344,7 @@
         RequestClass("unsafe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.NON_IDEMPOTENT),
     ]
     balancer, now = make(servers=6, classes=classes)
-    balancer.health.strike(balancer.fleet.servers[100], 5.0, 1.0)
+    balancer.outlier_detector.strike(balancer.endpoints.servers[100], 5.0, 1.0)
     now += 30 * SECOND
     sent = [a for n in range(3) for a in balancer.handle(now, request(n, now, cls=1)) if isinstance(a, Send)]
     assert sent and all(action.server != 100 for action in sent)
@@ -364,16 +364,18 @@
         for action in balancer.handle(now, request(ident, now)):
             if isinstance(action, Send):
                 sent[ident] = action.server
-    assert balancer.fleet.inflight == len(sent) == 8
+    assert balancer.endpoints.inflight == len(sent) == 8
     for ident in range(2000, 2200):
         now += 5 * MS
         balancer.handle(now, Timer(balancer.timer_token))
         (send,) = [a for a in balancer.handle(now, request(ident, now)) if isinstance(a, Send)]
         balancer.handle(now + MS, Outcome(ident, 0, send.server, Status.OK, 40 * MS, True))
-    assert balancer.fleet.inflight < 8
+    assert balancer.endpoints.inflight < 8
     for ident, server in sent.items():  # each is told in the end, and counted once
         balancer.handle(now, Outcome(ident, 0, server, Status.TIMEOUT, 2 * SECOND, True))
-    assert balancer.fleet.inflight == 0 and not any(s.out or s.lost for s in balancer.fleet.servers.values())
+    assert balancer.endpoints.inflight == 0 and not any(
+        s.out or s.lost for s in balancer.endpoints.servers.values()
+    )
 
 
 def test_what_can_not_be_sent_is_refused_before_half_its_time():
@@ -402,9 +404,9 @@
 def crowded(status, errors=2, **more):
     """Four servers, of which one was ejected after so many failures; the others are full to the limit."""
     balancer, now = make(entries=[endpoint(100 + n) for n in range(4)], hedging=False, **more)
-    balancer.limit.correct()
+    balancer.limiter.correct()
     ident = failed = 0
-    while failed < errors or not balancer.fleet.ejected:
+    while failed < errors or not balancer.endpoints.ejected:
         now += 500 * MS
         assert ident < 5000
         sent = []
@@ -417,7 +419,7 @@
             failed += bad
             ended = Outcome(action.id, 0, action.server, status if bad else Status.OK, 5 * MS, True)
             balancer.handle(now, ended)
-    balancer.limit.limit, balancer.limit.limit_at = 1.0, now  # what an overload makes of it
+    balancer.limiter.limit, balancer.limiter.limit_at = 1.0, now  # what an overload makes of it
     actions = []
     for more_of_them in range(1, 9):
         actions += balancer.handle(now, request(1000 + more_of_them, now))
@@ -461,6 +463,6 @@
     now += MS
     balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(server, state=State.REMOVED)]))
     balancer.handle(now + MS, BodyUploaded(7, now + 2 * SECOND))
-    assert balancer.fleet.inflight == 0
+    assert balancer.endpoints.inflight == 0
     balancer.handle(now + 2 * MS, Outcome(7, 0, server, Status.OK, MS, True))
-    assert balancer.fleet.inflight == 0
+    assert balancer.endpoints.inflight == 0
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -11,13 +11,13 @@
 def restarted(balancer, now, number=9, cell=0):
     """A server starts now, and the list tells of it at once."""
     balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(number, cell=cell, started=now)]))
-    return balancer.fleet.servers[number]
+    return balancer.endpoints.servers[number]
 
 
 def test_an_attempt_whose_connection_never_came_up_is_given_back_once_it_was_taken_from_this_start():
     balancer, now = make(entries=[endpoint(1), endpoint(2)])
     server = restarted(balancer, now)
-    pace = balancer.pace
+    pace = balancer.slow_start
     sent = balancer.ctx.now = now + 10 * MS
     pace.allows(server, 0, True)
     taken = server.cold_tokens
@@ -35,10 +35,10 @@
 
 def test_an_attempt_between_a_start_and_the_news_of_it_gets_nothing_back_from_the_new_life():
     balancer, now = make(entries=[endpoint(1), endpoint(2)])
-    pace = balancer.pace
+    pace = balancer.slow_start
     started, sent, told = now, now + 100 * MS, now + SECOND
     balancer.handle(told, Membership(ListKind.DELTA, 2, [endpoint(1, started=started)]))
-    server = balancer.fleet.servers[1]
+    server = balancer.endpoints.servers[1]
     pace.allows(server, 0, False)
     fresh = server.cold_tokens
     pace.give_back(server, 0, sent)
@@ -49,9 +49,9 @@
 
 def test_a_warm_server_is_given_nothing_back():
     balancer, now = make(entries=[endpoint(1), endpoint(2)])
-    server = balancer.fleet.servers[1]
-    balancer.pace.allows(server, 0, True)
-    balancer.pace.give_back(server, 0, now)
+    server = balancer.endpoints.servers[1]
+    balancer.slow_start.allows(server, 0, True)
+    balancer.slow_start.give_back(server, 0, now)
     assert server.cold_tokens == 0.0
 
 
@@ -65,9 +65,9 @@
     balancer, now = make(entries=[endpoint(1), endpoint(2)], fleet_size=30)
     now, _ = serve(balancer, now, range(100), 50 * MS)
     server = restarted(balancer, now)
-    balancer.pace.allows(server, 0, True)
+    balancer.slow_start.allows(server, 0, True)
     taken = server.cold_tokens
-    balancer.pace.earn(server, 0)
+    balancer.slow_start.earn(server, 0)
     assert server.cold_tokens == taken
 
 
@@ -78,13 +78,13 @@
         for number, rate in rates.items():
             if tick % (100 // rate) == 0:
                 balancer.ctx.now = at
-                balancer.pace.earn(balancer.fleet.servers[number], 0)
+                balancer.slow_start.earn(balancer.endpoints.servers[number], 0)
     return now + seconds * SECOND
 
 
 def began(entries, **settings):
     balancer, now = make(entries=entries, **settings)
-    balancer.fleet.began = now
+    balancer.endpoints.began = now
     return balancer, now
 
 
@@ -93,10 +93,10 @@
     balancer, now = began([endpoint(1), endpoint(2)], warm_up_ns=60 * SECOND)
     now = carry(balancer, now, {1: 10, 2: 10})
     balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(n, started=now) for n in (1, 2)]))
-    server = balancer.fleet.servers[1]
-    assert balancer.pace.usual_load(server) == pytest.approx(10.0, rel=0.05)
+    server = balancer.endpoints.servers[1]
+    assert balancer.slow_start.usual_load(server) == pytest.approx(10.0, rel=0.05)
     now = carry(balancer, now, {1: 1, 2: 1}, 30)
-    assert balancer.pace.usual_load(server) == pytest.approx(10.0, rel=0.05)
+    assert balancer.slow_start.usual_load(server) == pytest.approx(10.0, rel=0.05)
 
 
 def test_the_usual_load_is_that_of_warm_servers_not_of_all():
@@ -105,7 +105,7 @@
     changes = [endpoint(n, started=now) for n in (1, 2, 3)]
     balancer.handle(now, Membership(ListKind.DELTA, 2, changes))
     now = carry(balancer, now, {1: 1, 2: 1, 3: 1, 4: 20}, 10)
-    assert 10.0 < balancer.pace.usual_load(balancer.fleet.servers[1]) < 20.0
+    assert 10.0 < balancer.slow_start.usual_load(balancer.endpoints.servers[1]) < 20.0
 
 
 def test_a_cold_server_is_paced_by_its_own_kind_and_cell():
@@ -119,7 +119,7 @@
     for number, entry in enumerate(fresh):
         entry.kind = number // 2
     balancer.handle(now, Membership(ListKind.DELTA, 2, fresh))
-    loads = [balancer.pace.usual_load(balancer.fleet.servers[number + 10]) for number in range(4)]
+    loads = [balancer.slow_start.usual_load(balancer.endpoints.servers[number + 10]) for number in range(4)]
     # Cells are only taken off what a kind carries: the others of a kind stay at its mean.
     assert loads == pytest.approx([7.5, 5.0, 15.0, 10.0], rel=0.05)
 
@@ -135,7 +135,7 @@
         entry.started_ns = now
     balancer.handle(now, Membership(ListKind.DELTA, 2, entries[1:]))
     carry(balancer, now, {1: 50, 2: 1}, 8)
-    assert balancer.pace.usual_load(balancer.fleet.servers[2]) == pytest.approx(10.0, rel=0.05)
+    assert balancer.slow_start.usual_load(balancer.endpoints.servers[2]) == pytest.approx(10.0, rel=0.05)
 
 
 def test_a_weak_kind_with_a_cell_of_its_own_is_not_taken_off_twice():
@@ -146,19 +146,19 @@
     balancer, now = began(entries)
     now = carry(balancer, now, {0: 2, 1: 2, 2: 2, 3: 20, 4: 20, 5: 20})
     server = restarted(balancer, now, 9, cell=0)
-    assert balancer.pace.usual_load(server) == pytest.approx(2.0, rel=0.05)
+    assert balancer.slow_start.usual_load(server) == pytest.approx(2.0, rel=0.05)
 
 
 def test_a_cell_that_is_not_sampled_is_not_taken_for_one_that_is_held_down():
     """Where a sidecar samples few of many servers, the others carry nothing of its own."""
     entries = [endpoint(number, cell=number % 4) for number in range(40)]
     balancer, now = began(entries, fleet_size=200)
-    sampled = [one.id for one in balancer.fleet.near]
+    sampled = [one.id for one in balancer.endpoints.near]
     assert 0 < len(sampled) < 4
     now = carry(balancer, now, dict.fromkeys(sampled, 2))
     for number in range(4):
         server = restarted(balancer, now, 100 + number, cell=number)
-        assert balancer.pace.usual_load(server) == pytest.approx(2.0, rel=0.05)
+        assert balancer.slow_start.usual_load(server) == pytest.approx(2.0, rel=0.05)
 
 
 def test_a_cold_server_gets_a_part_of_what_would_push_it_over_if_the_usual_load_were_all_it_can_do():
@@ -168,7 +168,7 @@
         settings = {"seed": seed, "overload_factor": 2.5, "overload_for_ns": 3 * SECOND}
         balancer, now = began([endpoint(1), endpoint(2)], **settings)
         now = carry(balancer, now, {1: 20, 2: 20})
-        server, pace = restarted(balancer, now), balancer.pace
+        server, pace = restarted(balancer, now), balancer.slow_start
         for tick in range(300):
             balancer.ctx.now = now + tick * 10 * MS
             budget += 2.5 * 20 * pace.ramp(server) / 100
@@ -184,10 +184,10 @@
     entries = [endpoint(number, zone=int(number >= 4)) for number in range(100)]
     for seed in range(40):
         balancer, now = began(entries, seed=seed, fleet_size=200, overload_factor=2.5)
-        now = carry(balancer, now, dict.fromkeys([one.id for one in balancer.fleet.near], 4))
+        now = carry(balancer, now, dict.fromkeys([one.id for one in balancer.endpoints.near], 4))
         balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(0, started=now)]))
-        server, pace = balancer.fleet.servers[0], balancer.pace
-        if server in balancer.fleet.rest:
+        server, pace = balancer.endpoints.servers[0], balancer.slow_start
+        if server in balancer.endpoints.rest:
             continue
         for tick in range(500):
             balancer.ctx.now = now + tick * 10 * MS
@@ -204,19 +204,19 @@
     balancer, now = began(entries, fleet_size=200)
     server = restarted(balancer, now)
     server.ejected = True
-    balancer.fleet.servers[0].ejected = True
-    balancer.fleet.regroup()
-    assert not balancer.fleet.near and balancer.fleet.rest
+    balancer.endpoints.servers[0].ejected = True
+    balancer.endpoints.regroup()
+    assert not balancer.endpoints.near and balancer.endpoints.rest
     balancer.ctx.now = now + 9 * SECOND
-    balancer.pace.allows(server, 0, False)
+    balancer.slow_start.allows(server, 0, False)
     balancer.ctx.now += SECOND // 2
-    assert balancer.pace.allows(server, 0, False)
+    assert balancer.slow_start.allows(server, 0, False)
 
 
 def test_a_cold_server_that_turns_away_gets_nothing_until_more_is_earned():
     balancer, now = began([endpoint(1), endpoint(2)])
     now = carry(balancer, now, {1: 10, 2: 10})
-    server, pace = restarted(balancer, now), balancer.pace
+    server, pace = restarted(balancer, now), balancer.slow_start
     balancer.ctx.now = now + 2 * SECOND
     assert pace.allows(server, 0, False)
     pace.lose(server)
@@ -231,7 +231,7 @@
     other = endpoint(9, started=now)
     other.kind = 5
     balancer.handle(now, Membership(ListKind.DELTA, 2, [other]))
-    assert balancer.pace.usual_load(balancer.fleet.servers[9]) == pytest.approx(15.0, rel=0.05)
+    assert balancer.slow_start.usual_load(balancer.endpoints.servers[9]) == pytest.approx(15.0, rel=0.05)
 
 
 def test_pace_is_earned_from_the_news_of_a_start_not_from_the_first_look():
@@ -240,16 +240,16 @@
     now = carry(balancer, now, {1: 1, 2: 1})
     server = restarted(balancer, now)
     balancer.ctx.now = now + 4 * SECOND
-    assert balancer.pace.allows(server, 0, False)
+    assert balancer.slow_start.allows(server, 0, False)
 
 
 def test_a_sidecar_that_knows_no_warm_server_earns_by_answers():
     balancer, now = make(entries=[endpoint(9, started=START)], fleet_size=30)
-    server = balancer.fleet.servers[9]
+    server = balancer.endpoints.servers[9]
     balancer.ctx.now = now
-    balancer.pace.allows(server, 0, True)
+    balancer.slow_start.allows(server, 0, True)
     taken = server.cold_tokens
-    balancer.pace.earn(server, 0)
+    balancer.slow_start.earn(server, 0)
     assert server.cold_tokens > taken + 1.0
 
 
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -20,7 +20,7 @@
     space = {}
     exec(code, space)
     assert space["send"].server in (1, 2, 3)
-    assert not space["balancer"].open
+    assert not space["balancer"].pending
 
 
 def test_the_policy_stays_within_its_limits_and_names_the_interface_first():
@@ -93,7 +93,7 @@
         if ident % 50 == 0:
             entries = [endpoint(ident + n) for n in range(6)]
             balancer.handle(when, Membership(ListKind.FULL, ident, entries))
-            sizes.append((len(balancer.fleet.servers), len(balancer.ctx.timers), len(balancer.open)))
+            sizes.append((len(balancer.endpoints.servers), len(balancer.ctx.timers), len(balancer.pending)))
 
     _drive(balancer, now, 4000, roll)
     assert max(size[0] for size in sizes) <= 60
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -212,7 +212,7 @@
 
 def broken_send_gate(monkeypatch):
     def only_list_and_pace(self, req, server):
-        return server.listed and server.ready and self.pace.allows(server, req.cls, False)
+        return server.listed and server.ready and self.slow_start.allows(server, req.cls, False)
 
     monkeypatch.setattr(SafetyRules, "may_send", only_list_and_pace)
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -107,7 +107,9 @@
                 now += 5 * MS
                 actions = balancer.handle(now, Timer(balancer.timer_token))
     assert served >= 27
-    assert len(balancer.fleet.ejected) > 5  # one failed connect is enough for who asks a server this rarely
+    assert (
+        len(balancer.endpoints.ejected) > 5
+    )  # one failed connect is enough for who asks a server this rarely
 
 
 @pytest.mark.parametrize(
@@ -116,15 +118,15 @@
 def test_a_repeat_costs_what_the_attempt_before_it_may_have_cost_a_server(status, spent):
     balancer, now = make(servers=6, effect=Effect.IDEMPOTENT)
     sent = send_one(balancer, now, 1)
-    balancer.repeats.tokens = 1.0
+    balancer.retry_policy.tokens = 1.0
     balancer.handle(now + MS, Outcome(1, 0, sent.server, status, MS, False))
-    assert balancer.open[1].planned and balancer.repeats.tokens == 1.0 - spent
+    assert balancer.pending[1].planned and balancer.retry_policy.tokens == 1.0 - spent
 
 
 def test_one_request_in_ten_at_most_tries_an_avoided_server_however_many_are_due():
     balancer, now = make(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
-    for server in list(balancer.fleet.servers.values())[:30]:
-        balancer.health.eject(server)
+    for server in list(balancer.endpoints.servers.values())[:30]:
+        balancer.outlier_detector.eject(server)
         server.trial_at = now
-    tried = [balancer.fleet.servers[send_one(balancer, now, ident).server].ejected for ident in range(30)]
+    tried = [balancer.endpoints.servers[send_one(balancer, now, ident).server].ejected for ident in range(30)]
     assert sum(tried) == 3
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -387,7 +387,9 @@
         entries = [entry("s1", nobody), entry("s2", server.address)]
         async with Sidecar(tmp_path / "c", config(news(1, *entries))) as sidecar:
             for n in range(4):
-                sidecar.engine.balancer.repeats.tokens = 5.0  # how often it may repeat is not the matter here
+                sidecar.engine.balancer.retry_policy.tokens = (
+                    5.0  # how often it may repeat is not the matter here
+                )
                 got = await ask(sidecar.port, message("order", f"id{n}", "3000m", bytes(200_000)))
                 assert got.code == 200
             assert [len(body) for body in server.bodies] == [200_000] * 4
