--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -613,7 +613,7 @@
         self.post(news.membership(kind))
         self.endpoints.apply(news)
         # After changes too: on a day of replacements no whole list may ever come.
-        self.endpoints.names.keep(set(self.balancer.fleet.servers) | set(self.endpoints.listed))
+        self.endpoints.names.keep(set(self.balancer.endpoints.servers) | set(self.endpoints.listed))
 
     def on_gossip(self, sender: int, data: bytes) -> None:
         self.post(api.GossipReceived(sender, data))
@@ -644,7 +644,7 @@
         gauges = Gauges(
             outstanding=len(self.held),
             discovered=len(self.endpoints.listed),
-            ejected=len(self.balancer.fleet.ejected),
+            ejected=len(self.balancer.endpoints.ejected),
         )
         return render(self.stats, gauges)
 
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -2,11 +2,11 @@
 
 import math
 
-from .endpoint_set import Fleet
+from .endpoint_set import EndpointSet
 from .interface import Request
-from .latency import Latencies
-from .state_records import SECOND, Context, Open, Server
-from .tenant_quota import Shares
+from .latency import LatencyEstimates
+from .state_records import SECOND, Context, PendingRequest, Server
+from .tenant_quota import TenantQuotas
 
 PRESSURE_AIM = 0.45  # of the aim: with a mean of half the aim about one answer in eight is late
 PRESSURE_USUAL = 1.4  # times the usual latency, where the aim is hardly more than that
@@ -43,9 +43,11 @@
     return min(max((time / usual - AGE_LOST) / (AGE_SURE - AGE_LOST), 0.0), 1.0)
 
 
-class Limit:
-    def __init__(self, ctx: Context, latency: Latencies, shares: Shares, fleet: Fleet) -> None:
-        self.ctx, self.latency, self.shares, self.fleet = ctx, latency, shares, fleet
+class ConcurrencyLimiter:
+    def __init__(
+        self, ctx: Context, latency: LatencyEstimates, tenant_quotas: TenantQuotas, endpoints: EndpointSet
+    ) -> None:
+        self.ctx, self.latency, self.tenant_quotas, self.endpoints = ctx, latency, tenant_quotas, endpoints
         self.try_span = [0.0] * len(latency.base)  # how long clients wait for one try
         self.pressure = PRESSURE_PRIOR
         self.press_sum = self.press_count = 0.0
@@ -66,7 +68,7 @@
         self.limit *= part
         self.wanted_inflight *= part
 
-    def value(self, event: Request, req: Open) -> float:
+    def value(self, event: Request, req: PendingRequest) -> float:
         """The part of its worth that a request can still be expected to earn.
 
         Aim and deadline of a class run from the client's first try, and a later try is cut short at that
@@ -90,7 +92,7 @@
             in_time = 1.0
         return (in_time + (1.0 - in_time) * spec.late_priority_weight) * _part(left, usual)
 
-    def admit(self, req: Open, value: float) -> bool:
+    def admit(self, req: PendingRequest, value: float) -> bool:
         """Refuse early what would make the requests in flight outgrow what is answered in time.
 
         Guards against queues in which all is answered too late, and servers that turn slow when crowded.
@@ -98,15 +100,18 @@
         if self.ctx.now - self.limit_at >= self.limit_every:
             self.correct()
         share = self.share_of[req.cls]
-        if self.shares.over_share and self.ctx.random.random() < self.shares.over_share[req.tenant]:
+        if (
+            self.tenant_quotas.over_share
+            and self.ctx.random.random() < self.tenant_quotas.over_share[req.tenant]
+        ):
             share = LIMIT_CHEAP + (share - LIMIT_CHEAP) * self.ctx.settings.over_quota_weight
         limit = self.limit * share * value
-        if self.fleet.sees_little and limit < 1.0 and not self.fleet.inflight:
+        if self.endpoints.sees_little and limit < 1.0 and not self.endpoints.inflight:
             # A thousand sidecars with a request each now and then are not held back by a limit of one.
-            natural = self.fleet.demand * self.unit(req.cls) / SECOND
+            natural = self.endpoints.demand * self.unit(req.cls) / SECOND
             if self.ctx.random.random() < max(limit / natural, 2.0 - self.pressure, LIMIT_RARE):
                 return True
-        elif self.fleet.inflight + 1 <= max(limit, 1.0):
+        elif self.endpoints.inflight + 1 <= max(limit, 1.0):
             return True
         self.bound_at = self.ctx.now
         return False
@@ -118,32 +123,34 @@
         weight = min(passed / self.ctx.shortest, 1.0)
         self.wanted_inflight += weight * (self.done_units / passed - self.wanted_inflight)
         self.done_units = 0.0
-        self.inflight_lately = max(self.fleet.inflight, self.inflight_lately * LATELY_FADE)
+        self.inflight_lately = max(self.endpoints.inflight, self.inflight_lately * LATELY_FADE)
         self.fade()
         if self.ctx.now - self.born < self.ctx.shortest:
-            most = LIMIT_SLACK * (self.inflight_lately + self.fleet.ready_count)  # no answers to go by yet
+            most = LIMIT_SLACK * (
+                self.inflight_lately + self.endpoints.ready_count
+            )  # no answers to go by yet
         else:
             # A limit that follows what is in flight lets a surge in before the first late answer.
-            spread = LIMIT_IDLE * self.fleet.ready_count / self.ctx.settings.fleet_size
+            spread = LIMIT_IDLE * self.endpoints.ready_count / self.ctx.settings.fleet_size
             most = LIMIT_SURGE * self.wanted_inflight + LIMIT_SMALL + spread
         limit = min(self.limit, most)
         late = self.pressure > 1.0
         if late:  # what is above that binds nothing, and lowering it would not help
             limit = min(limit, max(self.inflight_lately, self.wanted_inflight))
-        bound = self.ctx.now - self.bound_at < 2 * self.limit_every or self.fleet.inflight > limit / 2
-        if late or bound or self.fleet.sees_little:
+        bound = self.ctx.now - self.bound_at < 2 * self.limit_every or self.endpoints.inflight > limit / 2
+        if late or bound or self.endpoints.sees_little:
             # The gradient of latency, and room to queue for all sidecars together: where both are level it
             # stays. In good times little in flight tells nothing of it, unless that is usual.
             # Guards against a room made for many: who gets the traffic of many opened by 0.4 a second.
-            regains = self.fleet.sees_little and not late
+            regains = self.endpoints.sees_little and not late
             room = limit if regains else math.sqrt(limit / self.ctx.settings.fleet_size)
             opens = min(max(LIMIT_CLEAR / self.pressure, 1.0), LIMIT_OPEN)
             found = limit * min(max(1.0 / self.pressure, LIMIT_CUT), opens) + room
             step = 1.0 - (1.0 - LIMIT_STEP) ** (passed / self.limit_every)  # who rarely sends, rarely looks
             limit = min(limit + step * (found - limit), most)
         # Every sidecar keeps its part of a floor, so that all together leave a tired fleet nearly idle.
-        least = LIMIT_LEAST * self.fleet.ready_count / self.ctx.settings.fleet_size
-        self.limit = max(limit, least, 0.0 if self.fleet.sees_little else 1.0)
+        least = LIMIT_LEAST * self.endpoints.ready_count / self.ctx.settings.fleet_size
+        self.limit = max(limit, least, 0.0 if self.endpoints.sees_little else 1.0)
         densities = [self.density(cls) for cls in range(len(self.latency.usual))]
         top = max(densities) or 1.0  # classes may all be worth nothing
         # What is shed first is soon the worst-served class, which the goal may weigh by itself.
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -3,10 +3,10 @@
 import math
 from collections import defaultdict
 
-from .endpoint_set import Fleet
-from .latency import Latencies
-from .safety_rules import Rules
-from .state_records import SECOND, Context, Group, Open, Server
+from .endpoint_set import EndpointSet
+from .latency import LatencyEstimates
+from .safety_rules import SafetyRules
+from .state_records import SECOND, Context, EndpointGroup, PendingRequest, Server
 
 SMOOTHING = 0.08  # weight of a new sample of one server: work varies far more than servers do
 FORGET_GAPS = 20.0  # estimates halve their distance to the mean in so many usual gaps between answers
@@ -22,10 +22,12 @@
 CROSS_WEIGHT = 4.0  # aims of delay for each point of price for a crossing
 
 
-class Picker:
-    def __init__(self, ctx: Context, latency: Latencies, fleet: Fleet, rules: Rules) -> None:
-        self.ctx, self.latency, self.fleet, self.rules = ctx, latency, fleet, rules
-        self.groups: defaultdict[tuple[int, bool], Group] = defaultdict(Group)
+class EndpointPicker:
+    def __init__(
+        self, ctx: Context, latency: LatencyEstimates, endpoints: EndpointSet, safety_rules: SafetyRules
+    ) -> None:
+        self.ctx, self.latency, self.endpoints, self.safety_rules = ctx, latency, endpoints, safety_rules
+        self.groups: defaultdict[tuple[int, bool], EndpointGroup] = defaultdict(EndpointGroup)
         self.mean_rel = 1.0
         columns = ctx.settings.report_columns
         held = [columns.index(name) for name in ("inflight", "queue") if name in columns]
@@ -39,7 +41,7 @@
         what is in flight there is of others. Guards against all of them crowding the faster kind.
         """
         news = server.heard
-        if self.fleet.sees_little and self.ctx.now - server.load_at < LOAD_FADE * self.ctx.shortest:
+        if self.endpoints.sees_little and self.ctx.now - server.load_at < LOAD_FADE * self.ctx.shortest:
             group = self.group(server)
             known = 0.5 ** ((self.ctx.now - server.load_at) / (LOAD_FADE * self.ctx.shortest))
             load = max(group.load + (server.load - group.load) * known, len(server.out))
@@ -48,15 +50,15 @@
             news = server.load_at
         else:
             delay = (len(server.out) + 1) * self.slowness(server) * self.latency.base[cls]
-        if self.fleet.sees_little:
+        if self.endpoints.sees_little:
             stale = 1.0 - 0.5 ** ((self.ctx.now - news) / (STALE_AFTER * self.ctx.shortest))
             delay *= self.ctx.random.expovariate(1.0) ** (stale / STALE_SHARPNESS)
         return delay
 
     def slowness(self, server: Server) -> float:
         """Smoothed latency in class means, aged towards the mean, raised by an unanswered attempt."""
-        forget = FORGET_GAPS * max(self.fleet.ready_count, 1) / max(self.latency.rate, 1.0) * SECOND
-        mean = self.group(server).rel if self.fleet.sees_little else 1.0
+        forget = FORGET_GAPS * max(self.endpoints.ready_count, 1) / max(self.latency.rate, 1.0) * SECOND
+        mean = self.group(server).rel if self.endpoints.sees_little else 1.0
         rel = server.rel if server.samples else mean
         rel = mean + (rel - mean) * 0.5 ** ((self.ctx.now - server.heard) / forget)
         if server.out:
@@ -85,7 +87,7 @@
             group.unit += weight * (unit - group.unit)
             server.unit = (server.unit or group.unit) + SMOOTHING * (unit - (server.unit or group.unit))
 
-    def pick(self, req: Open) -> Server | None:
+    def pick(self, req: PendingRequest) -> Server | None:
         """Two sampled of the own zone against two sampled of the others, which pay for the crossing."""
         tried = {attempt.server for attempt in req.attempts}
         for avoided in (tried, ()) if tried else ((),):
@@ -96,21 +98,21 @@
                     best, lowest = server, delay
             if best is not None:
                 return best
-        for server in self.fleet.ejected:  # nothing better: an ejected one may have recovered
-            if not server.trial_out and self.rules.may_send(req, server):
+        for server in self.endpoints.ejected:  # nothing better: an ejected one may have recovered
+            if not server.trial_out and self.safety_rules.may_send(req, server):
                 return server
         return None
 
-    def sampled(self, req: Open, tried) -> list[tuple[Server, float]]:
+    def sampled(self, req: PendingRequest, tried) -> list[tuple[Server, float]]:
         """Candidates, with what is added to their delay for crossing zones."""
-        if not self.fleet.sees_little:
+        if not self.endpoints.sees_little:
             cross = self.cross * req.spec.objective_ns
-            pairs = [(server, 0.0) for server in self.two(self.fleet.near, req, tried)]
-            return pairs + [(server, cross) for server in self.two(self.fleet.far, req, tried)]
+            pairs = [(server, 0.0) for server in self.two(self.endpoints.near, req, tried)]
+            return pairs + [(server, cross) for server in self.two(self.endpoints.far, req, tried)]
         # Too few own answers to know a zone or kind as overrun by its servers: two of the set, by weights
         # that follow what each group's answers took. The price of a crossing is in the weights.
-        for servers in (self.fleet.near + self.fleet.far, self.fleet.rest):
-            fit = [one for one in servers if one not in tried and self.rules.may_send(req, one)]
+        for servers in (self.endpoints.near + self.endpoints.far, self.endpoints.rest):
+            fit = [one for one in servers if one not in tried and self.safety_rules.may_send(req, one)]
             if fit:
                 break
         if len(fit) > 2:
@@ -121,10 +123,10 @@
         return [(server, 0.0) for server in fit]
 
     def weight(self, server: Server) -> float:
-        stands_for = self.fleet.stands_for[server.zone != self.ctx.settings.zone]
+        stands_for = self.endpoints.stands_for[server.zone != self.ctx.settings.zone]
         return math.exp(self.group(server).lean) * stands_for
 
-    def group(self, server: Server) -> Group:
+    def group(self, server: Server) -> EndpointGroup:
         return self.groups[(server.kind, server.zone != self.ctx.settings.zone)]
 
     def lean(self, server: Server, rel: float) -> None:
@@ -143,7 +145,7 @@
         lean = group.lean * (1.0 - LEAN_FADE) - LEAN * min(max(excess, -1.0), LEAN_CLIP)
         group.lean = min(max(lean, -LEAN_MOST), LEAN_MOST)
 
-    def two(self, group: list[Server], req: Open, tried) -> list[Server]:
+    def two(self, group: list[Server], req: PendingRequest, tried) -> list[Server]:
         """Up to two different servers of the group that may take this request now."""
         found: list[Server] = []
         size = len(group)
@@ -155,7 +157,7 @@
             # The first two are a uniform pair; the walk over all beyond them only replaces unfit ones.
             ahead = turn * step if turn < 2 else turn - 1
             server = group[(at + ahead) % size]
-            if server not in found and server not in tried and self.rules.may_send(req, server):
+            if server not in found and server not in tried and self.safety_rules.may_send(req, server):
                 found.append(server)
                 if len(found) == 2:
                     break
