--- a/benchmarks/stand_ins.py
+++ b/benchmarks/stand_ins.py
@@ -3,7 +3,7 @@
     python benchmarks/stand_ins.py
 
 Prints one JSON object: requests a second that one node stand-in answers when its work takes no time, with its
-ledger written; and the highest rate tried at which the open-loop clients still sent in time.
+event log written; and the highest rate tried at which the open-loop clients still sent in time.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from overhead import CORES, HOST, load, node, pin
 
 from ochreflow.lab.arrivals import Kind
-from ochreflow.lab.ledger import Ledger
+from ochreflow.lab.event_log import EventLog
 from ochreflow.lab.load import Load
 from ochreflow.lab.model import Traits
 from ochreflow.lab.node import Node
@@ -36,7 +36,7 @@
     async def serve() -> None:
         loop = asyncio.get_running_loop()
         traits = Traits("node", cores=64, work={"assign": 0.0})
-        made = Node(traits, Ledger(Path(folder) / "node.jsonl"), 1, loop)
+        made = Node(traits, EventLog(Path(folder) / "node.jsonl"), 1, loop)
         server = await loop.create_server(made.service.connection, HOST, 0)
         pipe.send(server.sockets[0].getsockname()[1])
         await asyncio.Event().wait()
@@ -46,10 +46,10 @@
 
 def offered(port: int, rate: int, folder: str) -> dict[str, float]:
     """One open-loop run against a node that answers at once."""
-    ledger = Ledger(Path(folder) / f"clients-{rate}.jsonl")
-    made = Load((HOST, port), [Kind("assign", 1.0, "unsafe", 2.0)], rate, 800, 1, ledger)
+    event_log = EventLog(Path(folder) / f"clients-{rate}.jsonl")
+    made = Load((HOST, port), [Kind("assign", 1.0, "unsafe", 2.0)], rate, 800, 1, event_log)
     uvloop.run(made.run(SECONDS))
-    ledger.close()
+    event_log.close()
     return {"rate": rate, "served": made.counts["served"], "latest_send_ms": round(made.lag * 1000, 1)}
 
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -37,7 +37,7 @@
 from overhead import HOST, ROOT, config
 
 from ochreflow.lab.directory import Directory
-from ochreflow.lab.ledger import Ledger
+from ochreflow.lab.event_log import EventLog
 
 WANTED = (10.0, 6.0)  # seconds within which nine in ten starts are to be ready, the second on a short day
 LONGEST = 60.0  # seconds that a start may take here
@@ -80,7 +80,7 @@
         entry = {"address": address, "zone": "amman", "type": "gen3", "status": "SERVING", "weight": 1.0}
         names = ({"name": f"node-{number}", "group": 1 + number // 4} for number in range(servers))
         self.listed = [{**entry, "since_ms": 0, **name} for name in names]
-        self.ledger = Ledger(folder / "directory.jsonl")
+        self.event_log = EventLog(folder / "directory.jsonl")
         self.address = ""
         up = threading.Event()
         threading.Thread(target=lambda: uvloop.run(self._serve(up)), daemon=True).start()
@@ -88,7 +88,7 @@
 
     async def _serve(self, up: threading.Event) -> None:
         loop = asyncio.get_running_loop()
-        self.directory = Directory(self.ledger, loop)
+        self.directory = Directory(self.event_log, loop)
         for entry in self.listed:
             self.directory.put(entry)
         server = await loop.create_server(self.directory.service.connection, HOST, 0)
--- a/ochreflow/lab/demo.py
+++ b/ochreflow/lab/demo.py
@@ -17,7 +17,7 @@
 def play(
     scenario: Scenario, seed: int, program: Path | None = None, keep: str | None = None, show: bool = False
 ) -> Played:
-    """Play it with a build of the program; its logs and ledgers stay in `keep`, or nowhere."""
+    """Play it with a build of the program; its logs and event logs stay in `keep`, or nowhere."""
     folder = Path(keep or tempfile.mkdtemp(prefix="ochreflow-lab-"))
     folder.mkdir(parents=True, exist_ok=True)
     try:
--- a/ochreflow/lab/directory.py
+++ b/ochreflow/lab/directory.py
@@ -10,7 +10,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from .ledger import Ledger
+from .event_log import EventLog
 from .serving import Asked, Service
 
 TARGETS = "/api/targets"
@@ -43,12 +43,12 @@
 
     def __init__(
         self,
-        ledger: Ledger,
+        event_log: EventLog,
         loop: asyncio.AbstractEventLoop,
         manners: Manners | None = None,
         seed: int = 0,
     ) -> None:
-        self.ledger = ledger
+        self.event_log = event_log
         self.loop = loop
         self.manners = manners or Manners()
         self.random = random.Random(seed)
@@ -67,7 +67,7 @@
         """Add or change an entry, and tell whoever watches."""
         self.index += 1
         self.entries[entry["name"]] = (self.index, entry)
-        self.ledger.note("changed", name=entry["name"], status=entry["status"], index=self.index)
+        self.event_log.record("changed", name=entry["name"], status=entry["status"], index=self.index)
         if self.manners.late:
             self.loop.call_later(self.manners.late, self._tell_all)
         else:
@@ -119,7 +119,7 @@
             self.manners = Manners(**order["manners"])
         elif "down" in order:
             self.down = bool(order["down"])
-            self.ledger.note("down" if self.down else "up")
+            self.event_log.record("down" if self.down else "up")
             for watch in list(self.watches):
                 del self.watches[watch]
                 watch.timer.cancel()
@@ -160,4 +160,4 @@
         body = {"index": self.index, "snapshot": snapshot, "endpoints": entries}
         if asked.answer(200, json.dumps(body).encode(), "Content-Type: application/json"):
             told = {entry["name"]: entry["status"] for entry in entries}
-            self.ledger.note("told", entries=told, whole=snapshot)
+            self.event_log.record("told", entries=told, whole=snapshot)
--- a/ochreflow/lab/duplicates/fleet.py
+++ b/ochreflow/lab/duplicates/fleet.py
@@ -15,7 +15,7 @@
 from time import time
 
 from ..directory import Directory
-from ..ledger import Ledger
+from ..event_log import EventLog
 from ..stage import HOST, KIND, MEANS, MS, START_WITHIN, ZONES
 from .plan import Plan, SidecarChange
 from .record import Record
@@ -50,7 +50,7 @@
         self.program = program
         self.record = record
         self.servers = servers
-        self.ledger = Ledger(self.folder / "directory.jsonl")
+        self.ledger = EventLog(self.folder / "directory.jsonl")
         self.directory = Directory(self.ledger, asyncio.get_running_loop())
         self.directory_address = ""
         self.processes: dict[int, asyncio.subprocess.Process] = {}
--- a/ochreflow/lab/ledger.py
+++ b/ochreflow/lab/event_log.py
@@ -11,14 +11,14 @@
 Event = dict[str, Any]
 
 
-class Ledger:
+class EventLog:
     """Written line by line, so that a kill cuts off no more than the last one."""
 
     def __init__(self, path: Path | None) -> None:
         self.path = path
         self.file = path.open("a", buffering=1, encoding="utf-8") if path is not None else None
 
-    def note(self, what: str, **fields: object) -> None:
+    def record(self, what: str, **fields: object) -> None:
         if self.file is not None:
             event = {"what": what, "at": time_ns(), **fields}
             self.file.write(json.dumps(event, separators=(",", ":")) + "\n")
@@ -28,19 +28,19 @@
             self.file.close()
 
 
-class Memory:
-    """A ledger that is kept in memory, on the clock it is given (nanoseconds)."""
+class MemoryEventLog:
+    """An event log that is kept in memory, on the clock it is given (nanoseconds)."""
 
     def __init__(self, now: Callable[[], int]) -> None:
         self.now = now
         self.events: list[Event] = []
 
-    def note(self, what: str, **fields: object) -> None:
+    def record(self, what: str, **fields: object) -> None:
         self.events.append({"what": what, "at": self.now(), **fields})
 
 
-def read(path: Path) -> Iterator[Event]:
-    """The events of a ledger. A last line that a kill cut off is left out; any other is a ValueError."""
+def read_events(path: Path) -> Iterator[Event]:
+    """The events of an event log. A last line that a kill cut off is left out; any other is a ValueError."""
     lines = path.read_bytes().split(b"\n")
     for number, line in enumerate(lines, 1):
         if not line:
--- a/ochreflow/lab/judge.py
+++ b/ochreflow/lab/judge.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
+from .event_log import Event
 from .latency import Latency
-from .ledger import Event
 
 SECOND = 1_000_000_000
 SLACK = 0.05  # seconds that each limit grows by on real sockets
@@ -56,7 +56,7 @@
     stage: Iterable[Event] = (),
     means: Mapping[str, float] | None = None,
 ) -> Report:
-    """Judge a run by its ledgers.
+    """Judge a run by its event logs.
 
     `unsafe` names the classes whose work must not run twice, keyed ones too: a node that drops a repeat
     says so itself. `stage` tells of sidecars that were killed on purpose (what was open then is excused) and
--- a/ochreflow/lab/load.py
+++ b/ochreflow/lab/load.py
@@ -14,7 +14,7 @@
 import httptools
 
 from .arrivals import Arrivals, Due, Habits, Kind
-from .ledger import Ledger
+from .event_log import EventLog
 
 OUTCOMES = {200: "served", 429: "refused", 503: "refused"}
 ANSWER_SLACK = 0.25  # seconds after its time for which an answer is still waited for, to tell late from lost
@@ -101,14 +101,14 @@
         rate: float,
         keys: int,
         seed: int,
-        ledger: Ledger,
+        event_log: EventLog,
         times: Callable[[float], float] = lambda passed: 1.0,
         habits: Habits | None = None,
     ) -> None:
         self.address = address
         self.habits = habits or Habits()
         self.arrivals = Arrivals(kinds, rate, keys, seed, times, self.habits)
-        self.ledger = ledger
+        self.event_log = event_log
         self.idle: list[Client] = []
         self.counts = {"served": 0, "refused": 0, "failed": 0, "lost": 0, "left": 0}
         self.asked = 0
@@ -152,7 +152,7 @@
         self.asked += 1
         sent = time_ns()
         slack = SLOW_PIECES * SLOW_GAP if due.slow else 0.0  # that its own slowness takes
-        self.ledger.note("asked", id=ident, cls=kind.name, deadline=wait, slack=slack, first=due.ident)
+        self.event_log.record("asked", id=ident, cls=kind.name, deadline=wait, slack=slack, first=due.ident)
         again, most = 0.0, wait + slack + ANSWER_SLACK
         try:
             async with asyncio.timeout(min(due.leaves, most) if due.leaves else most):
@@ -164,7 +164,7 @@
         self.counts[outcome] += 1
         took = loop.time() - begin
         more = {"code": code, "body": body.decode("latin-1"), "took": took, "sent": sent}
-        self.ledger.note("answered", id=ident, cls=kind.name, outcome=outcome, **more)
+        self.event_log.record("answered", id=ident, cls=kind.name, outcome=outcome, **more)
         return again if outcome == "refused" else None
 
     async def _ask(self, due: Due, ident: str, number: int, wait: float) -> tuple[int, bytes, float]:
@@ -213,7 +213,7 @@
 
     def _stray(self, ident: str, code: int) -> None:
         """A further answer to a request that has had its own."""
-        self.ledger.note("answered", id=ident, outcome="extra", code=code, body="")
+        self.event_log.record("answered", id=ident, outcome="extra", code=code, body="")
 
     def _take_idle(self) -> Client | None:
         while self.idle:
--- a/ochreflow/lab/model.py
+++ b/ochreflow/lab/model.py
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Note:
-    """Something for the ledger."""
+    """Something for the event log."""
 
     what: str
     fields: dict[str, Any]
--- a/ochreflow/lab/node.py
+++ b/ochreflow/lab/node.py
@@ -1,4 +1,4 @@
-"""A stand-in for a flag node behind a socket: the model (`model.py`) with a clock, timers and a ledger.
+"""A stand-in for a flag node behind a socket: the model (`model.py`) with a clock, timers and an event log.
 
 It writes down every request that reaches it: what it took, ran, dropped as a repeat, or turned away.
 """
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from time import monotonic
 
-from .ledger import Ledger
+from .event_log import EventLog
 from .model import Act, Cut, Fall, Model, Note, Pod, Reply, Traits, Work
 from .serving import Asked, Connection, Service
 
@@ -23,12 +23,12 @@
     def __init__(
         self,
         traits: Traits,
-        ledger: Ledger,
+        event_log: EventLog,
         seed: int,
         loop: asyncio.AbstractEventLoop,
         pod: Pod | None = None,
     ) -> None:
-        self.ledger = ledger
+        self.event_log = event_log
         self.loop = loop
         self.model = Model(traits, seed, monotonic(), pod)
         self.asked: dict[int, Asked] = {}
@@ -74,7 +74,7 @@
     def _do(self, acts: list[Act]) -> None:
         for act in acts:
             if isinstance(act, Note):
-                self.ledger.note(act.what, **act.fields)
+                self.event_log.record(act.what, **act.fields)
             elif isinstance(act, Fall):
                 self.service.cut_all()
             elif (asked := self.asked.pop(act.number, None)) is not None:
@@ -114,5 +114,5 @@
             asked.answer(400, str(error).encode())
             return
         self._do(acts)
-        self.ledger.note("ordered", **order)
+        self.event_log.record("ordered", **order)
         asked.answer(200)
--- a/ochreflow/lab/series.py
+++ b/ochreflow/lab/series.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .ledger import Event
+from .event_log import Event
 
 SECOND = 1_000_000_000
 STEP = 0.5  # seconds of one bucket
@@ -32,7 +32,7 @@
     stage: Iterable[Event],
     seconds: float,
 ) -> Series:
-    """Put a run's ledgers into steps of half a second."""
+    """Put a run's event logs into steps of half a second."""
     told = list(stage)
     begin = next((event["at"] for event in told if event["what"] == "begin"), 0)
     count = max(int(seconds / STEP), 1)
--- a/ochreflow/lab/stage.py
+++ b/ochreflow/lab/stage.py
@@ -22,8 +22,8 @@
 
 import msgspec
 
+from .event_log import EventLog, read_events
 from .judge import Report, judge
-from .ledger import Ledger, read
 from .load import Load
 from .scenario import Scenario, Step, arriving, node_traits, times
 from .series import Series, series
@@ -179,7 +179,7 @@
         self.loads: list[Load] = []
         self.said = "all is well"
         self.options: tuple[str, ...] = ()  # more of the sidecars' command line
-        self.ledger = Ledger(folder / "stage.jsonl")
+        self.event_log = EventLog(folder / "stage.jsonl")
         self.expected: set[str] = set()  # processes that were killed on purpose
         self.crashed: list[str] = []
 
@@ -278,7 +278,7 @@
                 await asyncio.sleep(0.02)
         self.expected.discard(name)
         self.addresses[name] = log.read_text().split(" listens at ")[1].split()[0]
-        self.ledger.note("started", name=name)
+        self.event_log.record("started", name=name)
         return self.addresses[name]
 
     def configure(self, number: int, listen: str) -> None:
@@ -313,7 +313,7 @@
         if process.returncode is not None:
             return
         self.expected.add(name)
-        self.ledger.note("killed" if kill else "ended", name=name)
+        self.event_log.record("killed" if kill else "ended", name=name)
         process.send_signal(signal.SIGKILL if kill else signal.SIGTERM)
         process.send_signal(signal.SIGCONT)  # one that is frozen would not end
         try:
@@ -341,7 +341,7 @@
 
     async def take(self, step: Step) -> None:
         self.said = f"{step.do.replace('_', ' ')} {', '.join(map(str, step.nodes))}".strip()
-        self.ledger.note("step", do=step.do, nodes=step.nodes)
+        self.event_log.record("step", do=step.do, nodes=step.nodes)
         if step.do.startswith("directory_"):
             await self.take_directory(step)
         elif step.do.endswith("_sidecar"):
@@ -403,15 +403,17 @@
             factor = partial(times, scenario)
             for number in range(1, scenario.sidecars + 1):
                 host, _, port = (await self.sidecar(number)).rpartition(":")
-                ledger = Ledger(self.folder / f"clients-{number}.jsonl")
+                event_log = EventLog(self.folder / f"clients-{number}.jsonl")
                 part = scenario.load.rate / scenario.sidecars
                 seed = self.seed * 100 + number
-                load = Load((host, int(port)), kinds, part, scenario.load.keys, seed, ledger, factor, habits)
+                load = Load(
+                    (host, int(port)), kinds, part, scenario.load.keys, seed, event_log, factor, habits
+                )
                 self.loads.append(load)
             steps = asyncio.create_task(self._steps())
             watch = asyncio.create_task(self._tick(tick))
             looks = asyncio.create_task(self._look())
-            self.ledger.note("begin")
+            self.event_log.record("begin")
             await asyncio.gather(*(load.run(scenario.seconds) for load in self.loads))
             watch.cancel()
             looks.cancel()
@@ -433,7 +435,7 @@
             for number in range(1, self.scenario.sidecars + 1):
                 name = f"sidecar-{number}"
                 if used := usage(self.processes[name].pid):
-                    self.ledger.note("used", name=name, **used)
+                    self.event_log.record("used", name=name, **used)
                 self._look_at_log(name)
             await asyncio.sleep(LOOK_EVERY)
 
@@ -448,7 +450,7 @@
         for server, number in KNOWN.findall(text):
             self.numbers[name, number] = server
         for number in EJECTED.findall(text):
-            self.ledger.note("ejected", name=self.numbers.get((name, number), number), by=name)
+            self.event_log.record("ejected", name=self.numbers.get((name, number), number), by=name)
 
     async def _tick(self, tick: Callable[[float, Stage], None]) -> None:
         for second in range(int(self.scenario.seconds) + 1):
@@ -464,22 +466,27 @@
             with contextlib.suppress(ProcessLookupError):
                 await self.end(name, kill=False)
         for load in self.loads:
-            load.ledger.close()
+            load.event_log.close()
         for listening in self.sockets.values():
             listening.close()
         if self.shared:
             shutil.rmtree(self.shared, ignore_errors=True)
-        self.ledger.close()
+        self.event_log.close()
 
     def _judged(self) -> Played:
         names = {path.stem: path for path in self.folder.glob("*.jsonl")}
-        nodes = {name: list(read(path)) for name, path in names.items() if name.startswith("node")}
-        clients = [list(read(path)) for name, path in names.items() if name.startswith("clients")]
+        nodes = {name: list(read_events(path)) for name, path in names.items() if name.startswith("node")}
+        clients = [list(read_events(path)) for name, path in names.items() if name.startswith("clients")]
         told = sorted(
-            (event for name, path in names.items() if name.startswith("directory") for event in read(path)),
+            (
+                event
+                for name, path in names.items()
+                if name.startswith("directory")
+                for event in read_events(path)
+            ),
             key=lambda event: event["at"],
         )
-        stage = list(read(self.folder / "stage.jsonl"))
+        stage = list(read_events(self.folder / "stage.jsonl"))
         unsafe = [name for name, kind in self.scenario.kinds.items() if kind.repeat != "safe"]
         report = judge(clients, nodes, told, unsafe, stage, MEANS)
         lag = max(load.lag for load in self.loads)
--- a/ochreflow/lab/stand_in.py
+++ b/ochreflow/lab/stand_in.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from .directory import Directory, Manners
-from .ledger import Ledger
+from .event_log import EventLog
 from .model import Pod, Traits
 from .node import Node
 
@@ -29,9 +29,9 @@
 class Place:
     """One stand-in and its socket."""
 
-    def __init__(self, made: Node | Directory, ledger: Ledger, server: asyncio.Server) -> None:
+    def __init__(self, made: Node | Directory, event_log: EventLog, server: asyncio.Server) -> None:
         self.made = made
-        self.ledger = ledger
+        self.event_log = event_log
         self.server = server
 
     @property
@@ -41,20 +41,20 @@
     def end(self) -> None:
         self.server.close()
         self.made.close()
-        self.ledger.close()
+        self.event_log.close()
 
 
 async def open_place(kind: str, folder: Path, options: dict[str, Any], pod: Pod) -> Place:
     loop = asyncio.get_running_loop()
     name, seed, port = options["name"], options.pop("seed", 0), options.pop("port", 0)
-    ledger = Ledger(folder / f"{name}.jsonl")
+    event_log = EventLog(folder / f"{name}.jsonl")
     made: Node | Directory
     if kind == "nodes":
-        made = Node(Traits(**options), ledger, seed, loop, pod)
+        made = Node(Traits(**options), event_log, seed, loop, pod)
     else:
-        made = Directory(ledger, loop, Manners(**options.get("manners", {})), seed)
+        made = Directory(event_log, loop, Manners(**options.get("manners", {})), seed)
     server = await loop.create_server(made.service.connection, HOST, port, backlog=512, reuse_address=True)
-    return Place(made, ledger, server)
+    return Place(made, event_log, server)
 
 
 async def serve(kind: str, folder: Path, wanted: list[dict[str, Any]]) -> None:
--- a/ochreflow/simulation/nodes.py
+++ b/ochreflow/simulation/nodes.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..lab.ledger import Memory
+from ..lab.event_log import MemoryEventLog
 from ..lab.model import Cut, Fall, Model, Note, Pod, Reply, Traits, Work
 from .clock import Clock
 
@@ -17,9 +17,9 @@
 class Node:
     """One node; it may be killed and never comes back as the same."""
 
-    def __init__(self, traits: Traits, seed: int, clock: Clock, ledger: Memory, pod: Pod) -> None:
+    def __init__(self, traits: Traits, seed: int, clock: Clock, event_log: MemoryEventLog, pod: Pod) -> None:
         self.clock = clock
-        self.ledger = ledger
+        self.event_log = event_log
         self.model = Model(traits, seed, clock.seconds, pod)
         self.alive = True
         self.number = 0
@@ -75,7 +75,7 @@
     def _do(self, acts: list) -> None:
         for act in acts:
             if isinstance(act, Note):
-                self.ledger.note(act.what, **act.fields)
+                self.event_log.record(act.what, **act.fields)
             elif isinstance(act, Fall):
                 self._break_all()
             elif isinstance(act, Cut):
--- a/ochreflow/simulation/play.py
+++ b/ochreflow/simulation/play.py
@@ -1,4 +1,4 @@
-"""Plays one scenario of the lab in simulated time, writes the same ledgers, and asks the same judge."""
+"""Plays one scenario of the lab in simulated time, writes the same event logs, and asks the same judge."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from typing import Any
 
 from ..lab.arrivals import Arrivals, Due
+from ..lab.event_log import MemoryEventLog
 from ..lab.judge import judge
-from ..lab.ledger import Memory
 from ..lab.load import ANSWER_SLACK, LEAST_LEFT
 from ..lab.model import Pod, Traits
 from ..lab.scenario import Scenario, Step, arriving, node_traits, times
@@ -31,12 +31,14 @@
 class Registry:
     """The directory: the list as it is, and what each sidecar has been told of it."""
 
-    def __init__(self, scenario: Scenario, seed: int, policy: Policy, clock: Clock, ledger: Memory) -> None:
+    def __init__(
+        self, scenario: Scenario, seed: int, policy: Policy, clock: Clock, event_log: MemoryEventLog
+    ) -> None:
         self.random = random.Random(seed)
         self.manners = scenario.directory
         self.api = policy.interface
         self.clock = clock
-        self.ledger = ledger
+        self.event_log = event_log
         self.nodes: dict[str, Node] = {}
         self.numbers: dict[str, int] = {}  # by which the module knows them
         self.names: dict[int, str] = {}
@@ -104,7 +106,7 @@
 
     def _note(self, entries: list[dict[str, Any]], whole: bool) -> None:
         told = {one["name"]: one["status"] for one in entries}
-        self.ledger.note("told", entries=told, whole=whole)
+        self.event_log.record("told", entries=told, whole=whole)
 
     def _endpoint(self, one: dict[str, Any]) -> Any:
         states = {"SERVING": self.api.State.READY, "DRAINING": self.api.State.DRAINING}
@@ -127,18 +129,18 @@
         self.seed = seed
         self.policy = policy
         self.clock = Clock()
-        self.ledgers: dict[str, Memory] = {}
-        self.stage = self.ledger("stage")
-        self.list = Registry(scenario, seed, policy, self.clock, self.ledger("directory"))
+        self.event_logs: dict[str, MemoryEventLog] = {}
+        self.stage = self.event_log("stage")
+        self.list = Registry(scenario, seed, policy, self.clock, self.event_log("directory"))
         self.sidecars: dict[int, Sidecar] = {}
-        self.clients: list[Memory] = []
+        self.clients: list[MemoryEventLog] = []
         self.started = 0
         self.pods: dict[int, Pod] = {}  # of those that are there from the begin
         self.drawn: dict[str, tuple[float, float, str]] = {}  # what is wanted: work, when, class
 
-    def ledger(self, name: str) -> Memory:
-        """The ledger of that name; a node that comes again under its name goes on with its own."""
-        return self.ledgers.setdefault(name, Memory(self.clock.read))
+    def event_log(self, name: str) -> MemoryEventLog:
+        """The event log of that name; a node that comes again under its name goes on with its own."""
+        return self.event_logs.setdefault(name, MemoryEventLog(self.clock.read))
 
     # Who takes part
 
@@ -152,7 +154,7 @@
         # One that comes back under its name has forgotten what it would drop, as its process has.
         alone = cold and not self.scenario.fleet.cold
         pod = Pod() if alone else self.pods.setdefault(made["group"], Pod())
-        self.list.nodes[name] = Node(traits, seed, self.clock, self.ledger(name), pod)
+        self.list.nodes[name] = Node(traits, seed, self.clock, self.event_log(name), pod)
         return made
 
     def sidecar(self, number: int) -> None:
@@ -161,7 +163,7 @@
         seed = self.seed * 100 + number + 10_000 * self.started
         made = Sidecar(f"sidecar-{number}", self.policy, given, seed, self.clock, self.list, self.stage)
         self.sidecars[number] = made
-        self.stage.note("started", name=made.name)
+        self.stage.record("started", name=made.name)
         made.post(self.list.known())
 
     # Clients
@@ -182,18 +184,18 @@
         sidecar = self.sidecars[number]
         if count and left < LEAST_LEFT:
             return
-        ledger, kind = self.clients[number - 1], due.kind
+        event_log, kind = self.clients[number - 1], due.kind
         ident = due.ident if not count else f"{due.ident}-{count}"
-        ledger.note("asked", id=ident, cls=kind.name, deadline=left, first=due.ident)
+        event_log.record("asked", id=ident, cls=kind.name, deadline=left, first=due.ident)
         open_ = [True]
 
         def ended(outcome: str, body: str = "", again: float = 0.0) -> None:
             if not open_:
-                ledger.note("answered", id=ident, outcome="extra", code=0, body="")
+                event_log.record("answered", id=ident, outcome="extra", code=0, body="")
                 return
             open_.clear()
             took = (self.clock.now - begin) / SECOND
-            ledger.note("answered", id=ident, cls=kind.name, outcome=outcome, body=body, took=took)
+            event_log.record("answered", id=ident, cls=kind.name, outcome=outcome, body=body, took=took)
             if outcome == "refused" and count + 1 < self.scenario.load.tries:
                 self.clock.after(again, self._try, due, number, count + 1, begin)
 
@@ -214,7 +216,7 @@
     # Steps
 
     def take(self, step: Step) -> None:
-        self.stage.note("step", do=step.do, nodes=list(step.nodes))
+        self.stage.record("step", do=step.do, nodes=list(step.nodes))
         if step.do == "directory_down":
             self.list.down = True
             self.list.fail()
@@ -233,7 +235,7 @@
         """Killed, it is back after a while; ended, it answers what it holds beside the new one."""
         old = self.sidecars[number]
         if kill:
-            self.stage.note("killed", name=old.name)
+            self.stage.record("killed", name=old.name)
             old.kill()
             self.clock.after(START, self.sidecar, number)
         else:
@@ -266,10 +268,10 @@
         for number in range(1, scenario.fleet.nodes + 1):
             one = self.node(number, cold=scenario.fleet.cold)
             self.list.entries[one["name"]] = one
-        self.stage.note("begin")
+        self.stage.record("begin")
         kinds, habits = arriving(scenario)
         for number in range(1, scenario.sidecars + 1):
-            self.clients.append(self.ledger(f"clients-{number}"))
+            self.clients.append(self.event_log(f"clients-{number}"))
             self.sidecar(number)
             part = scenario.load.rate / scenario.sidecars
             seed = self.seed * 100 + number
@@ -284,12 +286,12 @@
         return self._judged()
 
     def _judged(self) -> Played:
-        nodes = {name: made.events for name, made in self.ledgers.items() if name.startswith("node-")}
+        nodes = {name: made.events for name, made in self.event_logs.items() if name.startswith("node-")}
         clients = [made.events for made in self.clients]
         unsafe = [name for name, kind in self.scenario.kinds.items() if kind.repeat != "safe"]
         stage = self.stage.events
-        report = judge(clients, nodes, self.ledgers["directory"].events, unsafe, stage, MEANS)
-        whole = {name: made.events for name, made in sorted(self.ledgers.items())}
+        report = judge(clients, nodes, self.event_logs["directory"].events, unsafe, stage, MEANS)
+        whole = {name: made.events for name, made in sorted(self.event_logs.items())}
         digest = blake2b(json.dumps(whole).encode(), digest_size=16).hexdigest()
         return Played(report, 0.0, [], series(clients, nodes, stage, self.scenario.seconds), digest)
 
--- a/ochreflow/simulation/sidecar.py
+++ b/ochreflow/simulation/sidecar.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from ..lab.arrivals import Due
-from ..lab.ledger import Memory
+from ..lab.event_log import MemoryEventLog
 from ..lab.model import Reply, Work
 from .build import Policy
 from .clock import SECOND, Clock
@@ -56,7 +56,14 @@
 
 class Sidecar:
     def __init__(
-        self, name: str, policy: Policy, given: dict, seed: int, clock: Clock, nodes: List, stage: Memory
+        self,
+        name: str,
+        policy: Policy,
+        given: dict,
+        seed: int,
+        clock: Clock,
+        nodes: List,
+        stage: MemoryEventLog,
     ) -> None:
         self.name = name
         self.api = policy.interface
@@ -203,4 +210,4 @@
         elif kind is api.Watch:
             self.nodes.watch(self)
         elif kind is api.Log and action.text.startswith("ejected "):
-            self.stage.note("ejected", name=self.nodes.name(int(action.text.split()[1])), by=self.name)
+            self.stage.record("ejected", name=self.nodes.name(int(action.text.split()[1])), by=self.name)
--- a/ochreflow/simulation/trace.py
+++ b/ochreflow/simulation/trace.py
@@ -66,8 +66,8 @@
     steps = int(scenario.seconds / STEP)
     first: dict[str, tuple[int, str]] = {}  # by what is wanted: its step and class
     took: dict[str, float] = {}
-    for ledger in run.clients:
-        for event in ledger.events:
+    for event_log in run.clients:
+        for event in event_log.events:
             wanted = event["id"].split("-")[0]
             if event["what"] == "asked" and wanted == event["id"]:
                 at = min(int((event["at"] - BEGIN) / SECOND / STEP), steps - 1)
@@ -75,9 +75,9 @@
             elif event["what"] == "answered" and event["outcome"] == "served":
                 took[wanted] = event["took"]
     reached: set[str] = set()
-    for name, ledger in run.ledgers.items():
+    for name, event_log in run.event_logs.items():
         if name.startswith("node-"):
-            reached |= {one["id"].split("-")[0] for one in ledger.events if one["what"] == "taken"}
+            reached |= {one["id"].split("-")[0] for one in event_log.events if one["what"] == "taken"}
     could = _oracle(run)
     rows: dict[str, list[int]] = defaultdict(lambda: [0] * steps)
     for wanted, (at, cls) in first.items():
@@ -95,9 +95,9 @@
     scenario = run.scenario
     events = [
         event
-        for name, ledger in run.ledgers.items()
+        for name, event_log in run.event_logs.items()
         if name.startswith(("node-", "clients-"))
-        for event in ledger.events
+        for event in event_log.events
     ]
     fleet = scenario.fleet
     held = fleet.room + (fleet.slots or fleet.cores)  # requests of a node, in hand and waiting
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -77,7 +77,7 @@
 
 
 def play(scenario, folder, seed, program=None):
-    """Play it with a build of the program, this one without `program`; the ledgers are in `folder`."""
+    """Play it with a build of the program, this one without `program`; the event logs are in `folder`."""
     import msgspec
 
     given = folder / "scenario.json"
--- a/tests/simulated_stage.py
+++ b/tests/simulated_stage.py
@@ -7,7 +7,7 @@
 from ochreflow.app.config import read_config
 from ochreflow.app.sidecar import Sidecar
 from ochreflow.lab.directory import Directory, Manners
-from ochreflow.lab.ledger import Ledger
+from ochreflow.lab.event_log import EventLog
 from ochreflow.lab.model import Pod, Traits
 from ochreflow.lab.node import Node
 from ochreflow.lab.stage import END_WITHIN, HOST, LOOK_EVERY, Stage, usage
@@ -16,8 +16,8 @@
 class Place:
     """A stand-in with its socket; `freeze` stops it as SIGSTOP does a process: its peers see silence."""
 
-    def __init__(self, made, ledger):
-        self.made, self.ledger = made, ledger
+    def __init__(self, made, event_log):
+        self.made, self.event_log = made, event_log
         self.server = None
         self.frozen = False
 
@@ -57,9 +57,9 @@
     def end(self):
         """A process that is gone writes nothing down any more."""
         self.server.close()
-        self.made.ledger = Ledger(None)
+        self.made.event_log = EventLog(None)
         self.made.service.cut_all()
-        self.ledger.close()
+        self.event_log.close()
 
 
 class SimulatedStage(Stage):
@@ -78,12 +78,12 @@
         for one in wanted:
             options = dict(one)
             name, seed, port = options["name"], options.pop("seed", 0), options.pop("port", 0)
-            ledger = Ledger(self.folder / f"{name}.jsonl")
+            event_log = EventLog(self.folder / f"{name}.jsonl")
             if kind == "nodes":
-                made = Node(Traits(**options), ledger, seed, loop, pod)
+                made = Node(Traits(**options), event_log, seed, loop, pod)
             else:
-                made = Directory(ledger, loop, Manners(**options["manners"]), seed)
-            place = Place(made, ledger)
+                made = Directory(event_log, loop, Manners(**options["manners"]), seed)
+            place = Place(made, event_log)
             made.end = place.end
             self.houses[name] = house
             self.places[house].append(place)
@@ -100,14 +100,14 @@
         made.http.listen(server)
         made.engine.lifecycle.serve()
         self.sidecars[name] = made
-        self.ledger.note("started", name=name)
+        self.event_log.record("started", name=name)
         host, port = server.sockets[0].getsockname()
         self.addresses[name] = f"{host}:{port}"
         return self.addresses[name]
 
     async def end(self, name, kill):
         """End the places of one house."""
-        self.ledger.note("killed" if kill else "ended", name=name)
+        self.event_log.record("killed" if kill else "ended", name=name)
         for place in self.places.pop(name):
             place.end()
 
@@ -134,7 +134,7 @@
         """All are in this process: what it holds is what each sidecar holds at the most."""
         while True:
             for name in self.sidecars:
-                self.ledger.note("used", name=name, **usage(os.getpid()))
+                self.event_log.record("used", name=name, **usage(os.getpid()))
             await asyncio.sleep(LOOK_EVERY)
 
     async def stop(self):
@@ -147,7 +147,7 @@
                 self.crashed.append(f"{name} did not end within {END_WITHIN:g} s")
             made.close()
         for load in self.loads:
-            load.ledger.close()
+            load.event_log.close()
         for house in list(self.places):
             await self.end(house, kill=False)
-        self.ledger.close()
+        self.event_log.close()
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -10,8 +10,8 @@
 from simulated import play
 from test_scenarios import AT_ONCE, scenario
 
+from ochreflow.lab.event_log import read_events
 from ochreflow.lab.judge import SECOND
-from ochreflow.lab.ledger import read
 from ochreflow.lab.scenario import Burst
 from ochreflow.simulation.build import load
 from ochreflow.simulation.clock import BEGIN
@@ -120,7 +120,7 @@
     played = [run.run() for run in runs]
     assert played[0].digest == played[1].digest
     assert played[0].verdict == 0, played[0].report.findings[:3]
-    events = {what: ledger.events for what, ledger in runs[0].ledgers.items()}
+    events = {what: event_log.events for what, event_log in runs[0].event_logs.items()}
     assert all(event["at"] >= BEGIN for event in events["clients-1"])
     assert seen(events)
 
@@ -136,7 +136,7 @@
     with ThreadPoolExecutor(AT_ONCE) as room:
         played = dict(room.map(judged, FAILURES))
     for name, (_, seen) in FAILURES.items():
-        run = {path.stem: list(read(path)) for path in (tmp_path / name).glob("*.jsonl")}
+        run = {path.stem: list(read_events(path)) for path in (tmp_path / name).glob("*.jsonl")}
         assert not played[name].crashed, (name, played[name].crashed[:3])
         assert not played[name].findings, (name, played[name].findings[:3])
         assert seen(run), name
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,8 +13,8 @@
 
 from ochreflow.lab.arrivals import Habits, Kind
 from ochreflow.lab.directory import Directory
+from ochreflow.lab.event_log import EventLog, read_events
 from ochreflow.lab.judge import RULES, SECOND, judge
-from ochreflow.lab.ledger import Ledger, read
 from ochreflow.lab.load import Load
 from ochreflow.lab.model import Pod, Traits
 from ochreflow.lab.node import Node
@@ -39,13 +39,13 @@
 
     async def play():
         loop = asyncio.get_running_loop()
-        node = Node(Traits("n", work={"assign": 0.01, "exposure": 0.01}, **traits), Ledger(path), 1, loop)
+        node = Node(Traits("n", work={"assign": 0.01, "exposure": 0.01}, **traits), EventLog(path), 1, loop)
         server = await loop.create_server(node.service.connection, HOST, 0)
         await steps(node, server.sockets[0].getsockname()[1])
-        node.ledger.close()
+        node.event_log.close()
 
     run(play())
-    return list(read(path))
+    return list(read_events(path))
 
 
 def kinds(events):
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("moment", ["work is due", "a request waits", "a connection comes"])
 def test_a_node_of_a_pod_that_ends_writes_nothing_more_and_leaves_the_others_alone(tmp_path, moment):
-    """Guards the ledger's end: work, waiting requests and connections of an ended node cross it."""
+    """Guards the event log's end: work, waiting requests and connections of an ended node cross it."""
 
     async def play():
         loop = asyncio.get_running_loop()
@@ -123,7 +123,7 @@
             _, writer = await asyncio.open_connection(HOST, port)
             writer.write(request(f"r{number}", "assign", "X-Lab-Work: 1"))
             writers.append(writer)
-        while kinds(read(tmp_path / "n.jsonl"))["taken"] < taken:
+        while kinds(read_events(tmp_path / "n.jsonl"))["taken"] < taken:
             await asyncio.sleep(0.001)
         held = first.made.service.connection() if moment == "a connection comes" else None
         if held is not None:  # it was accepted, and its transport comes up after the end
@@ -134,7 +134,7 @@
                 held.data_received(request("late"))
         else:
             assert (await ask(port, order(end=True))).code == 200
-        while not first.ledger.file.closed:
+        while not first.event_log.file.closed:
             await asyncio.sleep(0.001)
         before = (tmp_path / "n.jsonl").read_bytes()
         assert (await ask(beside, request("b"))).body == b"m:b"
@@ -146,7 +146,7 @@
         assert (tmp_path / "n.jsonl").read_bytes() == before
 
     run(play())
-    assert kinds(read(tmp_path / "m.jsonl")) == {"taken": 1, "began": 1, "ran": 1}
+    assert kinds(read_events(tmp_path / "m.jsonl")) == {"taken": 1, "began": 1, "ran": 1}
 
 
 class Transport(asyncio.Transport):
@@ -172,7 +172,7 @@
 
     async def play():
         loop = asyncio.get_running_loop()
-        directory = Directory(Ledger(tmp_path / "d.jsonl"), loop)
+        directory = Directory(EventLog(tmp_path / "d.jsonl"), loop)
         server = await loop.create_server(directory.service.connection, HOST, 0)
         port = server.sockets[0].getsockname()[1]
 
@@ -349,26 +349,26 @@
 
         seen = []
         fake = await Fake(twice).start()
-        ledger = Ledger(tmp_path / "clients")
-        load = Load((HOST, fake.port), [Kind("assign", 1.0, "unsafe", 2.0)], 100.0, 5, 1, ledger)
+        event_log = EventLog(tmp_path / "clients")
+        load = Load((HOST, fake.port), [Kind("assign", 1.0, "unsafe", 2.0)], 100.0, 5, 1, event_log)
         await load.run(0.3)
-        ledger.close()
+        event_log.close()
         return seen
 
     seen = run(play())
-    report = judge([read(tmp_path / "clients")], {"n": []}, [], ["assign"])
+    report = judge([read_events(tmp_path / "clients")], {"n": []}, [], ["assign"])
     assert len(seen) > 3
     assert [finding.text.split(":")[0] for finding in report.findings] == [f"request {seen[2]}"]
     assert "2 answers" in report.findings[0].text
 
 
-def test_a_ledger_that_a_kill_cut_off_is_read_up_to_there(tmp_path):
+def test_an_event_log_that_a_kill_cut_off_is_read_up_to_there(tmp_path):
     path = tmp_path / "l"
     path.write_text('{"what":"a"}\n{"what":"b"}\n{"wha')
-    assert [event["what"] for event in read(path)] == ["a", "b"]
+    assert [event["what"] for event in read_events(path)] == ["a", "b"]
     path.write_text('{"what":"a"}\n{"wha\n{"what":"b"}\n')
     with pytest.raises(ValueError, match="line 2"):
-        list(read(path))
+        list(read_events(path))
 
 
 def test_the_demo_plays_to_its_end_and_every_rule_is_kept(tmp_path):
@@ -389,7 +389,7 @@
 def test_a_directory_with_manners_is_slow_late_forgetful_and_full(tmp_path):
     async def play():
         loop = asyncio.get_running_loop()
-        directory = Directory(Ledger(tmp_path / "d.jsonl"), loop)
+        directory = Directory(EventLog(tmp_path / "d.jsonl"), loop)
         server = await loop.create_server(directory.service.connection, HOST, 0)
         port = server.sockets[0].getsockname()[1]
 
@@ -423,7 +423,7 @@
         await ask(port, order(spoil=1.0, form=form))
         reader, writer = await asyncio.open_connection(HOST, port)
         writer.write(request("a"))
-        while not (seen := kinds(read(tmp_path / "node.jsonl")))["ran"]:
+        while not (seen := kinds(read_events(tmp_path / "node.jsonl")))["ran"]:
             await asyncio.sleep(0.005)
         assert seen["taken"] == 1
         writer.write_eof()
@@ -473,13 +473,13 @@
 
         tries = {}
         fake = await Fake(turns).start()
-        ledger = Ledger(tmp_path / "clients")
+        event_log = EventLog(tmp_path / "clients")
         habits = Habits(slow=0.3, long=0.3, long_bytes=50_000, hinted=1.0, tries=3)
         load = Load(
-            (HOST, fake.port), [Kind("a", 1.0, "keyed", 2.0, 0.05)], 60.0, 5, 1, ledger, habits=habits
+            (HOST, fake.port), [Kind("a", 1.0, "keyed", 2.0, 0.05)], 60.0, 5, 1, event_log, habits=habits
         )
         await load.run(0.4)
-        ledger.close()
+        event_log.close()
         return tries, load
 
     tries, load = run(play())
@@ -493,5 +493,5 @@
         assert waits == sorted(waits, reverse=True) and waits[2] < 2000
         assert int(messages[0].headers["x-cost-hint"]) > 1000
     assert any(len(messages[0].body) > 50_000 for messages in tries.values())
-    report = judge([read(tmp_path / "clients")], {"n": []}, [], [])
+    report = judge([read_events(tmp_path / "clients")], {"n": []}, [], [])
     assert len(report.matters["a"]) == len(tries) and None not in report.matters["a"].values()
