--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -2,7 +2,7 @@
 
     python benchmarks/flood.py [--sockets 2000]
 
-Plays a steady load from one address through a stand-in node, while sockets from 250 other addresses of
+Plays a steady load from one address through a fake server node, while sockets from 250 other addresses of
 loopback connect and say nothing or half a head, each anew as soon as it is refused. Prints one JSON object:
 the share answered in the wanted time and the p99, without a flood, and with it with the gate off and on.
 """
--- a/benchmarks/stand_ins.py
+++ b/benchmarks/lab_capacity.py
@@ -1,8 +1,8 @@
 """How much the lab's own parts carry on one core each, so that its figures can be trusted.
 
-    python benchmarks/stand_ins.py
+    python benchmarks/lab_capacity.py
 
-Prints one JSON object: requests a second that one node stand-in answers when its work takes no time, with its
+Prints one JSON object: requests a second that one fake node answers when its work takes no time, with its
 event log written; and the highest rate tried at which the open-loop clients still sent in time.
 """
 
@@ -19,9 +19,9 @@
 
 from ochreflow.lab.arrivals import Kind
 from ochreflow.lab.event_log import EventLog
+from ochreflow.lab.fake_node import FakeNode
 from ochreflow.lab.load import Load
-from ochreflow.lab.model import Traits
-from ochreflow.lab.node import Node
+from ochreflow.lab.node_model import Traits
 
 SECONDS = 3.0
 CONNECTIONS = 8
@@ -29,14 +29,14 @@
 LATE = 0.05  # seconds by which a send may be late
 
 
-def stand_in(pipe, folder: str) -> None:
+def fake_node(pipe, folder: str) -> None:
     """The lab's node as it is, with work that takes no time."""
     pin(CORES["node"])
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
         traits = Traits("node", cores=64, work={"assign": 0.0})
-        made = Node(traits, EventLog(Path(folder) / "node.jsonl"), 1, loop)
+        made = FakeNode(traits, EventLog(Path(folder) / "node.jsonl"), 1, loop)
         server = await loop.create_server(made.service.connection, HOST, 0)
         pipe.send(server.sockets[0].getsockname()[1])
         await asyncio.Event().wait()
@@ -57,7 +57,7 @@
     pin(CORES["load"])
     pipe, far = multiprocessing.Pipe()
     with tempfile.TemporaryDirectory() as folder:
-        multiprocessing.Process(target=stand_in, args=(far, folder), daemon=True).start()
+        multiprocessing.Process(target=fake_node, args=(far, folder), daemon=True).start()
         answered = uvloop.run(load(pipe.recv(), CONNECTIONS, SECONDS))
         multiprocessing.Process(target=node, args=(far,), daemon=True).start()
         port = pipe.recv()
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -28,10 +28,10 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
+from ochreflow.lab.http_server import HttpRequest, HttpService  # noqa: E402
 from ochreflow.lab.load import Client  # noqa: E402
 from ochreflow.lab.scenario import read_scenario  # noqa: E402
 from ochreflow.lab.series import percentile  # noqa: E402
-from ochreflow.lab.serving import Asked, Service  # noqa: E402
 from ochreflow.lab.stage import platform_config  # noqa: E402
 
 HOST = "127.0.0.1"
@@ -50,10 +50,10 @@
     pin(CORES["node"])
 
     async def serve() -> None:
-        def answer(asked: Asked) -> None:
-            asked.answer(200, b"ok")
+        def answer(request: HttpRequest) -> None:
+            request.answer(200, b"ok")
 
-        service = Service(answer)
+        service = HttpService(answer)
         server = await asyncio.get_running_loop().create_server(service.connection, HOST, 0)
         pipe.send(server.sockets[0].getsockname()[1])
         await asyncio.Event().wait()
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -36,8 +36,8 @@
 import uvloop
 from overhead import HOST, ROOT, config
 
-from ochreflow.lab.directory import Directory
 from ochreflow.lab.event_log import EventLog
+from ochreflow.lab.fake_directory import FakeDirectory
 
 WANTED = (10.0, 6.0)  # seconds within which nine in ten starts are to be ready, the second on a short day
 LONGEST = 60.0  # seconds that a start may take here
@@ -88,7 +88,7 @@
 
     async def _serve(self, up: threading.Event) -> None:
         loop = asyncio.get_running_loop()
-        self.directory = Directory(self.event_log, loop)
+        self.directory = FakeDirectory(self.event_log, loop)
         for entry in self.listed:
             self.directory.put(entry)
         server = await loop.create_server(self.directory.service.connection, HOST, 0)
--- a/ochreflow/lab/arrivals.py
+++ b/ochreflow/lab/arrivals.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from itertools import accumulate
 
-from .model import TAIL, drawn_work
+from .node_model import TAIL, drawn_work
 
 SKEW = 0.9  # Zipf: a few keys are far more popular
 LEAVE_WITHIN = 3.0  # times the mean work of its class: many leave while a node is at it
--- a/ochreflow/lab/duplicates/fleet.py
+++ b/ochreflow/lab/duplicates/fleet.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 from time import time
 
-from ..directory import Directory
 from ..event_log import EventLog
+from ..fake_directory import FakeDirectory
 from ..stage import HOST, KIND, MEANS, MS, START_WITHIN, ZONES
 from .plan import Plan, SidecarChange
 from .record import Record
@@ -51,7 +51,7 @@
         self.record = record
         self.servers = servers
         self.ledger = EventLog(self.folder / "directory.jsonl")
-        self.directory = Directory(self.ledger, asyncio.get_running_loop())
+        self.directory = FakeDirectory(self.ledger, asyncio.get_running_loop())
         self.directory_address = ""
         self.processes: dict[int, asyncio.subprocess.Process] = {}
         self.addresses: dict[int, tuple[str, int]] = {}
--- a/ochreflow/lab/event_log.py
+++ b/ochreflow/lab/event_log.py
@@ -1,4 +1,4 @@
-"""What a stand-in saw, one JSON line an event, each with its time in nanoseconds of Unix time."""
+"""What a fake server saw, one JSON line an event, each with its time in nanoseconds of Unix time."""
 
 from __future__ import annotations
 
--- a/ochreflow/lab/directory.py
+++ b/ochreflow/lab/fake_directory.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's directory: the whole list, watches on changes, and orders of the lab."""
+"""A fake of the platform's directory: the whole list, watches on changes, and orders of the lab."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from .event_log import EventLog
-from .serving import Asked, Service
+from .http_server import HttpRequest, HttpService
 
 TARGETS = "/api/targets"
 CONTROL = "/-/lab"
@@ -22,7 +22,7 @@
 class Waiting:
     """A watch that has nothing to tell yet."""
 
-    asked: Asked
+    request: HttpRequest
     after: int
     timer: asyncio.TimerHandle
 
@@ -38,7 +38,7 @@
     keeps: int = 0  # changes remembered; a watch on an older index gets the whole list; 0: all
 
 
-class Directory:
+class FakeDirectory:
     """Owns the list: entries by name, each with the index of its latest change."""
 
     def __init__(
@@ -52,12 +52,12 @@
         self.loop = loop
         self.manners = manners or Manners()
         self.random = random.Random(seed)
-        self.turns: deque[Asked] = deque()  # calls that wait to be served
+        self.turns: deque[HttpRequest] = deque()  # calls that wait to be served
         self.index = 0
         self.entries: dict[str, tuple[int, dict[str, Any]]] = {}
         self.watches: dict[Waiting, None] = {}
         self.down = False  # answers nobody but the lab
-        self.service = Service(self.serve)
+        self.service = HttpService(self.serve)
 
     def close(self) -> None:
         """End as a process that is killed does."""
@@ -78,41 +78,41 @@
             if watch.after < self.index:
                 self._tell_changes(watch)
 
-    def serve(self, asked: Asked) -> None:
-        parts = urlsplit(asked.target)
-        if parts.path == CONTROL and asked.method == "POST":
+    def serve(self, request: HttpRequest) -> None:
+        parts = urlsplit(request.target)
+        if parts.path == CONTROL and request.method == "POST":
             try:
-                self._order(json.loads(asked.body))
+                self._order(json.loads(request.body))
             except (ValueError, KeyError, TypeError) as error:
-                asked.answer(400, str(error).encode())
+                request.answer(400, str(error).encode())
                 return
-            asked.answer(200)
+            request.answer(200)
         elif self.down or len(self.turns) > self.manners.room:
-            asked.answer(503)
+            request.answer(503)
         elif self.random.random() < self.manners.resets:
-            asked.connection.cut()
+            request.connection.cut()
         elif self.manners.per_second:
-            self.turns.append(asked)
+            self.turns.append(request)
             if len(self.turns) == 1:
                 self.loop.call_later(1.0 / self.manners.per_second, self._next_turn)
         else:
-            self._serve(asked)
+            self._serve(request)
 
     def _next_turn(self) -> None:
         self._serve(self.turns.popleft())
         if self.turns:
             self.loop.call_later(1.0 / self.manners.per_second, self._next_turn)
 
-    def _serve(self, asked: Asked) -> None:
-        parts = urlsplit(asked.target)
+    def _serve(self, request: HttpRequest) -> None:
+        parts = urlsplit(request.target)
         if self.down:
-            asked.answer(503)
+            request.answer(503)
         elif parts.path != TARGETS:
-            asked.answer(404)
+            request.answer(404)
         elif "after" in (query := parse_qs(parts.query)):
-            self._watch(asked, int(query["after"][0]), int(query.get("wait_ms", ["0"])[0]))
+            self._watch(request, int(query["after"][0]), int(query.get("wait_ms", ["0"])[0]))
         else:
-            self._answer(asked, True, [entry for _, entry in self.entries.values()])
+            self._answer(request, True, [entry for _, entry in self.entries.values()])
 
     def _order(self, order: dict[str, Any]) -> None:
         if "manners" in order:
@@ -123,7 +123,7 @@
             for watch in list(self.watches):
                 del self.watches[watch]
                 watch.timer.cancel()
-                watch.asked.connection.cut()  # watches end when it goes down
+                watch.request.connection.cut()  # watches end when it goes down
         else:
             self.put(self._full(order))
 
@@ -132,32 +132,32 @@
         known = self.entries.get(change["name"])
         return {**known[1], **change} if known is not None else change
 
-    def _watch(self, asked: Asked, after: int, wait_ms: int) -> None:
+    def _watch(self, request: HttpRequest, after: int, wait_ms: int) -> None:
         forgot = 0 < self.manners.keeps < self.index - after
         if after > self.index or forgot:  # of an index that this directory does not know: the whole list
-            self._answer(asked, True, [entry for _, entry in self.entries.values()])
+            self._answer(request, True, [entry for _, entry in self.entries.values()])
             return
-        timer = self.loop.call_later(min(wait_ms, WAIT_MOST) / 1000, self._expire, asked)
-        waiting = Waiting(asked, after, timer)
+        timer = self.loop.call_later(min(wait_ms, WAIT_MOST) / 1000, self._expire, request)
+        waiting = Waiting(request, after, timer)
         self.watches[waiting] = None
         if after < self.index:
             self._tell_changes(waiting)
 
-    def _expire(self, asked: Asked) -> None:
-        for watch in [watch for watch in self.watches if watch.asked is asked]:
+    def _expire(self, request: HttpRequest) -> None:
+        for watch in [watch for watch in self.watches if watch.request is request]:
             del self.watches[watch]
-        self._answer(asked, False, [])
+        self._answer(request, False, [])
 
     def _tell_changes(self, watch: Waiting) -> None:
         del self.watches[watch]
         watch.timer.cancel()
         changed = [entry for index, entry in self.entries.values() if index > watch.after]
-        self._answer(watch.asked, False, changed)
+        self._answer(watch.request, False, changed)
 
-    def _answer(self, asked: Asked, snapshot: bool, entries: list[dict[str, Any]]) -> None:
+    def _answer(self, request: HttpRequest, snapshot: bool, entries: list[dict[str, Any]]) -> None:
         if snapshot:
             entries = [entry for entry in entries if entry["status"] != "DELETED"]
         body = {"index": self.index, "snapshot": snapshot, "endpoints": entries}
-        if asked.answer(200, json.dumps(body).encode(), "Content-Type: application/json"):
+        if request.answer(200, json.dumps(body).encode(), "Content-Type: application/json"):
             told = {entry["name"]: entry["status"] for entry in entries}
             self.event_log.record("told", entries=told, whole=snapshot)
--- a/ochreflow/lab/node.py
+++ b/ochreflow/lab/fake_node.py
@@ -1,4 +1,4 @@
-"""A stand-in for a flag node behind a socket: the model (`model.py`) with a clock, timers and an event log.
+"""A fake flag node behind a socket: the model (`node_model.py`) with a clock, timers and an event log.
 
 It writes down every request that reaches it: what it took, ran, dropped as a repeat, or turned away.
 """
@@ -11,15 +11,15 @@
 from time import monotonic
 
 from .event_log import EventLog
-from .model import Act, Cut, Fall, Model, Note, Pod, Reply, Traits, Work
-from .serving import Asked, Connection, Service
+from .http_server import HttpRequest, HttpService, ServerConnection
+from .node_model import Act, Cut, Fall, Model, Note, Pod, Reply, Traits, Work
 
 NOT_RUN = "X-Not-Run: 1"
 CONTROL = "/-/lab"
 WORK = "x-lab-work"  # the work of a request in means of its class, as its client drew it
 
 
-class Node:
+class FakeNode:
     def __init__(
         self,
         traits: Traits,
@@ -31,29 +31,29 @@
         self.event_log = event_log
         self.loop = loop
         self.model = Model(traits, seed, monotonic(), pod)
-        self.asked: dict[int, Asked] = {}
-        self.on: dict[Connection, int] = {}  # the request that each connection waits for
+        self.pending: dict[int, HttpRequest] = {}
+        self.awaiting: dict[ServerConnection, int] = {}  # the request that each connection waits for
         self.number = 0
         self.timer: asyncio.TimerHandle | None = None
         self.end: Callable[[], None] = lambda: None  # go as a killed process does; others of its pod stay
-        self.service = Service(self.serve, self._left, traits.connections)
+        self.service = HttpService(self.serve, self._left, traits.connections)
 
-    def serve(self, asked: Asked) -> None:
-        if asked.target.startswith(CONTROL):
-            self._control(asked)
+    def serve(self, request: HttpRequest) -> None:
+        if request.target.startswith(CONTROL):
+            self._control(request)
             return
-        headers = asked.headers
+        headers = request.headers
         ident = headers.get("x-request-id")
-        cls = asked.target[1:].split("/", 1)[0].split("?", 1)[0]
+        cls = request.target[1:].split("/", 1)[0].split("?", 1)[0]
         if not ident or cls not in self.model.traits.work:
-            asked.answer(404)
+            request.answer(404)
             return
         self.number += 1
-        self.asked[self.number] = asked
-        self.on[asked.connection] = self.number
+        self.pending[self.number] = request
+        self.awaiting[request.connection] = self.number
         times = float(headers[WORK]) if WORK in headers else None
         key, token = headers.get("x-key"), headers.get("idempotency-key")
-        work = Work(ident, cls, key, token, times, asked.connection.number)
+        work = Work(ident, cls, key, token, times, request.connection.number)
         self._do(self.model.arrive(monotonic(), self.number, work))
 
     def close(self) -> None:
@@ -61,14 +61,14 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self.asked.clear()
-        self.on.clear()  # the loss of these connections, which the loop tells later, is nobody's any more
+        self.pending.clear()
+        self.awaiting.clear()  # the loop reports the loss of these connections later
         self.service.cut_all()
 
-    def _left(self, connection: Connection) -> None:
-        number = self.on.pop(connection, None)
+    def _left(self, connection: ServerConnection) -> None:
+        number = self.awaiting.pop(connection, None)
         if number is not None:
-            self.asked.pop(number, None)
+            self.pending.pop(number, None)
             self._do(self.model.leave(monotonic(), number))
 
     def _do(self, acts: list[Act]) -> None:
@@ -77,12 +77,12 @@
                 self.event_log.record(act.what, **act.fields)
             elif isinstance(act, Fall):
                 self.service.cut_all()
-            elif (asked := self.asked.pop(act.number, None)) is not None:
-                self.on.pop(asked.connection, None)
+            elif (request := self.pending.pop(act.number, None)) is not None:
+                self.awaiting.pop(request.connection, None)
                 if isinstance(act, Cut):
-                    asked.connection.cut()
+                    request.connection.cut()
                 else:
-                    self._reply(asked, act)
+                    self._reply(request, act)
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -94,25 +94,25 @@
         self._do(self.model.advance(monotonic()))
 
     @staticmethod
-    def _reply(asked: Asked, reply: Reply) -> None:
+    def _reply(request: HttpRequest, reply: Reply) -> None:
         lines = (NOT_RUN,) if reply.not_run else ()
         if reply.form:
-            asked.connection.spoil(reply.form, reply.code, reply.body.encode())
+            request.connection.spoil(reply.form, reply.code, reply.body.encode())
         else:
-            asked.answer(reply.code, reply.body.encode(), *lines)
+            request.answer(reply.code, reply.body.encode(), *lines)
 
-    def _control(self, asked: Asked) -> None:
+    def _control(self, request: HttpRequest) -> None:
         """Orders of the lab."""
         try:
-            order = json.loads(asked.body)
+            order = json.loads(request.body)
             if "end" in order:
                 self.loop.call_soon(self.end)
-                asked.answer(200)
+                request.answer(200)
                 return
             acts = self.model.order(monotonic(), order)
         except (ValueError, AttributeError, TypeError) as error:
-            asked.answer(400, str(error).encode())
+            request.answer(400, str(error).encode())
             return
         self._do(acts)
         self.event_log.record("ordered", **order)
-        asked.answer(200)
+        request.answer(200)
--- a/ochreflow/lab/stand_in.py
+++ b/ochreflow/lab/fake_server.py
@@ -1,4 +1,4 @@
-"""Stand-ins as a process: `python -m ochreflow.lab.stand_in nodes|directory FOLDER JSON`.
+"""Fake servers as a process: `python -m ochreflow.lab.fake_server nodes|directory FOLDER JSON`.
 
 The JSON is a list of what to be: nodes of one pod, which share what they drop, or one directory; each
 with a name, a seed and, for an address that was used before, a port. It prints a line for each as soon as
@@ -17,20 +17,22 @@
 
 import uvloop
 
-from .directory import Directory, Manners
 from .event_log import EventLog
-from .model import Pod, Traits
-from .node import Node
+from .fake_directory import FakeDirectory, Manners
+from .fake_node import FakeNode
+from .node_model import Pod, Traits
 
 HOST = "127.0.0.1"
 PARENT_EVERY = 0.5  # seconds between looks whether the parent lives
 
 
-class Place:
-    """One stand-in and its socket."""
+class FakeServer:
+    """One fake server and its socket."""
 
-    def __init__(self, made: Node | Directory, event_log: EventLog, server: asyncio.Server) -> None:
-        self.made = made
+    def __init__(
+        self, handler: FakeNode | FakeDirectory, event_log: EventLog, server: asyncio.Server
+    ) -> None:
+        self.handler = handler
         self.event_log = event_log
         self.server = server
 
@@ -40,31 +42,31 @@
 
     def end(self) -> None:
         self.server.close()
-        self.made.close()
+        self.handler.close()
         self.event_log.close()
 
 
-async def open_place(kind: str, folder: Path, options: dict[str, Any], pod: Pod) -> Place:
+async def open_server(kind: str, folder: Path, options: dict[str, Any], pod: Pod) -> FakeServer:
     loop = asyncio.get_running_loop()
     name, seed, port = options["name"], options.pop("seed", 0), options.pop("port", 0)
     event_log = EventLog(folder / f"{name}.jsonl")
-    made: Node | Directory
+    handler: FakeNode | FakeDirectory
     if kind == "nodes":
-        made = Node(Traits(**options), event_log, seed, loop, pod)
+        handler = FakeNode(Traits(**options), event_log, seed, loop, pod)
     else:
-        made = Directory(event_log, loop, Manners(**options.get("manners", {})), seed)
-    server = await loop.create_server(made.service.connection, HOST, port, backlog=512, reuse_address=True)
-    return Place(made, event_log, server)
+        handler = FakeDirectory(event_log, loop, Manners(**options.get("manners", {})), seed)
+    server = await loop.create_server(handler.service.connection, HOST, port, backlog=512, reuse_address=True)
+    return FakeServer(handler, event_log, server)
 
 
 async def serve(kind: str, folder: Path, wanted: list[dict[str, Any]]) -> None:
     loop = asyncio.get_running_loop()
     pod = Pod()
-    places = [await open_place(kind, folder, options, pod) for options in wanted]
-    for place in places:
-        if isinstance(place.made, Node):
-            place.made.end = place.end
-        print(place.address, flush=True)
+    servers = [await open_server(kind, folder, options, pod) for options in wanted]
+    for fake_server in servers:
+        if isinstance(fake_server.handler, FakeNode):
+            fake_server.handler.end = fake_server.end
+        print(fake_server.address, flush=True)
     ended = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
@@ -74,8 +76,8 @@
             await asyncio.wait_for(ended.wait(), PARENT_EVERY)
         except TimeoutError:
             continue
-    for place in places:
-        place.end()
+    for fake_server in servers:
+        fake_server.end()
 
 
 if __name__ == "__main__":
--- a/ochreflow/lab/fault/proxy.py
+++ b/ochreflow/lab/fault/proxy.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from typing import cast
 
-from ..serving import Asked, Service
+from ..http_server import HttpRequest, HttpService
 from .machine import Action, Datagrams, Forward, HalfClose, Transcript, Wait, Wire
 from .script import DATAGRAM_FAULTS, STREAM_FAULTS, Fault, ScriptError, Side, read_faults
 
@@ -48,11 +48,11 @@
         if self.datagrams is not None:
             self.datagrams.arm(faults)
 
-    def control(self) -> Service:
+    def control(self) -> HttpService:
         """The control address: GET /transcript, POST /faults with a JSON list, POST /cut."""
-        return Service(self._order)
+        return HttpService(self._order)
 
-    def _order(self, asked: Asked) -> None:
+    def _order(self, asked: HttpRequest) -> None:
         if (asked.method, asked.target) == ("GET", "/transcript"):
             told = {"digest": self.transcript.digest(), "lines": self.transcript.lines()}
             asked.answer(200, json.dumps(told).encode())
--- a/ochreflow/lab/serving.py
+++ b/ochreflow/lab/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as the stand-ins serve it: whole requests in, answers out, one at a time on a connection."""
+"""HTTP/1.1 as the fake servers serve it: whole requests in, answers out, one at a time on a connection."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 500: "Internal Server Error"}
 
 
-class Asked:
+class HttpRequest:
     """One request, and the way back."""
 
     __slots__ = ("body", "connection", "headers", "method", "target")
 
     def __init__(
-        self, connection: Connection, method: str, target: str, headers: dict[str, str], body: bytes
+        self, connection: ServerConnection, method: str, target: str, headers: dict[str, str], body: bytes
     ) -> None:
         self.connection = connection
         self.method = method
@@ -35,16 +35,16 @@
         return self.connection.transport is None
 
 
-class Connection(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     def __init__(
-        self, number: int, serve: Callable[[Asked], None], left: Callable[[Connection], None]
+        self, number: int, serve: Callable[[HttpRequest], None], left: Callable[[ServerConnection], None]
     ) -> None:
         self.number = number
         self.serve = serve
         self.left = left
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.waiting: deque[Asked] = deque()
+        self.waiting: deque[HttpRequest] = deque()
         self.busy = False
         self.unwelcome = False  # there are too many, or it was cut before its transport came up
         self._begin()
@@ -84,7 +84,7 @@
 
     def on_message_complete(self) -> None:
         method, target = self.parser.get_method().decode(), self.target.decode("latin-1")
-        self.waiting.append(Asked(self, method, target, self.headers, self.body))
+        self.waiting.append(HttpRequest(self, method, target, self.headers, self.body))
         self._begin()
 
     def _next(self) -> None:
@@ -95,7 +95,10 @@
     def answer(self, code: int, body: bytes, lines: tuple[str, ...]) -> bool:
         if self.transport is None or self.transport.is_closing():
             return False
-        head = [f"HTTP/1.1 {code} {REASONS.get(code, 'Service Unavailable')}", f"Content-Length: {len(body)}"]
+        head = [
+            f"HTTP/1.1 {code} {REASONS.get(code, 'Service Unavailable')}",
+            f"Content-Length: {len(body)}",
+        ]
         self.transport.write("\r\n".join([*head, *lines, "", ""]).encode("latin-1") + body)
         self.busy = False
         self._next()
@@ -129,29 +132,29 @@
             self.unwelcome = True
 
 
-class Service:
-    """All connections of a stand-in that listens."""
+class HttpService:
+    """All connections of a fake server that listens."""
 
     def __init__(
         self,
-        serve: Callable[[Asked], None],
-        left: Callable[[Connection], None] = lambda connection: None,
+        serve: Callable[[HttpRequest], None],
+        left: Callable[[ServerConnection], None] = lambda connection: None,
         most: int = 0,
     ) -> None:
         self.serve = serve
         self.left = left
         self.most = most  # connections; one beyond is ended as soon as it comes; 0: any number
-        self.connections: set[Connection] = set()
+        self.connections: set[ServerConnection] = set()
         self.number = 0
 
-    def connection(self) -> Connection:
+    def connection(self) -> ServerConnection:
         self.number += 1
-        made = Connection(self.number, self.serve, self._lost)
+        made = ServerConnection(self.number, self.serve, self._lost)
         made.unwelcome = 0 < self.most <= len(self.connections)
         self.connections.add(made)
         return made
 
-    def _lost(self, connection: Connection) -> None:
+    def _lost(self, connection: ServerConnection) -> None:
         self.connections.discard(connection)
         self.left(connection)
 
--- a/ochreflow/lab/stage.py
+++ b/ochreflow/lab/stage.py
@@ -168,7 +168,7 @@
         self.program = program
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.addresses: dict[str, str] = {}
-        self.houses: dict[str, str] = {}  # stand-ins that live, by the process they are in
+        self.houses: dict[str, str] = {}  # fake servers that run, by the process they are in
         self.listed: list[dict] = []  # from the begin
         self.entries: dict[str, dict] = {}  # as the directory has them
         self.overlapping = any(step.do == "upgrade_sidecar" for step in scenario.steps)
@@ -200,10 +200,10 @@
         self.processes[name] = process
         return process
 
-    async def stand_ins(self, kind: str, wanted: list[dict]) -> list[str]:
-        """Start stand-ins in one process; their addresses."""
+    async def start_servers(self, kind: str, wanted: list[dict]) -> list[str]:
+        """Start fake servers in one process; their addresses."""
         name = wanted[0]["name"]
-        command = ("-m", "ochreflow.lab.stand_in", kind, str(self.folder), json.dumps(wanted))
+        command = ("-m", "ochreflow.lab.fake_server", kind, str(self.folder), json.dumps(wanted))
         process = await self.start(name, *command)
         self.expected.discard(name)
         assert process.stdout is not None
@@ -224,7 +224,7 @@
     async def node(self, number: int, address: str = "") -> dict:
         """Start a cold node, at an address that was used before if one is given; its entry."""
         port = int(address.rpartition(":")[2]) if address else 0
-        await self.stand_ins("nodes", [self.node_options(number, True, port)])
+        await self.start_servers("nodes", [self.node_options(number, True, port)])
         return self.entry(number, int(time() * 1000))
 
     def entry(self, number: int, since_ms: int) -> dict:
@@ -237,7 +237,7 @@
         numbers = range(1, fleet.nodes + 1)
         pods = [numbers[at : at + fleet.pod] for at in range(0, fleet.nodes, fleet.pod)]
         made = ([self.node_options(number, fleet.cold) for number in pod] for pod in pods)
-        await asyncio.gather(*(self.stand_ins("nodes", options) for options in made))
+        await asyncio.gather(*(self.start_servers("nodes", options) for options in made))
         since = int(time() * 1000) if fleet.cold else 0
         return [self.entry(number, since) for number in numbers]
 
@@ -247,7 +247,7 @@
         manners = msgspec.structs.asdict(self.scenario.directory)
         number = sum(name.startswith("directory") for name in self.houses) + 1
         wanted = {"name": f"directory-{number}", "manners": manners, "seed": self.seed, "port": port}
-        self.addresses["directory"] = (await self.stand_ins("directory", [wanted]))[0]
+        self.addresses["directory"] = (await self.start_servers("directory", [wanted]))[0]
         for one in self.entries.values():
             if one["status"] != "DELETED":
                 await self.order(self.addresses["directory"], one)
@@ -323,7 +323,7 @@
             await process.wait()
 
     async def order(self, address: str, order: dict) -> None:
-        """Tell a stand-in what to do."""
+        """Tell a fake server what to do."""
         await asyncio.to_thread(self._order, address, order)
 
     @staticmethod
--- a/ochreflow/simulation/play.py
+++ b/ochreflow/simulation/play.py
@@ -14,14 +14,14 @@
 from ..lab.event_log import MemoryEventLog
 from ..lab.judge import judge
 from ..lab.load import ANSWER_SLACK, LEAST_LEFT
-from ..lab.model import Pod, Traits
+from ..lab.node_model import Pod, Traits
 from ..lab.scenario import Scenario, Step, arriving, node_traits, times
 from ..lab.series import series
 from ..lab.stage import MEANS, STATUSES, TROUBLES, ZONES, Played, entry, platform_config
 from .build import Policy, load
 from .clock import BEGIN, SECOND, Clock
-from .nodes import HOP, Node
 from .sidecar import Sidecar
+from .simulated_node import HOP, SimulatedNode
 
 START = 0.5  # seconds that a sidecar takes to start
 AFTER = 1.0  # seconds beyond the last deadline for which a run goes on
@@ -39,7 +39,7 @@
         self.api = policy.interface
         self.clock = clock
         self.event_log = event_log
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, SimulatedNode] = {}
         self.numbers: dict[str, int] = {}  # by which the module knows them
         self.names: dict[int, str] = {}
         self.entries: dict[str, dict[str, Any]] = {}
@@ -48,7 +48,7 @@
         self.version = 0
         self.free_at = BEGIN  # when it has served those before
 
-    def node(self, server: int) -> Node | None:
+    def node(self, server: int) -> SimulatedNode | None:
         return self.nodes.get(self.names[server])
 
     def name(self, server: int) -> str:
@@ -154,7 +154,7 @@
         # One that comes back under its name has forgotten what it would drop, as its process has.
         alone = cold and not self.scenario.fleet.cold
         pod = Pod() if alone else self.pods.setdefault(made["group"], Pod())
-        self.list.nodes[name] = Node(traits, seed, self.clock, self.event_log(name), pod)
+        self.list.nodes[name] = SimulatedNode(traits, seed, self.clock, self.event_log(name), pod)
         return made
 
     def sidecar(self, number: int) -> None:
--- a/ochreflow/simulation/sidecar.py
+++ b/ochreflow/simulation/sidecar.py
@@ -12,10 +12,10 @@
 
 from ..lab.arrivals import Due
 from ..lab.event_log import MemoryEventLog
-from ..lab.model import Reply, Work
+from ..lab.node_model import Reply, Work
 from .build import Policy
 from .clock import SECOND, Clock
-from .nodes import HOP, Node
+from .simulated_node import HOP, SimulatedNode
 
 MS = 1_000_000
 ATTEMPT_MARGIN_NS = 15 * MS
@@ -29,7 +29,7 @@
 
     def watch(self, sidecar: Sidecar) -> None: ...
 
-    def node(self, server: int) -> Node | None: ...
+    def node(self, server: int) -> SimulatedNode | None: ...
 
     def name(self, server: int) -> str: ...
 
@@ -50,7 +50,7 @@
 class Attempt:
     server: int
     sent: int
-    node: Node | None = None
+    node: SimulatedNode | None = None
     number: int = 0
 
 
--- a/ochreflow/simulation/nodes.py
+++ b/ochreflow/simulation/simulated_node.py
@@ -6,7 +6,7 @@
 from functools import partial
 
 from ..lab.event_log import MemoryEventLog
-from ..lab.model import Cut, Fall, Model, Note, Pod, Reply, Traits, Work
+from ..lab.node_model import Cut, Fall, Model, Note, Pod, Reply, Traits, Work
 from .clock import Clock
 
 HOP = 0.0002  # seconds that a message takes one way
@@ -14,7 +14,7 @@
 Told = Callable[[Reply | None], None]  # what came back; None: the connection broke
 
 
-class Node:
+class SimulatedNode:
     """One node; it may be killed and never comes back as the same."""
 
     def __init__(self, traits: Traits, seed: int, clock: Clock, event_log: MemoryEventLog, pod: Pod) -> None:
--- a/tests/simulated_stage.py
+++ b/tests/simulated_stage.py
@@ -6,18 +6,18 @@
 
 from ochreflow.app.config import read_config
 from ochreflow.app.sidecar import Sidecar
-from ochreflow.lab.directory import Directory, Manners
 from ochreflow.lab.event_log import EventLog
-from ochreflow.lab.model import Pod, Traits
-from ochreflow.lab.node import Node
+from ochreflow.lab.fake_directory import FakeDirectory, Manners
+from ochreflow.lab.fake_node import FakeNode
+from ochreflow.lab.node_model import Pod, Traits
 from ochreflow.lab.stage import END_WITHIN, HOST, LOOK_EVERY, Stage, usage
 
 
-class Place:
-    """A stand-in with its socket; `freeze` stops it as SIGSTOP does a process: its peers see silence."""
+class FakeServer:
+    """A fake server with its socket; `freeze` stops it as SIGSTOP does a process: its peers see silence."""
 
     def __init__(self, made, event_log):
-        self.made, self.event_log = made, event_log
+        self.handler, self.event_log = made, event_log
         self.server = None
         self.frozen = False
 
@@ -27,7 +27,7 @@
         return f"{HOST}:{self.server.sockets[0].getsockname()[1]}"
 
     def _connection(self):
-        made = self.made.service.connection()
+        made = self.handler.service.connection()
         if self.frozen:
             welcome = made.connection_made
 
@@ -39,26 +39,26 @@
         return made
 
     def _transports(self):
-        return [one.transport for one in self.made.service.connections if one.transport is not None]
+        return [one.transport for one in self.handler.service.connections if one.transport is not None]
 
     def freeze(self):
         self.frozen = True
         for transport in self._transports():
             transport.pause_reading()
-        if self.made.timer is not None:
-            self.made.timer.cancel()
+        if self.handler.timer is not None:
+            self.handler.timer.cancel()
 
     def thaw(self):
         self.frozen = False
-        self.made._wake()
+        self.handler._wake()
         for transport in self._transports():
             transport.resume_reading()
 
     def end(self):
         """A process that is gone writes nothing down any more."""
         self.server.close()
-        self.made.event_log = EventLog(None)
-        self.made.service.cut_all()
+        self.handler.event_log = EventLog(None)
+        self.handler.service.cut_all()
         self.event_log.close()
 
 
@@ -67,26 +67,26 @@
 
     def __init__(self, scenario, folder, seed):
         super().__init__(scenario, folder, seed)
-        self.places = {}  # by the name of the one that starts the house
+        self.servers = {}  # by the name of the one that starts the house
         self.at = {}  # places by their names
         self.sidecars = {}
 
-    async def stand_ins(self, kind, wanted):
+    async def start_servers(self, kind, wanted):
         loop = asyncio.get_running_loop()
         house, pod, found = wanted[0]["name"], Pod(), []
-        self.places[house] = []
+        self.servers[house] = []
         for one in wanted:
             options = dict(one)
             name, seed, port = options["name"], options.pop("seed", 0), options.pop("port", 0)
             event_log = EventLog(self.folder / f"{name}.jsonl")
             if kind == "nodes":
-                made = Node(Traits(**options), event_log, seed, loop, pod)
+                made = FakeNode(Traits(**options), event_log, seed, loop, pod)
             else:
-                made = Directory(event_log, loop, Manners(**options["manners"]), seed)
-            place = Place(made, event_log)
+                made = FakeDirectory(event_log, loop, Manners(**options["manners"]), seed)
+            place = FakeServer(made, event_log)
             made.end = place.end
             self.houses[name] = house
-            self.places[house].append(place)
+            self.servers[house].append(place)
             self.at[name] = place
             self.addresses[name] = await place.listen(port)
             found.append(self.addresses[name])
@@ -108,7 +108,7 @@
     async def end(self, name, kill):
         """End the places of one house."""
         self.event_log.record("killed" if kill else "ended", name=name)
-        for place in self.places.pop(name):
+        for place in self.servers.pop(name):
             place.end()
 
     async def order(self, address, order):
@@ -127,7 +127,7 @@
         if step.do not in ("freeze", "thaw"):
             await super().take_node(step, number, by)
             return
-        for place in self.places[self.houses[f"node-{number}"]]:
+        for place in self.servers[self.houses[f"node-{number}"]]:
             place.freeze() if step.do == "freeze" else place.thaw()
 
     async def _look(self):
@@ -148,6 +148,6 @@
             made.close()
         for load in self.loads:
             load.event_log.close()
-        for house in list(self.places):
+        for house in list(self.servers):
             await self.end(house, kill=False)
         self.event_log.close()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The stand-ins and the judge: what they are said to do wrong they do, and what is wrong is found."""
+"""The fake servers and the judge: what they are said to do wrong they do, and what is wrong is found."""
 
 import asyncio
 import json
@@ -12,13 +12,13 @@
 from net_helpers import HOST, WAIT, Fake, ask, read_message, reply, run
 
 from ochreflow.lab.arrivals import Habits, Kind
-from ochreflow.lab.directory import Directory
 from ochreflow.lab.event_log import EventLog, read_events
+from ochreflow.lab.fake_directory import FakeDirectory
+from ochreflow.lab.fake_node import FakeNode
+from ochreflow.lab.fake_server import open_server
 from ochreflow.lab.judge import RULES, SECOND, judge
 from ochreflow.lab.load import Load
-from ochreflow.lab.model import Pod, Traits
-from ochreflow.lab.node import Node
-from ochreflow.lab.stand_in import open_place
+from ochreflow.lab.node_model import Pod, Traits
 
 ROOT = Path(__file__).parent.parent
 
@@ -39,7 +39,9 @@
 
     async def play():
         loop = asyncio.get_running_loop()
-        node = Node(Traits("n", work={"assign": 0.01, "exposure": 0.01}, **traits), EventLog(path), 1, loop)
+        node = FakeNode(
+            Traits("n", work={"assign": 0.01, "exposure": 0.01}, **traits), EventLog(path), 1, loop
+        )
         server = await loop.create_server(node.service.connection, HOST, 0)
         await steps(node, server.sockets[0].getsockname()[1])
         node.event_log.close()
@@ -114,8 +116,8 @@
         loop.set_exception_handler(lambda _, context: uncaught.append(context))
         pod, work = Pod(), {"assign": 0.2}
         options = [{"name": name, "cores": 1, "warm_within": 0.0, "work": work} for name in ("n", "m")]
-        first, other = [await open_place("nodes", tmp_path, one, pod) for one in options]
-        first.made.end = first.end
+        first, other = [await open_server("nodes", tmp_path, one, pod) for one in options]
+        first.handler.end = first.end
         port, beside = (int(place.address.split(":")[1]) for place in (first, other))
         writers = []
         taken = {"work is due": 1, "a request waits": 2, "a connection comes": 0}[moment]
@@ -125,7 +127,7 @@
             writers.append(writer)
         while kinds(read_events(tmp_path / "n.jsonl"))["taken"] < taken:
             await asyncio.sleep(0.001)
-        held = first.made.service.connection() if moment == "a connection comes" else None
+        held = first.handler.service.connection() if moment == "a connection comes" else None
         if held is not None:  # it was accepted, and its transport comes up after the end
             first.end()
             transport = Transport()
@@ -172,7 +174,7 @@
 
     async def play():
         loop = asyncio.get_running_loop()
-        directory = Directory(EventLog(tmp_path / "d.jsonl"), loop)
+        directory = FakeDirectory(EventLog(tmp_path / "d.jsonl"), loop)
         server = await loop.create_server(directory.service.connection, HOST, 0)
         port = server.sockets[0].getsockname()[1]
 
@@ -389,7 +391,7 @@
 def test_a_directory_with_manners_is_slow_late_forgetful_and_full(tmp_path):
     async def play():
         loop = asyncio.get_running_loop()
-        directory = Directory(EventLog(tmp_path / "d.jsonl"), loop)
+        directory = FakeDirectory(EventLog(tmp_path / "d.jsonl"), loop)
         server = await loop.create_server(directory.service.connection, HOST, 0)
         port = server.sockets[0].getsockname()[1]
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ochreflow.lab.arrivals import Arrivals, Habits, Kind
-from ochreflow.lab.model import Cut, Fall, Model, Note, Pod, Reply, Traits, Work
+from ochreflow.lab.node_model import Cut, Fall, Model, Note, Pod, Reply, Traits, Work
 
 
 def model(pod=None, **traits):
