--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -20,8 +20,10 @@
 import msgspec
 import uvloop
 
+from ochreflow.lab.platform_config import RESOURCE_LIMITS
 from ochreflow.lab.scenario import Scenario, read_scenario
-from ochreflow.lab.stage import MEANS, Stage, usage
+from ochreflow.lab.scenario_runner import ScenarioRunner
+from ochreflow.lab.sidecar_log import resource_usage
 
 HOST = "127.0.0.1"
 SECONDS = 8.0
@@ -58,44 +60,44 @@
 
 
 async def play(scenario: Scenario, folder: Path, sockets: int, gated: bool) -> dict[str, object]:
-    stage = Stage(scenario, folder, 1)
+    runner = ScenarioRunner(scenario, folder, 1)
     flood: asyncio.Task[None] | None = None
     if gated:
         (folder / "operator.toml").write_text(GATE)
-        stage.options = ("--config", str(folder / "operator.toml"))
+        runner.environment.sidecar_options = ("--config", str(folder / "operator.toml"))
     most: dict[str, float] = {}
 
     async def watch() -> None:
         """Start the flood with the load, and look at what the sidecar holds."""
         nonlocal flood
-        while "sidecar-1" not in stage.addresses or not stage.loads:
+        while "sidecar-1" not in runner.environment.addresses or not runner.loads:
             await asyncio.sleep(0.05)
         await asyncio.sleep(1.0)  # the usual clients have been there before
-        made = Flood(int(stage.addresses["sidecar-1"].rpartition(":")[2]), sockets)
+        made = Flood(int(runner.environment.addresses["sidecar-1"].rpartition(":")[2]), sockets)
         flood = asyncio.create_task(made.run())
         while True:
-            for name, value in usage(stage.processes["sidecar-1"].pid).items():
+            for name, value in resource_usage(runner.environment.processes["sidecar-1"].pid).items():
                 most[name] = max(most.get(name, 0.0), value)
             most["connects"] = made.connects
             await asyncio.sleep(0.1)
 
     watching = asyncio.create_task(watch())
-    played = await stage.run()
+    result = await runner.run()
     watching.cancel()
     if flood is not None:
         flood.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await flood
-    wanted = {name: kind.wanted for name, kind in scenario.kinds.items()}
-    took = [(kind, time) for kind, one in played.report.matters.items() for time in one.values()]
+    wanted = {name: spec.objective_s for name, spec in scenario.request_classes.items()}
+    took = [(kind, time) for kind, one in result.report.logical_requests.items() for time in one.values()]
     in_time = sum(time is not None and time <= wanted[kind] for kind, time in took)
-    p99 = max(found.percentile(0.99) for found in played.report.latency.values())
+    p99 = max(found.percentile(0.99) for found in result.report.latency.values())
     return {
         "asked": len(took),
         "in_time": round(in_time / len(took), 4),
         "p99_ms": round(p99 * 1000),
-        "unanswered": sum(counts["lost"] for counts in played.report.by_class.values()),
-        "crashed": played.crashed,
+        "unanswered": sum(counts["lost"] for counts in result.report.by_class.values()),
+        "crashed": result.crashes,
         **most,
     }
 
@@ -104,8 +106,8 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sockets", type=int, default=2000)
     given = parser.parse_args()
-    scenario = msgspec.structs.replace(read_scenario("quiet"), seconds=SECONDS)
-    result: dict[str, object] = {"descriptors": MEANS["sockets"], "sockets": given.sockets}
+    scenario = msgspec.structs.replace(read_scenario("quiet"), duration_s=SECONDS)
+    result: dict[str, object] = {"descriptors": RESOURCE_LIMITS["sockets"], "sockets": given.sockets}
     for name, sockets, gated in (
         ("no flood", 0, False),
         ("flood, gate off", given.sockets, False),
--- a/benchmarks/lab_capacity.py
+++ b/benchmarks/lab_capacity.py
@@ -17,11 +17,11 @@
 import uvloop
 from overhead import CORES, HOST, load, node, pin
 
-from ochreflow.lab.arrivals import Kind
+from ochreflow.lab.arrivals import Idempotency, RequestClass
 from ochreflow.lab.event_log import EventLog
 from ochreflow.lab.fake_node import FakeNode
-from ochreflow.lab.load import Load
-from ochreflow.lab.node_model import Traits
+from ochreflow.lab.load_generator import LoadGenerator
+from ochreflow.lab.node_messages import NodeProfile
 
 SECONDS = 3.0
 CONNECTIONS = 8
@@ -35,8 +35,8 @@
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
-        traits = Traits("node", cores=64, work={"assign": 0.0})
-        made = FakeNode(traits, EventLog(Path(folder) / "node.jsonl"), 1, loop)
+        profile = NodeProfile("node", cores=64, mean_work_s={"assign": 0.0})
+        made = FakeNode(profile, EventLog(Path(folder) / "node.jsonl"), 1, loop)
         server = await loop.create_server(made.service.connection, HOST, 0)
         pipe.send(server.sockets[0].getsockname()[1])
         await asyncio.Event().wait()
@@ -47,10 +47,16 @@
 def offered(port: int, rate: int, folder: str) -> dict[str, float]:
     """One open-loop run against a node that answers at once."""
     event_log = EventLog(Path(folder) / f"clients-{rate}.jsonl")
-    made = Load((HOST, port), [Kind("assign", 1.0, "unsafe", 2.0)], rate, 800, 1, event_log)
+    made = LoadGenerator(
+        (HOST, port), [RequestClass("assign", 1.0, Idempotency.NON_IDEMPOTENT, 2.0)], rate, 800, 1, event_log
+    )
     uvloop.run(made.run(SECONDS))
     event_log.close()
-    return {"rate": rate, "served": made.counts["served"], "latest_send_ms": round(made.lag * 1000, 1)}
+    return {
+        "rate": rate,
+        "served": made.outcomes["served"],
+        "latest_send_ms": round(made.max_send_delay_s * 1000, 1),
+    }
 
 
 def main() -> None:
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -28,11 +28,11 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
+from ochreflow.lab.client_connection import ClientConnection  # noqa: E402
 from ochreflow.lab.http_server import HttpRequest, HttpService  # noqa: E402
-from ochreflow.lab.load import Client  # noqa: E402
+from ochreflow.lab.platform_config import platform_config  # noqa: E402
 from ochreflow.lab.scenario import read_scenario  # noqa: E402
 from ochreflow.lab.series import percentile  # noqa: E402
-from ochreflow.lab.stage import platform_config  # noqa: E402
 
 HOST = "127.0.0.1"
 CONNECTIONS = 6  # fills a core, and stays under the module's limit on what is open at first
@@ -113,11 +113,11 @@
     end = perf_counter() + seconds
 
     async def one() -> None:
-        _, client = await loop.create_connection(Client, HOST, port)
+        _, client = await loop.create_connection(ClientConnection, HOST, port)
         while perf_counter() < end and len(took) < most:
             done = loop.create_future()
             begin = perf_counter()
-            client.ask(request(), done)
+            client.send(request(), done)
             code, _ = await done
             if code != 200:
                 raise SystemExit(f"an answer was {code}: {client.body.decode()}")
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -99,7 +99,7 @@
     @property
     def told(self) -> bool:
         """Whether a sidecar has its list, and waits for changes."""
-        return any(not watch.asked.gone for watch in list(self.directory.watches))
+        return any(not watch.request.disconnected for watch in list(self.directory.watches))
 
 
 def nobody() -> str:
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -25,7 +25,7 @@
 import uvloop
 from overhead import HOST, NAMES, ROOT, config, node, request
 
-from ochreflow.lab.load import Client
+from ochreflow.lab.client_connection import ClientConnection
 
 CLIENTS = 4
 SECONDS_BEFORE = 1.0  # of load on the first alone, and on the second alone
@@ -63,12 +63,12 @@
     while not ending.is_set():
         if client is None or not client.open:
             try:
-                _, client = await loop.create_connection(Client, HOST, port)
+                _, client = await loop.create_connection(ClientConnection, HOST, port)
             except OSError:
                 counts["refused connections"] += 1
                 continue
         done = loop.create_future()
-        client.ask(request(), done)
+        client.send(request(), done)
         try:
             code, _ = await done
             counts["served" if code == 200 else "other answers"] += 1
--- a/benchmarks/worse_builds.py
+++ b/benchmarks/worse_builds.py
@@ -16,9 +16,9 @@
 
 from ochreflow.lab.builds import make
 from ochreflow.lab.differences import interval
-from ochreflow.lab.runs import results, scenarios_of
-from ochreflow.lab.scenario import names
-from ochreflow.simulation.play import simulate
+from ochreflow.lab.runs import Job, play_jobs, read_scenarios
+from ochreflow.lab.scenario import scenario_names
+from ochreflow.simulation.simulation import simulate
 
 POLICY = Path("ochreflow/policy")
 WORSE = {  # the file that is changed, what in it, and into what
@@ -49,16 +49,16 @@
 
 
 def ranked(builds: dict[str, Path], seeds: int, jobs: int) -> dict[str, object]:
-    scenarios = scenarios_of(names(), None)
+    scenarios = read_scenarios(scenario_names(), None)
     work = [
-        (name, scenario, seed, build, program)
+        Job(name, scenario, seed, build, program)
         for seed in range(1, seeds + 1)
         for name, scenario in scenarios.items()
         for build, program in builds.items()
     ]
     worth: dict[str, dict[tuple[str, int], float]] = defaultdict(dict)
     broken: dict[str, int] = defaultdict(int)
-    for result in results(simulate, work, jobs):
+    for result in play_jobs(simulate, work, jobs):
         worth[result["build"]][result["scenario"], result["seed"]] = result["worth"]
         broken[result["build"]] += result["verdict"] == "broken"
     told: dict[str, object] = {}
--- a/ochreflow/cli/lab.py
+++ b/ochreflow/cli/lab.py
@@ -22,7 +22,7 @@
 def _player(*, simulated: bool) -> Player:
     """Choose what runs a scenario: processes on loopback, or the decision module alone in simulated time."""
     if simulated:
-        from ..simulation.play import simulate
+        from ..simulation.simulation import simulate
 
         return simulate
     from ..lab.demo import play
@@ -48,10 +48,10 @@
 ) -> int:
     """Play scenarios of the library, or of files that end in .toml, and judge each run."""
     from ..lab.runs import run_all
-    from ..lab.scenario import ScenarioError, names
+    from ..lab.scenario import ScenarioError, scenario_names
 
     if not scenarios:
-        message = f"name a scenario: {', '.join(names())}"
+        message = f"name a scenario: {', '.join(scenario_names())}"
         raise click.UsageError(message)
     try:
         return run_all(_player(simulated=simulated), list(scenarios), seeds, jobs, seconds, out)
@@ -92,9 +92,9 @@
         message = f"{error.name} is missing: install requirements-report.txt"
         raise click.ClickException(message) from None
     from ..lab.builds import BuildError
-    from ..lab.scenario import ScenarioError, names
+    from ..lab.scenario import ScenarioError, scenario_names
 
-    chosen = list(scenarios) or names()
+    chosen = list(scenarios) or scenario_names()
     try:
         return compare(_player(simulated=simulated), (a, b), chosen, seeds, jobs, seconds, out, html)
     except (ScenarioError, BuildError) as error:
@@ -110,13 +110,13 @@
 @click.option("--html", metavar="FILE", help="Write plots of the first seed there.")
 def lab_trace(courses: tuple[str, ...], seeds: int, jobs: int, html: str | None) -> int:
     """Trace the limit on what is in flight, in simulated time, against an oracle that knows the capacity."""
-    from ..simulation.courses import COURSES
-    from ..simulation.show import run
+    from ..simulation.limit_scenarios import LIMIT_SCENARIOS
+    from ..simulation.limit_trace_report import run
 
-    if unknown := [name for name in courses if name not in COURSES]:
-        message = f"{unknown[0]}: no such course; there are {', '.join(COURSES)}"
+    if unknown := [name for name in courses if name not in LIMIT_SCENARIOS]:
+        message = f"{unknown[0]}: no such course; there are {', '.join(LIMIT_SCENARIOS)}"
         raise click.UsageError(message)
-    return run(list(courses or COURSES), seeds, jobs, html)
+    return run(list(courses or LIMIT_SCENARIOS), seeds, jobs, html)
 
 
 @lab.command(name="pace", epilog=example("ochreflow lab pace 30/10 30/60 --seeds 4 --jobs 4"))
@@ -132,13 +132,13 @@
     fleets: tuple[str, ...], seeds: int, jobs: int, *, slow: bool, unequal: bool, program: Path | None
 ) -> int:
     """Measure, in simulated time, what all sidecars together send to cold servers against what one bears."""
-    from ..simulation.pace import FLEETS, run
+    from ..simulation.slow_start_report import FLEETS, run
 
     known = [f"{sidecars}/{servers}" for sidecars, servers in FLEETS]
     if unknown := [name for name in fleets if name not in known]:
         message = f"{unknown[0]}: no such fleet; there are {', '.join(known)}"
         raise click.UsageError(message)
-    return run(list(fleets), slow, unequal, seeds, jobs, program)
+    return run(list(fleets), seeds, jobs, program, slow_while_cold=slow, unequal=unequal)
 
 
 lab.add_command(duplicates)
--- a/ochreflow/lab/arrivals.py
+++ b/ochreflow/lab/arrivals.py
@@ -1,96 +1,117 @@
-"""When clients come, and with what: drawn from a seed alone, so that every build is offered the same."""
+"""When clients send requests, and which: drawn from a seed alone, so that every build is offered the same."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
+from enum import StrEnum
 from itertools import accumulate
 
-from .node_model import TAIL, drawn_work
+from .node_model import WORK_LOG_STDDEV, draw_work_factor
 
-SKEW = 0.9  # Zipf: a few keys are far more popular
-LEAVE_WITHIN = 3.0  # times the mean work of its class: many leave while a node is at it
-HINT_NOISE = 0.35  # standard deviation of the logarithm by which a cost hint is off
+KEY_ZIPF_EXPONENT = 0.9  # a few keys are far more popular than the others
+MAX_ABANDON_FACTOR = 3.0  # times the mean work of its class: many clients leave while a node is at work
+COST_HINT_LOG_STDDEV = 0.35  # standard deviation of the logarithm by which a cost hint is wrong
+MIN_ABANDON_S = 0.001
+REQUEST_ID_BITS = 64
+HABIT_DRAWS = 5
+
+
+class Idempotency(StrEnum):
+    """Whether a request may be executed again; the values are the words of scenario files."""
+
+    IDEMPOTENT = "safe"
+    IDEMPOTENT_WITH_KEY = "keyed"  # repeats with the same idempotency key are dropped by the nodes of a group
+    NON_IDEMPOTENT = "unsafe"
 
 
 @dataclass(slots=True)
-class Kind:
+class RequestClass:
     """A class of requests, as clients send it."""
 
     name: str
     share: float
-    repeat: str  # "safe", "keyed" or "unsafe"
-    deadline: float  # seconds
-    work: float = 0.0  # mean seconds on a warm core
+    idempotency: Idempotency
+    deadline_s: float
+    mean_work_s: float = 0.0  # on a warm core
 
 
 @dataclass(slots=True)
-class Habits:
-    """What clients do beside asking: shares of requests, and numbers."""
+class ClientProfile:
+    """The behaviour of clients: shares of requests, and numbers."""
 
-    leaving: float = 0.0  # leave before the answer
-    slow: float = 0.0  # write their request in pieces, and read the answer late
-    long: float = 0.0  # bring a body of `long_bytes`
-    long_bytes: int = 200_000
-    hinted: float = 0.0  # tell what the work will cost
-    tail: float = TAIL  # standard deviation of the logarithm of work
-    tries: int = 1  # of one matter in all, each as soon as a refusal allows
+    abandon_share: float = 0.0  # disconnect before the response
+    slow_share: float = 0.0  # write their request in pieces, and read the response late
+    large_body_share: float = 0.0  # send a body of `large_body_bytes`
+    large_body_bytes: int = 200_000
+    cost_hint_share: float = 0.0  # say what the work will cost
+    work_log_stddev: float = WORK_LOG_STDDEV
+    max_attempts: int = 1  # for one logical request, each as soon as a rejection allows
 
 
 @dataclass(slots=True)
-class Due:
-    """One request that a client will send."""
+class ScheduledRequest:
+    """One logical request that a client will send."""
 
-    at: float  # seconds since the begin
-    kind: Kind
-    ident: str
+    due_s: float  # since the start of the run
+    request_class: RequestClass
+    request_id: str
     key: int
-    work: float  # in means of its class
-    hint: float = 0.0  # seconds of work as its client guesses; 0: it says nothing
-    leaves: float = 0.0  # seconds after which its client goes; 0: it stays
+    work_factor: float  # in means of its class
+    cost_hint_s: float = 0.0  # of work, as its client guesses; 0: no hint
+    abandon_after_s: float = 0.0  # after which its client disconnects; 0: it stays
     slow: bool = False
-    body: int = 0  # bytes beyond the usual ones
+    extra_body_bytes: int = 0
 
 
-class Arrivals:
-    """An endless row of requests at a rate that changes with time."""
+class ArrivalSchedule:
+    """An endless sequence of requests at a rate that changes with time."""
 
     def __init__(
         self,
-        kinds: list[Kind],
-        rate: float,
-        keys: int,
+        request_classes: list[RequestClass],
+        rate_per_s: float,
+        key_count: int,
         seed: int,
-        times: Callable[[float], float] = lambda passed: 1.0,
-        habits: Habits | None = None,
+        rate_factor: Callable[[float], float] = lambda elapsed_s: 1.0,
+        profile: ClientProfile | None = None,
     ) -> None:
-        self.kinds = kinds
-        self.rate = rate
+        """Draw from the seed; `rate_factor` is the factor on the rate at a time of the run, in seconds."""
+        self.request_classes = request_classes
+        self.rate_per_s = rate_per_s
         self.random = random.Random(seed)
-        self.times = times  # the factor on the rate at a time of the run, in seconds
-        self.habits = habits or Habits()
-        self.shares = list(accumulate(kind.share for kind in kinds))
-        self.weights = list(accumulate(1.0 / (rank + 1) ** SKEW for rank in range(keys)))
-
-    def __iter__(self) -> Iterator[Due]:
-        at = 0.0
+        self.rate_factor = rate_factor
+        self.profile = profile or ClientProfile()
+        self.class_weights = list(accumulate(one.share for one in request_classes))
+        self.key_weights = list(
+            accumulate(1.0 / (rank + 1) ** KEY_ZIPF_EXPONENT for rank in range(key_count))
+        )
+
+    def __iter__(self) -> Iterator[ScheduledRequest]:
+        """Draw the requests in the order of their times: a Poisson process."""
+        due_s = 0.0
         while True:
-            at += self.random.expovariate(self.rate * self.times(at))
-            yield self._one(at)
-
-    def _one(self, at: float) -> Due:
-        draw, habits = self.random, self.habits
-        kind = draw.choices(self.kinds, cum_weights=self.shares)[0]
-        ident = f"{draw.getrandbits(64):016x}"
-        key = draw.choices(range(len(self.weights)), cum_weights=self.weights)[0]
-        due = Due(at, kind, ident, key, drawn_work(draw, habits.tail))
-        # Each is drawn whether it matters or not: a habit more leaves the rest of the row as it was.
-        leaves, after, slow, long, hint = (draw.random() for _ in range(5))
-        noise = draw.lognormvariate(0.0, HINT_NOISE)
-        if leaves < habits.leaving:
-            due.leaves = max(after * LEAVE_WITHIN * (kind.work or kind.deadline), 0.001)
-        due.slow = slow < habits.slow
-        due.body = habits.long_bytes if long < habits.long and kind.repeat != "safe" else 0
-        due.hint = kind.work * due.work * noise if hint < habits.hinted else 0.0
-        return due
+            due_s += self.random.expovariate(self.rate_per_s * self.rate_factor(due_s))
+            yield self._draw(due_s)
+
+    def _draw(self, due_s: float) -> ScheduledRequest:
+        draw, profile = self.random, self.profile
+        request_class = draw.choices(self.request_classes, cum_weights=self.class_weights)[0]
+        request_id = f"{draw.getrandbits(REQUEST_ID_BITS):016x}"
+        key = draw.choices(range(len(self.key_weights)), cum_weights=self.key_weights)[0]
+        work_factor = draw_work_factor(draw, profile.work_log_stddev)
+        request = ScheduledRequest(due_s, request_class, request_id, key, work_factor)
+        # Each is drawn whether it matters or not: one habit more leaves the rest of the sequence as it was.
+        abandon, abandon_at, slow, large, hint = (draw.random() for _ in range(HABIT_DRAWS))
+        hint_error = draw.lognormvariate(0.0, COST_HINT_LOG_STDDEV)
+        if abandon < profile.abandon_share:
+            span_s = request_class.mean_work_s or request_class.deadline_s
+            request.abandon_after_s = max(abandon_at * MAX_ABANDON_FACTOR * span_s, MIN_ABANDON_S)
+        request.slow = slow < profile.slow_share
+        has_body = request_class.idempotency != Idempotency.IDEMPOTENT
+        if has_body and large < profile.large_body_share:
+            request.extra_body_bytes = profile.large_body_bytes
+        if hint < profile.cost_hint_share:
+            request.cost_hint_s = request_class.mean_work_s * request.work_factor * hint_error
+        return request
--- a/ochreflow/lab/builds.py
+++ b/ochreflow/lab/builds.py
@@ -12,18 +12,20 @@
 import subprocess
 from pathlib import Path
 
+from ..errors import OchreflowError
+
 PACKAGE = "ochreflow"
 HERE = Path(__file__).resolve().parents[1]
 CHANGE = re.compile(r"([\w/]+\.py):([A-Z_0-9]+)=(.+)")
 
 
-class BuildError(Exception):
+class BuildError(OchreflowError):
     """A build that can't be had; the text says why in one line."""
 
 
-def make(said: str, folder: Path) -> Path:
+def make(build: str, folder: Path) -> Path:
     """Put a build's package into `folder`; the folder."""
-    revision, *changes = said.split(",")
+    revision, *changes = build.split(",")
     folder.mkdir(parents=True)
     if revision == ".":
         shutil.copytree(HERE, folder / PACKAGE, ignore=shutil.ignore_patterns("__pycache__"))
--- a/ochreflow/lab/compare.py
+++ b/ochreflow/lab/compare.py
@@ -1,4 +1,4 @@
-"""Plays two builds on the same scenarios and seeds, and tells the difference."""
+"""Plays two builds on the same scenarios and seeds, and shows the difference."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 import sys
 import tempfile
 from pathlib import Path
+from typing import Any
 
 from .builds import make
 from .differences import differences, table
-from .report import write
-from .runs import Job, Player, add_line, line, results, scenarios_of
+from .html_report import write
+from .runs import Job, Player, append_result, exit_code, line, play_jobs, read_scenarios
+
+BAR_WIDTH = 30
 
 
 def compare(
@@ -18,46 +21,51 @@
     builds: tuple[str, str],
     names: list[str],
     seeds: int,
-    jobs: int,
-    seconds: float | None = None,
+    processes: int,
+    duration_s: float | None = None,
     out: str | None = None,
     html: str | None = None,
 ) -> int:
-    """Play both builds and tell the difference; 1 if a rule was broken by either, 3 if runs were void."""
-    scenarios = scenarios_of(names, seconds)
+    """Play both builds and show the difference; 1 if a rule was broken by either, 3 if runs were void."""
     folder = Path(tempfile.mkdtemp(prefix="builds-"))
     try:
         labels = builds if builds[0] != builds[1] else (f"{builds[0]} (A)", f"{builds[1]} (B)")
-        made = {label: make(builds[n], folder / str(n)) for n, label in enumerate(labels)}
-        work: list[Job] = [
-            (name, scenario, seed, label, program)
+        scenarios = read_scenarios(names, duration_s)
+        programs = {label: make(builds[n], folder / str(n)) for n, label in enumerate(labels)}
+        jobs = [
+            Job(name, scenario, seed, label, program)
             for seed in range(1, seeds + 1)
             for name, scenario in scenarios.items()
-            for label, program in made.items()
+            for label, program in programs.items()
         ]
-        found = []
-        for result in results(play, work, jobs, with_series=html is not None):
+        found: list[dict[str, Any]] = []
+        for result in play_jobs(play, jobs, processes, with_series=html is not None):
             found.append(result)
-            _progress(len(found), len(work), line(result))
+            _print_progress(len(found), len(jobs), line(result))
             if out is not None:
-                add_line(out, {key: value for key, value in result.items() if key != "series"})
+                append_result(out, {key: value for key, value in result.items() if key != "series"})
     finally:
         shutil.rmtree(folder, ignore_errors=True)
-    shown = differences(found, *labels)
-    print(f"A: {labels[0]}\nB: {labels[1]}\n\n{table(shown)}")
-    broken = [result for result in found if result["verdict"] == "broken"]
-    for result in broken:
-        print(f"broken: {line(result)}\n      {result['findings'][0]}")
+    return _show(found, labels, html)
+
+
+def _show(found: list[dict[str, Any]], labels: tuple[str, str], html: str | None) -> int:
+    """Print the differences and the broken rules, and write the report; return the exit code."""
+    compared = differences(found, *labels)
+    print(f"A: {labels[0]}\nB: {labels[1]}\n\n{table(compared)}")
+    for result in found:
+        if result["verdict"] == "broken":
+            print(f"broken: {line(result)}\n      {result['findings'][0]}")
     if html is not None:
-        write(Path(html), labels, found, shown)
-    return 1 if broken else 3 if any(result["verdict"] == "void" for result in found) else 0
+        write(Path(html), labels, found, compared)
+    return exit_code({result["verdict"] for result in found})
 
 
-def _progress(number: int, of: int, said: str) -> None:
-    """A bar on a terminal, else a line for each run, on standard error."""
+def _print_progress(number: int, total: int, text: str) -> None:
+    """Print a bar on a terminal, else a line for each run, on standard error."""
     if sys.stderr.isatty():
-        filled = 30 * number // of
-        end = "\n" if number == of else ""
-        print(f"\r\x1b[K[{'#' * filled:<30}] {number}/{of}", end=end, file=sys.stderr, flush=True)
+        filled = BAR_WIDTH * number // total
+        end = "\n" if number == total else ""
+        print(f"\r\x1b[K[{'#' * filled:<{BAR_WIDTH}}] {number}/{total}", end=end, file=sys.stderr, flush=True)
     else:
-        print(f"[{number}/{of}] {said}", file=sys.stderr, flush=True)
+        print(f"[{number}/{total}] {text}", file=sys.stderr, flush=True)
--- a/ochreflow/lab/differences.py
+++ b/ochreflow/lab/differences.py
@@ -13,15 +13,16 @@
 
 import numpy
 
-DRAWS = 10_000
-LEVEL = 0.95
-SEED = 20261201  # of the bootstrap: the same results give the same interval
-PAIRS_LEAST = 4  # fewer say nothing of chance
+BOOTSTRAP_DRAWS = 10_000
+CONFIDENCE = 0.95
+BOOTSTRAP_SEED = 20261201  # the same results give the same interval
+BUILD_COUNT = 2
+MIN_PAIRS = 4  # fewer say nothing of chance
 
 
 @dataclass(slots=True)
 class Difference:
-    """Of one measure, B less A, over the pairs of one scenario or of all."""
+    """The difference of one measure, B less A, over the pairs of one scenario or of all."""
 
     scenario: str
     measure: str
@@ -30,64 +31,77 @@
     after: float
     low: float
     high: float
-    better_up: bool = True
+    more_is_better: bool = True
 
     @property
     def verdict(self) -> str:
-        """In plain words; nothing is shown where the interval has both signs or the pairs are few."""
-        if self.pairs < PAIRS_LEAST or self.low <= 0.0 <= self.high:
+        """Better, worse, or no difference shown: the interval has both signs, or the pairs are few."""
+        if self.pairs < MIN_PAIRS or self.low <= 0.0 <= self.high:
             return "no difference shown"
-        return "better" if (self.low > 0.0) == self.better_up else "worse"
+        return "better" if (self.low > 0.0) == self.more_is_better else "worse"
 
 
-def p99(result: dict[str, Any]) -> float:
-    return max((counts["p99"] for counts in result["classes"].values()), default=0.0)
+@dataclass(frozen=True, slots=True)
+class Measure:
+    """What is compared of two runs."""
 
+    value: Callable[[dict[str, Any]], float]
+    more_is_better: bool
 
-def attempts(result: dict[str, Any]) -> float:
-    """Attempts for each request."""
+
+def max_p99_s(result: dict[str, Any]) -> float:
+    """Return the p99 of the slowest class, in seconds."""
+    return float(max((counts["p99"] for counts in result["classes"].values()), default=0.0))
+
+
+def attempts_per_request(result: dict[str, Any]) -> float:
+    """Return the attempts that reached nodes for each request of a client."""
     counts = result["classes"].values()
-    return sum(one["attempts"] for one in counts) / max(sum(one["asked"] for one in counts), 1)
+    attempts: float = sum(one["attempts"] for one in counts)
+    requests: float = sum(one["asked"] for one in counts)
+    return attempts / max(requests, 1)
 
 
-MEASURES: dict[str, tuple[Callable[[dict[str, Any]], float], bool]] = {  # with whether more is better
-    "worth": (lambda result: result["worth"], True),
-    "p99 s": (p99, False),
-    "attempts/request": (attempts, False),
+MEASURES = {
+    "worth": Measure(lambda result: float(result["worth"]), more_is_better=True),
+    "p99 s": Measure(max_p99_s, more_is_better=False),
+    "attempts/request": Measure(attempts_per_request, more_is_better=False),
 }
 
 
 def interval(differences: list[float]) -> tuple[float, float]:
-    """Where the mean difference lies, by resampling the pairs."""
+    """Return where the mean difference lies, by resampling the pairs."""
     values = numpy.asarray(differences)
-    source = numpy.random.default_rng(SEED)
-    means = values[source.integers(0, len(values), (DRAWS, len(values)))].mean(axis=1)
-    low, high = numpy.quantile(means, [(1 - LEVEL) / 2, (1 + LEVEL) / 2])
+    source = numpy.random.default_rng(BOOTSTRAP_SEED)
+    means = values[source.integers(0, len(values), (BOOTSTRAP_DRAWS, len(values)))].mean(axis=1)
+    low, high = numpy.quantile(means, [(1 - CONFIDENCE) / 2, (1 + CONFIDENCE) / 2])
     return float(low), float(high)
 
 
 def differences(found: list[dict[str, Any]], a: str, b: str) -> list[Difference]:
-    """Every measure for every scenario, and for all together where there are several. Void runs count not."""
+    """Compare every measure in every scenario, and in all together. Void runs do not count."""
     pairs: dict[tuple[str, int], dict[str, dict[str, Any]]] = defaultdict(dict)
     for result in found:
         if result["verdict"] != "void":
             pairs[result["scenario"], result["seed"]][result["build"]] = result
-    whole = {key: pair for key, pair in sorted(pairs.items()) if len(pair) == 2}
-    scenarios = sorted({scenario for scenario, _ in whole})
+    complete = {key: pair for key, pair in sorted(pairs.items()) if len(pair) == BUILD_COUNT}
+    scenarios = sorted({scenario for scenario, _ in complete})
     made = []
     for name in [*scenarios, *(["all"] if len(scenarios) > 1 else [])]:
-        chosen = [pair for (scenario, _), pair in whole.items() if name in (scenario, "all")]
-        for measure, (value, better_up) in MEASURES.items():
-            before = [value(pair[a]) for pair in chosen]
-            after = [value(pair[b]) for pair in chosen]
+        chosen = [pair for (scenario, _), pair in complete.items() if name in (scenario, "all")]
+        for name_of_measure, measure in MEASURES.items():
+            before = [measure.value(pair[a]) for pair in chosen]
+            after = [measure.value(pair[b]) for pair in chosen]
             low, high = interval([late - early for early, late in zip(before, after, strict=True)])
             means = float(numpy.mean(before)), float(numpy.mean(after))
-            made.append(Difference(name, measure, len(chosen), *means, low, high, better_up))
+            made.append(
+                Difference(name, name_of_measure, len(chosen), *means, low, high, measure.more_is_better)
+            )
     return made
 
 
 def table(found: list[Difference]) -> str:
-    """The differences for a person."""
+    """Return a line for each difference."""
     rows = ["scenario         measure           pairs        A        B  B - A (95 %)         verdict"]
     for one in found:
         rows.append(
--- a/ochreflow/lab/duplicates/client.py
+++ b/ochreflow/lab/duplicates/client.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from ..stage import HOST
+from ..platform_config import HOST
 from .classes import Effect
 from .events import Answered, Closed, Left, SendingEnded, Written
 from .plan import Ask
--- a/ochreflow/lab/duplicates/fleet.py
+++ b/ochreflow/lab/duplicates/fleet.py
@@ -16,7 +16,8 @@
 
 from ..event_log import EventLog
 from ..fake_directory import FakeDirectory
-from ..stage import HOST, KIND, MEANS, MS, START_WITHIN, ZONES
+from ..platform_config import HOST, NODE_TYPE, NS_PER_MS, RESOURCE_LIMITS, ZONES
+from ..process_environment import START_TIMEOUT_S
 from .plan import Plan, SidecarChange
 from .record import Record
 from .server import Server
@@ -89,7 +90,7 @@
             "name": f"server-{server.number}",
             "address": f"{HOST}:{server.port}",
             "zone": ZONES[place.zone],
-            "type": KIND,
+            "type": NODE_TYPE,
             "group": place.cell,
             "status": status,
             "weight": 1.0,
@@ -124,14 +125,14 @@
     async def _listening(number: int, process: asyncio.subprocess.Process, log: Path) -> str:
         """Wait until a sidecar listens; what it has said."""
         try:
-            async with asyncio.timeout(START_WITHIN):
+            async with asyncio.timeout(START_TIMEOUT_S):
                 while LISTENS not in (said := log.read_text(errors="replace")):
                     if process.returncode is not None:
                         last = (said.strip().splitlines() or ["it said nothing"])[-1]
                         raise FleetError(f"sidecar {number} did not start: {last}")
                     await asyncio.sleep(0.01)
         except TimeoutError:
-            raise FleetError(f"sidecar {number} did not listen within {START_WITHIN:g} s") from None
+            raise FleetError(f"sidecar {number} did not listen within {START_TIMEOUT_S:g} s") from None
         return said
 
     def configure(self, number: int) -> Path:
@@ -149,7 +150,7 @@
             "management": f"{HOST}:0",
             "discovery": self.directory_address,
             "seed": f"{self.plan.seed * 100 + number + 1:x}",
-            "limits": {"cores": 1.0, **MEANS},
+            "limits": {"cores": 1.0, **RESOURCE_LIMITS},
             "known": {"index": 0, "snapshot": True, "endpoints": listed},
             "settings": self._settings(number),
         }
@@ -159,11 +160,11 @@
         classes = [
             {
                 "name": cls.name,
-                "deadline-ns": round(cls.deadline * 1000) * MS,
-                "objective-ns": round(cls.deadline * 500) * MS,
+                "deadline-ns": round(cls.deadline * 1000) * NS_PER_MS,
+                "objective-ns": round(cls.deadline * 500) * NS_PER_MS,
                 "repeat": cls.effect.value,
                 "key-scope": cls.scope.value,
-                "window-ns": round(cls.window * 1000) * MS,
+                "window-ns": round(cls.window * 1000) * NS_PER_MS,
                 "points": 1.0,
                 "late-value": 0.0,
                 "stream": False,
@@ -175,7 +176,7 @@
             "ceilings": {
                 "cancel": True,
                 "conn-idle-ns": 60 * SECOND,
-                "connect-timeout-ns": round(plan.connect_timeout * 1000) * MS,
+                "connect-timeout-ns": round(plan.connect_timeout * 1000) * NS_PER_MS,
                 "max-retry-after-ns": 2 * SECOND,
                 "retry-after": True,
                 "second-copies": plan.second_copies,
@@ -183,20 +184,20 @@
             },
             "classes": classes,
             "dcs": ZONES,
-            "kinds": [KIND],
+            "kinds": [NODE_TYPE],
             "my-zone": number % len(ZONES),
             "index": number,
             "discovery": "ask",
             "fleet-size": plan.sidecars,
             "rules": {
                 "must-ask-in-ns": 10 * SECOND,
-                "drain-grace-ns": 500 * MS,
+                "drain-grace-ns": 500 * NS_PER_MS,
                 "start-capacity": 0.9,
                 "warm-within-ns": SECOND,
                 "overload-factor": 50.0,
                 "overload-for-ns": 3 * SECOND,
             },
-            "tick-ns": 5 * MS,
+            "tick-ns": 5 * NS_PER_MS,
         }
 
     @asynccontextmanager
--- a/ochreflow/lab/duplicates/server.py
+++ b/ochreflow/lab/duplicates/server.py
@@ -11,7 +11,7 @@
 from contextlib import AbstractAsyncContextManager
 from dataclasses import dataclass, field
 
-from ..stage import HOST
+from ..platform_config import HOST
 from .attempts import LOOP_LAG, READ_MOST, SIP, AttemptReader
 from .events import AttemptEnded, Copy, NotRun, ServerAction
 from .judge import Place
--- a/ochreflow/lab/fake_directory.py
+++ b/ochreflow/lab/fake_directory.py
@@ -1,4 +1,4 @@
-"""A fake of the platform's directory: the whole list, watches on changes, and orders of the lab."""
+"""A fake of the platform's directory: the complete list, watches on changes, control orders."""
 
 from __future__ import annotations
 
@@ -10,34 +10,27 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from .event_log import EventLog
+import msgspec
+
+from .directory_behaviour import DirectoryBehaviour
+from .event_log import EventKind, EventLog
 from .http_server import HttpRequest, HttpService
 
-TARGETS = "/api/targets"
-CONTROL = "/-/lab"
-WAIT_MOST = 60_000  # milliseconds that a watch waits at the most
+TARGETS_PATH = "/api/targets"
+CONTROL_PATH = "/-/lab"
+MAX_WATCH_MS = 60_000  # that a watch waits for a change
+MS_PER_S = 1000
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
-    """A watch that has nothing to tell yet."""
+class Watch:
+    """A call that waits for changes after an index."""
 
     request: HttpRequest
     after: int
     timer: asyncio.TimerHandle
 
 
-@dataclass(slots=True)
-class Manners:
-    """How a directory treats those that call. Times in seconds."""
-
-    per_second: float = 0.0  # calls served in a second, in turn; 0: all at once
-    room: int = 32  # calls that may wait for their turn; one beyond gets a 503
-    resets: float = 0.0  # the share of calls that end in a reset instead
-    late: float = 0.0  # after which watches are told of a change
-    keeps: int = 0  # changes remembered; a watch on an older index gets the whole list; 0: all
-
-
 class FakeDirectory:
     """Owns the list: entries by name, each with the index of its latest change."""
 
@@ -45,119 +38,124 @@
         self,
         event_log: EventLog,
         loop: asyncio.AbstractEventLoop,
-        manners: Manners | None = None,
+        behaviour: DirectoryBehaviour | None = None,
         seed: int = 0,
     ) -> None:
+        """Begin with an empty list."""
         self.event_log = event_log
         self.loop = loop
-        self.manners = manners or Manners()
+        self.behaviour = behaviour or DirectoryBehaviour()
         self.random = random.Random(seed)
-        self.turns: deque[HttpRequest] = deque()  # calls that wait to be served
+        self.queue: deque[HttpRequest] = deque()  # calls that wait to be served
         self.index = 0
         self.entries: dict[str, tuple[int, dict[str, Any]]] = {}
-        self.watches: dict[Waiting, None] = {}
-        self.down = False  # answers nobody but the lab
+        self.watches: dict[Watch, None] = {}
+        self.down = False  # answers nothing but control orders
         self.service = HttpService(self.serve)
 
     def close(self) -> None:
         """End as a process that is killed does."""
-        self.service.cut_all()
+        self.service.abort_all()
 
     def put(self, entry: dict[str, Any]) -> None:
-        """Add or change an entry, and tell whoever watches."""
+        """Add or change an entry, and notify watchers."""
         self.index += 1
         self.entries[entry["name"]] = (self.index, entry)
-        self.event_log.record("changed", name=entry["name"], status=entry["status"], index=self.index)
-        if self.manners.late:
-            self.loop.call_later(self.manners.late, self._tell_all)
+        self.event_log.record(EventKind.CHANGED, name=entry["name"], status=entry["status"], index=self.index)
+        if self.behaviour.notify_delay_s:
+            self.loop.call_later(self.behaviour.notify_delay_s, self._notify_all)
         else:
-            self._tell_all()
+            self._notify_all()
 
-    def _tell_all(self) -> None:
+    def _notify_all(self) -> None:
         for watch in list(self.watches):
             if watch.after < self.index:
-                self._tell_changes(watch)
+                self._notify(watch)
 
     def serve(self, request: HttpRequest) -> None:
+        """Handle a call or a control order."""
         parts = urlsplit(request.target)
-        if parts.path == CONTROL and request.method == "POST":
+        if parts.path == CONTROL_PATH and request.method == "POST":
             try:
-                self._order(json.loads(request.body))
-            except (ValueError, KeyError, TypeError) as error:
+                self._control(json.loads(request.body))
+            except (ValueError, KeyError, TypeError, msgspec.ValidationError) as error:
                 request.answer(400, str(error).encode())
                 return
             request.answer(200)
-        elif self.down or len(self.turns) > self.manners.room:
+        elif self.down or len(self.queue) > self.behaviour.queue_capacity:
             request.answer(503)
-        elif self.random.random() < self.manners.resets:
-            request.connection.cut()
-        elif self.manners.per_second:
-            self.turns.append(request)
-            if len(self.turns) == 1:
-                self.loop.call_later(1.0 / self.manners.per_second, self._next_turn)
+        elif self.random.random() < self.behaviour.reset_share:
+            request.connection.abort()
+        elif self.behaviour.calls_per_s:
+            self.queue.append(request)
+            if len(self.queue) == 1:
+                self.loop.call_later(1.0 / self.behaviour.calls_per_s, self._serve_next)
         else:
             self._serve(request)
 
-    def _next_turn(self) -> None:
-        self._serve(self.turns.popleft())
-        if self.turns:
-            self.loop.call_later(1.0 / self.manners.per_second, self._next_turn)
+    def _serve_next(self) -> None:
+        self._serve(self.queue.popleft())
+        if self.queue:
+            self.loop.call_later(1.0 / self.behaviour.calls_per_s, self._serve_next)
 
     def _serve(self, request: HttpRequest) -> None:
         parts = urlsplit(request.target)
         if self.down:
             request.answer(503)
-        elif parts.path != TARGETS:
+        elif parts.path != TARGETS_PATH:
             request.answer(404)
         elif "after" in (query := parse_qs(parts.query)):
             self._watch(request, int(query["after"][0]), int(query.get("wait_ms", ["0"])[0]))
         else:
-            self._answer(request, True, [entry for _, entry in self.entries.values()])
+            self._answer_complete(request)
 
-    def _order(self, order: dict[str, Any]) -> None:
+    def _control(self, order: dict[str, Any]) -> None:
         if "manners" in order:
-            self.manners = Manners(**order["manners"])
+            self.behaviour = msgspec.convert(order["manners"], DirectoryBehaviour)
         elif "down" in order:
             self.down = bool(order["down"])
-            self.event_log.record("down" if self.down else "up")
-            for watch in list(self.watches):
+            self.event_log.record(EventKind.DOWN if self.down else EventKind.UP)
+            for watch in list(self.watches):  # watches end when it goes down
                 del self.watches[watch]
                 watch.timer.cancel()
-                watch.request.connection.cut()  # watches end when it goes down
+                watch.request.connection.abort()
         else:
-            self.put(self._full(order))
+            self.put(self._merged(order))
 
-    def _full(self, change: dict[str, Any]) -> dict[str, Any]:
-        """An entry that is only changed keeps the rest of what it was."""
+    def _merged(self, change: dict[str, Any]) -> dict[str, Any]:
+        """Return the complete entry: what a change leaves out stays as it was."""
         known = self.entries.get(change["name"])
         return {**known[1], **change} if known is not None else change
 
     def _watch(self, request: HttpRequest, after: int, wait_ms: int) -> None:
-        forgot = 0 < self.manners.keeps < self.index - after
-        if after > self.index or forgot:  # of an index that this directory does not know: the whole list
-            self._answer(request, True, [entry for _, entry in self.entries.values()])
+        forgotten = 0 < self.behaviour.retained_changes < self.index - after
+        if after > self.index or forgotten:  # an index that this directory does not know
+            self._answer_complete(request)
             return
-        timer = self.loop.call_later(min(wait_ms, WAIT_MOST) / 1000, self._expire, request)
-        waiting = Waiting(request, after, timer)
-        self.watches[waiting] = None
+        wait_s = min(wait_ms, MAX_WATCH_MS) / MS_PER_S
+        watch = Watch(request, after, self.loop.call_later(wait_s, self._expire, request))
+        self.watches[watch] = None
         if after < self.index:
-            self._tell_changes(waiting)
+            self._notify(watch)
 
     def _expire(self, request: HttpRequest) -> None:
         for watch in [watch for watch in self.watches if watch.request is request]:
             del self.watches[watch]
-        self._answer(request, False, [])
+        self._answer(request, [], snapshot=False)
 
-    def _tell_changes(self, watch: Waiting) -> None:
+    def _notify(self, watch: Watch) -> None:
+        """Answer a watch with what changed after its index."""
         del self.watches[watch]
         watch.timer.cancel()
         changed = [entry for index, entry in self.entries.values() if index > watch.after]
-        self._answer(watch.request, False, changed)
+        self._answer(watch.request, changed, snapshot=False)
+
+    def _answer_complete(self, request: HttpRequest) -> None:
+        entries = [entry for _, entry in self.entries.values() if entry["status"] != "DELETED"]
+        self._answer(request, entries, snapshot=True)
 
-    def _answer(self, request: HttpRequest, snapshot: bool, entries: list[dict[str, Any]]) -> None:
-        if snapshot:
-            entries = [entry for entry in entries if entry["status"] != "DELETED"]
+    def _answer(self, request: HttpRequest, entries: list[dict[str, Any]], *, snapshot: bool) -> None:
         body = {"index": self.index, "snapshot": snapshot, "endpoints": entries}
         if request.answer(200, json.dumps(body).encode(), "Content-Type: application/json"):
-            told = {entry["name"]: entry["status"] for entry in entries}
-            self.event_log.record("told", entries=told, whole=snapshot)
+            statuses = {entry["name"]: entry["status"] for entry in entries}
+            self.event_log.record(EventKind.NOTIFIED, entries=statuses, whole=snapshot)
--- a/ochreflow/lab/fake_node.py
+++ b/ochreflow/lab/fake_node.py
@@ -1,6 +1,6 @@
 """A fake flag node behind a socket: the model (`node_model.py`) with a clock, timers and an event log.
 
-It writes down every request that reaches it: what it took, ran, dropped as a repeat, or turned away.
+It records every request that reaches it: what it accepted, ran, dropped as a repeat, or rejected.
 """
 
 from __future__ import annotations
@@ -10,109 +10,131 @@
 from collections.abc import Callable
 from time import monotonic
 
-from .event_log import EventLog
+from .event_log import EventKind, EventLog
 from .http_server import HttpRequest, HttpService, ServerConnection
-from .node_model import Act, Cut, Fall, Model, Note, Pod, Reply, Traits, Work
+from .node_messages import (
+    CloseConnection,
+    Collapse,
+    NodeAction,
+    NodeProfile,
+    NodeRequest,
+    RecordEvent,
+    Reply,
+)
+from .node_model import DeduplicationGroup, NodeModel
 
-NOT_RUN = "X-Not-Run: 1"
-CONTROL = "/-/lab"
-WORK = "x-lab-work"  # the work of a request in means of its class, as its client drew it
+NOT_RUN_HEADER = "X-Not-Run: 1"
+CONTROL_PATH = "/-/lab"
+WORK_HEADER = "x-lab-work"  # the work of a request in means of its class, as its client drew it
 
 
 class FakeNode:
+    """Serves the requests of one node, and the control orders of the lab."""
+
     def __init__(
         self,
-        traits: Traits,
+        profile: NodeProfile,
         event_log: EventLog,
         seed: int,
         loop: asyncio.AbstractEventLoop,
-        pod: Pod | None = None,
+        dedup_group: DeduplicationGroup | None = None,
     ) -> None:
+        """Start a node; `on_end_order` is set by the owner of its socket."""
         self.event_log = event_log
         self.loop = loop
-        self.model = Model(traits, seed, monotonic(), pod)
+        self.model = NodeModel(profile, seed, monotonic(), dedup_group)
         self.pending: dict[int, HttpRequest] = {}
-        self.awaiting: dict[ServerConnection, int] = {}  # the request that each connection waits for
+        self.number_on: dict[ServerConnection, int] = {}  # the request that each connection waits for
         self.number = 0
         self.timer: asyncio.TimerHandle | None = None
-        self.end: Callable[[], None] = lambda: None  # go as a killed process does; others of its pod stay
-        self.service = HttpService(self.serve, self._left, traits.connections)
+        self.on_end_order: Callable[[], None] = lambda: None  # end as a killed process does
+        self.service = HttpService(self.serve, self._disconnected, profile.max_connections)
 
     def serve(self, request: HttpRequest) -> None:
-        if request.target.startswith(CONTROL):
+        """Handle a request or a control order."""
+        if request.target.startswith(CONTROL_PATH):
             self._control(request)
             return
         headers = request.headers
-        ident = headers.get("x-request-id")
-        cls = request.target[1:].split("/", 1)[0].split("?", 1)[0]
-        if not ident or cls not in self.model.traits.work:
+        request_id = headers.get("x-request-id")
+        class_name = request.target[1:].split("/", 1)[0].split("?", 1)[0]
+        if not request_id or class_name not in self.model.profile.mean_work_s:
             request.answer(404)
             return
         self.number += 1
         self.pending[self.number] = request
-        self.awaiting[request.connection] = self.number
-        times = float(headers[WORK]) if WORK in headers else None
-        key, token = headers.get("x-key"), headers.get("idempotency-key")
-        work = Work(ident, cls, key, token, times, request.connection.number)
-        self._do(self.model.arrive(monotonic(), self.number, work))
+        self.number_on[request.connection] = self.number
+        work_factor = float(headers[WORK_HEADER]) if WORK_HEADER in headers else None
+        key, idempotency_key = headers.get("x-key"), headers.get("idempotency-key")
+        node_request = NodeRequest(
+            request_id, class_name, key, idempotency_key, work_factor, request.connection.number
+        )
+        self._perform(self.model.arrive(monotonic(), self.number, node_request))
 
     def close(self) -> None:
-        """End as a process that is killed does: what is in hand never runs, and nothing more is written."""
+        """End as a process that is killed does: pending requests never run, and nothing more is recorded."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         self.pending.clear()
-        self.awaiting.clear()  # the loop reports the loss of these connections later
-        self.service.cut_all()
+        self.number_on.clear()  # the loop reports the loss of these connections later
+        self.service.abort_all()
 
-    def _left(self, connection: ServerConnection) -> None:
-        number = self.awaiting.pop(connection, None)
+    def _disconnected(self, connection: ServerConnection) -> None:
+        number = self.number_on.pop(connection, None)
         if number is not None:
             self.pending.pop(number, None)
-            self._do(self.model.leave(monotonic(), number))
-
-    def _do(self, acts: list[Act]) -> None:
-        for act in acts:
-            if isinstance(act, Note):
-                self.event_log.record(act.what, **act.fields)
-            elif isinstance(act, Fall):
-                self.service.cut_all()
-            elif (request := self.pending.pop(act.number, None)) is not None:
-                self.awaiting.pop(request.connection, None)
-                if isinstance(act, Cut):
-                    request.connection.cut()
-                else:
-                    self._reply(request, act)
+            self._perform(self.model.abandon(monotonic(), number))
+
+    def _perform(self, actions: list[NodeAction]) -> None:
+        for action in actions:
+            match action:
+                case RecordEvent():
+                    self.event_log.record(action.kind, **action.fields)
+                case Collapse():
+                    self.service.abort_all()
+                case CloseConnection() | Reply():
+                    self._finish(action)
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if (due := self.model.next_at()) is not None:
+        if (due := self.model.next_event_at()) is not None:
             self.timer = self.loop.call_later(max(due - monotonic(), 0.0), self._wake)
 
+    def _finish(self, action: CloseConnection | Reply) -> None:
+        request = self.pending.pop(action.number, None)
+        if request is None:
+            return
+        self.number_on.pop(request.connection, None)
+        if isinstance(action, CloseConnection):
+            request.connection.abort()
+        else:
+            self._reply(request, action)
+
     def _wake(self) -> None:
         self.timer = None
-        self._do(self.model.advance(monotonic()))
+        self._perform(self.model.advance(monotonic()))
 
     @staticmethod
     def _reply(request: HttpRequest, reply: Reply) -> None:
-        lines = (NOT_RUN,) if reply.not_run else ()
-        if reply.form:
-            request.connection.spoil(reply.form, reply.code, reply.body.encode())
+        header_lines = (NOT_RUN_HEADER,) if reply.not_run else ()
+        if reply.malformation:
+            request.connection.answer_malformed(reply.malformation, reply.status, reply.body.encode())
         else:
-            request.answer(reply.code, reply.body.encode(), *lines)
+            request.answer(reply.status, reply.body.encode(), *header_lines)
 
     def _control(self, request: HttpRequest) -> None:
-        """Orders of the lab."""
+        """Handle a control order: an end, faults, or the node's own side of a drain."""
         try:
             order = json.loads(request.body)
             if "end" in order:
-                self.loop.call_soon(self.end)
+                self.loop.call_soon(self.on_end_order)
                 request.answer(200)
                 return
-            acts = self.model.order(monotonic(), order)
+            actions = self.model.control(monotonic(), order)
         except (ValueError, AttributeError, TypeError) as error:
             request.answer(400, str(error).encode())
             return
-        self._do(acts)
-        self.event_log.record("ordered", **order)
+        self._perform(actions)
+        self.event_log.record(EventKind.CONTROLLED, **order)
         request.answer(200)
--- a/ochreflow/lab/fake_server.py
+++ b/ochreflow/lab/fake_server.py
@@ -1,8 +1,8 @@
 """Fake servers as a process: `python -m ochreflow.lab.fake_server nodes|directory FOLDER JSON`.
 
-The JSON is a list of what to be: nodes of one pod, which share what they drop, or one directory; each
-with a name, a seed and, for an address that was used before, a port. It prints a line for each as soon as
-it listens, and ends with SIGTERM or with the process that started it.
+The JSON is a list of the servers to start: nodes of one group, which drop each other's repeats, or one
+directory; each with a name, a seed and, for an address that was used before, a port. The process prints the
+address of each as soon as it listens, and ends with SIGTERM or with the process that started it.
 """
 
 from __future__ import annotations
@@ -15,15 +15,19 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import uvloop
 
+from .directory_behaviour import DirectoryBehaviour
 from .event_log import EventLog
-from .fake_directory import FakeDirectory, Manners
+from .fake_directory import FakeDirectory
 from .fake_node import FakeNode
-from .node_model import Pod, Traits
+from .node_messages import NodeProfile
+from .node_model import DeduplicationGroup
 
 HOST = "127.0.0.1"
-PARENT_EVERY = 0.5  # seconds between looks whether the parent lives
+LISTEN_BACKLOG = 512
+PARENT_CHECK_INTERVAL_S = 0.5
 
 
 class FakeServer:
@@ -32,52 +36,71 @@
     def __init__(
         self, handler: FakeNode | FakeDirectory, event_log: EventLog, server: asyncio.Server
     ) -> None:
+        """Own the handler, its event log and its socket."""
         self.handler = handler
         self.event_log = event_log
         self.server = server
 
     @property
     def address(self) -> str:
+        """Host and port at which it listens."""
         return f"{HOST}:{self.server.sockets[0].getsockname()[1]}"
 
     def end(self) -> None:
+        """End as a process that is killed does; nothing is recorded any more."""
         self.server.close()
         self.handler.close()
         self.event_log.close()
 
 
-async def open_server(kind: str, folder: Path, options: dict[str, Any], pod: Pod) -> FakeServer:
+def make_handler(
+    kind: str,
+    options: dict[str, Any],
+    seed: int,
+    event_log: EventLog,
+    dedup_group: DeduplicationGroup,
+) -> FakeNode | FakeDirectory:
+    """Make a node ("nodes") or a directory from its options."""
     loop = asyncio.get_running_loop()
+    if kind == "nodes":
+        return FakeNode(NodeProfile(**options), event_log, seed, loop, dedup_group)
+    behaviour = msgspec.convert(options.get("manners", {}), DirectoryBehaviour)
+    return FakeDirectory(event_log, loop, behaviour, seed)
+
+
+async def open_server(
+    kind: str, folder: Path, options: dict[str, Any], dedup_group: DeduplicationGroup
+) -> FakeServer:
+    """Start a fake server; it records into `folder`/NAME.jsonl."""
     name, seed, port = options["name"], options.pop("seed", 0), options.pop("port", 0)
     event_log = EventLog(folder / f"{name}.jsonl")
-    handler: FakeNode | FakeDirectory
-    if kind == "nodes":
-        handler = FakeNode(Traits(**options), event_log, seed, loop, pod)
-    else:
-        handler = FakeDirectory(event_log, loop, Manners(**options.get("manners", {})), seed)
-    server = await loop.create_server(handler.service.connection, HOST, port, backlog=512, reuse_address=True)
+    handler = make_handler(kind, options, seed, event_log, dedup_group)
+    server = await asyncio.get_running_loop().create_server(
+        handler.service.connection, HOST, port, backlog=LISTEN_BACKLOG, reuse_address=True
+    )
     return FakeServer(handler, event_log, server)
 
 
 async def serve(kind: str, folder: Path, wanted: list[dict[str, Any]]) -> None:
+    """Start the servers, print their addresses, and serve until SIGTERM or until the parent has ended."""
     loop = asyncio.get_running_loop()
-    pod = Pod()
-    servers = [await open_server(kind, folder, options, pod) for options in wanted]
-    for fake_server in servers:
-        if isinstance(fake_server.handler, FakeNode):
-            fake_server.handler.end = fake_server.end
-        print(fake_server.address, flush=True)
-    ended = asyncio.Event()
+    dedup_group = DeduplicationGroup()
+    servers = [await open_server(kind, folder, options, dedup_group) for options in wanted]
+    for server in servers:
+        if isinstance(server.handler, FakeNode):
+            server.handler.on_end_order = server.end
+        print(server.address, flush=True)
+    stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
+        loop.add_signal_handler(number, stopping.set)
     parent = os.getppid()
-    while not ended.is_set() and os.getppid() == parent:
+    while not stopping.is_set() and os.getppid() == parent:
         try:
-            await asyncio.wait_for(ended.wait(), PARENT_EVERY)
+            await asyncio.wait_for(stopping.wait(), PARENT_CHECK_INTERVAL_S)
         except TimeoutError:
             continue
-    for fake_server in servers:
-        fake_server.end()
+    for server in servers:
+        server.end()
 
 
 if __name__ == "__main__":
--- a/ochreflow/lab/report.py
+++ b/ochreflow/lab/html_report.py
@@ -11,7 +11,7 @@
 import matplotlib
 
 matplotlib.use("Agg")  # no window: files only
-from matplotlib import pyplot
+from matplotlib import pyplot as pyplot
 
 from .differences import Difference
 from .series import OUTCOMES
@@ -31,12 +31,14 @@
 )
 
 
-def write(path: Path, labels: tuple[str, str], found: list[dict[str, Any]], shown: list[Difference]) -> None:
+def write(
+    path: Path, labels: tuple[str, str], found: list[dict[str, Any]], compared: list[Difference]
+) -> None:
     """Write the table of differences, and for each scenario the lowest seed's run of both builds."""
     parts = [
         f"<!doctype html><meta charset=utf-8><title>Comparison</title><style>{STYLE}</style>",
         f"<h1>{html.escape(labels[0])} (A) and {html.escape(labels[1])} (B)</h1>",
-        _table(shown),
+        _table(compared),
     ]
     for scenario in sorted({result["scenario"] for result in found}):
         runs = [result for result in found if result["scenario"] == scenario]
@@ -50,21 +52,21 @@
     path.write_text("\n".join(parts), encoding="utf-8")
 
 
-def _table(shown: list[Difference]) -> str:
+def _table(compared: list[Difference]) -> str:
     head = "<tr><th>scenario<th>measure<th>pairs<th>A<th>B<th>B - A, 95 %<th>verdict"
     rows = [
         f"<tr><td>{html.escape(one.scenario)}<td>{one.measure}<td>{one.pairs}<td>{one.before:.4f}"
         f"<td>{one.after:.4f}<td>{one.low:+.4f} to {one.high:+.4f}<td class={one.verdict}>{one.verdict}"
-        for one in shown
+        for one in compared
     ]
     return f"<table>{head}{''.join(rows)}</table>"
 
 
 def plot(run: dict[str, Any]) -> str:
-    """One run as a picture (PNG, base64): outcomes, latency and work in hand, the troubles marked behind."""
-    step = run["step"]
-    times = [step * (number + 0.5) for number in range(len(run["asked"]))]
-    figure, (outcomes, latency, hand) = pyplot.subplots(3, 1, figsize=(11, 8), sharex=True)
+    """One run as a picture (PNG, base64): outcomes, latency and work in nodes, the faults marked behind."""
+    step = run["step_s"]
+    times = [step * (number + 0.5) for number in range(len(run["requests"]))]
+    figure, (outcomes, latency, in_node) = pyplot.subplots(3, 1, figsize=(11, 8), sharex=True)
     outcomes.stackplot(
         times,
         *([count / step for count in run["outcomes"][name]] for name in OUTCOMES),
@@ -72,21 +74,21 @@
         colors=[COLOURS[name] for name in OUTCOMES],
         step="mid",
     )
-    outcomes.step(times, [count / step for count in run["asked"]], "k:", where="mid", label="asked")
+    outcomes.step(times, [count / step for count in run["requests"]], "k:", where="mid", label="asked")
     outcomes.set_ylabel("requests/s")
-    for name, values in run["latency"].items():
+    for name, values in run["latency_s"].items():
         latency.plot(times, [value * 1000 for value in values], label=name)
     latency.set_ylabel("latency, ms")
-    for name, values in sorted(run["in_hand"].items()):
-        hand.plot(times, values, label=name, linewidth=1)
-    for at, _ in run["ejected"]:
-        hand.axvline(at, color="#c0504d", linewidth=0.8)
-    for name in sorted({name for _, name in run["ejected"]}):
-        times_out = [at for at, ejected in run["ejected"] if ejected == name]
-        hand.plot(times_out, [0.0] * len(times_out), "v", markersize=4, label=f"{name} ejected")
-    hand.set_ylabel("in hand")
-    hand.set_xlabel("s")
-    _shade(figure.axes, run["steps"], times[-1] + step / 2)
+    for name, values in sorted(run["in_node"].items()):
+        in_node.plot(times, values, label=name, linewidth=1)
+    for at, _ in run["ejections"]:
+        in_node.axvline(at, color="#c0504d", linewidth=0.8)
+    for name in sorted({name for _, name in run["ejections"]}):
+        ejected_at = [at for at, ejected in run["ejections"] if ejected == name]
+        in_node.plot(ejected_at, [0.0] * len(ejected_at), "v", markersize=4, label=f"{name} ejected")
+    in_node.set_ylabel("in hand")
+    in_node.set_xlabel("s")
+    _shade(figure.axes, run["faults"], times[-1] + step / 2)
     for axes in figure.axes:
         axes.legend(loc="upper left", fontsize=7, ncols=4)
     return picture(figure)
@@ -105,15 +107,15 @@
     parts = [
         f"<!doctype html><meta charset=utf-8><title>{title}</title><style>{STYLE}</style><h1>{title}</h1>"
     ]
-    for said, data in plots:
-        parts.append(f'<h2>{html.escape(said)}</h2><img alt="plot" src="data:image/png;base64,{data}">')
+    for heading, data in plots:
+        parts.append(f'<h2>{html.escape(heading)}</h2><img alt="plot" src="data:image/png;base64,{data}">')
     return "\n".join(parts)
 
 
 def _shade(all_axes: list[Any], steps: list[Any], end: float) -> None:
     """Shade the time from each step to the next, and say on top which it was."""
     edges = [at for at, _ in steps] + [end]
-    for number, (at, said) in enumerate(steps):
+    for number, (at, text) in enumerate(steps):
         for axes in all_axes:
             axes.axvspan(at, edges[number + 1], color="#888888", alpha=0.08 + 0.08 * (number % 2), lw=0)
-        all_axes[0].annotate(said, (at, 1.02), xycoords=("data", "axes fraction"), fontsize=7, rotation=20)
+        all_axes[0].annotate(text, (at, 1.02), xycoords=("data", "axes fraction"), fontsize=7, rotation=20)
--- a/ochreflow/lab/http_server.py
+++ b/ochreflow/lab/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as the fake servers serve it: whole requests in, answers out, one at a time on a connection."""
+"""HTTP/1.1 for the fake servers: complete requests in, responses out, one at a time on a connection."""
 
 from __future__ import annotations
 
@@ -9,127 +9,149 @@
 
 import httptools
 
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 500: "Internal Server Error"}
+from .node_messages import Malformation
+
+REASON_PHRASES = {200: "OK", 400: "Bad Request", 404: "Not Found", 500: "Internal Server Error"}
+DEFAULT_REASON_PHRASE = "Service Unavailable"
 
 
 class HttpRequest:
-    """One request, and the way back."""
+    """One complete request, and the way back to its client."""
 
     __slots__ = ("body", "connection", "headers", "method", "target")
 
     def __init__(
         self, connection: ServerConnection, method: str, target: str, headers: dict[str, str], body: bytes
     ) -> None:
+        """Keep the parts of a request; header names are in lower case."""
         self.connection = connection
         self.method = method
         self.target = target
         self.headers = headers
         self.body = body
 
-    def answer(self, code: int, body: bytes = b"", *lines: str) -> bool:
-        """Write the answer; False if the one who asked has gone."""
-        return self.connection.answer(code, body, lines)
+    def answer(self, status: int, body: bytes = b"", *header_lines: str) -> bool:
+        """Write the response; False if the client has disconnected."""
+        return self.connection.answer(status, body, header_lines)
 
     @property
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
+        """Whether the connection of its client is closed."""
         return self.connection.transport is None
 
 
 class ServerConnection(asyncio.Protocol):
+    """One accepted connection: parses requests, and gives the next one once the last one is answered."""
+
     def __init__(
-        self, number: int, serve: Callable[[HttpRequest], None], left: Callable[[ServerConnection], None]
+        self,
+        number: int,
+        on_request: Callable[[HttpRequest], None],
+        on_disconnect: Callable[[ServerConnection], None],
     ) -> None:
+        """Wait for the transport."""
         self.number = number
-        self.serve = serve
-        self.left = left
+        self.on_request = on_request
+        self.on_disconnect = on_disconnect
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.waiting: deque[HttpRequest] = deque()
+        self.queue: deque[HttpRequest] = deque()
         self.busy = False
-        self.unwelcome = False  # there are too many, or it was cut before its transport came up
-        self._begin()
+        self.abort_on_connect = False  # there are too many, or it was aborted before its transport came up
+        self._reset_message()
 
-    def _begin(self) -> None:
+    def _reset_message(self) -> None:
         self.target = b""
         self.headers: dict[str, str] = {}
         self.body = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport, or abort it at once."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.unwelcome:
+        if self.abort_on_connect:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Drop the requests that wait, and report the disconnect."""
         self.transport = None
-        self.waiting.clear()
-        self.left(self)
+        self.queue.clear()
+        self.on_disconnect(self)
         del self.parser
 
     def data_received(self, data: bytes) -> None:
+        """Parse what came; a request that does not parse aborts the connection."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.cut()
+            self.abort()
             return
-        self._next()
+        self._serve_next()
 
     def on_url(self, url: bytes) -> None:
+        """Take a piece of the target from the parser."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header line from the parser."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, data: bytes) -> None:
+        """Take a piece of the body from the parser."""
         self.body += data
 
     def on_message_complete(self) -> None:
+        """Queue the complete request."""
         method, target = self.parser.get_method().decode(), self.target.decode("latin-1")
-        self.waiting.append(HttpRequest(self, method, target, self.headers, self.body))
-        self._begin()
+        self.queue.append(HttpRequest(self, method, target, self.headers, self.body))
+        self._reset_message()
 
-    def _next(self) -> None:
-        if self.waiting and not self.busy:
+    def _serve_next(self) -> None:
+        if self.queue and not self.busy:
             self.busy = True
-            self.serve(self.waiting.popleft())
+            self.on_request(self.queue.popleft())
 
-    def answer(self, code: int, body: bytes, lines: tuple[str, ...]) -> bool:
+    def answer(self, status: int, body: bytes, header_lines: tuple[str, ...]) -> bool:
+        """Write a response; False if the client has disconnected."""
         if self.transport is None or self.transport.is_closing():
             return False
-        head = [
-            f"HTTP/1.1 {code} {REASONS.get(code, 'Service Unavailable')}",
-            f"Content-Length: {len(body)}",
-        ]
-        self.transport.write("\r\n".join([*head, *lines, "", ""]).encode("latin-1") + body)
+        head = [_status_line(status), f"Content-Length: {len(body)}"]
+        self.transport.write("\r\n".join([*head, *header_lines, "", ""]).encode("latin-1") + body)
         self.busy = False
-        self._next()
+        self._serve_next()
         return True
 
-    def spoil(self, form: str, code: int, body: bytes) -> None:
-        """Write an answer in a form that no good server uses; the connection is of no further use."""
+    def answer_malformed(self, malformation: Malformation, status: int, body: bytes) -> None:
+        """Write a response in a form that no good server uses; after most, the connection is useless."""
         if self.transport is None or self.transport.is_closing():
             return
         length = b"Content-Length: %d\r\n\r\n" % len(body)
-        line = f"HTTP/1.1 {code} {REASONS.get(code, 'Service Unavailable')}\r\n".encode()
-        if form == "interim":  # a 1xx in front, which is no answer
-            self.transport.write(b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
-            self.answer(code, body, ())
-        elif form == "extra":  # bytes behind the answer, which belong to nothing
-            self.transport.write(line + length + body + b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n!")
-            self.busy = False
-            self._next()
-        elif form == "cut":  # the head, and half of the body
-            self.transport.write(line + length + body[: len(body) // 2])
-            self.transport.close()
-        elif form == "stalled":  # the same, and silence
-            self.transport.write(line + length + body[: len(body) // 2])
-        else:  # garbled
-            self.transport.write(b"HTP/1.1 2O0 \x00K\r\n" + length + body)
-
-    def cut(self) -> None:
+        head = f"{_status_line(status)}\r\n".encode() + length
+        match malformation:
+            case Malformation.INTERIM_RESPONSE:
+                self.transport.write(b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
+                self.answer(status, body, ())
+            case Malformation.EXTRA_BYTES:
+                self.transport.write(head + body + b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n!")
+                self.busy = False
+                self._serve_next()
+            case Malformation.TRUNCATED:
+                self.transport.write(head + body[: len(body) // 2])
+                self.transport.close()
+            case Malformation.STALLED:
+                self.transport.write(head + body[: len(body) // 2])
+            case _:
+                self.transport.write(b"HTP/1.1 2O0 \x00K\r\n" + length + body)
+
+    def abort(self) -> None:
+        """Reset the connection, now or as soon as its transport comes up."""
         if self.transport is not None:
             self.transport.abort()
         else:
-            self.unwelcome = True
+            self.abort_on_connect = True
+
+
+def _status_line(status: int) -> str:
+    return f"HTTP/1.1 {status} {REASON_PHRASES.get(status, DEFAULT_REASON_PHRASE)}"
 
 
 class HttpService:
@@ -137,28 +159,30 @@
 
     def __init__(
         self,
-        serve: Callable[[HttpRequest], None],
-        left: Callable[[ServerConnection], None] = lambda connection: None,
-        most: int = 0,
+        on_request: Callable[[HttpRequest], None],
+        on_disconnect: Callable[[ServerConnection], None] = lambda connection: None,
+        max_connections: int = 0,
     ) -> None:
-        self.serve = serve
-        self.left = left
-        self.most = most  # connections; one beyond is ended as soon as it comes; 0: any number
+        """Serve up to `max_connections`; one beyond is aborted as soon as it comes. 0: any number."""
+        self.on_request = on_request
+        self.on_disconnect = on_disconnect
+        self.max_connections = max_connections
         self.connections: set[ServerConnection] = set()
         self.number = 0
 
     def connection(self) -> ServerConnection:
+        """Make the protocol of a new connection."""
         self.number += 1
-        made = ServerConnection(self.number, self.serve, self._lost)
-        made.unwelcome = 0 < self.most <= len(self.connections)
-        self.connections.add(made)
-        return made
+        connection = ServerConnection(self.number, self.on_request, self._disconnected)
+        connection.abort_on_connect = 0 < self.max_connections <= len(self.connections)
+        self.connections.add(connection)
+        return connection
 
-    def _lost(self, connection: ServerConnection) -> None:
+    def _disconnected(self, connection: ServerConnection) -> None:
         self.connections.discard(connection)
-        self.left(connection)
+        self.on_disconnect(connection)
 
-    def cut_all(self) -> None:
-        """End every connection, as a process that dies does."""
+    def abort_all(self) -> None:
+        """Reset every connection, as a process that dies does."""
         for connection in list(self.connections):
-            connection.cut()
+            connection.abort()
--- a/ochreflow/lab/judge.py
+++ b/ochreflow/lab/judge.py
@@ -1,6 +1,6 @@
-"""Judges a run by what clients, nodes and the directory wrote down; it knows nothing of the sidecar.
+"""Judges a run by the event logs of clients, nodes and the directory; it knows nothing of the sidecar.
 
-Each finding names the request or node, times and evidence. A rule with no finding held.
+Each finding names the request or node, times and evidence. A rule without a finding was kept.
 """
 
 from __future__ import annotations
@@ -9,42 +9,46 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from .event_log import Event
-from .latency import Latency
+from .event_log import ClientOutcome, Event, EventKind
+from .latency import LatencyHistogram
 
-SECOND = 1_000_000_000
-SLACK = 0.05  # seconds that each limit grows by on real sockets
-GRACE = 2.5  # seconds after which a server that drains or is gone gets nothing new
+NS_PER_S = 1_000_000_000
+SOCKET_SLACK_S = 0.05  # that each limit grows by on real sockets
+DRAIN_GRACE_S = 2.5  # after which a node that drains or is gone gets nothing new
 RULES = {
     "one final answer": "each request got exactly one answer, before its client gave up",
     "no repeat beyond the class": "no work ran again that may not",
-    "drains kept": f"nothing new reached a draining node {GRACE:g} s after the word of it",
+    "drains kept": f"nothing new reached a draining node {DRAIN_GRACE_S:g} s after the word of it",
     "no cold node pushed over": "no node fell while it warmed up",
     "true answers": "what was served is what a node made for that request",
     "within its means": "no sidecar held more memory or descriptors than it was given",
 }
+REACHED_NODE = (EventKind.ACCEPTED, EventKind.DEDUPLICATED, EventKind.REJECTED)
 
 
 @dataclass(slots=True)
 class Finding:
-    rule: str
+    """A violation of a rule, with its evidence."""
+
+    rule: str  # one of RULES
     text: str
 
 
 @dataclass(slots=True)
 class Report:
-    """What happened, and what was wrong with it."""
+    """What happened, and which rules were broken."""
 
     findings: list[Finding] = field(default_factory=list)
-    by_class: dict[str, Counter[str]] = field(default_factory=dict)
-    latency: dict[str, Latency] = field(default_factory=dict)  # of what was served
-    matters: dict[str, dict[str, float | None]] = field(default_factory=dict)
-    # by class: what a client wanted, by its first try; the seconds until it was served, None if it was not
+    by_class: dict[str, Counter[str]] = field(default_factory=dict)  # requests and their outcomes
+    latency: dict[str, LatencyHistogram] = field(default_factory=dict)  # by class, of what was served
+    # By class and by the request id of the first attempt: seconds until it was served, None if it was not.
+    logical_requests: dict[str, dict[str, float | None]] = field(default_factory=dict)
     attempts: Counter[str] = field(default_factory=Counter)  # by class: requests that reached nodes
-    by_node: dict[str, Counter[str]] = field(default_factory=dict)
-    used: dict[tuple[str, str], float] = field(default_factory=dict)  # the most, by sidecar and means
+    by_node: dict[str, Counter[str]] = field(default_factory=dict)  # events
+    peak_usage: dict[tuple[str, str], float] = field(default_factory=dict)  # by sidecar and resource
 
     def broken(self, rule: str) -> list[str]:
+        """Return the texts of the findings of a rule."""
         return [finding.text for finding in self.findings if finding.rule == rule]
 
 
@@ -52,156 +56,180 @@
     clients: Iterable[Iterable[Event]],
     nodes: Mapping[str, Iterable[Event]],
     directory: Iterable[Event],
-    unsafe: Iterable[str],
-    stage: Iterable[Event] = (),
-    means: Mapping[str, float] | None = None,
+    non_idempotent: Iterable[str],
+    runner: Iterable[Event] = (),
+    resource_limits: Mapping[str, float] | None = None,
 ) -> Report:
     """Judge a run by its event logs.
 
-    `unsafe` names the classes whose work must not run twice, keyed ones too: a node that drops a repeat
-    says so itself. `stage` tells of sidecars that were killed on purpose (what was open then is excused) and
-    what they used; `means` is what one may use, "memory_mb" and "sockets".
+    `non_idempotent` names the classes whose work must not run twice, keyed ones too: a node that drops a
+    repeat says so itself. `runner` has the sidecars that were killed on purpose (what was pending then is
+    excused) and what they used; `resource_limits` is what one may use, "memory_mb" and "sockets".
     """
     report = Report()
-    asked: dict[str, Event] = {}
-    answers: dict[str, list[Event]] = defaultdict(list)
+    requests: dict[str, Event] = {}
+    responses: dict[str, list[Event]] = defaultdict(list)
     for events in clients:
         for event in events:
-            if event["what"] == "asked":
-                asked[event["id"]] = event
+            if event["what"] == EventKind.REQUEST_SENT:
+                requests[event["id"]] = event
             else:
-                answers[event["id"]].append(event)
-    seen = {name: list(events) for name, events in nodes.items()}
-    told = list(stage)
-    _answers(report, asked, answers, _kills(told))
-    _repeats(report, seen, set(unsafe))
-    _drains(report, seen, directory)
-    _cold(report, seen)
-    _truth(report, answers, seen)
-    _means(report, told, means or {})
+                responses[event["id"]].append(event)
+    node_events = {name: list(events) for name, events in nodes.items()}
+    runner_events = list(runner)
+    _judge_responses(report, requests, responses, _downtimes(runner_events))
+    _judge_repeats(report, node_events, set(non_idempotent))
+    _judge_drains(report, node_events, _readiness(directory))
+    _judge_cold_nodes(report, node_events)
+    _judge_bodies(report, responses, node_events)
+    _judge_resources(report, runner_events, resource_limits or {})
     return report
 
 
-def _kills(stage: list[Event]) -> list[tuple[int, int]]:
-    """The times in which a sidecar was killed and not yet back, with a moment for its clients to see it."""
+def _downtimes(runner_events: list[Event]) -> list[tuple[int, int]]:
+    """Return when a sidecar was killed and not yet back, with a moment for its clients to see it."""
     spans: list[tuple[int, int]] = []
     down: dict[str, int] = {}
-    for event in stage:
-        if event["what"] in ("killed", "ended") and event["name"].startswith("sidecar"):
+    for event in runner_events:
+        killed = event["what"] in (EventKind.PROCESS_KILLED, EventKind.PROCESS_TERMINATED)
+        if killed and event["name"].startswith("sidecar"):
             down[event["name"]] = event["at"]
-        elif event["what"] == "started" and event["name"] in down:
-            spans.append((down.pop(event["name"]), event["at"] + int(SLACK * SECOND)))
+        elif event["what"] == EventKind.PROCESS_STARTED and event["name"] in down:
+            spans.append((down.pop(event["name"]), event["at"] + int(SOCKET_SLACK_S * NS_PER_S)))
     return spans
 
 
-def _answers(
+def _judge_responses(
     report: Report,
-    asked: dict[str, Event],
-    answers: dict[str, list[Event]],
-    kills: list[tuple[int, int]],
+    requests: dict[str, Event],
+    responses: dict[str, list[Event]],
+    downtimes: list[tuple[int, int]],
 ) -> None:
-    for ident, request in asked.items():
+    """Each request gets exactly one response, in time; unless its sidecar was down."""
+    for request_id, request in requests.items():
         counts = report.by_class.setdefault(request["cls"], Counter())
-        counts["asked"] += 1
-        matters = report.matters.setdefault(request["cls"], {})
-        first = matters.setdefault(request.get("first", ident), None)
-        got = answers.get(ident, [])
-        if len(got) != 1 or got[0]["outcome"] == "lost":
-            counts["lost"] += 1
-            if len(got) == 1 and any(begin <= got[0]["at"] <= end for begin, end in kills):
+        counts[EventKind.REQUEST_SENT] += 1
+        logical = report.logical_requests.setdefault(request["cls"], {})
+        logical.setdefault(request.get("first", request_id), None)
+        got = responses.get(request_id, [])
+        if len(got) != 1 or got[0]["outcome"] == ClientOutcome.UNANSWERED:
+            counts[ClientOutcome.UNANSWERED] += 1
+            if len(got) == 1 and any(start <= got[0]["at"] <= end for start, end in downtimes):
                 continue  # no sidecar ran that could have answered
-            report.findings.append(Finding("one final answer", f"request {ident}: {len(got)} answers, lost"))
-            continue
-        answer = got[0]
-        counts[answer["outcome"]] += 1
-        if answer["outcome"] == "left":  # it wants nothing any more
-            matters.pop(request.get("first", ident), None)
-            continue
-        waited = (answer["at"] - request["at"]) / SECOND
-        if waited > request["deadline"] + request.get("slack", 0.0) + SLACK:
-            text = f"request {ident}: {answer['outcome']} after {waited:.3f} of {request['deadline']:g} s"
+            text = f"request {request_id}: {len(got)} answers, lost"
             report.findings.append(Finding("one final answer", text))
-        if answer["outcome"] == "served":
-            report.latency.setdefault(request["cls"], Latency()).add(answer["took"])
-            if first is None:
-                matters[request.get("first", ident)] = answer["took"]
-
-
-def _repeats(report: Report, seen: dict[str, list[Event]], unsafe: set[str]) -> None:
-    runs: dict[str, list[str]] = defaultdict(list)
-    for name, events in seen.items():
+        else:
+            _judge_response(report, request_id, request, got[0])
+
+
+def _judge_response(report: Report, request_id: str, request: Event, response: Event) -> None:
+    class_name, outcome = request["cls"], response["outcome"]
+    logical = report.logical_requests[class_name]
+    first_id = request.get("first", request_id)
+    report.by_class[class_name][outcome] += 1
+    if outcome == ClientOutcome.ABANDONED:  # it wants nothing any more
+        logical.pop(first_id, None)
+        return
+    waited_s = (response["at"] - request["at"]) / NS_PER_S
+    if waited_s > request["deadline"] + request.get("slack", 0.0) + SOCKET_SLACK_S:
+        text = f"request {request_id}: {outcome} after {waited_s:.3f} of {request['deadline']:g} s"
+        report.findings.append(Finding("one final answer", text))
+    if outcome == ClientOutcome.SERVED:
+        report.latency.setdefault(class_name, LatencyHistogram()).add(response["took"])
+        if logical.get(first_id) is None:
+            logical[first_id] = response["took"]
+
+
+def _judge_repeats(report: Report, nodes: dict[str, list[Event]], non_idempotent: set[str]) -> None:
+    """Work that must not run twice is accepted once; counts what reached nodes, too."""
+    accepted: dict[str, list[str]] = defaultdict(list)
+    for name, events in nodes.items():
         counts = report.by_node.setdefault(name, Counter())
         for event in events:
             counts[event["what"]] += 1
-            if event["what"] in ("taken", "dropped", "turned_away"):
+            if event["what"] in REACHED_NODE:
                 report.attempts[event["cls"]] += 1
-            if event["what"] == "taken" and event["cls"] in unsafe:
-                runs[event["id"]].append(f"{name} at {event['at']}")
-    for ident, places in runs.items():
+            if event["what"] == EventKind.ACCEPTED and event["cls"] in non_idempotent:
+                accepted[event["id"]].append(f"{name} at {event['at']}")
+    for request_id, places in accepted.items():
         if len(places) > 1:
-            text = f"request {ident} was taken {len(places)} times: {', '.join(places)}"
+            text = f"request {request_id} was taken {len(places)} times: {', '.join(places)}"
             report.findings.append(Finding("no repeat beyond the class", text))
 
 
-def _drains(report: Report, seen: dict[str, list[Event]], directory: Iterable[Event]) -> None:
-    changes: dict[str, list[tuple[int, bool]]] = defaultdict(list)  # when each was said to be ready, or not
+def _readiness(directory: Iterable[Event]) -> dict[str, list[tuple[int, bool]]]:
+    """Return, by node, when the directory first said that it is ready, and when that it is not."""
+    changes: dict[str, list[tuple[int, bool]]] = defaultdict(list)
     for event in directory:
-        if event["what"] != "told":
+        if event["what"] != EventKind.NOTIFIED:
             continue
         entries = dict(event["entries"])
-        if event.get("whole"):  # what is absent from a whole list is gone
+        if event.get("whole"):  # what is absent from a complete list is gone
             entries = {**dict.fromkeys(changes, "DELETED"), **entries}
         for name, status in entries.items():
             ready = status == "SERVING"
             if not changes[name] or changes[name][-1][1] != ready:
                 changes[name].append((event["at"], ready))
-    for name, told in changes.items():
-        for event in seen.get(name, []):
-            if event["what"] not in ("taken", "dropped", "turned_away"):
+    return changes
+
+
+def _judge_drains(
+    report: Report, nodes: dict[str, list[Event]], readiness: dict[str, list[tuple[int, bool]]]
+) -> None:
+    """Nothing new reaches a node so long after the directory said that it drains or is gone."""
+    for name, changes in readiness.items():
+        for event in nodes.get(name, []):
+            if event["what"] not in REACHED_NODE:
                 continue
-            before = [change for change in told if change[0] <= event["at"]]
+            before = [change for change in changes if change[0] <= event["at"]]
             if not before or before[-1][1]:
                 continue
-            late = (event["at"] - before[-1][0]) / SECOND
-            if late > GRACE + SLACK:
-                text = f"{name} got request {event['id']} {late:.3f} s after the word of its end"
+            late_s = (event["at"] - before[-1][0]) / NS_PER_S
+            if late_s > DRAIN_GRACE_S + SOCKET_SLACK_S:
+                text = f"{name} got request {event['id']} {late_s:.3f} s after the word of its end"
                 report.findings.append(Finding("drains kept", text))
 
 
-def _cold(report: Report, seen: dict[str, list[Event]]) -> None:
-    for name, events in seen.items():
+def _judge_cold_nodes(report: Report, nodes: dict[str, list[Event]]) -> None:
+    """No node collapses while it warms up."""
+    for name, events in nodes.items():
         for event in events:
-            if event["what"] == "fell":
+            if event["what"] == EventKind.COLLAPSED:
                 text = f"{name} fell: {event['offered']:.2f} s of work came, {event['bearable']:.2f} could be"
                 report.findings.append(Finding("no cold node pushed over", text))
 
 
-def _truth(report: Report, answers: dict[str, list[Event]], seen: dict[str, list[Event]]) -> None:
+def _judge_bodies(report: Report, responses: dict[str, list[Event]], nodes: dict[str, list[Event]]) -> None:
+    """What is served is the body that a node made for this request."""
     made = {
         f"{name}:{event['id']}"
-        for name, events in seen.items()
+        for name, events in nodes.items()
         for event in events
-        if event["what"] in ("ran", "dropped")
+        if event["what"] in (EventKind.COMPLETED, EventKind.DEDUPLICATED)
     }
-    for ident, got in answers.items():
-        for answer in got:
-            if answer["outcome"] != "served":
+    for request_id, got in responses.items():
+        for response in got:
+            if response["outcome"] != ClientOutcome.SERVED:
                 continue
-            if answer["body"] not in made or not answer["body"].endswith(f":{ident}"):
-                text = f"request {ident} was served {answer['body']!r}, which no node made for it"
+            body = response["body"]
+            if body not in made or not body.endswith(f":{request_id}"):
+                text = f"request {request_id} was served {body!r}, which no node made for it"
                 report.findings.append(Finding("true answers", text))
 
 
-def _means(report: Report, stage: list[Event], means: Mapping[str, float]) -> None:
-    """The most that each sidecar used; one finding for each bound that it went beyond."""
-    most: dict[tuple[str, str], Event] = {}
-    for event in stage:
-        for what in means if event["what"] == "used" else ():
-            key = event["name"], what
-            if key not in most or event[what] > most[key][what]:
-                most[key] = event
-    for (name, what), event in most.items():
-        report.used[name, what] = event[what]
-        if event[what] > means[what]:
-            text = f"{name} held {what} {event[what]:g} of {means[what]:g} at {event['at']}"
+def _judge_resources(
+    report: Report, runner_events: list[Event], resource_limits: Mapping[str, float]
+) -> None:
+    """No sidecar uses more than its limits: one finding for each limit, at the peak."""
+    peaks: dict[tuple[str, str], Event] = {}
+    for event in runner_events:
+        for resource in resource_limits if event["what"] == EventKind.RESOURCES_USED else ():
+            key = event["name"], resource
+            if key not in peaks or event[resource] > peaks[key][resource]:
+                peaks[key] = event
+    for (name, resource), event in peaks.items():
+        report.peak_usage[name, resource] = event[resource]
+        if event[resource] > resource_limits[resource]:
+            used, limit = event[resource], resource_limits[resource]
+            text = f"{name} held {resource} {used:g} of {limit:g} at {event['at']}"
             report.findings.append(Finding("within its means", text))
--- a/ochreflow/lab/latency.py
+++ b/ochreflow/lab/latency.py
@@ -4,25 +4,28 @@
 
 from hdrh.histogram import HdrHistogram
 
-MICRO = 1_000_000
-HOUR = 3_600 * MICRO
-DIGITS = 3
+US_PER_S = 1_000_000
+MAX_LATENCY_US = 3_600 * US_PER_S
+SIGNIFICANT_DIGITS = 3
 
 
-class Latency:
+class LatencyHistogram:
     """Seconds in, seconds out."""
 
     def __init__(self) -> None:
-        self.histogram = HdrHistogram(1, HOUR, DIGITS)
+        """Begin without a value."""
+        self.histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
     def add(self, seconds: float) -> None:
-        self.histogram.record_value(min(max(int(seconds * MICRO), 1), HOUR))
+        """Add a value; one out of range counts as the nearest one in it."""
+        self.histogram.record_value(min(max(int(seconds * US_PER_S), 1), MAX_LATENCY_US))
 
     def percentile(self, part: float) -> float:
-        """The value that so large a part of all stay under; 0 of none."""
+        """Return the value that so large a part of all stay under; 0 of none."""
         if not self.histogram.get_total_count():
             return 0.0
-        return self.histogram.get_value_at_percentile(part * 100.0) / MICRO
+        return float(self.histogram.get_value_at_percentile(part * 100.0) / US_PER_S)
 
     def __len__(self) -> int:
-        return self.histogram.get_total_count()
+        """Return the number of values."""
+        return int(self.histogram.get_total_count())
--- /dev/null
+++ b/ochreflow/lab/process_environment.py
@@ -0,0 +1,283 @@
+"""The processes of one run: nodes, the directory and sidecars on loopback."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import os
+import shutil
+import signal
+import socket
+import sys
+import tempfile
+from pathlib import Path
+from time import time
+from typing import Any
+
+import msgspec
+
+from ..errors import OchreflowError
+from .control import send_order
+from .event_log import EventKind, EventLog
+from .platform_config import HOST, MS_PER_S, directory_entry, platform_config
+from .scenario import Scenario, StepAction, node_profile
+from .sidecar_log import EjectionReader, resource_usage
+
+START_TIMEOUT_S = 20.0  # for a process to listen
+END_TIMEOUT_S = 10.0  # ... and to end
+START_POLL_INTERVAL_S = 0.02
+LISTEN_BACKLOG = 512
+LISTENS_MESSAGE = " listens at "  # of a sidecar's log, in front of its address
+
+
+class StartError(OchreflowError, RuntimeError):
+    """A process that did not start; its log says why."""
+
+
+class ProcessEnvironment:
+    """Owns the processes of one run. `program` is the folder that the sidecar's package is taken from."""
+
+    def __init__(
+        self, scenario: Scenario, folder: Path, seed: int, event_log: EventLog, program: Path | None = None
+    ) -> None:
+        """Start nothing yet; logs and configurations go into `folder`."""
+        self.scenario = scenario
+        self.folder = folder
+        self.seed = seed
+        self.event_log = event_log
+        self.program = program
+        self.processes: dict[str, asyncio.subprocess.Process] = {}
+        self.addresses: dict[str, str] = {}
+        self.process_of: dict[str, str] = {}  # the process in which each fake server runs
+        self.initial_entries: list[dict[str, Any]] = []  # of the nodes at the start
+        self.entries: dict[str, dict[str, Any]] = {}  # as the directory has them
+        self.upgrades = any(step.action is StepAction.UPGRADE_SIDECAR for step in scenario.steps)
+        self.sockets: dict[int, socket.socket] = {}  # that sidecars listen on, where one may take over
+        self.shared_folder = tempfile.mkdtemp(prefix="lab-") if self.upgrades else ""
+        self.sidecar_options: tuple[str, ...] = ()  # more of the sidecars' command line
+        self.expected_ends: set[str] = set()  # processes that were ended on purpose
+        self.crashes: list[str] = []
+        self.ejections = EjectionReader(folder, event_log)
+
+    # Processes
+
+    async def start_process(self, name: str, *command: str, **environment: str) -> asyncio.subprocess.Process:
+        """Start a Python process; its standard error goes to `folder`/NAME.log."""
+        self.ejections.forget(name)
+        with (self.folder / f"{name}.log").open("wb") as log:
+            process = await asyncio.create_subprocess_exec(
+                sys.executable,
+                *command,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=log,
+                cwd=self.program if name.startswith("sidecar") else None,
+                env={**os.environ, **environment},
+                pass_fds=[listening.fileno() for listening in self.sockets.values()],
+            )
+        self.processes[name] = process
+        return process
+
+    async def end(self, name: str, *, kill: bool) -> None:
+        """End a process with SIGKILL or SIGTERM, and wait for it."""
+        process = self.processes[name]
+        if process.returncode is not None:
+            return
+        self.expected_ends.add(name)
+        self.event_log.record(EventKind.PROCESS_KILLED if kill else EventKind.PROCESS_TERMINATED, name=name)
+        process.send_signal(signal.SIGKILL if kill else signal.SIGTERM)
+        process.send_signal(signal.SIGCONT)  # one that is frozen would not end
+        try:
+            await asyncio.wait_for(process.wait(), END_TIMEOUT_S)
+        except TimeoutError:
+            process.kill()
+            await process.wait()
+
+    async def stop(self) -> None:
+        """End all processes, the sidecars first, so that they answer what is pending."""
+        for name, process in self.processes.items():
+            if process.returncode is not None and name not in self.expected_ends:
+                self.crashes.append(f"{name} ended by itself: exit code {process.returncode}")
+        for name in sorted(self.processes, key=lambda name: not name.startswith("sidecar")):
+            with contextlib.suppress(ProcessLookupError):
+                await self.end(name, kill=False)
+        for listening in self.sockets.values():
+            listening.close()
+        if self.shared_folder:
+            shutil.rmtree(self.shared_folder, ignore_errors=True)
+
+    # Nodes
+
+    async def start_servers(self, kind: str, wanted: list[dict[str, Any]]) -> list[str]:
+        """Start fake servers in one process; return their addresses."""
+        name = wanted[0]["name"]
+        command = ("-m", "ochreflow.lab.fake_server", kind, str(self.folder), json.dumps(wanted))
+        process = await self.start_process(name, *command)
+        self.expected_ends.discard(name)
+        assert process.stdout is not None
+        addresses = []
+        for options in wanted:
+            self.process_of[options["name"]] = name
+            line = await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT_S)
+            if not line:
+                raise StartError(f"{options['name']} did not start: see {self.folder / name}.log")
+            self.addresses[options["name"]] = line.decode().strip()
+            addresses.append(self.addresses[options["name"]])
+        return addresses
+
+    async def start_fleet(self) -> None:
+        """Start the nodes of the start, each group in a process."""
+        fleet = self.scenario.fleet
+        numbers = range(1, fleet.node_count + 1)
+        groups = [
+            numbers[start : start + fleet.group_size]
+            for start in range(0, fleet.node_count, fleet.group_size)
+        ]
+        wanted = (
+            [self._node_options(number, cold=fleet.starts_cold) for number in group] for group in groups
+        )
+        await asyncio.gather(*(self.start_servers("nodes", options) for options in wanted))
+        since_ms = int(time() * MS_PER_S) if fleet.starts_cold else 0
+        self.initial_entries = [self._entry(number, since_ms) for number in numbers]
+        self.entries = {entry["name"]: entry for entry in self.initial_entries}
+
+    async def start_node(self, number: int, address: str = "") -> dict[str, Any]:
+        """Start a cold node, at an address that was used before if one is given; return its entry."""
+        options = self._node_options(number, cold=True, port=_port(address))
+        await self.start_servers("nodes", [options])
+        return self._entry(number, int(time() * MS_PER_S))
+
+    async def end_node(self, name: str) -> None:
+        """Kill a node; others of its group stay."""
+        process = self.process_of.pop(name)
+        if process in self.process_of.values():
+            await self.send_order(self.addresses[name], {"end": True})
+        else:
+            await self.end(process, kill=True)
+
+    def freeze(self, name: str) -> None:
+        """Stop a node in the middle of everything."""
+        self.processes[self.process_of[name]].send_signal(signal.SIGSTOP)
+
+    def thaw(self, name: str) -> None:
+        """Let a frozen node go on."""
+        self.processes[self.process_of[name]].send_signal(signal.SIGCONT)
+
+    async def send_order(self, address: str, order: dict[str, Any]) -> None:
+        """Send a control order to a fake server."""
+        await send_order(address, order)
+
+    def _node_options(self, number: int, *, cold: bool, port: int = 0) -> dict[str, Any]:
+        seed = self.seed * 1000 + number
+        profile = node_profile(self.scenario, f"node-{number}", cold=cold)
+        return {**profile, "seed": seed, "port": port}
+
+    def _entry(self, number: int, since_ms: int) -> dict[str, Any]:
+        return directory_entry(self.scenario, number, self.addresses[f"node-{number}"], since_ms)
+
+    # The directory
+
+    async def start_directory(self, address: str = "") -> None:
+        """Start a directory with the list as it is, at an address that was used before if one is given."""
+        number = sum(name.startswith("directory") for name in self.process_of) + 1
+        options = {
+            "name": f"directory-{number}",
+            "manners": msgspec.to_builtins(self.scenario.directory),
+            "seed": self.seed,
+            "port": _port(address),
+        }
+        self.addresses["directory"] = (await self.start_servers("directory", [options]))[0]
+        for entry in self.entries.values():
+            if entry["status"] != "DELETED":
+                await self.send_order(self.addresses["directory"], entry)
+
+    async def publish(self, change: dict[str, Any]) -> None:
+        """Tell the directory of a change of an entry."""
+        name = change["name"]
+        self.entries[name] = {**self.entries.get(name, {}), **change}
+        await self.send_order(self.addresses["directory"], change)
+
+    async def set_directory_down(self, *, down: bool) -> None:
+        """Let the directory answer nothing, or answer again."""
+        await self.send_order(self.addresses["directory"], {"down": down})
+
+    async def restart_directory(self) -> None:
+        """Kill the directory and start another one at its address."""
+        address = self.addresses["directory"]
+        await self.end(self._directory_name(), kill=True)
+        await self.start_directory(address)
+
+    async def move_directory(self) -> None:
+        """Start a directory at another address, tell the sidecars with SIGHUP, and kill the old one."""
+        old = self._directory_name()
+        await self.start_directory()
+        for number in range(1, self.scenario.sidecar_count + 1):
+            self.write_config(number, self.addresses[f"sidecar-{number}"])
+            self.processes[f"sidecar-{number}"].send_signal(signal.SIGHUP)
+        await self.end(old, kill=True)
+
+    def _directory_name(self) -> str:
+        return [name for name in self.process_of if name.startswith("directory")][-1]
+
+    # Sidecars
+
+    async def start_sidecar(self, number: int) -> str:
+        """Start a sidecar; return the address where clients connect, the same after a restart."""
+        name = f"sidecar-{number}"
+        path = self.folder / f"{name}.json"
+        self.write_config(number, self.addresses.get(name, f"{HOST}:0"))
+        inherited = {}
+        if self.upgrades:
+            listening = self.sockets.get(number) or socket.create_server((HOST, 0), backlog=LISTEN_BACKLOG)
+            self.sockets[number] = listening
+            inherited = {"GW_FD": str(listening.fileno()), "TMPDIR": self.shared_folder}
+        process = await self.start_process(
+            name, "-m", "ochreflow", *self.sidecar_options, GW_CONFIG=str(path), **inherited
+        )
+        log = self.folder / f"{name}.log"
+        async with asyncio.timeout(START_TIMEOUT_S):
+            while LISTENS_MESSAGE not in log.read_text():
+                if process.returncode is not None:
+                    raise StartError(f"{name} did not start: {log.read_text().strip()}")
+                await asyncio.sleep(START_POLL_INTERVAL_S)
+        self.expected_ends.discard(name)
+        self.addresses[name] = log.read_text().split(LISTENS_MESSAGE)[1].split()[0]
+        self.event_log.record(EventKind.PROCESS_STARTED, name=name)
+        return self.addresses[name]
+
+    def write_config(self, number: int, listen: str) -> None:
+        """Write the configuration of a sidecar."""
+        directory = self.addresses["directory"]
+        config = platform_config(self.scenario, number, listen, directory, self.initial_entries)
+        (self.folder / f"sidecar-{number}.json").write_text(json.dumps(config))
+
+    async def restart_sidecar(self, number: int, *, kill: bool) -> None:
+        """End a sidecar and start it again."""
+        await self.end(f"sidecar-{number}", kill=kill)
+        await self.start_sidecar(number)
+
+    async def upgrade_sidecar(self, number: int) -> None:
+        """Start a sidecar beside the one that runs, on its socket; then end that one with SIGTERM."""
+        name = f"sidecar-{number}"
+        old = self.processes[name]
+        await self.start_sidecar(number)
+        old.send_signal(signal.SIGTERM)
+        try:
+            await asyncio.wait_for(old.wait(), END_TIMEOUT_S)
+        except TimeoutError:
+            self.crashes.append(f"{name} did not end within {END_TIMEOUT_S:g} s of its upgrade")
+            old.kill()
+            await old.wait()
+
+    def sample_sidecars(self) -> None:
+        """Record what sidecars use, and what they eject."""
+        for number in range(1, self.scenario.sidecar_count + 1):
+            name = f"sidecar-{number}"
+            if used := resource_usage(self.processes[name].pid):
+                self.event_log.record(EventKind.RESOURCES_USED, name=name, **used)
+            self.ejections.read(name)
+
+
+def _port(address: str) -> int:
+    """Return the port of an address; 0, any port, without one."""
+    return int(address.rpartition(":")[2]) if address else 0
--- a/ochreflow/lab/runs.py
+++ b/ochreflow/lab/runs.py
@@ -1,117 +1,153 @@
-"""Many runs: scenarios by seeds, some at a time, a line and a JSON object for each."""
+"""Many runs: scenarios by seeds, some at a time, a line and a JSON object for each.
+
+The keys of the objects and the words of the lines are those of the files that exist.
+"""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable, Iterator
 from concurrent.futures import ProcessPoolExecutor, as_completed
-from dataclasses import asdict
+from dataclasses import asdict, dataclass
 from pathlib import Path
 from typing import Any
 
 import msgspec
 
-from .latency import Latency
+from .event_log import ClientOutcome, EventKind
+from .judge import Report
+from .latency import LatencyHistogram
+from .run_result import RunResult
 from .scenario import Scenario, read_scenario
-from .stage import Played
-
-WORDS = ("asked", "served", "refused", "failed", "lost", "left")
-Player = Callable[[Scenario, int, Path | None], Played]
-Job = tuple[str, Scenario, int, str, Path | None]  # name, scenario, seed, name of the build and its folder
-
-
-def one(play: Player, job: Job, with_series: bool = False) -> dict[str, Any]:
-    """Play one run; what it came to, in plain values."""
-    name, scenario, seed, build, program = job
-    played = play(scenario, seed, program)
-    report = played.report
-    classes = {}
-    for kind, counts in report.by_class.items():
-        took = report.latency.get(kind, Latency())
-        matters = report.matters[kind]
-        wanted = scenario.kinds[kind].wanted
-        classes[kind] = {
-            **{word: counts[word] for word in WORDS},
-            "wanted": len(matters),
-            "in_time": sum(time is not None and time <= wanted for time in matters.values()),
-            "p50": round(took.percentile(0.5), 4),
-            "p99": round(took.percentile(0.99), 4),
-            "attempts": report.attempts[kind],
-        }
+
+COUNTED: tuple[str, ...] = (
+    EventKind.REQUEST_SENT,
+    ClientOutcome.SERVED,
+    ClientOutcome.REJECTED,
+    ClientOutcome.FAILED,
+    ClientOutcome.UNANSWERED,
+    ClientOutcome.ABANDONED,
+)
+MAX_FINDINGS = 3  # printed of a run
+MS_PER_S = 1000
+EXIT_BROKEN, EXIT_VOID = 1, 3
+
+Player = Callable[[Scenario, int, Path | None], RunResult]
+
+
+@dataclass(frozen=True, slots=True)
+class Job:
+    """One run to play."""
+
+    name: str  # of the scenario
+    scenario: Scenario
+    seed: int
+    build: str = ""  # the name of the build
+    program: Path | None = None  # the folder of the build; None: this package
+
+
+def play_job(play: Player, job: Job, *, with_series: bool = False) -> dict[str, Any]:
+    """Play one run; return its result in plain values."""
+    run = play(job.scenario, job.seed, job.program)
+    report = run.report
+    classes = {name: _class_result(job.scenario, report, name) for name in report.by_class}
     result = {
-        "scenario": name,
-        "seed": seed,
-        "build": build,
-        "verdict": {0: "kept", 1: "broken", 3: "void"}[played.verdict],
-        "worth": round(worth(scenario, classes), 4),
+        "scenario": job.name,
+        "seed": job.seed,
+        "build": job.build,
+        "verdict": run.verdict.name.lower(),
+        "worth": round(weighted_goodput(job.scenario, classes), 4),
         "classes": classes,
-        "findings": [f"{finding.rule}: {finding.text}" for finding in report.findings] + played.crashed,
-        "used": {f"{name} {what}": most for (name, what), most in report.used.items()},
-        "lag": round(played.lag, 4),
-        "digest": played.digest,
+        "findings": [f"{finding.rule}: {finding.text}" for finding in report.findings] + run.crashes,
+        "used": {f"{name} {resource}": peak for (name, resource), peak in report.peak_usage.items()},
+        "lag": round(run.max_send_delay_s, 4),
+        "digest": run.digest,
     }
-    if with_series and played.series is not None:
-        result["series"] = asdict(played.series)
+    if with_series and run.series is not None:
+        result["series"] = asdict(run.series)
     return result
 
 
-def worth(scenario: Scenario, classes: dict[str, dict[str, Any]]) -> float:
-    """The worth that was answered in the wanted time, as a part of what clients wanted.
+def _class_result(scenario: Scenario, report: Report, name: str) -> dict[str, Any]:
+    counts, logical = report.by_class[name], report.logical_requests[name]
+    latency = report.latency.get(name, LatencyHistogram())
+    objective_s = scenario.request_classes[name].objective_s
+    return {
+        **{str(word): counts[word] for word in COUNTED},
+        "wanted": len(logical),
+        "in_time": sum(took_s is not None and took_s <= objective_s for took_s in logical.values()),
+        "p50": round(latency.percentile(0.5), 4),
+        "p99": round(latency.percentile(0.99), 4),
+        "attempts": report.attempts[name],
+    }
+
 
-    What a client wanted counts once, however often it tried, and its time runs from the first try.
+def weighted_goodput(scenario: Scenario, classes: dict[str, dict[str, Any]]) -> float:
+    """Return the part of the logical requests that was served within the objective, by priority weight.
+
+    A logical request counts once, however many attempts it took, and its time runs from the first one.
     """
-    wanted = sum(scenario.kinds[kind].worth * counts["wanted"] for kind, counts in classes.items())
-    got = sum(scenario.kinds[kind].worth * counts["in_time"] for kind, counts in classes.items())
-    return got / wanted if wanted else 0.0
+    weights = {name: scenario.request_classes[name].priority_weight for name in classes}
+    wanted = sum(weights[name] * counts["wanted"] for name, counts in classes.items())
+    in_time = sum(weights[name] * counts["in_time"] for name, counts in classes.items())
+    return in_time / wanted if wanted else 0.0
 
 
 def line(result: dict[str, Any]) -> str:
-    """What a person is shown of a run."""
+    """Return the line of a run."""
     classes = result["classes"].values()
-    totals = {word: sum(counts[word] for counts in classes) for word in WORDS}
-    said = " ".join(f"{word} {number}" for word, number in totals.items() if number or word != "left")
-    p99 = max((counts["p99"] for counts in classes), default=0.0)
+    totals = {word: sum(counts[word] for counts in classes) for word in COUNTED}
+    optional = ClientOutcome.ABANDONED
+    text = " ".join(f"{word} {number}" for word, number in totals.items() if number or word != optional)
+    p99_s = max((counts["p99"] for counts in classes), default=0.0)
     build = f" {result['build']}" if result["build"] else ""
     head = f"{result['scenario']:<16} seed {result['seed']:<3}{build} {result['verdict']:<7}"
-    return f"{head} worth {result['worth']:.3f}  {said}  p99 {p99 * 1000:.0f} ms"
+    return f"{head} worth {result['worth']:.3f}  {text}  p99 {p99_s * MS_PER_S:.0f} ms"
 
 
-def scenarios_of(names: list[str], seconds: float | None) -> dict[str, Scenario]:
-    """Read them, each at its own length or at the one given; ScenarioError if one can't be played."""
+def read_scenarios(names: list[str], duration_s: float | None) -> dict[str, Scenario]:
+    """Read scenarios, each at its own length or at the one given; ScenarioError if one can't be played."""
     scenarios = {name: read_scenario(name) for name in names}
-    if seconds is None:
+    if duration_s is None:
         return scenarios
-    return {name: msgspec.structs.replace(made, seconds=seconds) for name, made in scenarios.items()}
+    return {name: msgspec.structs.replace(one, duration_s=duration_s) for name, one in scenarios.items()}
 
 
-def results(play: Player, work: list[Job], jobs: int, with_series: bool = False) -> Iterator[dict[str, Any]]:
-    """Play all, some at a time; each result as it is there."""
-    with ProcessPoolExecutor(jobs) as pool:
-        runs = [pool.submit(one, play, job, with_series) for job in work]
+def play_jobs(
+    play: Player, jobs: list[Job], processes: int, *, with_series: bool = False
+) -> Iterator[dict[str, Any]]:
+    """Play all, some at a time; give each result as it is there."""
+    with ProcessPoolExecutor(processes) as pool:
+        runs = [pool.submit(play_job, play, job, with_series=with_series) for job in jobs]
         for run in as_completed(runs):
             yield run.result()
 
 
 def run_all(
-    play: Player, names: list[str], seeds: int, jobs: int, seconds: float | None, out: str | None
+    play: Player, names: list[str], seeds: int, processes: int, duration_s: float | None, out: str | None
 ) -> int:
     """Play all, and print a line for each as it ends; 1 if a rule was broken, 3 if a run was void."""
-    scenarios = scenarios_of(names, seconds)
-    work: list[Job] = [
-        (name, made, seed, "", None) for seed in range(1, seeds + 1) for name, made in scenarios.items()
-    ]
+    scenarios = read_scenarios(names, duration_s)
+    jobs = [Job(name, scenario, seed) for seed in range(1, seeds + 1) for name, scenario in scenarios.items()]
     verdicts = set()
-    for number, result in enumerate(results(play, work, jobs), 1):
+    for number, result in enumerate(play_jobs(play, jobs, processes), 1):
         verdicts.add(result["verdict"])
-        print(f"[{number}/{len(work)}] {line(result)}", flush=True)
-        for finding in result["findings"][:3]:
+        print(f"[{number}/{len(jobs)}] {line(result)}", flush=True)
+        for finding in result["findings"][:MAX_FINDINGS]:
             print(f"      {finding}")
         if out is not None:
-            add_line(out, result)
-    return 1 if "broken" in verdicts else 3 if "void" in verdicts else 0
+            append_result(out, result)
+    return exit_code(verdicts)
+
+
+def exit_code(verdicts: set[str]) -> int:
+    """Return 1 if a rule was broken, else 3 if a run was void, else 0."""
+    if "broken" in verdicts:
+        return EXIT_BROKEN
+    return EXIT_VOID if "void" in verdicts else 0
 
 
-def add_line(out: str, result: dict[str, Any]) -> None:
-    """Add a JSON object to a file of them."""
-    with open(out, "a", encoding="utf-8") as file:
+def append_result(out: str, result: dict[str, Any]) -> None:
+    """Append a JSON line to a file."""
+    with Path(out).open("a", encoding="utf-8") as file:
         file.write(json.dumps(result) + "\n")
--- a/ochreflow/lab/scenario.py
+++ b/ochreflow/lab/scenario.py
@@ -1,200 +1,295 @@
-"""Scenario files: a fleet, a load, and a time line of troubles. Checked whole before anything is started."""
+"""Scenario files: a fleet, a load, and a time line of faults. Checked completely before anything is started.
+
+The keys of a file are translated here: each class names the word of the file beside its own field.
+"""
 
 from __future__ import annotations
 
 import tomllib
+from enum import StrEnum
 from pathlib import Path
-from typing import Annotated, Any, Literal
+from typing import Annotated, Any
 
 import msgspec
 
+from ..errors import OchreflowError
 from . import arrivals
+from .arrivals import Idempotency
+from .directory_behaviour import Count, DirectoryBehaviour, NonNegative, Share
+from .node_messages import Malformation
 
 LIBRARY = Path(__file__).parent / "scenarios"
-Part = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, msgspec.Meta(gt=0.0)]
-
-
-class Kind(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+PositiveCount = Annotated[int, msgspec.Meta(ge=1)]
+
+
+class RequestClassSpec(
+    msgspec.Struct,
+    forbid_unknown_fields=True,
+    frozen=True,
+    rename={
+        "mean_work_s": "work",
+        "idempotency": "repeat",
+        "objective_s": "wanted",
+        "deadline_s": "deadline",
+        "priority_weight": "worth",
+    },
+):
     """A class of requests."""
 
     share: Positive
-    work: Positive  # mean seconds on a warm core
-    repeat: Literal["safe", "keyed", "unsafe"]
-    wanted: Positive = 2.0  # seconds
-    deadline: Positive = 6.0
-    worth: Positive = 8.0
-
-
-class Fleet(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The nodes that are there from the start: node-1, node-2 and so on."""
-
-    nodes: Annotated[int, msgspec.Meta(ge=1, le=64)] = 6
-    cores: Annotated[int, msgspec.Meta(ge=1)] = 2
-    room: Annotated[int, msgspec.Meta(ge=0)] = 16
-    slots: Annotated[int, msgspec.Meta(ge=0)] = 0  # worked on at once; 0: one for each core
-    turning_away: Annotated[float, msgspec.Meta(ge=0.0)] = 0.001  # seconds of a core to turn one away
-    crowding: Annotated[float, msgspec.Meta(ge=0.0, le=0.95)] = 0.0  # speed lost with a full waiting room
-    start_capacity: Part = 0.15
-    warm_within: Positive = 8.0  # seconds
-    warm_work: Annotated[float, msgspec.Meta(ge=0.0)] = 0.0  # ... or these seconds of work done; 0: time
-    remembers: Annotated[float, msgspec.Meta(ge=0.0)] = 5.0  # seconds for which a key is known
-    keys: Annotated[int, msgspec.Meta(ge=1)] = 64  # known at the most
-    connections: Annotated[int, msgspec.Meta(ge=0)] = 0  # at the most; 0: any number
-    pod: Annotated[int, msgspec.Meta(ge=1)] = 1  # nodes that drop each other's repeats
-    cold: bool = False  # from the start
-    near: Annotated[int, msgspec.Meta(ge=0)] = 0  # nodes in the sidecars' own zone; 0: every second one
-
-
-class Burst(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A while in which more comes."""
-
-    at: Part
-    until: Part
-    times: Positive
-
-
-class Load(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What clients offer."""
-
-    rate: Positive = 120.0  # requests a second, all sidecars together
-    keys: Annotated[int, msgspec.Meta(ge=1)] = 800
-    wave: Part = 0.0  # the part by which the rate swings, once over the run
+    mean_work_s: Positive  # on a warm core
+    idempotency: Idempotency
+    objective_s: Positive = 2.0
+    deadline_s: Positive = 6.0
+    priority_weight: Positive = 8.0
+
+
+class Fleet(
+    msgspec.Struct,
+    forbid_unknown_fields=True,
+    frozen=True,
+    rename={
+        "node_count": "nodes",
+        "queue_capacity": "room",
+        "concurrency": "slots",
+        "rejection_cost_s": "turning_away",
+        "crowding_loss": "crowding",
+        "warm_up_s": "warm_within",
+        "warm_up_work_s": "warm_work",
+        "key_cache_ttl_s": "remembers",
+        "key_cache_size": "keys",
+        "max_connections": "connections",
+        "group_size": "pod",
+        "starts_cold": "cold",
+        "local_nodes": "near",
+    },
+):
+    """The nodes at the start of a run, node-1, node-2 and so on; see `NodeProfile` for most of the fields."""
+
+    node_count: Annotated[int, msgspec.Meta(ge=1, le=64)] = 6
+    cores: PositiveCount = 2
+    queue_capacity: Count = 16
+    concurrency: Count = 0
+    rejection_cost_s: NonNegative = 0.001
+    crowding_loss: Annotated[float, msgspec.Meta(ge=0.0, le=0.95)] = 0.0
+    start_capacity: Share = 0.15
+    warm_up_s: Positive = 8.0
+    warm_up_work_s: NonNegative = 0.0
+    key_cache_ttl_s: NonNegative = 5.0
+    key_cache_size: PositiveCount = 64
+    max_connections: Count = 0
+    group_size: PositiveCount = 1  # nodes that drop each other's repeats
+    starts_cold: bool = False
+    local_nodes: Count = 0  # nodes in the sidecars' own zone; 0: every second one
+
+
+class Burst(
+    msgspec.Struct,
+    forbid_unknown_fields=True,
+    frozen=True,
+    rename={"start": "at", "end": "until", "factor": "times"},
+):
+    """A part of the run in which the rate is multiplied; start and end are parts of the run."""
+
+    start: Share
+    end: Share
+    factor: Positive
+
+
+class Load(
+    msgspec.Struct,
+    forbid_unknown_fields=True,
+    frozen=True,
+    rename={
+        "rate_per_s": "rate",
+        "key_count": "keys",
+        "wave_amplitude": "wave",
+        "abandon_share": "leaving",
+        "slow_share": "slow",
+        "large_body_share": "long",
+        "large_body_bytes": "long_bytes",
+        "cost_hint_share": "hinted",
+        "work_log_stddev": "tail",
+        "max_attempts": "tries",
+    },
+):
+    """What clients send; see `ClientProfile` for the shares."""
+
+    rate_per_s: Positive = 120.0  # all sidecars together
+    key_count: PositiveCount = 800
+    wave_amplitude: Share = 0.0  # the part by which the rate swings, once over the run
     bursts: tuple[Burst, ...] = ()
-    leaving: Part = 0.0  # the share of clients that leave before their answer
-    slow: Part = 0.0  # ... that write in pieces and read late
-    long: Part = 0.0  # ... that bring a body of `long_bytes`
-    long_bytes: Annotated[int, msgspec.Meta(ge=1)] = 200_000
-    hinted: Part = 0.0  # ... that tell what the work will cost
-    tail: Annotated[float, msgspec.Meta(ge=0.0, le=2.0)] = 0.6  # of work: deviation of its logarithm
-    tries: Annotated[int, msgspec.Meta(ge=1, le=8)] = 1  # of a client in all, as soon as a refusal allows
-
-
-class Directory(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How the directory treats those that call."""
-
-    per_second: Annotated[float, msgspec.Meta(ge=0.0)] = 0.0  # calls served, in turn; 0: all at once
-    room: Annotated[int, msgspec.Meta(ge=0)] = 32  # calls that may wait; one beyond gets a 503
-    resets: Part = 0.0  # the share of calls that end in a reset
-    late: Annotated[float, msgspec.Meta(ge=0.0)] = 0.0  # seconds until watches are told of a change
-    keeps: Annotated[int, msgspec.Meta(ge=0)] = 0  # changes remembered; 0: all
-
-
-class Step(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One trouble. `at` is the part of the run at which it begins; most last until another step ends them."""
-
-    at: Part
-    do: Literal[
-        "swallow",  # takes requests, answers none
-        "fail",  # the share `much` fails at once
-        "slow",  # work takes `much` times as long
-        "spoil",  # the share `much` of answers comes in another `form`
-        "well",  # all of these end
-        "freeze",  # it stops in the middle of everything: connections stay open and silent
-        "thaw",  # and goes on
-        "drain",
-        "serve",  # the drain ends
-        "gone",  # killed, and the directory says so
-        "vanish",  # killed, and the directory never says so
-        "delist",  # the directory says that it is gone, and it lives on
-        "come",  # a new node starts cold
-        "replace",  # killed, and another (`by`) starts cold at its address
-        "restart",  # killed, and started cold under the same name
-        "directory_down",
-        "directory_up",
-        "directory_restart",  # killed, and started again with an index begun anew
-        "directory_move",  # another one, at another address; sidecars get SIGHUP
-        "upgrade_sidecar",  # the new one starts beside the old one on its socket, then the old one ends
-        "kill_sidecar",  # without a warning, and started again
-        "end_sidecar",  # SIGTERM, and started again
-    ]
+    abandon_share: Share = 0.0
+    slow_share: Share = 0.0
+    large_body_share: Share = 0.0
+    large_body_bytes: PositiveCount = 200_000
+    cost_hint_share: Share = 0.0
+    work_log_stddev: Annotated[float, msgspec.Meta(ge=0.0, le=2.0)] = 0.6
+    max_attempts: Annotated[int, msgspec.Meta(ge=1, le=8)] = 1
+
+
+class StepAction(StrEnum):
+    """What a step does; the values are the words of scenario files."""
+
+    BLACKHOLE = "swallow"  # accepts requests, answers none
+    FAIL_FAST = "fail"  # the share `amount` fails at once
+    SLOW_DOWN = "slow"  # work takes `amount` times as long
+    MALFORM = "spoil"  # the share `amount` of responses gets the `malformation`
+    RECOVER = "well"  # all of these end
+    FREEZE = "freeze"  # stops in the middle of everything: connections stay open and silent
+    THAW = "thaw"  # ... and goes on
+    DRAIN = "drain"
+    UNDRAIN = "serve"
+    REMOVE = "gone"  # killed, and the directory says so
+    VANISH = "vanish"  # killed, and the directory never says so
+    DELIST = "delist"  # the directory says that it is gone, and it lives on
+    ADD = "come"  # a new node starts cold
+    REPLACE = "replace"  # killed, and another (`replacements`) starts cold at its address
+    RESTART = "restart"  # killed, and started cold under the same name
+    DIRECTORY_DOWN = "directory_down"
+    DIRECTORY_UP = "directory_up"
+    DIRECTORY_RESTART = "directory_restart"  # killed, and started again with an index begun anew
+    DIRECTORY_MOVE = "directory_move"  # another one, at another address; sidecars get SIGHUP
+    UPGRADE_SIDECAR = "upgrade_sidecar"  # the new one starts beside the old one on its socket
+    KILL_SIDECAR = "kill_sidecar"  # without a warning, and started again
+    END_SIDECAR = "end_sidecar"  # SIGTERM, and started again
+
+
+DIRECTORY_ACTIONS = frozenset(
+    {
+        StepAction.DIRECTORY_DOWN,
+        StepAction.DIRECTORY_UP,
+        StepAction.DIRECTORY_RESTART,
+        StepAction.DIRECTORY_MOVE,
+    }
+)
+SIDECAR_ACTIONS = frozenset({StepAction.UPGRADE_SIDECAR, StepAction.KILL_SIDECAR, StepAction.END_SIDECAR})
+
+
+class Step(
+    msgspec.Struct,
+    forbid_unknown_fields=True,
+    frozen=True,
+    rename={"action": "do", "amount": "much", "replacements": "by", "malformation": "form"},
+):
+    """One fault. `at` is the part of the run at which it begins; most last until another step ends them."""
+
+    at: Share
+    action: StepAction
     nodes: tuple[int, ...] = ()
-    much: float = 1.0
-    by: tuple[int, ...] = ()
-    form: Literal["extra", "interim", "cut", "garbled", "stalled"] = "extra"
-
-
-class Scenario(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+    amount: float = 1.0
+    replacements: tuple[int, ...] = ()
+    malformation: Malformation = Malformation.EXTRA_BYTES
+
+
+class Scenario(
+    msgspec.Struct,
+    forbid_unknown_fields=True,
+    frozen=True,
+    rename={
+        "description": "says",
+        "request_classes": "kinds",
+        "duration_s": "seconds",
+        "sidecar_count": "sidecars",
+    },
+):
     """A whole scenario."""
 
-    says: str
-    kinds: dict[str, Kind]
-    seconds: Positive = 20.0
-    sidecars: Annotated[int, msgspec.Meta(ge=1, le=16)] = 1
+    description: str
+    request_classes: dict[str, RequestClassSpec]
+    duration_s: Positive = 20.0
+    sidecar_count: Annotated[int, msgspec.Meta(ge=1, le=16)] = 1
     fleet: Fleet = Fleet()
     load: Load = Load()
-    directory: Directory = Directory()
+    directory: DirectoryBehaviour = DirectoryBehaviour()
     steps: tuple[Step, ...] = ()
 
+    @property
+    def non_idempotent(self) -> list[str]:
+        """The classes whose requests must not be executed twice; nodes drop repeats of keyed ones."""
+        return [
+            name for name, spec in self.request_classes.items() if spec.idempotency != Idempotency.IDEMPOTENT
+        ]
 
-class ScenarioError(Exception):
+
+class ScenarioError(OchreflowError):
     """A scenario that can't be played; the text says why in one line."""
 
 
 def read_scenario(name: str) -> Scenario:
-    """Read a file, or a scenario of the library by its name."""
+    """Read a file, or a scenario of the library by its name; ScenarioError if it can't be played."""
     path = Path(name) if name.endswith(".toml") else LIBRARY / f"{name}.toml"
     try:
         scenario = msgspec.convert(tomllib.loads(path.read_text()), Scenario)
     except FileNotFoundError:
-        known = ", ".join(names())
+        known = ", ".join(scenario_names())
         raise ScenarioError(f"{name}: no such scenario; the library has {known}") from None
-    except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ScenarioError(f"{path}: {error}") from None
-    except msgspec.ValidationError as error:
+    except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.ValidationError) as error:
         raise ScenarioError(f"{path}: {error}") from None
-    return _checked(scenario, str(path))
+    _check_steps(scenario, str(path))
+    return scenario
 
 
-def _checked(scenario: Scenario, path: str) -> Scenario:
-    """What single values can't tell: that steps speak of nodes that are there."""
-    known = set(range(1, scenario.fleet.nodes + 1))
+def _check_steps(scenario: Scenario, path: str) -> None:
+    """Check what single values can't tell: that steps name nodes that are there."""
+    known = set(range(1, scenario.fleet.node_count + 1))
     for number, step in enumerate(sorted(scenario.steps, key=lambda step: step.at)):
-        if step.do == "replace" and len(step.by) != len(step.nodes):
+        if step.action is StepAction.REPLACE and len(step.replacements) != len(step.nodes):
             raise ScenarioError(f"{path}: steps[{number}]: replace wants a node in `by` for each in `nodes`")
-        if step.do == "come":
+        if step.action is StepAction.ADD:
             known |= set(step.nodes)
-        elif step.do == "replace":
-            known = known - set(step.nodes) | set(step.by)
+        elif step.action is StepAction.REPLACE:
+            known = known - set(step.nodes) | set(step.replacements)
         elif unknown := set(step.nodes) - known:
             missing = ", ".join(map(str, sorted(unknown)))
-            raise ScenarioError(f"{path}: steps[{number}]: {step.do} of nodes that are not there: {missing}")
-    return scenario
+            raise ScenarioError(
+                f"{path}: steps[{number}]: {step.action} of nodes that are not there: {missing}"
+            )
 
 
-def times(scenario: Scenario, passed: float) -> float:
-    """The factor on the load at a time of the run, in seconds."""
-    part = passed / scenario.seconds
+def rate_factor(scenario: Scenario, elapsed_s: float) -> float:
+    """Return the factor on the load at a time of the run."""
+    part = elapsed_s / scenario.duration_s
     load = scenario.load
-    wave = 1.0 + load.wave * (2.0 * abs(2.0 * (part % 1.0) - 1.0) - 1.0)
+    factor = 1.0 + load.wave_amplitude * (2.0 * abs(2.0 * (part % 1.0) - 1.0) - 1.0)
     for burst in load.bursts:
-        if burst.at <= part < burst.until:
-            wave *= burst.times
-    return wave
-
-
-def arriving(scenario: Scenario) -> tuple[list[arrivals.Kind], arrivals.Habits]:
-    """The classes and habits of its clients."""
-    kinds = [
-        arrivals.Kind(name, kind.share, kind.repeat, kind.deadline, kind.work)
-        for name, kind in scenario.kinds.items()
+        if burst.start <= part < burst.end:
+            factor *= burst.factor
+    return factor
+
+
+def client_behaviour(
+    scenario: Scenario,
+) -> tuple[list[arrivals.RequestClass], arrivals.ClientProfile]:
+    """Return the request classes and the profile of its clients."""
+    request_classes = [
+        arrivals.RequestClass(name, spec.share, spec.idempotency, spec.deadline_s, spec.mean_work_s)
+        for name, spec in scenario.request_classes.items()
     ]
     load = scenario.load
-    habits = arrivals.Habits(
-        load.leaving, load.slow, load.long, load.long_bytes, load.hinted, load.tail, load.tries
+    profile = arrivals.ClientProfile(
+        abandon_share=load.abandon_share,
+        slow_share=load.slow_share,
+        large_body_share=load.large_body_share,
+        large_body_bytes=load.large_body_bytes,
+        cost_hint_share=load.cost_hint_share,
+        work_log_stddev=load.work_log_stddev,
+        max_attempts=load.max_attempts,
     )
-    return kinds, habits
+    return request_classes, profile
 
 
-def node_traits(scenario: Scenario, name: str, cold: bool) -> dict[str, Any]:
-    """What a node of its fleet is like, as the model takes it."""
-    given = msgspec.structs.asdict(scenario.fleet)
-    for other in ("nodes", "pod", "near", "cold"):
-        del given[other]
-    work = {kind: made.work for kind, made in scenario.kinds.items()}
-    return {**given, "name": name, "work": work, "warm_within": given["warm_within"] if cold else 0.0}
+def node_profile(scenario: Scenario, name: str, *, cold: bool) -> dict[str, Any]:
+    """Return the fields of the `NodeProfile` of a node; a warm one needs no time to warm up."""
+    fields = msgspec.structs.asdict(scenario.fleet)
+    for other in ("node_count", "group_size", "local_nodes", "starts_cold"):
+        del fields[other]
+    mean_work_s = {class_name: spec.mean_work_s for class_name, spec in scenario.request_classes.items()}
+    warm_up_s = fields["warm_up_s"] if cold else 0.0
+    return {**fields, "name": name, "mean_work_s": mean_work_s, "warm_up_s": warm_up_s}
 
 
-def names() -> list[str]:
-    """The library."""
+def scenario_names() -> list[str]:
+    """Return the names of the library's scenarios."""
     return sorted(path.stem for path in LIBRARY.glob("*.toml"))
--- /dev/null
+++ b/ochreflow/lab/scenario_runner.py
@@ -0,0 +1,174 @@
+"""Plays one scenario: the load and the steps in their time, among processes; judges the run."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from functools import partial
+from pathlib import Path
+
+from .event_log import EventKind, EventLog, read_events
+from .judge import judge
+from .load_generator import LoadGenerator
+from .platform_config import RESOURCE_LIMITS
+from .process_environment import ProcessEnvironment
+from .run_result import RunResult
+from .scenario import (
+    DIRECTORY_ACTIONS,
+    SIDECAR_ACTIONS,
+    Scenario,
+    Step,
+    StepAction,
+    client_behaviour,
+    rate_factor,
+)
+from .series import series
+from .step_orders import NODE_ORDERS, STATUS_AFTER
+
+SAMPLE_INTERVAL_S = 0.25  # between looks at what sidecars use
+TICK_INTERVAL_S = 1.0
+
+
+def step_text(step: Step) -> str:
+    """Return a step for a person: its action and its nodes."""
+    return f"{step.action.replace('_', ' ')} {', '.join(map(str, step.nodes))}".strip()
+
+
+class ScenarioRunner:
+    """Plays one scenario; the sidecar's package is taken from the folder `program`, if one is given."""
+
+    def __init__(self, scenario: Scenario, folder: Path, seed: int, program: Path | None = None) -> None:
+        """Start nothing yet; event logs and process logs go into `folder`."""
+        self.scenario = scenario
+        self.folder = folder
+        self.seed = seed
+        self.event_log = EventLog(folder / "stage.jsonl")
+        self.environment = self.make_environment(program)
+        self.loads: list[LoadGenerator] = []
+        self.latest_step = "all is well"
+
+    def make_environment(self, program: Path | None) -> ProcessEnvironment:
+        """Make what owns the parts of the run."""
+        return ProcessEnvironment(self.scenario, self.folder, self.seed, self.event_log, program)
+
+    async def run(
+        self, on_tick: Callable[[float, ScenarioRunner], None] = lambda elapsed_s, runner: None
+    ) -> RunResult:
+        """Play it to its end, and judge it; `on_tick` is called once a second."""
+        try:
+            await self.environment.start_fleet()
+            await self.environment.start_directory()
+            for number in range(1, self.scenario.sidecar_count + 1):
+                self.loads.append(self._load(number, await self.environment.start_sidecar(number)))
+            steps = asyncio.create_task(self._run_steps())
+            ticks = asyncio.create_task(self._tick(on_tick))
+            samples = asyncio.create_task(self._sample())
+            self.event_log.record(EventKind.RUN_STARTED)
+            await asyncio.gather(*(load.run(self.scenario.duration_s) for load in self.loads))
+            ticks.cancel()
+            samples.cancel()
+            await steps
+        finally:
+            await self.environment.stop()
+            for load in self.loads:
+                load.event_log.close()
+            self.event_log.close()
+        return self._result()
+
+    def _load(self, number: int, address: str) -> LoadGenerator:
+        """Make the clients of one sidecar."""
+        host, _, port = address.rpartition(":")
+        request_classes, profile = client_behaviour(self.scenario)
+        load = self.scenario.load
+        return LoadGenerator(
+            (host, int(port)),
+            request_classes,
+            load.rate_per_s / self.scenario.sidecar_count,
+            load.key_count,
+            self.seed * 100 + number,
+            EventLog(self.folder / f"clients-{number}.jsonl"),
+            partial(rate_factor, self.scenario),
+            profile,
+        )
+
+    async def _run_steps(self) -> None:
+        loop = asyncio.get_running_loop()
+        start = loop.time()
+        for step in sorted(self.scenario.steps, key=lambda step: step.at):
+            await asyncio.sleep(max(start + step.at * self.scenario.duration_s - loop.time(), 0.0))
+            await self._apply(step)
+
+    async def _sample(self) -> None:
+        while True:
+            self.environment.sample_sidecars()
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+
+    async def _tick(self, on_tick: Callable[[float, ScenarioRunner], None]) -> None:
+        for second in range(int(self.scenario.duration_s) + 1):
+            on_tick(float(second), self)
+            await asyncio.sleep(TICK_INTERVAL_S)
+
+    # Steps
+
+    async def _apply(self, step: Step) -> None:
+        self.latest_step = step_text(step)
+        self.event_log.record(EventKind.STEP, do=step.action, nodes=step.nodes)
+        if step.action in DIRECTORY_ACTIONS:
+            await self._apply_to_directory(step.action)
+        elif step.action in SIDECAR_ACTIONS:
+            for number in range(1, self.scenario.sidecar_count + 1):
+                if step.action is StepAction.UPGRADE_SIDECAR:
+                    await self.environment.upgrade_sidecar(number)
+                else:
+                    kill = step.action is StepAction.KILL_SIDECAR
+                    await self.environment.restart_sidecar(number, kill=kill)
+        else:
+            for place, number in enumerate(step.nodes):
+                replacement = step.replacements[place] if step.replacements else number
+                await self._apply_to_node(step, number, replacement)
+
+    async def _apply_to_directory(self, action: StepAction) -> None:
+        match action:
+            case StepAction.DIRECTORY_DOWN | StepAction.DIRECTORY_UP:
+                down = action is StepAction.DIRECTORY_DOWN
+                await self.environment.set_directory_down(down=down)
+            case StepAction.DIRECTORY_RESTART:
+                await self.environment.restart_directory()
+            case _:
+                await self.environment.move_directory()
+
+    async def _apply_to_node(self, step: Step, number: int, replacement: int) -> None:
+        environment, action, name = self.environment, step.action, f"node-{number}"
+        if action in NODE_ORDERS:
+            await environment.send_order(environment.addresses[name], NODE_ORDERS[action](step))
+        elif action is StepAction.FREEZE:
+            environment.freeze(name)
+        elif action is StepAction.THAW:
+            environment.thaw(name)
+        elif action in STATUS_AFTER:
+            await environment.publish({"name": name, "status": STATUS_AFTER[action]})
+        elif action is StepAction.ADD:
+            await environment.publish(await environment.start_node(number))
+        else:  # REMOVE, VANISH, RESTART, REPLACE
+            address = environment.addresses[name]
+            await environment.end_node(name)
+            if action in (StepAction.REMOVE, StepAction.REPLACE):
+                await environment.publish({"name": name, "status": "DELETED"})
+            if action in (StepAction.RESTART, StepAction.REPLACE):
+                reused = address if action is StepAction.REPLACE else ""
+                await environment.publish(await environment.start_node(replacement, reused))
+
+    def _result(self) -> RunResult:
+        """Read the event logs and judge them."""
+        paths = {path.stem: path for path in self.folder.glob("*.jsonl")}
+        nodes = {name: list(read_events(path)) for name, path in paths.items() if name.startswith("node")}
+        clients = [list(read_events(path)) for name, path in paths.items() if name.startswith("clients")]
+        directories = [path for name, path in paths.items() if name.startswith("directory")]
+        notified = sorted(
+            (event for path in directories for event in read_events(path)), key=lambda event: event["at"]
+        )
+        runner = list(read_events(self.folder / "stage.jsonl"))
+        report = judge(clients, nodes, notified, self.scenario.non_idempotent, runner, RESOURCE_LIMITS)
+        max_send_delay_s = max(load.max_send_delay_s for load in self.loads)
+        run_series = series(clients, nodes, runner, self.scenario.duration_s)
+        return RunResult(report, max_send_delay_s, self.environment.crashes, run_series)
--- /dev/null
+++ b/ochreflow/lab/sidecar_log.py
@@ -0,0 +1,54 @@
+"""What a running sidecar says and uses: ejections in its log, memory and descriptors."""
+
+from __future__ import annotations
+
+import os
+import re
+import resource
+from pathlib import Path
+
+from .event_log import EventKind, EventLog
+
+SERVER_NUMBER = re.compile(r"(\S+) is server (\d+) at ")
+EJECTION = re.compile(r"ejected (\d+) after")
+BYTES_PER_MB = 1_000_000
+
+
+class EjectionReader:
+    """Reads the sidecars' logs as they grow, and records which nodes they eject."""
+
+    def __init__(self, folder: Path, event_log: EventLog) -> None:
+        """Read `folder`/NAME.log for each sidecar."""
+        self.folder = folder
+        self.event_log = event_log
+        self.offsets: dict[str, int] = {}  # bytes of each log that were read
+        self.nodes: dict[tuple[str, str], str] = {}  # the node that a sidecar knows by a number
+
+    def forget(self, name: str) -> None:
+        """Read a log from its start again: its sidecar was started again."""
+        self.offsets.pop(name, None)
+
+    def read(self, name: str) -> None:
+        """Record the ejections that a sidecar has logged since the last call."""
+        with (self.folder / f"{name}.log").open("rb") as file:
+            file.seek(self.offsets.get(name, 0))
+            data = file.read()
+        complete = data[: data.rfind(b"\n") + 1]
+        self.offsets[name] = self.offsets.get(name, 0) + len(complete)
+        text = complete.decode(errors="replace")
+        for node, number in SERVER_NUMBER.findall(text):
+            self.nodes[name, number] = node
+        for number in EJECTION.findall(text):
+            self.event_log.record(EventKind.EJECTED, name=self.nodes.get((name, number), number), by=name)
+
+
+def resource_usage(pid: int) -> dict[str, float]:
+    """Return the resident memory and the descriptors of a process; nothing of one that has just ended."""
+    try:
+        pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
+        return {
+            "memory_mb": round(pages * resource.getpagesize() / BYTES_PER_MB, 1),
+            "sockets": len(os.listdir(f"/proc/{pid}/fd")),
+        }
+    except (OSError, IndexError):
+        return {}
--- a/ochreflow/simulation/courses.py
+++ b/ochreflow/simulation/limit_scenarios.py
@@ -1,4 +1,4 @@
-"""Courses for a limit on concurrency: each tries a way in which it can be too tight or too wide."""
+"""Scenarios for the concurrency limit: each tries a way in which it can be too low or too high."""
 
 from __future__ import annotations
 
@@ -8,18 +8,26 @@
 
 from ..lab.scenario import Scenario
 
-KINDS = {
+REQUEST_CLASSES = {
     "exposure": {"share": 0.71, "work": 0.045, "repeat": "keyed", "wanted": 2.5, "worth": 8.0},
     "assign": {"share": 0.29, "work": 0.028, "repeat": "unsafe", "worth": 24.0},
 }
-USUAL = 260.0  # requests a second: about half of what eight nodes can do that know some of the keys
-ALL = tuple(range(1, 9))
+BASE_RATE_PER_S = 260.0  # requests a second: about half of what eight nodes can do that know some of the keys
+ALL_NODES = tuple(range(1, 9))
 
 
-def _course(says: str, steps: list[dict[str, Any]] | None = None, **more: Any) -> Scenario:
-    load = {"rate": USUAL, "tries": 2, **more.pop("load", {})}
+def _scenario(says: str, steps: list[dict[str, Any]] | None = None, **more: Any) -> Scenario:
+    """Make a scenario of eight nodes and four sidecars, in the words of scenario files."""
+    load = {"rate": BASE_RATE_PER_S, "tries": 2, **more.pop("load", {})}
     fleet = {"nodes": 8, **more.pop("fleet", {})}
-    given = {"says": says, "kinds": KINDS, "seconds": 30.0, "sidecars": 4, "load": load, "fleet": fleet}
+    given = {
+        "says": says,
+        "kinds": REQUEST_CLASSES,
+        "seconds": 30.0,
+        "sidecars": 4,
+        "load": load,
+        "fleet": fleet,
+    }
     return msgspec.convert({**given, "steps": steps or [], **more}, Scenario)
 
 
@@ -27,8 +35,8 @@
     return {"at": at, "do": do, "nodes": list(nodes), "much": much}
 
 
-def _ramp(steps: int) -> list[dict[str, float]]:
-    """Up to three times the usual and back, within the middle half of the run."""
+def _load_ramp(steps: int) -> list[dict[str, float]]:
+    """Return bursts up to three times the base rate and back, within the middle half of the run."""
     width = 0.5 / steps
     peak = steps / 2
     return [
@@ -41,19 +49,21 @@
     ]
 
 
-COURSES: dict[str, tuple[Scenario, float]] = {  # with the part of the run at which the trouble has ended
-    "steady": (_course("half of what the fleet can do, and nothing else"), 0.0),
-    "cold start": (_course("the whole fleet is cold", fleet={"cold": True}), 0.3),
+LIMIT_SCENARIOS: dict[
+    str, tuple[Scenario, float]
+] = {  # with the part of the run at which the fault has ended
+    "steady": (_scenario("half of what the fleet can do, and nothing else"), 0.0),
+    "cold start": (_scenario("the whole fleet is cold", fleet={"cold": True}), 0.3),
     "step": (
-        _course(
+        _scenario(
             "2.5 times the usual and back",
             load={"bursts": [{"at": 0.3, "until": 0.6, "times": 2.5}]},
         ),
         0.6,
     ),
-    "ramp": (_course("up to three times the usual and back", load={"bursts": _ramp(20)}), 0.75),
+    "ramp": (_scenario("up to three times the usual and back", load={"bursts": _load_ramp(20)}), 0.75),
     "three of eight": (
-        _course(
+        _scenario(
             "three of eight are gone and cold ones come for them",
             [_step(0.3, "gone", (1, 2, 3)), _step(0.5, "come", (9, 10, 11))],
             load={"rate": 400.0},
@@ -61,21 +71,21 @@
         0.75,
     ),
     "near zone": (
-        _course("the near zone has half of what is asked", fleet={"near": 3}, load={"rate": 300.0}),
+        _scenario("the near zone has half of what is asked", fleet={"near": 3}, load={"rate": 300.0}),
         0.0,
     ),
     "slow fleet": (
-        _course(
+        _scenario(
             "all nodes are twice as slow for a while",
-            [_step(0.3, "slow", ALL, 2.0), _step(0.6, "well", ALL)],
+            [_step(0.3, "slow", ALL_NODES, 2.0), _step(0.6, "well", ALL_NODES)],
             load={"rate": 340.0},
         ),
         0.6,
     ),
-    "long tail": (_course("work of a long tail", load={"tail": 1.3}), 0.0),
-    "few": (_course("two requests a second at each sidecar", load={"rate": 8.0}), 0.0),
+    "long tail": (_scenario("work of a long tail", load={"tail": 1.3}), 0.0),
+    "few": (_scenario("two requests a second at each sidecar", load={"rate": 8.0}), 0.0),
     "one sidecar's burst": (
-        _course(
+        _scenario(
             "one sidecar with a burst of what the whole fleet can do",
             load={"rate": 290.0, "bursts": [{"at": 0.3, "until": 0.5, "times": 2.2}]},
             sidecars=1,
--- a/ochreflow/simulation/build.py
+++ b/ochreflow/simulation/policy_loader.py
@@ -9,6 +9,8 @@
 from pathlib import Path
 from types import ModuleType
 
+from ..errors import OchreflowError
+
 # What earlier builds call the names used here: owner (empty: the module itself), name, earlier name.
 _EARLIER_NAMES = (
     ("Effect", "IDEMPOTENT", "SAFE"),
@@ -21,22 +23,26 @@
 _EARLIER_FIELDS = {"warm_up_ns": "warm_within_ns"}  # of `Settings`
 
 
+class PolicyNotFoundError(OchreflowError, FileNotFoundError):
+    """A folder without a decision module."""
+
+
 @dataclass(slots=True)
-class Policy:
-    """Its three modules that others speak to."""
+class PolicyModules:
+    """The modules of a decision module that callers use."""
 
     interface: ModuleType
     balancer: ModuleType
     settings: ModuleType
 
 
-def load(folder: Path | None) -> Policy:
-    """Load `folder`/ochreflow/policy, or this package's own. FileNotFoundError if there is none."""
+def load_policy(folder: Path | None) -> PolicyModules:
+    """Load `folder`/ochreflow/policy, or this package's own; PolicyNotFoundError if there is none."""
     package = "ochreflow"
     if folder is not None:
         place = (folder / "ochreflow").resolve()
         if not (place / "policy" / "__init__.py").exists():
-            raise FileNotFoundError(f"{place / 'policy'}: no decision module there")
+            raise PolicyNotFoundError(f"{place / 'policy'}: no decision module there")
         package = f"_build_{abs(hash(place)):x}"
         if package not in sys.modules:
             # An empty parent package: only the decision module and the errors below it are loaded.
@@ -47,20 +53,22 @@
     _add_earlier_names(interface)
     renamed = importlib.util.find_spec(f"{name}.balancer") is not None
     balancer = importlib.import_module(f"{name}.{'balancer' if renamed else 'logic'}")
-    return Policy(interface, balancer, importlib.import_module(f"{name}.settings"))
+    return PolicyModules(interface, balancer, importlib.import_module(f"{name}.settings"))
 
 
 def _add_earlier_names(interface: ModuleType) -> None:
-    """Let a simulation speak to an earlier build by the names of this one."""
+    """Let a simulation use an earlier build by the names of this one."""
     for owner, name, earlier in _EARLIER_NAMES:
         holder = getattr(interface, owner) if owner else interface
         if not hasattr(holder, name):
             setattr(holder, name, getattr(holder, earlier))
     fields = interface.Settings.__dataclass_fields__
     if not _EARLIER_FIELDS.keys() <= fields.keys():
-        made = interface.Settings
+        earlier_settings = interface.Settings
 
         def settings(**given: object) -> object:
-            return made(**{_EARLIER_FIELDS.get(name, name): value for name, value in given.items()})
+            return earlier_settings(
+                **{_EARLIER_FIELDS.get(name, name): value for name, value in given.items()}
+            )
 
         interface.Settings = settings  # type: ignore[attr-defined]  # a module's attribute
--- a/ochreflow/simulation/simulated_node.py
+++ b/ochreflow/simulation/simulated_node.py
@@ -1,100 +1,124 @@
-"""Nodes in simulated time: the lab's model with a network before it."""
+"""Nodes in simulated time: the lab's model of a node behind a network with a fixed delay."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from functools import partial
+from typing import Any
 
 from ..lab.event_log import MemoryEventLog
-from ..lab.node_model import Cut, Fall, Model, Note, Pod, Reply, Traits, Work
+from ..lab.node_messages import (
+    CloseConnection,
+    Collapse,
+    NodeAction,
+    NodeProfile,
+    NodeRequest,
+    RecordEvent,
+    Reply,
+)
+from ..lab.node_model import DeduplicationGroup, NodeModel
 from .clock import Clock
 
-HOP = 0.0002  # seconds that a message takes one way
+NETWORK_DELAY_S = 0.0002  # that a message takes one way
+MIN_TIMER_S = 1e-9
 
-Told = Callable[[Reply | None], None]  # what came back; None: the connection broke
+OnReply = Callable[[Reply | None], None]  # None: the connection broke
 
 
 class SimulatedNode:
     """One node; it may be killed and never comes back as the same."""
 
-    def __init__(self, traits: Traits, seed: int, clock: Clock, event_log: MemoryEventLog, pod: Pod) -> None:
+    def __init__(
+        self,
+        profile: NodeProfile,
+        seed: int,
+        clock: Clock,
+        event_log: MemoryEventLog,
+        dedup_group: DeduplicationGroup,
+    ) -> None:
+        """Start the node at the present time of the clock."""
         self.clock = clock
         self.event_log = event_log
-        self.model = Model(traits, seed, clock.seconds, pod)
+        self.model = NodeModel(profile, seed, clock.seconds, dedup_group)
         self.alive = True
         self.number = 0
-        self.asking: dict[int, Told] = {}
-        self.due: float | None = None
+        self.pending: dict[int, OnReply] = {}
+        self.timer_due: float | None = None
         self.frozen = False
-        self.met: list[Callable[[], None]] = []  # what came meanwhile
+        self.delayed: list[Callable[[], None]] = []  # what arrived while it was frozen
 
     def freeze(self) -> None:
-        """Stop in the middle of everything; what comes waits."""
+        """Stop in the middle of everything; what arrives waits."""
         self.frozen = True
 
     def thaw(self) -> None:
+        """Go on, with what arrived meanwhile."""
         self.frozen = False
-        met, self.met = self.met, []
-        self._do(self.model.advance(self.clock.seconds))
-        for come in met:
-            come()
+        delayed, self.delayed = self.delayed, []
+        self._perform(self.model.advance(self.clock.seconds))
+        for handle in delayed:
+            handle()
 
-    def ask(self, work: Work, told: Told) -> int:
-        """Send a request that arrives a hop later; its number here."""
+    def send(self, request: NodeRequest, on_reply: OnReply) -> int:
+        """Send a request that arrives after the network's delay; return its number here."""
         self.number += 1
-        self.asking[self.number] = told
-        self.clock.after(HOP, self._arrive, self.number, work)
+        self.pending[self.number] = on_reply
+        self.clock.after(NETWORK_DELAY_S, self._arrive, self.number, request)
         return self.number
 
-    def leave(self, number: int) -> None:
-        """The one who asked does not wait any more."""
-        if self.asking.pop(number, None) is not None:
-            self.clock.after(HOP, self._left, number)
+    def abandon(self, number: int) -> None:
+        """Disconnect the client of a request."""
+        if self.pending.pop(number, None) is not None:
+            self.clock.after(NETWORK_DELAY_S, self._disconnected, number)
 
     def kill(self) -> None:
+        """End at once: every connection breaks."""
         self.alive = False
-        self._break_all()
+        self._break_connections()
 
-    def order(self, order: dict) -> None:
-        self._do(self.model.order(self.clock.seconds, order))
+    def control(self, order: dict[str, Any]) -> None:
+        """Set faults; see `NodeModel.control`."""
+        self._perform(self.model.control(self.clock.seconds, order))
 
-    def _arrive(self, number: int, work: Work) -> None:
+    def _arrive(self, number: int, request: NodeRequest) -> None:
         if self.frozen and self.alive:
-            self.met.append(partial(self._arrive, number, work))
+            self.delayed.append(partial(self._arrive, number, request))
         elif self.alive:
-            self._do(self.model.arrive(self.clock.seconds, number, work))
+            self._perform(self.model.arrive(self.clock.seconds, number, request))
         else:
-            self._tell(number, None)
+            self._reply(number, None)
 
-    def _left(self, number: int) -> None:
+    def _disconnected(self, number: int) -> None:
         if self.frozen and self.alive:
-            self.met.append(partial(self._left, number))
+            self.delayed.append(partial(self._disconnected, number))
         elif self.alive:
-            self._do(self.model.leave(self.clock.seconds, number))
-
-    def _do(self, acts: list) -> None:
-        for act in acts:
-            if isinstance(act, Note):
-                self.event_log.record(act.what, **act.fields)
-            elif isinstance(act, Fall):
-                self._break_all()
-            elif isinstance(act, Cut):
-                self._tell(act.number, None)
-            else:
-                self._tell(act.number, act)
-        self.due = self.model.next_at()
-        if self.due is not None:
-            self.clock.after(max(self.due - self.clock.seconds, 0.0) + 1e-9, self._wake, self.due)
+            self._perform(self.model.abandon(self.clock.seconds, number))
+
+    def _perform(self, actions: list[NodeAction]) -> None:
+        for action in actions:
+            match action:
+                case RecordEvent():
+                    self.event_log.record(action.kind, **action.fields)
+                case Collapse():
+                    self._break_connections()
+                case CloseConnection():
+                    self._reply(action.number, None)
+                case Reply():
+                    self._reply(action.number, action)
+        self.timer_due = self.model.next_event_at()
+        if self.timer_due is not None:
+            delay_s = max(self.timer_due - self.clock.seconds, 0.0) + MIN_TIMER_S
+            self.clock.after(delay_s, self._wake, self.timer_due)
 
     def _wake(self, due: float) -> None:
-        if self.alive and not self.frozen and due == self.due:
-            self._do(self.model.advance(self.clock.seconds))
+        if self.alive and not self.frozen and due == self.timer_due:
+            self._perform(self.model.advance(self.clock.seconds))
 
-    def _tell(self, number: int, reply: Reply | None) -> None:
-        told = self.asking.pop(number, None)
-        if told is not None:
-            self.clock.after(HOP, told, reply)
+    def _reply(self, number: int, reply: Reply | None) -> None:
+        on_reply = self.pending.pop(number, None)
+        if on_reply is not None:
+            self.clock.after(NETWORK_DELAY_S, on_reply, reply)
 
-    def _break_all(self) -> None:
-        for number in list(self.asking):
-            self._tell(number, None)
+    def _break_connections(self) -> None:
+        for number in list(self.pending):
+            self._reply(number, None)
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -98,7 +98,7 @@
     clock = Clock()
     clock.install()
     import msgspec
-    from simulated_stage import SimulatedStage
+    from simulated_environment import SimulatedRunner
 
     from ochreflow.lab.scenario import Scenario
 
@@ -108,11 +108,11 @@
         runner.get_loop().set_exception_handler(
             lambda loop, context: crashed.append(f"{context['message']}: {context.get('exception')!r}")
         )
-        stage = SimulatedStage(scenario, path.parent, seed)
-        played = runner.run(stage.run())
-    findings = [(finding.rule, finding.text) for finding in played.report.findings]
-    asked = sum(counts["asked"] for counts in played.report.by_class.values())
-    print(json.dumps({"findings": findings, "crashed": crashed + played.crashed, "asked": asked}))
+        runner_of_scenario = SimulatedRunner(scenario, path.parent, seed)
+        result = runner.run(runner_of_scenario.run())
+    findings = [(finding.rule, finding.text) for finding in result.report.findings]
+    asked = sum(counts["asked"] for counts in result.report.by_class.values())
+    print(json.dumps({"findings": findings, "crashed": crashed + result.crashes, "asked": asked}))
 
 
 if __name__ == "__main__":
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -11,19 +11,19 @@
 from test_scenarios import AT_ONCE, scenario
 
 from ochreflow.lab.event_log import read_events
-from ochreflow.lab.judge import SECOND
+from ochreflow.lab.judge import NS_PER_S
 from ochreflow.lab.scenario import Burst
-from ochreflow.simulation.build import load
-from ochreflow.simulation.clock import BEGIN
-from ochreflow.simulation.play import Simulation
+from ochreflow.simulation.clock import START_NS
+from ochreflow.simulation.policy_loader import load_policy
+from ochreflow.simulation.simulation import Simulation
 
 SECONDS, RATE = 8.0, 70
 
 
 def made(*steps, **more):
     whole = scenario(SECONDS, RATE, 6, *(step[:4] for step in steps))
-    forms = [{"form": step[4]} if len(step) > 4 else {} for step in steps]
-    by = [{"by": step[5]} if len(step) > 5 else {} for step in steps]
+    forms = [{"malformation": step[4]} if len(step) > 4 else {} for step in steps]
+    by = [{"replacements": step[5]} if len(step) > 5 else {} for step in steps]
     pairs = zip(whole.steps, forms, by, strict=True)
     return msgspec.structs.replace(
         whole, steps=tuple(msgspec.structs.replace(step, **form, **new) for step, form, new in pairs), **more
@@ -42,7 +42,7 @@
     for event in run[name]:
         if event["what"] == "ran" and event["id"] in began:
             start = began[event["id"]]
-            found[(start["at"] - first) / SECOND] = (event["at"] - start["at"]) / SECOND / start["cost"]
+            found[(start["at"] - first) / NS_PER_S] = (event["at"] - start["at"]) / NS_PER_S / start["cost"]
     return found
 
 
@@ -70,14 +70,14 @@
 def more_came(run):
     asked = [event["at"] for event in run["clients-1"] if event["what"] == "asked"]
     begin = min(asked)
-    in_it = sum(0.4 <= (at - begin) / SECOND / SECONDS < 0.65 for at in asked)
+    in_it = sum(0.4 <= (at - begin) / NS_PER_S / SECONDS < 0.65 for at in asked)
     return 2.0 < (in_it / 0.25) / ((len(asked) - in_it) / 0.75) < 3.0
 
 
 def silent(run):
     """For two seconds and more node 1 wrote down nothing, with work in hand."""
     at = [event["at"] for event in run["node-1"] if event["what"] in ("taken", "ran")]
-    return max(late - early for early, late in pairwise(at)) > 2 * SECOND
+    return max(late - early for early, late in pairwise(at)) > 2 * NS_PER_S
 
 
 def spoilt(run):
@@ -116,12 +116,12 @@
 @pytest.mark.parametrize("name", FAILURES)
 def test_in_simulated_time_the_same_seed_gives_the_same_digest(name):
     given, seen = FAILURES[name]
-    runs = [Simulation(given, 4, load(None)) for _ in range(2)]
+    runs = [Simulation(given, 4, load_policy(None)) for _ in range(2)]
     played = [run.run() for run in runs]
     assert played[0].digest == played[1].digest
     assert played[0].verdict == 0, played[0].report.findings[:3]
     events = {what: event_log.events for what, event_log in runs[0].event_logs.items()}
-    assert all(event["at"] >= BEGIN for event in events["clients-1"])
+    assert all(event["at"] >= START_NS for event in events["clients-1"])
     assert seen(events)
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,14 +11,15 @@
 import pytest
 from net_helpers import HOST, WAIT, Fake, ask, read_message, reply, run
 
-from ochreflow.lab.arrivals import Habits, Kind
+from ochreflow.lab.arrivals import ClientProfile, Idempotency, RequestClass
 from ochreflow.lab.event_log import EventLog, read_events
 from ochreflow.lab.fake_directory import FakeDirectory
 from ochreflow.lab.fake_node import FakeNode
 from ochreflow.lab.fake_server import open_server
-from ochreflow.lab.judge import RULES, SECOND, judge
-from ochreflow.lab.load import Load
-from ochreflow.lab.node_model import Pod, Traits
+from ochreflow.lab.judge import NS_PER_S, RULES, judge
+from ochreflow.lab.load_generator import LoadGenerator
+from ochreflow.lab.node_messages import NodeProfile
+from ochreflow.lab.node_model import DeduplicationGroup
 
 ROOT = Path(__file__).parent.parent
 
@@ -33,14 +34,17 @@
     return b"POST /-/lab HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-def with_node(tmp_path, steps, **traits):
+def with_node(tmp_path, steps, **profile):
     """Run steps against a node; what it wrote down."""
     path = tmp_path / "node.jsonl"
 
     async def play():
         loop = asyncio.get_running_loop()
         node = FakeNode(
-            Traits("n", work={"assign": 0.01, "exposure": 0.01}, **traits), EventLog(path), 1, loop
+            NodeProfile("n", mean_work_s={"assign": 0.01, "exposure": 0.01}, **profile),
+            EventLog(path),
+            1,
+            loop,
         )
         server = await loop.create_server(node.service.connection, HOST, 0)
         await steps(node, server.sockets[0].getsockname()[1])
@@ -61,7 +65,7 @@
         assert (await ask(port, request("b", "exposure", token))).body == b"n:b"
         assert (await ask(port, request("b", "exposure", token))).body == b"n:b"
         assert (await ask(port, b"GET /assign HTTP/1.1\r\n\r\n")).code == 404
-        node.model.trouble.slow = 20.0
+        node.model.faults.slowdown = 20.0
         crowd = await asyncio.gather(*(ask(port, request(f"c{n}")) for n in range(6)))
         turned = [got for got in crowd if got.code == 503]
         assert len(turned) == 3 and turned[0].headers["x-not-run"] == "1"
@@ -69,7 +73,7 @@
         got = await ask(port, request("d"))
         assert got.code == 503 and got.headers["x-not-run"] == "1"
 
-    events = with_node(tmp_path, steps, cores=1, room=2)
+    events = with_node(tmp_path, steps, cores=1, queue_capacity=2)
     assert kinds(events) == {"taken": 5, "began": 5, "ran": 5, "dropped": 1, "turned_away": 4, "ordered": 1}
 
 
@@ -99,11 +103,11 @@
         results = await asyncio.gather(
             *(ask(port, request(f"h{n}")) for n in range(300)), return_exceptions=True
         )
-        assert any(isinstance(result, Exception) for result in results) and node.model.fallen
+        assert any(isinstance(result, Exception) for result in results) and node.model.collapsed
 
-    traits = {"warm_within": 60.0, "start_capacity": 0.15}
-    assert "fell" not in kinds(with_node(tmp_path, gently, **traits))
-    assert kinds(with_node(tmp_path, hard, room=1000, **traits))["fell"] == 1
+    profile = {"warm_up_s": 60.0, "start_capacity": 0.15}
+    assert "fell" not in kinds(with_node(tmp_path, gently, **profile))
+    assert kinds(with_node(tmp_path, hard, queue_capacity=1000, **profile))["fell"] == 1
 
 
 @pytest.mark.parametrize("moment", ["work is due", "a request waits", "a connection comes"])
@@ -114,10 +118,10 @@
         loop = asyncio.get_running_loop()
         uncaught = []
         loop.set_exception_handler(lambda _, context: uncaught.append(context))
-        pod, work = Pod(), {"assign": 0.2}
-        options = [{"name": name, "cores": 1, "warm_within": 0.0, "work": work} for name in ("n", "m")]
-        first, other = [await open_server("nodes", tmp_path, one, pod) for one in options]
-        first.handler.end = first.end
+        dedup_group, work = DeduplicationGroup(), {"assign": 0.2}
+        options = [{"name": name, "cores": 1, "warm_up_s": 0.0, "mean_work_s": work} for name in ("n", "m")]
+        first, other = [await open_server("nodes", tmp_path, one, dedup_group) for one in options]
+        first.handler.on_end_order = first.end
         port, beside = (int(place.address.split(":")[1]) for place in (first, other))
         writers = []
         taken = {"work is due": 1, "a request waits": 2, "a connection comes": 0}[moment]
@@ -205,7 +209,7 @@
 
 
 def at(seconds, what, **fields):
-    return {"what": what, "at": int(seconds * SECOND), **fields}
+    return {"what": what, "at": int(seconds * NS_PER_S), **fields}
 
 
 def asked(ident, seconds=1.0, cls="assign"):
@@ -352,7 +356,14 @@
         seen = []
         fake = await Fake(twice).start()
         event_log = EventLog(tmp_path / "clients")
-        load = Load((HOST, fake.port), [Kind("assign", 1.0, "unsafe", 2.0)], 100.0, 5, 1, event_log)
+        load = LoadGenerator(
+            (HOST, fake.port),
+            [RequestClass("assign", 1.0, Idempotency.NON_IDEMPOTENT, 2.0)],
+            100.0,
+            5,
+            1,
+            event_log,
+        )
         await load.run(0.3)
         event_log.close()
         return seen
@@ -460,7 +471,7 @@
         assert (await read_message(first[0])).body == b"n:c"
         first[1].close()
 
-    assert kinds(with_node(tmp_path, steps, connections=1))["taken"] == 2
+    assert kinds(with_node(tmp_path, steps, max_connections=1))["taken"] == 2
 
 
 def test_clients_leave_are_slow_and_come_back_after_a_refusal(tmp_path):
@@ -476,9 +487,17 @@
         tries = {}
         fake = await Fake(turns).start()
         event_log = EventLog(tmp_path / "clients")
-        habits = Habits(slow=0.3, long=0.3, long_bytes=50_000, hinted=1.0, tries=3)
-        load = Load(
-            (HOST, fake.port), [Kind("a", 1.0, "keyed", 2.0, 0.05)], 60.0, 5, 1, event_log, habits=habits
+        profile = ClientProfile(
+            slow_share=0.3, large_body_share=0.3, large_body_bytes=50_000, cost_hint_share=1.0, max_attempts=3
+        )
+        load = LoadGenerator(
+            (HOST, fake.port),
+            [RequestClass("a", 1.0, Idempotency.IDEMPOTENT_WITH_KEY, 2.0, 0.05)],
+            60.0,
+            5,
+            1,
+            event_log,
+            profile=profile,
         )
         await load.run(0.4)
         event_log.close()
@@ -486,7 +505,7 @@
 
     tries, load = run(play())
     assert len(tries) > 10 and all(len(messages) == 3 for messages in tries.values())
-    assert load.counts["served"] == len(tries) and load.counts["refused"] == 2 * len(tries)
+    assert load.outcomes["served"] == len(tries) and load.outcomes["refused"] == 2 * len(tries)
     for messages in tries.values():
         assert [message.headers.get("x-retry") for message in messages] == [None, "1", "1"]
         assert len({message.headers["x-request-id"] for message in messages}) == 3
@@ -496,4 +515,6 @@
         assert int(messages[0].headers["x-cost-hint"]) > 1000
     assert any(len(messages[0].body) > 50_000 for messages in tries.values())
     report = judge([read_events(tmp_path / "clients")], {"n": []}, [], [])
-    assert len(report.matters["a"]) == len(tries) and None not in report.matters["a"].values()
+    assert (
+        len(report.logical_requests["a"]) == len(tries) and None not in report.logical_requests["a"].values()
+    )
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -12,8 +12,8 @@
 
 import ochreflow
 from ochreflow.lab.judge import RULES
-from ochreflow.lab.runs import worth
-from ochreflow.lab.scenario import Burst, Scenario, ScenarioError, names, read_scenario, times
+from ochreflow.lab.runs import weighted_goodput
+from ochreflow.lab.scenario import Burst, Scenario, ScenarioError, rate_factor, read_scenario, scenario_names
 
 PROGRAM = Path(ochreflow.__file__).parent
 AT_ONCE = 3  # builds that play beside each other, a process each
@@ -46,7 +46,7 @@
 )
 COLD = msgspec.structs.replace(
     scenario(7.0, 100, 2, (0.1, "gone", [1]), (0.12, "come", [3]), warm_within=60.0, start_capacity=0.05),
-    sidecars=4,
+    sidecar_count=4,
 )
 SABOTAGE = {  # the rule: where one line is changed, what it becomes, and a scenario in which it matters
     "one final answer": (
@@ -132,9 +132,9 @@
 
 
 def test_the_library_is_fine_and_the_command_plays_it(tmp_path):
-    assert len(names()) >= 12
-    for name in names():
-        assert read_scenario(name).says
+    assert len(scenario_names()) >= 12
+    for name in scenario_names():
+        assert read_scenario(name).description
     out = tmp_path / "r.jsonl"
     done = command("lab", "run", "quiet", "kill-loop", "--jobs", "2", "--seconds", "5", "--out", str(out))
     assert done.returncode in (0, 3), done.stdout + done.stderr
@@ -171,9 +171,9 @@
 
 def test_the_load_follows_its_shape_and_worth_counts_what_was_in_time():
     made = scenario(10.0, 50, 1)
-    load = msgspec.structs.replace(made.load, bursts=(Burst(0.4, 0.5, 2.5),), wave=0.5)
+    load = msgspec.structs.replace(made.load, bursts=(Burst(0.4, 0.5, 2.5),), wave_amplitude=0.5)
     shaped = msgspec.structs.replace(made, load=load)
-    assert times(shaped, 0.0) == 1.5 and times(shaped, 5.0) == 0.5
-    assert times(shaped, 4.5) / times(shaped, 5.5) == pytest.approx(2.5)
+    assert rate_factor(shaped, 0.0) == 1.5 and rate_factor(shaped, 5.0) == 0.5
+    assert rate_factor(shaped, 4.5) / rate_factor(shaped, 5.5) == pytest.approx(2.5)
     counts = {"wanted": 10, "in_time": 5}
-    assert worth(made, {"exposure": counts, "assign": {"wanted": 0, "in_time": 0}}) == 0.5
+    assert weighted_goodput(made, {"exposure": counts, "assign": {"wanted": 0, "in_time": 0}}) == 0.5
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -5,19 +5,19 @@
 from test_scenarios import COLD, DRAINED, KILLED, SABOTAGE, TROUBLED, sabotaged
 
 from ochreflow.core import engine
-from ochreflow.lab.scenario import names, read_scenario
-from ochreflow.simulation import sidecar
-from ochreflow.simulation.build import load
-from ochreflow.simulation.play import Simulation, simulate
+from ochreflow.lab.scenario import read_scenario, scenario_names
+from ochreflow.simulation import simulated_sidecar
+from ochreflow.simulation.policy_loader import load_policy
+from ochreflow.simulation.simulation import Simulation, simulate
 
 OF_THE_MODULE = [rule for rule, (file, *_) in SABOTAGE.items() if file.startswith("policy/")]
 
 
-@pytest.mark.parametrize("name", names())
+@pytest.mark.parametrize("name", scenario_names())
 def test_the_library_keeps_every_rule(name):
     played = simulate(read_scenario(name), 3)
     assert played.verdict == 0, played.report.findings[:3]
-    took = [took for matters in played.report.matters.values() for took in matters.values()]
+    took = [took for logical in played.report.logical_requests.values() for took in logical.values()]
     assert sum(time is not None for time in took) > 0.8 * len(took) > 500
 
 
@@ -47,16 +47,16 @@
 
 def test_the_margins_are_those_of_the_engine():
     """The simulation may not import it, and keeps its own copy."""
-    assert sidecar.ATTEMPT_MARGIN_NS == engine.ATTEMPT_MARGIN_NS
-    assert sidecar.GUARD_MARGIN_NS == engine.GUARD_MARGIN_NS
+    assert simulated_sidecar.ATTEMPT_MARGIN_NS == engine.ATTEMPT_MARGIN_NS
+    assert simulated_sidecar.GUARD_MARGIN_NS == engine.GUARD_MARGIN_NS
 
 
 @pytest.mark.parametrize("made", [TROUBLED, DRAINED, KILLED, COLD])
 def test_what_is_offered_depends_on_the_seed_alone(made):
     """Slower nodes answer less, and are asked the same."""
-    first = simulate(made, 2).report.matters
+    first = simulate(made, 2).report.logical_requests
     slower = msgspec.structs.replace(made, fleet=msgspec.structs.replace(made.fleet, cores=1))
-    again = simulate(slower, 2).report.matters
+    again = simulate(slower, 2).report.logical_requests
     assert {name: set(idents) for name, idents in first.items()} == {
         name: set(idents) for name, idents in again.items()
     }
@@ -64,12 +64,19 @@
 
 def test_a_folder_without_a_module_is_told(tmp_path):
     with pytest.raises(FileNotFoundError, match="no decision module"):
-        load(tmp_path)
-    assert load(None) is not load(None) and load(None).balancer is load(None).balancer
+        load_policy(tmp_path)
+    assert (
+        load_policy(None) is not load_policy(None)
+        and load_policy(None).balancer is load_policy(None).balancer
+    )
 
 
 def test_nodes_of_a_pod_drop_each_other_s_repeats():
-    pods = Simulation(read_scenario("odd-clients"), 1, load(None))
-    pods.run()
-    nodes = pods.list.nodes
-    assert nodes["node-1"].model.pod is nodes["node-2"].model.pod is not nodes["node-3"].model.pod
+    run = Simulation(read_scenario("odd-clients"), 1, load_policy(None))
+    run.run()
+    nodes = run.directory.nodes
+    assert (
+        nodes["node-1"].model.dedup_group
+        is nodes["node-2"].model.dedup_group
+        is not nodes["node-3"].model.dedup_group
+    )
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -4,16 +4,16 @@
 import pytest
 from test_operator_file import command
 
-from ochreflow.simulation.courses import COURSES
-from ochreflow.simulation.play import simulate
-from ochreflow.simulation.trace import trace
+from ochreflow.simulation.limit_scenarios import LIMIT_SCENARIOS
+from ochreflow.simulation.limit_trace import trace
+from ochreflow.simulation.simulation import simulate
 
 replace = msgspec.structs.replace
 
 
 def cold(sidecars, cores, rate, **fleet):
-    course = COURSES["cold start"][0]
-    made = replace(course, sidecars=sidecars, load=replace(course.load, rate=rate))
+    course = LIMIT_SCENARIOS["cold start"][0]
+    made = replace(course, sidecar_count=sidecars, load=replace(course.load, rate_per_s=rate))
     return replace(made, fleet=replace(course.fleet, cores=cores, **fleet))
 
 
@@ -22,18 +22,18 @@
     """With no answer there was no pace, and with no pace no answer, until the fleet was warm by its clock."""
     played = simulate(cold(sidecars, cores, 65.0 * cores), 1)
     assert played.verdict == 0
-    took = [time for matters in played.report.matters.values() for time in matters.values()]
+    took = [time for logical in played.report.logical_requests.values() for time in logical.values()]
     assert sum(time is not None for time in took) > 0.9 * len(took)
 
 
 @pytest.mark.parametrize(("sidecars", "cores"), [(1, 1), (4, 1), (1, 4), (16, 4)])
 def test_no_cold_fleet_is_pushed_over_by_far_more_than_it_can_bear(sidecars, cores):
-    given = cold(sidecars, cores, 300.0 * cores, warm_within=30.0, start_capacity=0.05)
-    assert not simulate(replace(given, seconds=16.0), 1).report.findings
+    given = cold(sidecars, cores, 300.0 * cores, warm_up_s=30.0, start_capacity=0.05)
+    assert not simulate(replace(given, duration_s=16.0), 1).report.findings
 
 
 def test_a_trace_counts_every_request_once_and_the_oracle_knows_the_fleet():
-    course, ended = COURSES["step"]
+    course, ended = LIMIT_SCENARIOS["step"]
     made, figures = trace(course, 2, ended)
     assert len(made.limit) == len(made.offered) == 60
     assert sum(made.offered) == figures.offered > 10_000
