--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -110,14 +110,8 @@
         if req is None:
             return
         if server and req.uploading:
-            self.outlier_detector.learn(
-                server,
-                self.ctx.now,
-                req.cls,
-                event,
-                False,
-                # It ended before its body was through.
-            )
+            # It ended before its body was through.
+            self.outlier_detector.learn(server, self.ctx.now, req.cls, event, False)
         elif server and req.streaming and event.status is Status.RESET:
             self.outlier_detector.strike(server, 1.0, EJECT_SHARE)  # it began to answer, and broke
         settled = req.settle(event.attempt, event.status)
@@ -192,14 +186,14 @@
         self.ctx.actions.append(api.Send(req.id, server.id))
         req.charged = False
         if server.ejected:
-            server.trial_out = True
+            server.half_open_in_flight = True
         if not req.uploading:  # else its server has no work with it before the body is through
             self._count_out(req, server, number)
 
     def _count_out(self, req: PendingRequest, server: Server, number: int) -> None:
         """Its server has the whole of an attempt: it is in flight from now on."""
         overdue = self.outlier_detector.overdue_after(server, req.cls, req.deadline - self.ctx.now)
-        server.out[(req.id, number)] = (self.ctx.now, req.cls)
+        server.in_flight[(req.id, number)] = (self.ctx.now, req.cls)
         if not server.ejected:
             self.endpoints.inflight += 1
         self.ctx.at(self.ctx.now + overdue, OVERDUE, req.id, number)
@@ -255,14 +249,14 @@
         server, _, _, _, sent, state = req.attempts[number]
         if state != OUT:
             return
-        silent = server.last_ok <= sent
+        silent = server.last_alive_at <= sent
         if not first:
             if not silent:
                 self.outlier_detector.write_off(server, (req.id, number))
         elif not silent:
             self.limiter.press(server, req.cls, self.ctx.now - sent)  # late news is no use
         else:  # one long piece of work must not condemn a server by itself
-            server.answers = False
+            server.answering = False
             self.outlier_detector.strike(server, HINT_STRIKE, EJECT_SHARE_ON_SILENCE)
         if server.ejected:
             self._rescue(req, number)
@@ -272,7 +266,7 @@
 
     def _rescue_all(self, server: Server) -> None:
         """What waits at a server that has just been ejected is likely lost: do not wait it out."""
-        for ident, number in list(server.out):
+        for ident, number in list(server.in_flight):
             req = self.pending.get(ident)
             if req is not None:
                 self._rescue(req, number)
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -28,7 +28,7 @@
     ) -> None:
         self.ctx, self.latency, self.endpoints, self.safety_rules = ctx, latency, endpoints, safety_rules
         self.groups: defaultdict[tuple[int, bool], EndpointGroup] = defaultdict(EndpointGroup)
-        self.mean_rel = 1.0
+        self.mean_relative_latency = 1.0
         columns = ctx.settings.report_columns
         held = [columns.index(name) for name in ("inflight", "queue") if name in columns]
         self.load_column = held[0] if held else None
@@ -40,16 +40,23 @@
         A sidecar that sees little draws it about the estimate, the wider the older its news is: most of
         what is in flight there is of others. Guards against all of them crowding the faster kind.
         """
-        news = server.heard
-        if self.endpoints.sees_little and self.ctx.now - server.load_at < LOAD_FADE * self.ctx.shortest:
+        news = server.last_heard_at
+        if (
+            self.endpoints.sees_little
+            and self.ctx.now - server.load_reported_at < LOAD_FADE * self.ctx.shortest
+        ):
             group = self.group(server)
-            known = 0.5 ** ((self.ctx.now - server.load_at) / (LOAD_FADE * self.ctx.shortest))
-            load = max(group.load + (server.load - group.load) * known, len(server.out))
-            delay = (load + 1.0) * (server.unit or group.unit) * self.latency.base[cls]
+            known = 0.5 ** ((self.ctx.now - server.load_reported_at) / (LOAD_FADE * self.ctx.shortest))
+            load = max(group.load + (server.load - group.load) * known, len(server.in_flight))
+            delay = (
+                (load + 1.0)
+                * (server.latency_per_request or group.latency_per_request)
+                * self.latency.base[cls]
+            )
             delay = max(delay, self.silence(server))
-            news = server.load_at
+            news = server.load_reported_at
         else:
-            delay = (len(server.out) + 1) * self.slowness(server) * self.latency.base[cls]
+            delay = (len(server.in_flight) + 1) * self.slowness(server) * self.latency.base[cls]
         if self.endpoints.sees_little:
             stale = 1.0 - 0.5 ** ((self.ctx.now - news) / (STALE_AFTER * self.ctx.shortest))
             delay *= self.ctx.random.expovariate(1.0) ** (stale / STALE_SHARPNESS)
@@ -58,34 +65,38 @@
     def slowness(self, server: Server) -> float:
         """Smoothed latency in class means, aged towards the mean, raised by an unanswered attempt."""
         forget = FORGET_GAPS * max(self.endpoints.ready_count, 1) / max(self.latency.rate, 1.0) * SECOND
-        mean = self.group(server).rel if self.endpoints.sees_little else 1.0
-        rel = server.rel if server.samples else mean
-        rel = mean + (rel - mean) * 0.5 ** ((self.ctx.now - server.heard) / forget)
-        if server.out:
-            _, cls = next(iter(server.out.values()))
-            rel = max(rel, self.silence(server) / self.latency.base[cls])
-        return rel
+        mean = self.group(server).relative_latency if self.endpoints.sees_little else 1.0
+        relative_latency = server.relative_latency if server.samples else mean
+        relative_latency = mean + (relative_latency - mean) * 0.5 ** (
+            (self.ctx.now - server.last_heard_at) / forget
+        )
+        if server.in_flight:
+            _, cls = next(iter(server.in_flight.values()))
+            relative_latency = max(relative_latency, self.silence(server) / self.latency.base[cls])
+        return relative_latency
 
     def silence(self, server: Server) -> float:
         """Silence with work outstanding is evidence before any time-out: a hung server."""
-        if not server.out:
+        if not server.in_flight:
             return 0.0
-        return self.ctx.now - max(next(iter(server.out.values()))[0], server.last_ok)
+        return self.ctx.now - max(next(iter(server.in_flight.values()))[0], server.last_alive_at)
 
-    def heed(self, server: Server, report: tuple[float, ...], rel: float = 0.0) -> None:
+    def heed(self, server: Server, report: tuple[float, ...], relative_latency: float = 0.0) -> None:
         """Take a load report, and what the answer that it came with took for each request held."""
         column = self.load_column
         if column is None or len(report) <= column or not 0.0 <= (load := report[column]) < math.inf:
             return
-        server.load, server.load_at = load, self.ctx.now
+        server.load, server.load_reported_at = load, self.ctx.now
         group = self.group(server)
         group.reports += 1
         weight = max(GROUP_SMOOTHING, 1.0 / group.reports)
         group.load += weight * (load - group.load)
-        if rel:
-            unit = rel / (load + 1.0)
-            group.unit += weight * (unit - group.unit)
-            server.unit = (server.unit or group.unit) + SMOOTHING * (unit - (server.unit or group.unit))
+        if relative_latency:
+            latency_per_request = relative_latency / (load + 1.0)
+            group.latency_per_request += weight * (latency_per_request - group.latency_per_request)
+            server.latency_per_request = (
+                server.latency_per_request or group.latency_per_request
+            ) + SMOOTHING * (latency_per_request - (server.latency_per_request or group.latency_per_request))
 
     def pick(self, req: PendingRequest) -> Server | None:
         """Two sampled of the own zone against two sampled of the others, which pay for the crossing."""
@@ -99,7 +110,7 @@
             if best is not None:
                 return best
         for server in self.endpoints.ejected:  # nothing better: an ejected one may have recovered
-            if not server.trial_out and self.safety_rules.may_send(req, server):
+            if not server.half_open_in_flight and self.safety_rules.may_send(req, server):
                 return server
         return None
 
@@ -124,26 +135,28 @@
 
     def weight(self, server: Server) -> float:
         stands_for = self.endpoints.stands_for[server.zone != self.ctx.settings.zone]
-        return math.exp(self.group(server).lean) * stands_for
+        return math.exp(self.group(server).weight_bias) * stands_for
 
     def group(self, server: Server) -> EndpointGroup:
         return self.groups[(server.kind, server.zone != self.ctx.settings.zone)]
 
-    def lean(self, server: Server, rel: float) -> None:
+    def lean(self, server: Server, relative_latency: float) -> None:
         """Lean towards the groups that answer sooner than the mean, as integral control does.
 
         Guards against a zone with too much traffic, and a slow kind, being overrun in the first seconds.
         """
         group = self.group(server)
         group.samples += 1
-        group.rel += max(GROUP_SMOOTHING, 1.0 / (group.samples + 1)) * (rel - group.rel)
-        excess = rel - self.mean_rel
-        self.mean_rel += GROUP_SMOOTHING * excess
+        group.relative_latency += max(GROUP_SMOOTHING, 1.0 / (group.samples + 1)) * (
+            relative_latency - group.relative_latency
+        )
+        excess = relative_latency - self.mean_relative_latency
+        self.mean_relative_latency += GROUP_SMOOTHING * excess
         if server.zone != self.ctx.settings.zone:
             aims = sum(spec.objective_ns for spec in self.ctx.settings.classes) / sum(self.latency.base)
             excess += LEAN_CROSS * self.ctx.settings.price_cross_zone * aims
-        lean = group.lean * (1.0 - LEAN_FADE) - LEAN * min(max(excess, -1.0), LEAN_CLIP)
-        group.lean = min(max(lean, -LEAN_MOST), LEAN_MOST)
+        lean = group.weight_bias * (1.0 - LEAN_FADE) - LEAN * min(max(excess, -1.0), LEAN_CLIP)
+        group.weight_bias = min(max(lean, -LEAN_MOST), LEAN_MOST)
 
     def two(self, group: list[Server], req: PendingRequest, tried) -> list[Server]:
         """Up to two different servers of the group that may take this request now."""
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -38,7 +38,7 @@
 
     def regroup(self) -> None:
         """Rebuild the lists to sample from; only when a server changes state."""
-        for server in [s for s in self.servers.values() if not s.listed and not s.out]:
+        for server in [s for s in self.servers.values() if not s.listed and not s.in_flight]:
             del self.servers[server.id]  # else memory grows with every server that ever was
         ready = [server for server in self.servers.values() if server.ready and server.listed]
         self.ready_count = len(ready)
@@ -93,7 +93,7 @@
                 self.servers[entry.server] = Server(entry, self.ctx.random.random(), self.ctx.now)
             elif entry.started_ns != server.started or (entry.state is State.READY and not server.ready):
                 if server.ejected:
-                    self.inflight += server.waited_for()
+                    self.inflight += server.awaited_count()
                 server.restart(entry, self.ctx.now)
             else:
                 server.ready = entry.state is State.READY
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -51,97 +51,97 @@
         """Whatever became of an attempt, it is in flight no more. Its server, if that is still known."""
         server = self.endpoints.servers.get(event.server)
         attempt = (event.id, event.attempt)
-        if server and attempt in server.out:
-            sent, cls = server.out.pop(attempt)
-            lost = attempt in server.lost
-            server.lost.discard(attempt)
-            self.endpoints.inflight -= not lost and not server.ejected
-            self.learn(server, sent, cls, event, lost)
+        if server and attempt in server.in_flight:
+            sent, cls = server.in_flight.pop(attempt)
+            written_off = attempt in server.written_off
+            server.written_off.discard(attempt)
+            self.endpoints.inflight -= not written_off and not server.ejected
+            self.learn(server, sent, cls, event, written_off)
         return server
 
-    def learn(self, server: Server, sent: int, cls: int, event: Outcome, lost: bool) -> None:
+    def learn(self, server: Server, sent: int, cls: int, event: Outcome, written_off: bool) -> None:
         """Take an attempt's end into the estimates of its server and class."""
         status = event.status
         took = event.duration_ns
         base = self.latency.base[cls]
         if server.ejected:
-            server.trial_out = False
+            server.half_open_in_flight = False
         if status in UNWRITTEN:
             self.safety_rules.slow_start.give_back(server, cls, sent)
         if status is Status.NOT_SENT:
             return
         if status in (Status.OK, Status.ERROR):
-            server.sound += SOUND_SMOOTHING * ((status is Status.OK) - server.sound)
+            server.success_rate += SOUND_SMOOTHING * ((status is Status.OK) - server.success_rate)
         if status is not Status.CANCELLED:
-            server.answers = status in (Status.OK, Status.ERROR, Status.REJECTED)
+            server.answering = status in (Status.OK, Status.ERROR, Status.REJECTED)
         if status is Status.OK:
             self.latency.learn_usual(cls, took, self.limiter.pressure >= 1.0)
             self.safety_rules.slow_start.earn(server, cls)
             self.limiter.answered(server, cls, took)
             self.latency.learn(cls, took)
             self.latency.count_answer()
-            server.strikes = 0.0
-            server.last_ok = self.ctx.now
+            server.consecutive_failures = 0.0
+            server.last_alive_at = self.ctx.now
             if server.ejected:
                 self.readmit(server)
             self.sample(server, took / base)
             self.picker.heed(server, event.report, took / base)
         elif status is Status.REJECTED:
-            self.sample(server, max(FULL_SAMPLE, server.rel))
+            self.sample(server, max(FULL_SAMPLE, server.relative_latency))
             self.safety_rules.slow_start.lose(server)
-            server.last_ok = self.ctx.now  # busy, but alive
+            server.last_alive_at = self.ctx.now  # busy, but alive
             self.limiter.add(PRESSURE_FULL)
         elif status is Status.CANCELLED:
-            if took / base > server.rel:
+            if took / base > server.relative_latency:
                 self.sample(server, took / base)
         else:
-            self.sample(server, max(took / base, FAILURE_SAMPLE, server.rel))
-            if status is Status.TIMEOUT and server.last_ok > sent and not lost:
+            self.sample(server, max(took / base, FAILURE_SAMPLE, server.relative_latency))
+            if status is Status.TIMEOUT and server.last_alive_at > sent and not written_off:
                 self.limiter.press(server, cls, took)
             if status is not Status.TIMEOUT:
                 # Who asks a server less than once a deadline learns too late from a second failure.
                 rarely = self.latency.rate * self.ctx.shortest < self.endpoints.ready_count * SECOND
                 once = rarely and status is Status.CONNECT_FAILED
                 self.strike(server, STRIKES if once else 1.0, EJECT_SHARE)
-            elif server.last_ok <= sent:
+            elif server.last_alive_at <= sent:
                 self.strike(server, 1.0, EJECT_SHARE_ON_SILENCE)
             else:
                 self.latency.follow(cls, took)
 
-    def sample(self, server: Server, rel: float) -> None:
-        fresh = 1.0 - 0.5 ** ((self.ctx.now - server.heard) / (SMOOTHING_SPAN * self.ctx.shortest))
+    def sample(self, server: Server, relative_latency: float) -> None:
+        fresh = 1.0 - 0.5 ** ((self.ctx.now - server.last_heard_at) / (SMOOTHING_SPAN * self.ctx.shortest))
         weight = max(SMOOTHING, 1.0 / (server.samples + 2), fresh if self.endpoints.sees_little else 0.0)
-        rel = min(rel, SAMPLE_LIMIT)
-        server.rel += weight * (rel - server.rel)
-        self.picker.lean(server, rel)
+        relative_latency = min(relative_latency, SAMPLE_LIMIT)
+        server.relative_latency += weight * (relative_latency - server.relative_latency)
+        self.picker.lean(server, relative_latency)
         server.samples += 1
-        server.heard = self.ctx.now
+        server.last_heard_at = self.ctx.now
 
     def strike(self, server: Server, weight: float, share: float) -> None:
         """Count a failure or an overdue attempt, and eject while at most this share would be out."""
-        server.strikes += weight
+        server.consecutive_failures += weight
         if server.ejected:
             self.set_trial(server)
         elif (
-            server.strikes >= STRIKES
+            server.consecutive_failures >= STRIKES
             and len(self.endpoints.ejected) + 1 <= share * self.endpoints.ready_count
         ):
             self.eject(server)
 
     def eject(self, server: Server) -> None:
         server.ejected = True
-        self.endpoints.inflight -= server.waited_for()
+        self.endpoints.inflight -= server.awaited_count()
         server.ejections = 0
         self.set_trial(server)
         self.endpoints.regroup()
-        self.ctx.log(f"ejected {server.id} after {server.strikes:.1f} strikes in a row")
+        self.ctx.log(f"ejected {server.id} after {server.consecutive_failures:.1f} strikes in a row")
         self.ejects(server)
 
     def set_trial(self, server: Server) -> None:
         wait = self.ctx.shortest * min(EJECT_FOR * EJECT_GROWTH**server.ejections, EJECT_MOST)
         server.ejections += 1
         jitter = self.ctx.random.uniform(1.0 - EJECT_JITTER, 1.0 + EJECT_JITTER)
-        server.trial_at = self.ctx.now + int(wait * jitter)
+        server.half_open_at = self.ctx.now + int(wait * jitter)
 
     def trial(self, req: PendingRequest) -> Server | None:
         """An ejected server that is due for one request: of a class safe to repeat, if there is any."""
@@ -152,8 +152,8 @@
             return None
         for server in self.endpoints.ejected:
             if (
-                server.trial_at <= self.ctx.now
-                and not server.trial_out
+                server.half_open_at <= self.ctx.now
+                and not server.half_open_in_flight
                 and self.safety_rules.may_send(req, server)
             ):
                 self.since_trial = 0
@@ -162,8 +162,8 @@
 
     def readmit(self, server: Server) -> None:
         server.ejected = False
-        self.endpoints.inflight += server.waited_for()
-        server.rel = min(server.rel, FULL_SAMPLE)
+        self.endpoints.inflight += server.awaited_count()
+        server.relative_latency = min(server.relative_latency, FULL_SAMPLE)
         self.endpoints.regroup()
 
     def write_off(self, server: Server, attempt: tuple[int, int]) -> None:
@@ -172,14 +172,14 @@
         Guards against a network that drops answers: attempts that never come back filled a shrinking limit
         until their deadlines, and all requests were refused.
         """
-        if attempt not in server.lost:
+        if attempt not in server.written_off:
             self.endpoints.inflight -= not server.ejected
-            server.lost.add(attempt)
+            server.written_off.add(attempt)
 
     def overdue_after(self, server: Server, cls: int, left: int) -> int:
         """When to doubt an attempt: a slow server is given its time, lest load looks like loss."""
         usual = self.latency.base[cls] + OVERDUE_DEVIATIONS * self.latency.deviation[cls]
-        usual = max(usual, OVERDUE_AT_LEAST * self.latency.base[cls]) * max(server.rel, 1.0)
+        usual = max(usual, OVERDUE_AT_LEAST * self.latency.base[cls]) * max(server.relative_latency, 1.0)
         return int(min(usual, OVERDUE_AT_MOST * left)) + 1
 
     def spare(self, req: PendingRequest) -> Server | None:
@@ -189,7 +189,7 @@
         """
         most = max(self.endpoints.inflight / max(len(self.endpoints.near) + len(self.endpoints.far), 1), 1.0)
         for server in self.endpoints.ejected:
-            of_use = server.answers and server.sound >= SOUND_LEAST and server.waited_for() < most
+            of_use = server.answering and server.success_rate >= SOUND_LEAST and server.awaited_count() < most
             if of_use and self.safety_rules.may_send(req, server):
                 return server
         return None
--- a/ochreflow/policy/slow_start.py
+++ b/ochreflow/policy/slow_start.py
@@ -22,10 +22,10 @@
 
     def earn(self, server: Server, cls: int) -> None:
         """Each answer tells of the usual load; where nothing else does, of what can be done again."""
-        server.carried += self.latency.cost(cls)
+        server.completed_work += self.latency.cost(cls)
         self.tally()
-        if server.cold_at and not self.usual:
-            server.cold_tokens += PACE_EARN * self.latency.cost(cls)
+        if server.tokens_updated_at and not self.usual:
+            server.slow_start_tokens += PACE_EARN * self.latency.cost(cls)
 
     def tally(self) -> None:
         """Learn the usual load of warm servers, of a cell as a part of its kinds'. None warm: it stays."""
@@ -37,11 +37,11 @@
         for server in self.endpoints.near + self.endpoints.far:
             if self.ramp(server) >= 1.0:
                 side, kind, cell = self.groups(server)
-                carried[side].append(server.carried)
-                carried[kind].append(server.carried)
+                carried[side].append(server.completed_work)
+                carried[kind].append(server.completed_work)
                 if known := self.usual.get(kind):
-                    carried[cell].append(server.carried / known)
-            server.carried = 0.0
+                    carried[cell].append(server.completed_work / known)
+            server.completed_work = 0.0
         for group, each in carried.items():
             load = sum(each) / len(each) * SECOND / passed
             known = self.usual.get(group, load)
@@ -60,13 +60,13 @@
 
     def lose(self, server: Server) -> None:
         """What it turns away pushes it over too."""
-        if server.cold_at:
-            server.cold_tokens = min(server.cold_tokens, 0.0)
+        if server.tokens_updated_at:
+            server.slow_start_tokens = min(server.slow_start_tokens, 0.0)
 
     def give_back(self, server: Server, cls: int, sent: int) -> None:
         """No connection came up for an attempt decided at `sent` ns: it has cost this start nothing."""
-        if server.cold_at and sent >= server.told:
-            server.cold_tokens += self.latency.cost(cls)
+        if server.tokens_updated_at and sent >= server.start_learned_at:
+            server.slow_start_tokens += self.latency.cost(cls)
 
     def ramp(self, server: Server) -> float:
         """The least part of its capacity that a server has by now, by the settings."""
@@ -87,14 +87,19 @@
         if server in self.endpoints.rest:  # left to those who sample it
             pace /= max(self.endpoints.stands_for[server.zone != self.ctx.settings.zone], 1.0)
         limit = max(1.0, pace * PACE_BURST)
-        earned = pace * (self.ctx.now - (server.cold_at or server.told)) / SECOND
-        server.cold_tokens, server.cold_at = min(limit, server.cold_tokens + earned), self.ctx.now
+        earned = pace * (self.ctx.now - (server.tokens_updated_at or server.start_learned_at)) / SECOND
+        server.slow_start_tokens, server.tokens_updated_at = (
+            min(limit, server.slow_start_tokens + earned),
+            self.ctx.now,
+        )
         cost = self.latency.cost(cls)
         if take:
-            server.cold_tokens -= cost
+            server.slow_start_tokens -= cost
             return True
         need = min(cost, limit)
-        if 0.0 < server.cold_tokens < need:
+        if 0.0 < server.slow_start_tokens < need:
             # By chance, all or nothing: else hundreds of sidecars each keep a part that is of no use.
-            server.cold_tokens = need if self.ctx.random.random() * need < server.cold_tokens else 0.0
-        return server.cold_tokens >= need
+            server.slow_start_tokens = (
+                need if self.ctx.random.random() * need < server.slow_start_tokens else 0.0
+            )
+        return server.slow_start_tokens >= need
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -43,40 +43,41 @@
     def __init__(self, entry: Endpoint, rank: float, now: int) -> None:
         self.id = entry.server
         self.rank = rank  # by the own seed: each sidecar samples from others
-        self.out: dict[tuple[int, int], tuple[int, int]] = {}  # (request, attempt) -> (sent, class)
-        self.lost: set[tuple[int, int]] = set()  # of these, whose answers are not waited for any more
+        self.in_flight: dict[tuple[int, int], tuple[int, int]] = {}  # (request, attempt) -> (sent, class)
+        self.written_off: set[tuple[int, int]] = set()  # of these, whose answers are not waited for any more
         self.listed = True
         self.restart(entry, now)
 
-    def waited_for(self) -> int:
-        return len(self.out) - len(self.lost)
+    def awaited_count(self) -> int:
+        return len(self.in_flight) - len(self.written_off)
 
     def restart(self, entry: Endpoint, now: int) -> None:
         self.zone, self.kind, self.cell = entry.zone, entry.kind, entry.cell
         self.ready = entry.state is State.READY
         self.started = entry.started_ns
-        self.told = now  # when this sidecar heard of that start
-        self.rel = 1.0  # not heard from: counts at the mean, a cold one too, whose pace protects it
-        self.samples = self.heard = self.last_ok = 0
-        self.sound = 1.0  # smoothed part of its answers that are no errors
-        self.answers = True  # whether the latest news of it was an answer, if only an error
-        self.load, self.load_at = 0.0, 0  # requests held, as last reported, and when
-        self.unit = 0.0  # smoothed latency for each request held, in class means; 0: not known
-        self.strikes, self.ejections, self.trial_at = 0.0, 0, 0
-        self.ejected = self.trial_out = False
-        self.cold_tokens, self.cold_at = 0.0, 0
-        self.carried = 0.0  # answered since the last tally, in requests of mean work
+        self.start_learned_at = now  # when this sidecar heard of that start
+        # Not heard from: counts at the mean, a cold one too, whose slow start protects it.
+        self.relative_latency = 1.0
+        self.samples = self.last_heard_at = self.last_alive_at = 0
+        self.success_rate = 1.0  # smoothed part of its answers that are no errors
+        self.answering = True  # whether the latest news of it was an answer, if only an error
+        self.load, self.load_reported_at = 0.0, 0  # requests held, as last reported, and when
+        self.latency_per_request = 0.0  # smoothed latency for each request held, in class means; 0: not known
+        self.consecutive_failures, self.ejections, self.half_open_at = 0.0, 0, 0
+        self.ejected = self.half_open_in_flight = False
+        self.slow_start_tokens, self.tokens_updated_at = 0.0, 0
+        self.completed_work = 0.0  # answered since the last tally, in requests of mean work
 
 
 class EndpointGroup:
     """What this sidecar believes of servers that the list describes alike: of one kind, near or far."""
 
     def __init__(self) -> None:
-        self.rel = 1.0  # smoothed latency, in class means
+        self.relative_latency = 1.0  # smoothed latency, in class means
         self.samples = self.reports = 0
         self.load = 0.0  # mean of what is reported
-        self.unit = 1.0
-        self.lean = 0.0  # logarithm of the weight with which its servers are sampled
+        self.latency_per_request = 1.0
+        self.weight_bias = 0.0  # logarithm of the weight with which its servers are sampled
 
 
 class Attempt(NamedTuple):
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -193,7 +193,7 @@
         one for one in play_timers(balancer, now, actions, now + SECOND) if isinstance(one[1], Send)
     ]
     balancer.handle(when, BodyUploaded(1, when + 2 * SECOND))
-    assert (1, 1) in balancer.endpoints.servers[second.server].out
+    assert (1, 1) in balancer.endpoints.servers[second.server].in_flight
     actions = balancer.handle(when, Outcome(1, 1, second.server, Status.RESET, MS, False))
     assert not kinds(actions, Reject, Send)
 
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -179,7 +179,7 @@
         assert len(fake.got) == (what is not None)
         rig.engine.balancer.pending.clear()
         for server in rig.engine.balancer.endpoints.servers.values():
-            server.out.clear()
+            server.in_flight.clear()
 
     play(tmp_path, lambda name: what, steps)
 
--- a/tests/test_little.py
+++ b/tests/test_little.py
@@ -85,8 +85,8 @@
             early += sum(1 - server % 2 for server in used[:5])
             late += sum(1 - server % 2 for server in used[-5:])
             leans += (
-                balancer.picker.group(balancer.endpoints.servers[1]).lean
-                - balancer.picker.group(balancer.endpoints.servers[0]).lean
+                balancer.picker.group(balancer.endpoints.servers[1]).weight_bias
+                - balancer.picker.group(balancer.endpoints.servers[0]).weight_bias
             )
         assert late < 0.4 * 150 and late < 0.8 * early
         assert leans > 30 * 0.3  # by the sampling too, not by the pick alone
@@ -102,7 +102,7 @@
         if not server.samples
     }
     assert unheard[1] < unheard[0]
-    assert unheard[1] == balancer.picker.groups[1, False].rel < 1.0
+    assert unheard[1] == balancer.picker.groups[1, False].relative_latency < 1.0
 
 
 def test_restarted_servers_are_used_from_their_listing_on_but_not_by_all_at_once():
@@ -126,24 +126,24 @@
     balancer, now = make(entries=[endpoint(n) for n in range(40)], effect=Effect.NON_IDEMPOTENT)
     now, used = trickle(balancer, now, range(40), lambda server: 40 * MS)
     server = balancer.endpoints.servers[used[-1]]
-    before = server.rel
+    before = server.relative_latency
     balancer.outlier_detector.sample(server, 10.0)  # at once: one of many
-    small = server.rel - before
-    server.rel = before
+    small = server.relative_latency - before
+    server.relative_latency = before
     balancer.ctx.now += 20 * SECOND
     balancer.outlier_detector.sample(server, 10.0)
-    assert server.rel - before > 4 * small
+    assert server.relative_latency - before > 4 * small
 
 
 def test_reports_that_are_no_numbers_change_nothing():
     balancer, now = make(entries=[endpoint(n) for n in range(40)], report_columns=("qps", "inflight"))
     server = balancer.endpoints.servers[0]
     balancer.handle(now, ProbeResult(0, Status.OK, MS, (1.0, 3.0)))
-    before = server.load, server.load_at
+    before = server.load, server.load_reported_at
     assert before == (3.0, now)
     for odd in ((), (1.0,), (1.0, float("nan")), (1.0, -3.0), (1.0, float("inf"))):
         balancer.picker.heed(server, odd)
-    assert (server.load, server.load_at) == before
+    assert (server.load, server.load_reported_at) == before
 
 
 def test_a_sidecar_with_a_request_now_and_then_sheds_in_overload_and_recovers():
@@ -184,5 +184,5 @@
 def send_to(balancer, now, ident, server):
     """An attempt at this server, whatever the pick would say."""
     balancer.handle(now, request(ident, now))
-    balancer.pending[ident].attempts[-1][0].out.pop((ident, 0), None)
-    server.out[(ident, 0)] = (now, 0)
+    balancer.pending[ident].attempts[-1][0].in_flight.pop((ident, 0), None)
+    server.in_flight[(ident, 0)] = (now, 0)
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -260,7 +260,7 @@
             await until(lambda: not engine.held and not engine.attempts and not engine.balancer.pending)
             assert not sidecar.http.clients.all
             (server,) = engine.balancer.endpoints.servers.values()
-            assert not server.out  # the attempt's end was told as well
+            assert not server.in_flight  # the attempt's end was told as well
 
     run(play())
 
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -22,17 +22,17 @@
     pace = balancer.slow_start
     sent = balancer.ctx.now = now + 10 * MS
     pace.allows(server, 0, True)
-    taken = server.cold_tokens
+    taken = server.slow_start_tokens
     balancer.ctx.now += 200 * MS
     pace.give_back(server, 0, sent)
-    assert server.cold_tokens == taken + balancer.latency.cost(0)
+    assert server.slow_start_tokens == taken + balancer.latency.cost(0)
     # Its pace was another life's: the new one owes nothing for it.
     server = restarted(balancer, now + SECOND)
     balancer.ctx.now += SECOND
     pace.allows(server, 0, False)
-    fresh = server.cold_tokens
+    fresh = server.slow_start_tokens
     pace.give_back(server, 0, sent)
-    assert server.cold_tokens == fresh
+    assert server.slow_start_tokens == fresh
 
 
 def test_an_attempt_between_a_start_and_the_news_of_it_gets_nothing_back_from_the_new_life():
@@ -42,11 +42,11 @@
     balancer.handle(told, Membership(ListKind.DELTA, 2, [endpoint(1, started=started)]))
     server = balancer.endpoints.servers[1]
     pace.allows(server, 0, False)
-    fresh = server.cold_tokens
+    fresh = server.slow_start_tokens
     pace.give_back(server, 0, sent)
-    assert server.cold_tokens == fresh
+    assert server.slow_start_tokens == fresh
     pace.give_back(server, 0, told)
-    assert server.cold_tokens == fresh + balancer.latency.cost(0)
+    assert server.slow_start_tokens == fresh + balancer.latency.cost(0)
 
 
 def test_a_warm_server_is_given_nothing_back():
@@ -54,7 +54,7 @@
     server = balancer.endpoints.servers[1]
     balancer.slow_start.allows(server, 0, True)
     balancer.slow_start.give_back(server, 0, now)
-    assert server.cold_tokens == 0.0
+    assert server.slow_start_tokens == 0.0
 
 
 def test_a_start_that_lies_ahead_of_the_own_clock_is_no_crash_where_nothing_warms_up():
@@ -68,9 +68,9 @@
     now, _ = serve(balancer, now, range(100), 50 * MS)
     server = restarted(balancer, now)
     balancer.slow_start.allows(server, 0, True)
-    taken = server.cold_tokens
+    taken = server.slow_start_tokens
     balancer.slow_start.earn(server, 0)
-    assert server.cold_tokens == taken
+    assert server.slow_start_tokens == taken
 
 
 def carry(balancer, now, rates, seconds=20):
@@ -250,9 +250,9 @@
     server = balancer.endpoints.servers[9]
     balancer.ctx.now = now
     balancer.slow_start.allows(server, 0, True)
-    taken = server.cold_tokens
+    taken = server.slow_start_tokens
     balancer.slow_start.earn(server, 0)
-    assert server.cold_tokens > taken + 1.0
+    assert server.slow_start_tokens > taken + 1.0
 
 
 def test_ten_cold_servers_bear_the_sum_of_what_thirty_sidecars_send():
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -127,6 +127,6 @@
     balancer, now = make(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     for server in list(balancer.endpoints.servers.values())[:30]:
         balancer.outlier_detector.eject(server)
-        server.trial_at = now
+        server.half_open_at = now
     tried = [balancer.endpoints.servers[send_one(balancer, now, ident).server].ejected for ident in range(30)]
     assert sum(tried) == 3
