--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -71,58 +71,58 @@
     def write_by(self, now_ns: int, ident: int, number: int) -> int:
         """Until when an attempt's last byte may go out, judged anew as its first one is to; 0: it may not."""
         self.ctx.now = now_ns
-        if (req := self.pending.get(ident)) is None:
+        if (request := self.pending.get(ident)) is None:
             return 0
-        server = req.attempts[number].server
+        server = request.attempts[number].server
         # It may have moved since the decision.
-        req.attempts[number] = req.attempts[number]._replace(zone=server.zone, cell=server.cell)
-        return self.safety_rules.write_by(req, server, number)
+        request.attempts[number] = request.attempts[number]._replace(zone=server.zone, cell=server.cell)
+        return self.safety_rules.write_by(request, server, number)
 
     def _on_request(self, event: Request) -> None:
         spec = self.ctx.settings.classes[event.cls]
-        req = PendingRequest(event, spec, self.ctx.now)
-        self.pending[req.id] = req
+        request = PendingRequest(event, spec, self.ctx.now)
+        self.pending[request.id] = request
         self.retry_policy.earn()
         if self.tenant_quotas.asks and not event.is_retry:
-            self.tenant_quotas.count(req.tenant)
+            self.tenant_quotas.count(request.tenant)
         self.endpoints.count_demand()
         if event.deadline_ns <= self.ctx.now:
-            self._end(req)
+            self._end(request)
             return
-        server = self._pick(req)
+        server = self._pick(request)
         if server is None:
-            self._plan_repeat(req)
-        elif self.limiter.admit(req, self.limiter.value(event, req)):
-            self._send(req, server)
-        elif spare := self.outlier_detector.spare(req):
-            self._send(req, spare)
+            self._plan_repeat(request)
+        elif self.limiter.admit(request, self.limiter.value(event, request)):
+            self._send(request, server)
+        elif fallback := self.outlier_detector.fallback_server(request):
+            self._send(request, fallback)
         else:
-            self._end(req)
+            self._end(request)
 
-    def _pick(self, req: PendingRequest) -> Server | None:
-        if self.endpoints.ejected and (trial := self.outlier_detector.trial(req)):
-            return trial
-        return self.picker.pick(req)
+    def _pick(self, request: PendingRequest) -> Server | None:
+        if self.endpoints.ejected and (server := self.outlier_detector.half_open_server(request)):
+            return server
+        return self.picker.pick(request)
 
     def _on_outcome(self, event: Outcome) -> None:
         server = self.outlier_detector.ended(event)
-        req = self.pending.get(event.id)
-        if req is None:
+        request = self.pending.get(event.id)
+        if request is None:
             return
-        if server and req.uploading:
+        if server and request.uploading:
             # It ended before its body was through.
-            self.outlier_detector.learn(server, self.ctx.now, req.cls, event, False)
-        elif server and req.streaming and event.status is Status.RESET:
+            self.outlier_detector.learn(server, self.ctx.now, request.cls, event, False)
+        elif server and request.streaming and event.status is Status.RESET:
             self.outlier_detector.strike(server, 1.0, EJECT_SHARE)  # it began to answer, and broke
-        settled = req.settle(event.attempt, event.status)
+        settled = request.record_end(event.attempt, event.status)
         if event.final:
-            self._forget(req)
+            self._forget(request)
         elif not settled:
             return
         elif event.status is Status.ERROR:
-            self._end(req)  # a plain error is an answer: the design does not repeat it
-        elif not req.planned:
-            self._plan_repeat(req)
+            self._end(request)  # a plain error is an answer: the design does not repeat it
+        elif not request.retry_scheduled:
+            self._plan_repeat(request)
 
     def _on_dropped(self, event: api.RequestCancelled) -> None:
         if event.id in self.pending:
@@ -130,29 +130,29 @@
 
     def _on_stream(self, event: api.StreamStarted) -> None:
         """An answer has begun: what its server needed for it is known, the rest is the client's pace."""
-        req = self.pending.get(event.id)
-        if req is None:
+        request = self.pending.get(event.id)
+        if request is None:
             return
-        req.streaming = True  # nothing more may be sent for it
+        request.streaming = True  # nothing more may be sent for it
         self.outlier_detector.ended(
             Outcome(event.id, event.attempt, event.server, Status.OK, event.duration_ns, False)
         )
-        self._cancel_others(req, event.attempt)
+        self._cancel_others(request, event.attempt)
 
     def _on_spent(self, event: api.BodyDiscarded) -> None:
         if event.id in self.pending:
-            self.pending[event.id].spent = True
+            self.pending[event.id].body_discarded = True
 
     def _on_uploaded(self, event: api.BodyUploaded) -> None:
         """From here on the attempt is like any other: its server has all of it."""
-        req = self.pending.get(event.id)
-        if req is None or not req.uploading:
+        request = self.pending.get(event.id)
+        if request is None or not request.uploading:
             return
-        req.uploading, req.deadline = False, event.deadline_ns
-        attempt = req.attempts[-1] = req.attempts[-1]._replace(sent=self.ctx.now)
+        request.uploading, request.deadline = False, event.deadline_ns
+        attempt = request.attempts[-1] = request.attempts[-1]._replace(sent=self.ctx.now)
         server = attempt.server
         if self.endpoints.servers.get(server.id) is server:  # else it has left
-            self._count_out(req, server, len(req.attempts) - 1)
+            self._count_out(request, server, len(request.attempts) - 1)
 
     def _on_probe(self, event: api.ProbeResult) -> None:
         server = self.endpoints.servers.get(event.server)
@@ -168,115 +168,122 @@
             if kind == WATCH:
                 self.endpoints.watch()
                 continue
-            req = self.pending.get(ident)
-            if req is None or req.streaming:
+            request = self.pending.get(ident)
+            if request is None or request.streaming:
                 continue
             if kind == OVERDUE:
-                self._overdue(req, attempt)
-            elif kind == REPEAT and req.planned:
-                req.planned = False
-                self._try(req)
+                self._overdue(request, attempt)
+            elif kind == REPEAT and request.retry_scheduled:
+                request.retry_scheduled = False
+                self._try(request)
 
-    def _send(self, req: PendingRequest, server: Server) -> None:
-        number = len(req.attempts)
-        self.slow_start.allows(server, req.cls, True)
+    def _send(self, request: PendingRequest, server: Server) -> None:
+        number = len(request.attempts)
+        self.slow_start.allows(server, request.cls, True)
         # Both or, where something fails, neither: else its number means another attempt to whoever sends it.
-        req.attempts.append(Attempt(server, server.zone, server.cell, self.ctx.now, self.ctx.now))
+        request.attempts.append(Attempt(server, server.zone, server.cell, self.ctx.now, self.ctx.now))
         # No time-out of its own: an overdue attempt is judged by what its server did meanwhile.
-        self.ctx.actions.append(api.Send(req.id, server.id))
-        req.charged = False
+        self.ctx.actions.append(api.Send(request.id, server.id))
+        request.retry_paid = False
         if server.ejected:
             server.half_open_in_flight = True
-        if not req.uploading:  # else its server has no work with it before the body is through
-            self._count_out(req, server, number)
+        if not request.uploading:  # else its server has no work with it before the body is through
+            self._count_out(request, server, number)
 
-    def _count_out(self, req: PendingRequest, server: Server, number: int) -> None:
+    def _count_out(self, request: PendingRequest, server: Server, number: int) -> None:
         """Its server has the whole of an attempt: it is in flight from now on."""
-        overdue = self.outlier_detector.overdue_after(server, req.cls, req.deadline - self.ctx.now)
-        server.in_flight[(req.id, number)] = (self.ctx.now, req.cls)
+        overdue = self.outlier_detector.overdue_after(server, request.cls, request.deadline - self.ctx.now)
+        server.in_flight[(request.id, number)] = (self.ctx.now, request.cls)
         if not server.ejected:
             self.endpoints.inflight += 1
-        self.ctx.at(self.ctx.now + overdue, OVERDUE, req.id, number)
+        self.ctx.at(self.ctx.now + overdue, OVERDUE, request.id, number)
 
-    def _plan_repeat(self, req: PendingRequest) -> None:
+    def _plan_repeat(self, request: PendingRequest) -> None:
         """Wait a jittered part of the time left, then repeat; or end the request."""
-        delay = self.retry_policy.delay(req)
+        delay = self.retry_policy.delay(request)
         if delay is not None:
-            req.planned = True
-            self.ctx.at(self.ctx.now + max(delay, 1), REPEAT, req.id)
-        elif not req.any_out():  # an attempt still out may yet answer
-            self._end(req)
+            request.retry_scheduled = True
+            self.ctx.at(self.ctx.now + max(delay, 1), REPEAT, request.id)
+        elif not request.any_in_flight():  # an attempt still out may yet answer
+            self._end(request)
 
-    def _try(self, req: PendingRequest) -> None:
-        server = self._pick(req)
+    def _try(self, request: PendingRequest) -> None:
+        server = self._pick(request)
         if server is not None:
-            self._send(req, server)
-        elif not req.any_out():
-            self._plan_repeat(req)
+            self._send(request, server)
+        elif not request.any_in_flight():
+            self._plan_repeat(request)
 
-    def _end(self, req: PendingRequest) -> None:
+    def _end(self, request: PendingRequest) -> None:
         """Give the final answer."""
-        if self.safety_rules.may_refuse(req):
+        if self.safety_rules.may_refuse(request):
             wait = 0
             if self.ctx.settings.retry_after:
-                left: float = max(req.deadline - self.ctx.now, 0)
-                spare = req.spec.objective_ns - req.age - self.latency.usual[req.cls]
-                if spare > 0.0:
-                    left = min(left, spare)  # another try may still be in time; a later one hardly earns
+                left: float = max(request.deadline - self.ctx.now, 0)
+                until_objective = request.spec.objective_ns - request.age - self.latency.usual[request.cls]
+                if until_objective > 0.0:
+                    left = min(
+                        left, until_objective
+                    )  # another try may still be in time; a later one hardly earns
                 most = min(self.ctx.settings.max_retry_after_ns, left * RETRY_AFTER)
                 wait = int(most * self.ctx.random.uniform(RETRY_AFTER_LEAST, 1.0))
-            self.ctx.actions.append(api.Reject(req.id, wait))
+            self.ctx.actions.append(api.Reject(request.id, wait))
         else:
-            self.ctx.actions.append(api.Fail(req.id))
-        self._forget(req)
+            self.ctx.actions.append(api.Fail(request.id))
+        self._forget(request)
 
-    def _forget(self, req: PendingRequest) -> None:
-        del self.pending[req.id]
-        self._cancel_others(req, -1)
+    def _forget(self, request: PendingRequest) -> None:
+        del self.pending[request.id]
+        self._cancel_others(request, -1)
 
-    def _cancel_others(self, req: PendingRequest, keep: int) -> None:
-        for number, attempt in enumerate(req.attempts):
+    def _cancel_others(self, request: PendingRequest, keep: int) -> None:
+        for number, attempt in enumerate(request.attempts):
             if attempt.state == OUT and number != keep and self.ctx.settings.can_cancel:
-                self.ctx.actions.append(api.Cancel(req.id, number))
+                self.ctx.actions.append(api.Cancel(request.id, number))
 
-    def _overdue(self, req: PendingRequest, number: int) -> None:
+    def _overdue(self, request: PendingRequest, number: int) -> None:
         """An attempt is late: evidence against a silent server, and a repeat if that one is ejected.
 
         Guards against retry storms: at a server not known to be bad either the work is long, which a repeat
         would not shorten, or all is slow, which it would make worse; and silence may be little traffic.
         """
         first, number = number < AGAIN, number % AGAIN
-        server, _, _, _, sent, state = req.attempts[number]
+        server, _, _, _, sent, state = request.attempts[number]
         if state != OUT:
             return
         silent = server.last_alive_at <= sent
         if not first:
             if not silent:
-                self.outlier_detector.write_off(server, (req.id, number))
+                self.outlier_detector.write_off(server, (request.id, number))
         elif not silent:
-            self.limiter.press(server, req.cls, self.ctx.now - sent)  # late news is no use
+            self.limiter.press(server, request.cls, self.ctx.now - sent)  # late news is no use
         else:  # one long piece of work must not condemn a server by itself
             server.answering = False
             self.outlier_detector.strike(server, HINT_STRIKE, EJECT_SHARE_ON_SILENCE)
         if server.ejected:
-            self._rescue(req, number)
+            self._rescue(request, number)
         again = 2 * self.ctx.now - sent
-        if again < req.deadline:
-            self.ctx.at(again, OVERDUE, req.id, number + AGAIN)
+        if again < request.deadline:
+            self.ctx.at(again, OVERDUE, request.id, number + AGAIN)
 
     def _rescue_all(self, server: Server) -> None:
         """What waits at a server that has just been ejected is likely lost: do not wait it out."""
         for ident, number in list(server.in_flight):
-            req = self.pending.get(ident)
-            if req is not None:
-                self._rescue(req, number)
+            request = self.pending.get(ident)
+            if request is not None:
+                self._rescue(request, number)
 
-    def _rescue(self, req: PendingRequest, number: int) -> None:
+    def _rescue(self, request: PendingRequest, number: int) -> None:
         """Repeat an attempt that its server seems to have lost, where the class and the site allow it."""
-        unsafe = req.spec.effect is Effect.NON_IDEMPOTENT
-        if req.planned or req.streaming or unsafe or not self.retry_policy.affordable(req):
+        unsafe = request.spec.effect is Effect.NON_IDEMPOTENT
+        if (
+            request.retry_scheduled
+            or request.streaming
+            or unsafe
+            or not self.retry_policy.affordable(request)
+        ):
             return
         if self.ctx.settings.hedging:
-            self._plan_repeat(req)
+            self._plan_repeat(request)
         elif self.ctx.settings.can_cancel:
-            self.ctx.actions.append(api.Cancel(req.id, number))
+            self.ctx.actions.append(api.Cancel(request.id, number))
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -68,13 +68,13 @@
         self.limit *= part
         self.wanted_inflight *= part
 
-    def value(self, event: Request, req: PendingRequest) -> float:
+    def value(self, event: Request, request: PendingRequest) -> float:
         """The part of its worth that a request can still be expected to earn.
 
         Aim and deadline of a class run from the client's first try, and a later try is cut short at that
         deadline: so a short try tells its age. Guards against letting in what comes too late anyway.
         """
-        spec = req.spec
+        spec = request.spec
         left = event.deadline_ns - self.ctx.now
         given = left + event.waited_ns  # by its client: time spent in line here is not a later try's age
         usual = self.latency.usual[event.cls]
@@ -83,8 +83,8 @@
             span = max(given, span + TRY_FADE * (given - span))
             self.try_span[event.cls] = span
         if given < span - 2 * self.ctx.settings.tick_ns:
-            req.age = spec.deadline_ns - left
-            in_time = _part(spec.objective_ns - req.age, usual)
+            request.age = spec.deadline_ns - left
+            in_time = _part(spec.objective_ns - request.age, usual)
         elif event.is_retry and spec.deadline_ns > span:
             # Not cut short: it may be of any age up to this.
             in_time = min(max(spec.objective_ns - usual, 0.0) / (spec.deadline_ns - span), 1.0)
@@ -92,23 +92,23 @@
             in_time = 1.0
         return (in_time + (1.0 - in_time) * spec.late_priority_weight) * _part(left, usual)
 
-    def admit(self, req: PendingRequest, value: float) -> bool:
+    def admit(self, request: PendingRequest, value: float) -> bool:
         """Refuse early what would make the requests in flight outgrow what is answered in time.
 
         Guards against queues in which all is answered too late, and servers that turn slow when crowded.
         """
         if self.ctx.now - self.limit_at >= self.limit_every:
             self.correct()
-        share = self.share_of[req.cls]
+        share = self.share_of[request.cls]
         if (
             self.tenant_quotas.over_share
-            and self.ctx.random.random() < self.tenant_quotas.over_share[req.tenant]
+            and self.ctx.random.random() < self.tenant_quotas.over_share[request.tenant]
         ):
             share = LIMIT_CHEAP + (share - LIMIT_CHEAP) * self.ctx.settings.over_quota_weight
         limit = self.limit * share * value
         if self.endpoints.sees_little and limit < 1.0 and not self.endpoints.inflight:
             # A thousand sidecars with a request each now and then are not held back by a limit of one.
-            natural = self.endpoints.demand * self.unit(req.cls) / SECOND
+            natural = self.endpoints.demand * self.unit(request.cls) / SECOND
             if self.ctx.random.random() < max(limit / natural, 2.0 - self.pressure, LIMIT_RARE):
                 return True
         elif self.endpoints.inflight + 1 <= max(limit, 1.0):
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -98,32 +98,32 @@
                 server.latency_per_request or group.latency_per_request
             ) + SMOOTHING * (latency_per_request - (server.latency_per_request or group.latency_per_request))
 
-    def pick(self, req: PendingRequest) -> Server | None:
+    def pick(self, request: PendingRequest) -> Server | None:
         """Two sampled of the own zone against two sampled of the others, which pay for the crossing."""
-        tried = {attempt.server for attempt in req.attempts}
+        tried = {attempt.server for attempt in request.attempts}
         for avoided in (tried, ()) if tried else ((),):
             best, lowest = None, 0.0
-            for server, extra in self.sampled(req, avoided):
-                delay = self.delay(server, req.cls) + extra
+            for server, extra in self.sampled(request, avoided):
+                delay = self.delay(server, request.cls) + extra
                 if best is None or delay < lowest:
                     best, lowest = server, delay
             if best is not None:
                 return best
         for server in self.endpoints.ejected:  # nothing better: an ejected one may have recovered
-            if not server.half_open_in_flight and self.safety_rules.may_send(req, server):
+            if not server.half_open_in_flight and self.safety_rules.may_send(request, server):
                 return server
         return None
 
-    def sampled(self, req: PendingRequest, tried) -> list[tuple[Server, float]]:
+    def sampled(self, request: PendingRequest, tried) -> list[tuple[Server, float]]:
         """Candidates, with what is added to their delay for crossing zones."""
         if not self.endpoints.sees_little:
-            cross = self.cross * req.spec.objective_ns
-            pairs = [(server, 0.0) for server in self.two(self.endpoints.near, req, tried)]
-            return pairs + [(server, cross) for server in self.two(self.endpoints.far, req, tried)]
+            cross = self.cross * request.spec.objective_ns
+            pairs = [(server, 0.0) for server in self.two(self.endpoints.near, request, tried)]
+            return pairs + [(server, cross) for server in self.two(self.endpoints.far, request, tried)]
         # Too few own answers to know a zone or kind as overrun by its servers: two of the set, by weights
         # that follow what each group's answers took. The price of a crossing is in the weights.
         for servers in (self.endpoints.near + self.endpoints.far, self.endpoints.rest):
-            fit = [one for one in servers if one not in tried and self.safety_rules.may_send(req, one)]
+            fit = [one for one in servers if one not in tried and self.safety_rules.may_send(request, one)]
             if fit:
                 break
         if len(fit) > 2:
@@ -158,7 +158,7 @@
         lean = group.weight_bias * (1.0 - LEAN_FADE) - LEAN * min(max(excess, -1.0), LEAN_CLIP)
         group.weight_bias = min(max(lean, -LEAN_MOST), LEAN_MOST)
 
-    def two(self, group: list[Server], req: PendingRequest, tried) -> list[Server]:
+    def two(self, group: list[Server], request: PendingRequest, tried) -> list[Server]:
         """Up to two different servers of the group that may take this request now."""
         found: list[Server] = []
         size = len(group)
@@ -170,7 +170,7 @@
             # The first two are a uniform pair; the walk over all beyond them only replaces unfit ones.
             ahead = turn * step if turn < 2 else turn - 1
             server = group[(at + ahead) % size]
-            if server not in found and server not in tried and self.safety_rules.may_send(req, server):
+            if server not in found and server not in tried and self.safety_rules.may_send(request, server):
                 found.append(server)
                 if len(found) == 2:
                     break
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -143,9 +143,9 @@
         jitter = self.ctx.random.uniform(1.0 - EJECT_JITTER, 1.0 + EJECT_JITTER)
         server.half_open_at = self.ctx.now + int(wait * jitter)
 
-    def trial(self, req: PendingRequest) -> Server | None:
+    def half_open_server(self, request: PendingRequest) -> Server | None:
         """An ejected server that is due for one request: of a class safe to repeat, if there is any."""
-        if req.attempts or (self.has_safe and req.spec.effect is not Effect.IDEMPOTENT):
+        if request.attempts or (self.has_safe and request.spec.effect is not Effect.IDEMPOTENT):
             return None
         self.since_trial += 1
         if self.since_trial < TRIAL_EVERY:
@@ -154,7 +154,7 @@
             if (
                 server.half_open_at <= self.ctx.now
                 and not server.half_open_in_flight
-                and self.safety_rules.may_send(req, server)
+                and self.safety_rules.may_send(request, server)
             ):
                 self.since_trial = 0
                 return server
@@ -182,7 +182,7 @@
         usual = max(usual, OVERDUE_AT_LEAST * self.latency.base[cls]) * max(server.relative_latency, 1.0)
         return int(min(usual, OVERDUE_AT_MOST * left)) + 1
 
-    def spare(self, req: PendingRequest) -> Server | None:
+    def fallback_server(self, request: PendingRequest) -> Server | None:
         """A server that is avoided for its errors, for a request that would else be refused.
 
         It gets no more than the others hold each, and nothing if it mostly fails or does not answer.
@@ -190,6 +190,6 @@
         most = max(self.endpoints.inflight / max(len(self.endpoints.near) + len(self.endpoints.far), 1), 1.0)
         for server in self.endpoints.ejected:
             of_use = server.answering and server.success_rate >= SOUND_LEAST and server.awaited_count() < most
-            if of_use and self.safety_rules.may_send(req, server):
+            if of_use and self.safety_rules.may_send(request, server):
                 return server
         return None
--- a/ochreflow/policy/retry_policy.py
+++ b/ochreflow/policy/retry_policy.py
@@ -25,24 +25,24 @@
         most = RETRY_SHARE * RETRY_RESERVE * max(self.latency.rate, 1.0)
         self.tokens = min(self.tokens + RETRY_SHARE, most)
 
-    def affordable(self, req: PendingRequest) -> bool:
-        return self.tokens >= 1.0 and self.safety_rules.any_left(req)
+    def affordable(self, request: PendingRequest) -> bool:
+        return self.tokens >= 1.0 and self.safety_rules.attempts_allowed(request)
 
-    def delay(self, req: PendingRequest) -> int | None:
+    def delay(self, request: PendingRequest) -> int | None:
         """How long to wait before the next repeat, in ns, and pay for it; None: no use, or not allowed."""
-        left = req.deadline - self.ctx.now - self.ctx.settings.tick_ns
-        ceiling = min(BACKOFF_CAP, BACKOFF_BASE * 2 ** min(req.repeats, BACKOFF_EXPONENT))
+        left = request.deadline - self.ctx.now - self.ctx.settings.tick_ns
+        ceiling = min(BACKOFF_CAP, BACKOFF_BASE * 2 ** min(request.retries, BACKOFF_EXPONENT))
         delay = int(self.ctx.random.uniform(BACKOFF_FLOOR, ceiling) * left)
-        req.repeats += 1
-        price = REPEAT_FULL if req.never_ran() else 1.0
-        useless = left <= 0 or delay + BACKOFF_USEFUL * self.latency.base[req.cls] > left
-        useless |= not req.written and self.ctx.now + delay > req.send_by
-        if useless or not self.safety_rules.any_left(req):
+        request.retries += 1
+        price = REPEAT_FULL if request.never_ran() else 1.0
+        useless = left <= 0 or delay + BACKOFF_USEFUL * self.latency.base[request.cls] > left
+        useless |= not request.reached_server and self.ctx.now + delay > request.first_send_by
+        if useless or not self.safety_rules.attempts_allowed(request):
             return None
         # What no server was asked is no repeat: one that starts with an old list had earned none.
-        if req.written and not req.charged:
+        if request.reached_server and not request.retry_paid:
             if self.tokens < price:
                 return None
             self.tokens -= price  # when planned, or a lost server's attempts would all spend the last one
-            req.charged = True
+            request.retry_paid = True
         return delay
--- a/ochreflow/policy/safety_rules.py
+++ b/ochreflow/policy/safety_rules.py
@@ -11,19 +11,19 @@
     def __init__(self, ctx: Context, slow_start: SlowStart) -> None:
         self.ctx, self.slow_start = ctx, slow_start
 
-    def may_send(self, req: PendingRequest, server: Server) -> bool:
+    def may_send(self, request: PendingRequest, server: Server) -> bool:
         """Whether this request may be sent to this server now, by the rules and by pace."""
-        number = len(req.attempts)
-        if number >= self.ctx.settings.max_attempts or not self.write_by(req, server, number):
+        number = len(request.attempts)
+        if number >= self.ctx.settings.max_attempts or not self.write_by(request, server, number):
             return False
-        return self.slow_start.allows(server, req.cls, False)
+        return self.slow_start.allows(server, request.cls, False)
 
-    def write_by(self, req: PendingRequest, server: Server, number: int) -> int:
+    def write_by(self, request: PendingRequest, server: Server, number: int) -> int:
         """Until when the last byte of this attempt may go out, on the clock; 0: it may not begin any more."""
-        if not server.ready or not server.listed or req.streaming or req.spent:
+        if not server.ready or not server.listed or request.streaming or request.body_discarded:
             return 0
-        spec = req.spec
-        for other, at in enumerate(req.attempts):
+        spec = request.spec
+        for other, at in enumerate(request.attempts):
             if other == number or at.state == NEVER_RAN:
                 continue
             if spec.effect is Effect.NON_IDEMPOTENT or (at.state == OUT and not self.ctx.settings.hedging):
@@ -31,28 +31,30 @@
             apart = at.cell != server.cell if spec.scope is Scope.CELL else at.zone != server.zone
             if spec.effect is Effect.IDEMPOTENT_WITH_KEY and spec.scope is not Scope.ALL and apart:
                 return 0
-        end = self._window_end(req, number)
+        end = self._window_end(request, number)
         return end if self.ctx.now < end else 0
 
-    def _window_end(self, req: PendingRequest, but: int) -> int:
+    def _window_end(self, request: PendingRequest, but: int) -> int:
         """Until when servers drop a repeat of what may have run, by its first copy but for this one."""
-        if req.spec.effect is not Effect.IDEMPOTENT_WITH_KEY:
+        if request.spec.effect is not Effect.IDEMPOTENT_WITH_KEY:
             return NO_END
-        begun = [one.decided for n, one in enumerate(req.attempts) if n != but and one.state != NEVER_RAN]
-        return min(begun) + req.spec.window_ns - self.ctx.settings.tick_ns if begun else NO_END
+        begun = [one.decided for n, one in enumerate(request.attempts) if n != but and one.state != NEVER_RAN]
+        return min(begun) + request.spec.window_ns - self.ctx.settings.tick_ns if begun else NO_END
 
-    def may_refuse(self, req: PendingRequest) -> bool:
+    def may_refuse(self, request: PendingRequest) -> bool:
         """Whether a refusal, which invites the client to try again, does no harm."""
-        spec = req.spec
+        spec = request.spec
         if spec.effect is Effect.IDEMPOTENT or (
             spec.effect is Effect.IDEMPOTENT_WITH_KEY and spec.scope is Scope.ALL
         ):
             return True
-        return req.never_ran()
+        return request.never_ran()
 
-    def any_left(self, req: PendingRequest) -> bool:
+    def attempts_allowed(self, request: PendingRequest) -> bool:
         """Whether the rules allow any further attempt at all, wherever it went."""
-        if len(req.attempts) >= self.ctx.settings.max_attempts or req.spent:
+        if len(request.attempts) >= self.ctx.settings.max_attempts or request.body_discarded:
             return False
-        unsafe = req.spec.effect is Effect.NON_IDEMPOTENT
-        return req.never_ran() if unsafe else self.ctx.now < self._window_end(req, len(req.attempts))
+        unsafe = request.spec.effect is Effect.NON_IDEMPOTENT
+        return (
+            request.never_ran() if unsafe else self.ctx.now < self._window_end(request, len(request.attempts))
+        )
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -97,27 +97,27 @@
     def __init__(self, request: Request, spec: RequestClass, now: int) -> None:
         self.id, self.cls, self.tenant, self.spec = request.id, request.cls, request.tenant, spec
         self.deadline = request.deadline_ns
-        self.send_by = now + int(UNSENT_MOST * (self.deadline - now))
-        self.written = False  # some attempt has reached a server
+        self.first_send_by = now + int(UNSENT_MOST * (self.deadline - now))
+        self.reached_server = False  # some attempt has reached a server
         self.age = 0  # since the client's first try, as far as is known
         self.attempts: list[Attempt] = []  # by number
-        self.repeats = 0  # delays waited so far
-        self.charged = False  # the next repeat has been paid for
-        self.planned = False  # a repeat waits in the timer heap
+        self.retries = 0  # delays waited so far
+        self.retry_paid = False  # the next repeat has been paid for
+        self.retry_scheduled = False  # a repeat waits in the timer heap
         self.streaming = False
         self.uploading = request.uploading  # its body still comes: no server works on it yet
-        self.spent = False  # its body can't be brought again
+        self.body_discarded = False  # its body can't be brought again
 
-    def settle(self, number: int, status: Status) -> bool:
+    def record_end(self, number: int, status: Status) -> bool:
         """Take an attempt's one end; False for one that has ended before or was never decided."""
         if number >= len(self.attempts) or self.attempts[number].state != OUT:
             return False
         state = NEVER_RAN if status in PROVES_NOT_RUN else MAY_HAVE_RUN
         self.attempts[number] = self.attempts[number]._replace(state=state)
-        self.written |= status not in UNWRITTEN
+        self.reached_server |= status not in UNWRITTEN
         return True
 
-    def any_out(self) -> bool:
+    def any_in_flight(self) -> bool:
         return any(attempt.state == OUT for attempt in self.attempts)
 
     def never_ran(self) -> bool:
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -211,23 +211,23 @@
 
 
 def broken_send_gate(monkeypatch):
-    def only_list_and_pace(self, req, server):
-        return server.listed and server.ready and self.slow_start.allows(server, req.cls, False)
+    def only_list_and_pace(self, request, server):
+        return server.listed and server.ready and self.slow_start.allows(server, request.cls, False)
 
     monkeypatch.setattr(SafetyRules, "may_send", only_list_and_pace)
 
 
 def broken_refusal_gate(monkeypatch):
-    monkeypatch.setattr(SafetyRules, "may_refuse", lambda self, req: True)
+    monkeypatch.setattr(SafetyRules, "may_refuse", lambda self, request: True)
 
 
 def broken_list(monkeypatch):
     original = SafetyRules.may_send
 
-    def deaf(self, req, server):
+    def deaf(self, request, server):
         kept = server.ready, server.listed
         server.ready = server.listed = True
-        answer = original(self, req, server)
+        answer = original(self, request, server)
         server.ready, server.listed = kept
         return answer
 
@@ -239,7 +239,7 @@
 
 
 def broken_answers(monkeypatch):
-    monkeypatch.setattr(RetryPolicy, "delay", lambda self, req: SECOND * 3600)
+    monkeypatch.setattr(RetryPolicy, "delay", lambda self, request: SECOND * 3600)
 
 
 def broken_pace(monkeypatch):
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -120,7 +120,7 @@
     sent = send_one(balancer, now, 1)
     balancer.retry_policy.tokens = 1.0
     balancer.handle(now + MS, Outcome(1, 0, sent.server, status, MS, False))
-    assert balancer.pending[1].planned and balancer.retry_policy.tokens == 1.0 - spent
+    assert balancer.pending[1].retry_scheduled and balancer.retry_policy.tokens == 1.0 - spent
 
 
 def test_one_request_in_ten_at_most_tries_an_avoided_server_however_many_are_due():
