--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -49,7 +49,7 @@
             Outcome: self._on_outcome,
             api.Timer: self._on_timer,
             api.RequestCancelled: self._on_dropped,
-            api.Membership: lambda event: self.limiter.shrink(self.endpoints.take(event)),
+            api.Membership: lambda event: self.limiter.shrink(self.endpoints.apply(event)),
             api.GossipReceived: self.tenant_quotas.hear,
             api.ProbeResult: self._on_probe,
             api.StreamStarted: self._on_stream,
@@ -85,7 +85,7 @@
         self.retry_policy.earn()
         if self.tenant_quotas.asks and not event.is_retry:
             self.tenant_quotas.count(request.tenant)
-        self.endpoints.count_demand()
+        self.endpoints.count_request()
         if event.deadline_ns <= self.ctx.now:
             self._end(request)
             return
@@ -166,7 +166,7 @@
         while self.ctx.timers and self.ctx.timers[0][0] <= now:
             _, kind, ident, attempt = heapq.heappop(self.ctx.timers)
             if kind == WATCH:
-                self.endpoints.watch()
+                self.endpoints.poll()
                 continue
             request = self.pending.get(ident)
             if request is None or request.streaming:
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -106,9 +106,9 @@
         ):
             share = LIMIT_CHEAP + (share - LIMIT_CHEAP) * self.ctx.settings.over_quota_weight
         limit = self.limit * share * value
-        if self.endpoints.sees_little and limit < 1.0 and not self.endpoints.inflight:
+        if self.endpoints.low_traffic and limit < 1.0 and not self.endpoints.inflight:
             # A thousand sidecars with a request each now and then are not held back by a limit of one.
-            natural = self.endpoints.demand * self.unit(request.cls) / SECOND
+            natural = self.endpoints.request_rate * self.unit(request.cls) / SECOND
             if self.ctx.random.random() < max(limit / natural, 2.0 - self.pressure, LIMIT_RARE):
                 return True
         elif self.endpoints.inflight + 1 <= max(limit, 1.0):
@@ -138,11 +138,11 @@
         if late:  # what is above that binds nothing, and lowering it would not help
             limit = min(limit, max(self.inflight_lately, self.wanted_inflight))
         bound = self.ctx.now - self.bound_at < 2 * self.limit_every or self.endpoints.inflight > limit / 2
-        if late or bound or self.endpoints.sees_little:
+        if late or bound or self.endpoints.low_traffic:
             # The gradient of latency, and room to queue for all sidecars together: where both are level it
             # stays. In good times little in flight tells nothing of it, unless that is usual.
             # Guards against a room made for many: who gets the traffic of many opened by 0.4 a second.
-            regains = self.endpoints.sees_little and not late
+            regains = self.endpoints.low_traffic and not late
             room = limit if regains else math.sqrt(limit / self.ctx.settings.fleet_size)
             opens = min(max(LIMIT_CLEAR / self.pressure, 1.0), LIMIT_OPEN)
             found = limit * min(max(1.0 / self.pressure, LIMIT_CUT), opens) + room
@@ -150,7 +150,7 @@
             limit = min(limit + step * (found - limit), most)
         # Every sidecar keeps its part of a floor, so that all together leave a tired fleet nearly idle.
         least = LIMIT_LEAST * self.endpoints.ready_count / self.ctx.settings.fleet_size
-        self.limit = max(limit, least, 0.0 if self.endpoints.sees_little else 1.0)
+        self.limit = max(limit, least, 0.0 if self.endpoints.low_traffic else 1.0)
         densities = [self.density(cls) for cls in range(len(self.latency.usual))]
         top = max(densities) or 1.0  # classes may all be worth nothing
         # What is shed first is soon the worst-served class, which the goal may weigh by itself.
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -42,7 +42,7 @@
         """
         news = server.last_heard_at
         if (
-            self.endpoints.sees_little
+            self.endpoints.low_traffic
             and self.ctx.now - server.load_reported_at < LOAD_FADE * self.ctx.shortest
         ):
             group = self.group(server)
@@ -57,7 +57,7 @@
             news = server.load_reported_at
         else:
             delay = (len(server.in_flight) + 1) * self.slowness(server) * self.latency.base[cls]
-        if self.endpoints.sees_little:
+        if self.endpoints.low_traffic:
             stale = 1.0 - 0.5 ** ((self.ctx.now - news) / (STALE_AFTER * self.ctx.shortest))
             delay *= self.ctx.random.expovariate(1.0) ** (stale / STALE_SHARPNESS)
         return delay
@@ -65,7 +65,7 @@
     def slowness(self, server: Server) -> float:
         """Smoothed latency in class means, aged towards the mean, raised by an unanswered attempt."""
         forget = FORGET_GAPS * max(self.endpoints.ready_count, 1) / max(self.latency.rate, 1.0) * SECOND
-        mean = self.group(server).relative_latency if self.endpoints.sees_little else 1.0
+        mean = self.group(server).relative_latency if self.endpoints.low_traffic else 1.0
         relative_latency = server.relative_latency if server.samples else mean
         relative_latency = mean + (relative_latency - mean) * 0.5 ** (
             (self.ctx.now - server.last_heard_at) / forget
@@ -116,13 +116,13 @@
 
     def sampled(self, request: PendingRequest, tried) -> list[tuple[Server, float]]:
         """Candidates, with what is added to their delay for crossing zones."""
-        if not self.endpoints.sees_little:
+        if not self.endpoints.low_traffic:
             cross = self.cross * request.spec.objective_ns
-            pairs = [(server, 0.0) for server in self.two(self.endpoints.near, request, tried)]
-            return pairs + [(server, cross) for server in self.two(self.endpoints.far, request, tried)]
+            pairs = [(server, 0.0) for server in self.two(self.endpoints.local, request, tried)]
+            return pairs + [(server, cross) for server in self.two(self.endpoints.remote, request, tried)]
         # Too few own answers to know a zone or kind as overrun by its servers: two of the set, by weights
         # that follow what each group's answers took. The price of a crossing is in the weights.
-        for servers in (self.endpoints.near + self.endpoints.far, self.endpoints.rest):
+        for servers in (self.endpoints.local + self.endpoints.remote, self.endpoints.outside_subset):
             fit = [one for one in servers if one not in tried and self.safety_rules.may_send(request, one)]
             if fit:
                 break
@@ -134,8 +134,8 @@
         return [(server, 0.0) for server in fit]
 
     def weight(self, server: Server) -> float:
-        stands_for = self.endpoints.stands_for[server.zone != self.ctx.settings.zone]
-        return math.exp(self.group(server).weight_bias) * stands_for
+        sampling_weight = self.endpoints.sampling_weight[server.zone != self.ctx.settings.zone]
+        return math.exp(self.group(server).weight_bias) * sampling_weight
 
     def group(self, server: Server) -> EndpointGroup:
         return self.groups[(server.kind, server.zone != self.ctx.settings.zone)]
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -22,21 +22,27 @@
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
         self.servers: dict[int, Server] = {}
-        self.near: list[Server] = []  # ready and not ejected, in the own zone
-        self.far: list[Server] = []
+        self.local: list[Server] = []  # ready and not ejected, in the own zone
+        self.remote: list[Server] = []
         self.ejected: list[Server] = []
         self.inflight = 0  # own attempts out, but for those at ejected servers
-        self.rest: list[Server] = []  # those that are not sampled from
-        self.sees_little = True
-        self.ready_count = self.set_size = 0
-        self.stands_for = [1.0, 1.0]  # ready servers near and far for each one sampled
-        self.demand, self.demand_at, self.began = 0.0, 0, 0  # own requests a second; since the first one
-        self.watching = False
-        self.watch_at = 0  # 0: no call is due
-        self.span = 0.0  # over which the latest call after a failure was spread, in ns; 0: none has failed
-        self.asked_at = 0  # when the latest call began, as far as is known
+        self.outside_subset: list[Server] = []  # those that are not sampled from
+        self.low_traffic = True
+        self.ready_count = self.subset_size = 0
+        self.sampling_weight = [1.0, 1.0]  # ready servers near and far for each one sampled
+        self.request_rate, self.request_rate_at, self.first_request_at = (
+            0.0,
+            0,
+            0,
+        )  # own requests a second; since the first one
+        self.subscribed = False
+        self.poll_at = 0  # 0: no call is due
+        self.poll_spread_ns = (
+            0.0  # over which the latest call after a failure was spread, in ns; 0: none has failed
+        )
+        self.poll_started_at = 0  # when the latest call began, as far as is known
 
-    def regroup(self) -> None:
+    def rebuild(self) -> None:
         """Rebuild the lists to sample from; only when a server changes state."""
         for server in [s for s in self.servers.values() if not s.listed and not s.in_flight]:
             del self.servers[server.id]  # else memory grows with every server that ever was
@@ -44,45 +50,51 @@
         self.ready_count = len(ready)
         self.ejected = [server for server in ready if server.ejected]
         here = self.ctx.settings.zone
-        near = [server for server in ready if server.zone == here and not server.ejected]
-        far = [server for server in ready if server.zone != here and not server.ejected]
-        size = self.set_size = self.set_size_now()
+        local = [server for server in ready if server.zone == here and not server.ejected]
+        remote = [server for server in ready if server.zone != here and not server.ejected]
+        size = self.subset_size = self.needed_subset_size()
         # Where servers outnumber sidecars each makes much of a server's load, whatever it sends just now.
-        self.sees_little = size < len(ready) < self.ctx.settings.fleet_size
-        if self.sees_little:
-            near.sort(key=lambda server: server.rank)  # the same ones as long as they are fit
-            far.sort(key=lambda server: server.rank)
+        self.low_traffic = size < len(ready) < self.ctx.settings.fleet_size
+        if self.low_traffic:
+            local.sort(key=lambda server: server.rank)  # the same ones as long as they are fit
+            remote.sort(key=lambda server: server.rank)
         else:
             size = len(ready)
-        self.near, self.far, self.rest = near[:size], far[:size], near[size:] + far[size:]
-        self.stands_for = [len(near) / max(len(self.near), 1), len(far) / max(len(self.far), 1)]
+        self.local, self.remote, self.outside_subset = (
+            local[:size],
+            remote[:size],
+            local[size:] + remote[size:],
+        )
+        self.sampling_weight = [len(local) / max(len(self.local), 1), len(remote) / max(len(self.remote), 1)]
 
-    def set_size_now(self) -> int:
+    def needed_subset_size(self) -> int:
         """Servers of a side to sample from: so few that each is heard from about once a deadline."""
-        return max(SET_LEAST, int(self.demand * SET_SPAN * self.ctx.shortest / SECOND))
+        return max(SET_LEAST, int(self.request_rate * SET_SPAN * self.ctx.shortest / SECOND))
 
-    def count_demand(self) -> None:
-        if not self.began:
-            self.began = self.demand_at = self.ctx.now
-        span = min(self.ctx.now - self.began + self.ctx.shortest, DEMAND_SPAN * self.ctx.shortest)
-        self.demand = self.demand * max(0.0, 1.0 - (self.ctx.now - self.demand_at) / span) + SECOND / span
-        self.demand_at = self.ctx.now
-        size = self.set_size_now()
-        if size != self.set_size and min(size, self.set_size) < self.ready_count:
-            self.regroup()
+    def count_request(self) -> None:
+        if not self.first_request_at:
+            self.first_request_at = self.request_rate_at = self.ctx.now
+        span = min(self.ctx.now - self.first_request_at + self.ctx.shortest, DEMAND_SPAN * self.ctx.shortest)
+        self.request_rate = (
+            self.request_rate * max(0.0, 1.0 - (self.ctx.now - self.request_rate_at) / span) + SECOND / span
+        )
+        self.request_rate_at = self.ctx.now
+        size = self.needed_subset_size()
+        if size != self.subset_size and min(size, self.subset_size) < self.ready_count:
+            self.rebuild()
 
-    def take(self, event: Membership) -> float:
+    def apply(self, event: Membership) -> float:
         """Take a list or changes; return the part of the servers sampled from that is left, at most 1."""
         if event.kind is ListKind.CACHED:
-            self.watch_later()  # restarted ones: not all at once
+            self.schedule_poll()  # restarted ones: not all at once
         elif event.kind is ListKind.FAILED:
-            self.watching = False
-            self.watch_later()
+            self.subscribed = False
+            self.schedule_poll()
             return 1.0
         else:
-            self.watching = True
-            self.span = 0.0
-            self.asked_at = self.ctx.now
+            self.subscribed = True
+            self.poll_spread_ns = 0.0
+            self.poll_started_at = self.ctx.now
         if event.kind is not ListKind.DELTA:
             present = {entry.server for entry in event.entries}
             for known in self.servers.values():
@@ -99,29 +111,29 @@
                 server.ready = entry.state is State.READY
                 server.zone, server.cell = entry.zone, entry.cell
             self.servers[entry.server].listed = entry.state is not State.REMOVED
-        before = len(self.near) + len(self.far)
-        self.regroup()
-        after = len(self.near) + len(self.far)
+        before = len(self.local) + len(self.remote)
+        self.rebuild()
+        after = len(self.local) + len(self.remote)
         return after / before if 0 < after < before else 1.0
 
-    def watch_later(self) -> None:
+    def schedule_poll(self) -> None:
         """Ask again, over a span that spreads the calls of all sidecars and yet tells this one in time.
 
         Unspread, what had waited too long was worked on too, and none got a list. Discovery may be back since
         the failed call began: what that took, the span and an answer fit into TOLD_IN and the grace.
         """
-        settings, hung = self.ctx.settings, self.ctx.now - self.asked_at
+        settings, hung = self.ctx.settings, self.ctx.now - self.poll_started_at
         if not settings.polling_required:
             return
         first = settings.polling_interval_ns * max(WATCH_SPREAD, WATCH_EACH * settings.fleet_size)
         told = TOLD_IN + settings.drain_grace_ns - ANSWER - hung * (hung <= 2 * ANSWER)  # longer: was taken
-        span = min(max(first, 2 * self.span), settings.polling_interval_ns * WATCH_MOST, told)
-        least = WATCH_STEADY if self.span >= span else WATCH_LEAST
-        self.span = span
-        self.watch_at = self.ctx.now + int(span * self.ctx.random.uniform(least, 1.0)) + 1
-        self.ctx.at(self.watch_at, WATCH)
+        span = min(max(first, 2 * self.poll_spread_ns), settings.polling_interval_ns * WATCH_MOST, told)
+        least = WATCH_STEADY if self.poll_spread_ns >= span else WATCH_LEAST
+        self.poll_spread_ns = span
+        self.poll_at = self.ctx.now + int(span * self.ctx.random.uniform(least, 1.0)) + 1
+        self.ctx.at(self.poll_at, WATCH)
 
-    def watch(self) -> None:
-        if not self.watching and 0 < self.watch_at <= self.ctx.now:  # else a later failure has put it off
-            self.watch_at, self.asked_at = 0, self.ctx.now
+    def poll(self) -> None:
+        if not self.subscribed and 0 < self.poll_at <= self.ctx.now:  # else a later failure has put it off
+            self.poll_at, self.poll_started_at = 0, self.ctx.now
             self.ctx.actions.append(Watch(True))
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -110,7 +110,7 @@
 
     def sample(self, server: Server, relative_latency: float) -> None:
         fresh = 1.0 - 0.5 ** ((self.ctx.now - server.last_heard_at) / (SMOOTHING_SPAN * self.ctx.shortest))
-        weight = max(SMOOTHING, 1.0 / (server.samples + 2), fresh if self.endpoints.sees_little else 0.0)
+        weight = max(SMOOTHING, 1.0 / (server.samples + 2), fresh if self.endpoints.low_traffic else 0.0)
         relative_latency = min(relative_latency, SAMPLE_LIMIT)
         server.relative_latency += weight * (relative_latency - server.relative_latency)
         self.picker.lean(server, relative_latency)
@@ -133,7 +133,7 @@
         self.endpoints.inflight -= server.awaited_count()
         server.ejections = 0
         self.set_trial(server)
-        self.endpoints.regroup()
+        self.endpoints.rebuild()
         self.ctx.log(f"ejected {server.id} after {server.consecutive_failures:.1f} strikes in a row")
         self.ejects(server)
 
@@ -164,7 +164,7 @@
         server.ejected = False
         self.endpoints.inflight += server.awaited_count()
         server.relative_latency = min(server.relative_latency, FULL_SAMPLE)
-        self.endpoints.regroup()
+        self.endpoints.rebuild()
 
     def write_off(self, server: Server, attempt: tuple[int, int]) -> None:
         """Take an attempt that is overdue twice out of what is in flight: its answer is most likely lost.
@@ -187,7 +187,9 @@
 
         It gets no more than the others hold each, and nothing if it mostly fails or does not answer.
         """
-        most = max(self.endpoints.inflight / max(len(self.endpoints.near) + len(self.endpoints.far), 1), 1.0)
+        most = max(
+            self.endpoints.inflight / max(len(self.endpoints.local) + len(self.endpoints.remote), 1), 1.0
+        )
         for server in self.endpoints.ejected:
             of_use = server.answering and server.success_rate >= SOUND_LEAST and server.awaited_count() < most
             if of_use and self.safety_rules.may_send(request, server):
--- a/ochreflow/policy/slow_start.py
+++ b/ochreflow/policy/slow_start.py
@@ -29,12 +29,12 @@
 
     def tally(self) -> None:
         """Learn the usual load of warm servers, of a cell as a part of its kinds'. None warm: it stays."""
-        passed = self.ctx.now - max(self.tallied, self.endpoints.began)
+        passed = self.ctx.now - max(self.tallied, self.endpoints.first_request_at)
         if passed < TALLY_EVERY * max(self.ctx.shortest, self.ctx.settings.warm_up_ns):
             return
-        span = min(self.ctx.now - self.endpoints.began, self.ctx.settings.warm_up_ns) + 1
+        span = min(self.ctx.now - self.endpoints.first_request_at, self.ctx.settings.warm_up_ns) + 1
         carried: dict[Any, list[float]] = defaultdict(list)
-        for server in self.endpoints.near + self.endpoints.far:
+        for server in self.endpoints.local + self.endpoints.remote:
             if self.ramp(server) >= 1.0:
                 side, kind, cell = self.groups(server)
                 carried[side].append(server.completed_work)
@@ -50,8 +50,8 @@
 
     def groups(self, server: Server) -> tuple[Any, ...]:
         """Those that the list describes like it: of its side of a crossing, and there its kind, its cell."""
-        far = server.zone != self.ctx.settings.zone
-        return (far,), (far, "kind", server.kind), (far, "cell", server.cell)
+        remote = server.zone != self.ctx.settings.zone
+        return (remote,), (remote, "kind", server.kind), (remote, "cell", server.cell)
 
     def usual_load(self, server: Server) -> float:
         """What others of its kind carry, less where its cell is held down; of its side, if none."""
@@ -76,7 +76,7 @@
             return 1.0
         return max(start + (1.0 - start) * age / warm, 0.01)
 
-    def allows(self, server: Server, cls: int, take: bool) -> bool:
+    def allows(self, server: Server, cls: int, consume: bool) -> bool:
         """Pace to a cold server: in the mean, all sidecars together send no more than its ramp allows."""
         ramp = self.ramp(server)
         if ramp >= 1.0:
@@ -84,8 +84,8 @@
         # Where that is nothing, what a part of one core does is no push, from all sidecars together.
         alone = PACE_ALONE * SECOND / (self.latency.mean_usual() * self.ctx.settings.fleet_size)
         pace = ramp * max(PACE * self.ctx.settings.overload_factor * self.usual_load(server), alone)
-        if server in self.endpoints.rest:  # left to those who sample it
-            pace /= max(self.endpoints.stands_for[server.zone != self.ctx.settings.zone], 1.0)
+        if server in self.endpoints.outside_subset:  # left to those who sample it
+            pace /= max(self.endpoints.sampling_weight[server.zone != self.ctx.settings.zone], 1.0)
         limit = max(1.0, pace * PACE_BURST)
         earned = pace * (self.ctx.now - (server.tokens_updated_at or server.start_learned_at)) / SECOND
         server.slow_start_tokens, server.tokens_updated_at = (
@@ -93,7 +93,7 @@
             self.ctx.now,
         )
         cost = self.latency.cost(cls)
-        if take:
+        if consume:
             server.slow_start_tokens -= cost
             return True
         need = min(cost, limit)
--- a/tests/test_little.py
+++ b/tests/test_little.py
@@ -98,7 +98,7 @@
     now, _ = trickle(balancer, now, range(40), lambda server: (40 if server % 2 else 120) * MS)
     unheard = {
         server.kind: balancer.picker.slowness(server)
-        for server in balancer.endpoints.rest
+        for server in balancer.endpoints.outside_subset
         if not server.samples
     }
     assert unheard[1] < unheard[0]
--- a/tests/test_net_long_day.py
+++ b/tests/test_net_long_day.py
@@ -25,14 +25,14 @@
                     assert (await ask(sidecar.port, data)).code == 200
                 assert len(sidecar.names.servers) <= 2
             await until(lambda: not sidecar.http.clients.all)
-            assert len(module.fleet.servers) <= 2 and len(sidecar.upstreams.targets) == 1
+            assert len(module.endpoints.servers) <= 2 and len(sidecar.upstreams.targets) == 1
             assert len(sidecar.upstreams.connections) <= 2
             assert len(module.picker.groups) <= 4 and len(sidecar.names.zones) <= 256
-            assert not (module.open or engine.held or engine.attempts)
+            assert not (module.pending or engine.held or engine.attempts)
             assert (
                 len(module.ctx.timers) <= DAYS_WORTH / 20
             )  # each goes with its deadline, whatever came of it
-            assert module.fleet.inflight == 0 and engine.memory.held == 0
+            assert module.endpoints.inflight == 0 and engine.memory.held == 0
 
     run(play())
 
@@ -44,14 +44,14 @@
             engine, module = sidecar.engine, sidecar.engine.balancer
             for number in range(3):
                 assert (await ask(sidecar.port, message("lookup", f"a{number}"))).code == 200
-            (old,) = module.fleet.servers.values()
+            (old,) = module.endpoints.servers.values()
             assert old.samples == 3
-            old.strikes = 5.0
-            module.health.eject(old)
+            old.consecutive_failures = 5.0
+            module.outlier_detector.eject(old)
             change = news(2, entry("s1", fake.address, "DELETED"), entry("s2", fake.address), snapshot=False)
             engine.on_endpoint_update(parse_endpoint_update(change, sidecar.names))
-            (new,) = [server for server in module.fleet.servers.values() if server.listed]
-            assert new is not old and not new.ejected and not new.samples and not module.fleet.ejected
+            (new,) = [server for server in module.endpoints.servers.values() if server.listed]
+            assert new is not old and not new.ejected and not new.samples and not module.endpoints.ejected
             assert (await ask(sidecar.port, message("lookup", "b"))).code == 200
             assert fake.connections == 2 and fake.got[-1].connection == 2
 
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -86,7 +86,7 @@
 
 def began(entries, **settings):
     balancer, now = make(entries=entries, **settings)
-    balancer.endpoints.began = now
+    balancer.endpoints.first_request_at = now
     return balancer, now
 
 
@@ -155,7 +155,7 @@
     """Where a sidecar samples few of many servers, the others carry nothing of its own."""
     entries = [endpoint(number, cell=number % 4) for number in range(40)]
     balancer, now = began(entries, fleet_size=200)
-    sampled = [one.id for one in balancer.endpoints.near]
+    sampled = [one.id for one in balancer.endpoints.local]
     assert 0 < len(sampled) < 4
     now = carry(balancer, now, dict.fromkeys(sampled, 2))
     for number in range(4):
@@ -186,10 +186,10 @@
     entries = [endpoint(number, zone=int(number >= 4)) for number in range(100)]
     for seed in range(40):
         balancer, now = began(entries, seed=seed, fleet_size=200, overload_factor=2.5)
-        now = carry(balancer, now, dict.fromkeys([one.id for one in balancer.endpoints.near], 4))
+        now = carry(balancer, now, dict.fromkeys([one.id for one in balancer.endpoints.local], 4))
         balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(0, started=now)]))
         server, pace = balancer.endpoints.servers[0], balancer.slow_start
-        if server in balancer.endpoints.rest:
+        if server in balancer.endpoints.outside_subset:
             continue
         for tick in range(500):
             balancer.ctx.now = now + tick * 10 * MS
@@ -207,8 +207,8 @@
     server = restarted(balancer, now)
     server.ejected = True
     balancer.endpoints.servers[0].ejected = True
-    balancer.endpoints.regroup()
-    assert not balancer.endpoints.near and balancer.endpoints.rest
+    balancer.endpoints.rebuild()
+    assert not balancer.endpoints.local and balancer.endpoints.outside_subset
     balancer.ctx.now = now + 9 * SECOND
     balancer.slow_start.allows(server, 0, False)
     balancer.ctx.now += SECOND // 2
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -232,10 +232,10 @@
         return answer
 
     def everyone(self):
-        self.near, self.far, self.ejected = list(self.servers.values()), [], []
+        self.local, self.remote, self.ejected = list(self.servers.values()), [], []
 
     monkeypatch.setattr(SafetyRules, "may_send", deaf)
-    monkeypatch.setattr(EndpointSet, "regroup", everyone)
+    monkeypatch.setattr(EndpointSet, "rebuild", everyone)
 
 
 def broken_answers(monkeypatch):
