--- /dev/null
+++ b/ochreflow/simulator_adapter/events.py
@@ -0,0 +1,153 @@
+"""Event records of the simulator's wire, decoded to what the host and the decision module take.
+
+The formats have the fields of the wire's page in its order, counted from the first byte of a record.
+"""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+
+from ..policy import interface as api
+from .codes import LIST_KIND_OF_SCOPE, STATE_OF_PHASE, STATUS_OF_REASON, EventCode, InboundOption
+from .errors import UnknownEventError, UnknownListError
+from .frames import EventBatch
+
+# Code and instance, which most records begin with, are skipped by "3x".
+INSTANCE = struct.Struct("<xH")
+NEW_INSTANCE = struct.Struct("<3xQII")  # nonce64; setup: offset, length
+ENDPOINTS = struct.Struct("<3xBII")  # scope, stamp, buffer
+INBOUND = struct.Struct("<3xQBHQQQB")  # ticket, profile, owner, object, drop-dead-ns, effort-ns, opts
+FIRST = struct.Struct("<3xQBIQ")  # ticket, n, server, duration-ns
+SETTLED = struct.Struct("<3xQBIHQBB4f")  # ticket, n, server, reason, duration-ns, last, report
+DROPPED = struct.Struct("<3xQ")  # ticket
+BELL = struct.Struct("<3xI")  # cookie
+HEALTH = struct.Struct("<3xIHQB4f")  # server, reason, duration-ns, report
+NOTE_FROM = struct.Struct("<3xHII")  # src-peer; msg: offset, length
+SNAPSHOT_ROWS = struct.Struct("<xIII")  # buffer; lines: offset, number of entries
+LIST_ENTRY = struct.Struct("<IHBHBfQ")  # server, site, type, group, phase, size, last-start-ns
+
+# Named once, not for each record; see `codes`.
+COST_VALID = int(InboundOption.COST_VALID)
+CLIENT_RETRY = int(InboundOption.CLIENT_RETRY)
+WRITE = int(InboundOption.WRITE)
+
+
+@dataclass(frozen=True, slots=True)
+class NewInstance:
+    """`NEW_INSTANCE`: what a new instance begins with."""
+
+    seed: int
+    settings_text: str
+
+
+def decode_new_instance(batch: EventBatch, at: int) -> NewInstance:
+    """Decode `NEW_INSTANCE`. Raises `TailRangeError` where its text is not in the frame."""
+    seed, offset, size = NEW_INSTANCE.unpack_from(batch.body, at)
+    return NewInstance(seed, batch.tail(offset, size).decode())
+
+
+def decode_server_list(batch: EventBatch, at: int) -> tuple[int, list[api.Endpoint]]:
+    """Decode `SNAPSHOT_ROWS`: a list's number and its entries.
+
+    Raises `TailRangeError` where the entries are not in the frame.
+    """
+    number, offset, count = SNAPSHOT_ROWS.unpack_from(batch.body, at)
+    rows = batch.tail(offset, count * LIST_ENTRY.size)
+    entries = [
+        api.Endpoint(
+            server, zone, kind, cell, STATE_OF_PHASE.get(phase, api.State.REMOVED), weight, started_ns
+        )
+        for server, zone, kind, cell, phase, weight, started_ns in LIST_ENTRY.iter_unpack(rows)
+    ]
+    return number, entries
+
+
+def decode_event(
+    code: int, batch: EventBatch, at: int, lists: Mapping[int, list[api.Endpoint]]
+) -> api.Event | None:
+    """Decode a record that the decision module takes; None for a list of unknown scope, which is skipped.
+
+    `lists` has the entries of each list by its number. Raises `FrameError` for what is no such record.
+    """
+    decode = DECODERS.get(code)
+    if decode is not None:
+        return decode(batch.body, at)
+    match code:
+        case EventCode.ENDPOINTS:
+            return _decode_endpoints(batch.body, at, lists)
+        case EventCode.NOTE_FROM:
+            sender, offset, size = NOTE_FROM.unpack_from(batch.body, at)
+            return api.GossipReceived(sender, batch.tail(offset, size))
+        case _:
+            raise UnknownEventError(code)
+
+
+def _decode_settled(body: bytes, at: int) -> api.Outcome:
+    request_id, attempt, server, reason, duration_ns, last, columns, *report = SETTLED.unpack_from(body, at)
+    status = STATUS_OF_REASON.get(reason, api.Status.ERROR)
+    return api.Outcome(
+        request_id,
+        attempt,
+        server,
+        status,
+        duration_ns,
+        last != 0,
+        tuple(report[:columns]) if columns else (),
+    )
+
+
+def _decode_inbound(body: bytes, at: int) -> api.Request:
+    request_id, cls, tenant, key, deadline_ns, cost_ns, options = INBOUND.unpack_from(body, at)
+    return api.Request(
+        request_id,
+        cls,
+        tenant,
+        deadline_ns,
+        key,
+        cost_ns if options & COST_VALID else 0,
+        options & CLIENT_RETRY != 0,
+        options & WRITE != 0,
+    )
+
+
+def _decode_endpoints(body: bytes, at: int, lists: Mapping[int, list[api.Endpoint]]) -> api.Membership | None:
+    scope, version, number = ENDPOINTS.unpack_from(body, at)
+    kind = LIST_KIND_OF_SCOPE.get(scope)
+    if kind is None:
+        return None
+    if kind is api.ListKind.FAILED:  # the field has no meaning then
+        return api.Membership(kind, version, [])
+    if number not in lists:
+        raise UnknownListError(number)
+    return api.Membership(kind, version, lists[number])
+
+
+def _decode_health(body: bytes, at: int) -> api.ProbeResult:
+    server, reason, duration_ns, columns, *report = HEALTH.unpack_from(body, at)
+    status = STATUS_OF_REASON.get(reason, api.Status.ERROR)
+    return api.ProbeResult(server, status, duration_ns, tuple(report[:columns]) if columns else ())
+
+
+def _decode_first(body: bytes, at: int) -> api.StreamStarted:
+    return api.StreamStarted(*FIRST.unpack_from(body, at))
+
+
+def _decode_dropped(body: bytes, at: int) -> api.RequestCancelled:
+    return api.RequestCancelled(DROPPED.unpack_from(body, at)[0])
+
+
+def _decode_bell(body: bytes, at: int) -> api.Timer:
+    return api.Timer(BELL.unpack_from(body, at)[0])
+
+
+# Records that need neither the tail nor a list.
+DECODERS: dict[int, Callable[[bytes, int], api.Event]] = {
+    EventCode.INBOUND: _decode_inbound,
+    EventCode.FIRST: _decode_first,
+    EventCode.SETTLED: _decode_settled,
+    EventCode.DROPPED: _decode_dropped,
+    EventCode.BELL: _decode_bell,
+    EventCode.HEALTH: _decode_health,
+}
