--- a/ochreflow/simulation/limit_trace.py
+++ b/ochreflow/simulation/limit_trace.py
@@ -55,9 +55,9 @@
         def on_tick(_elapsed_s: float) -> None:
             if len(sampled.limit) < int(self.scenario.duration_s / STEP_S):
                 balancers = [sidecar.balancer for sidecar in self.sidecars.values()]
-                sampled.limit.append(sum(min(one.limit.limit, MAX_PLOTTED_LIMIT) for one in balancers))
-                sampled.inflight.append(sum(one.fleet.inflight for one in balancers))
-                sampled.pressure.append(balancers[0].limit.pressure)
+                sampled.limit.append(sum(min(one.limiter.limit, MAX_PLOTTED_LIMIT) for one in balancers))
+                sampled.inflight.append(sum(one.endpoints.inflight for one in balancers))
+                sampled.pressure.append(balancers[0].limiter.pressure)
 
         self.run(on_tick)
         return sampled
