--- a/benchmarks/lab_capacity.py
+++ b/benchmarks/lab_capacity.py
@@ -17,7 +17,7 @@
 import uvloop
 from overhead import CORES, HOST, load, node, pin
 
-from ochreflow.lab.arrivals import Idempotency, RequestClass
+from ochreflow.lab.arrivals import ClientLoad, Idempotency, RequestClass
 from ochreflow.lab.event_log import EventLog
 from ochreflow.lab.fake_node import FakeNode
 from ochreflow.lab.load_generator import LoadGenerator
@@ -47,9 +47,8 @@
 def offered(port: int, rate: int, folder: str) -> dict[str, float]:
     """One open-loop run against a node that answers at once."""
     event_log = EventLog(Path(folder) / f"clients-{rate}.jsonl")
-    made = LoadGenerator(
-        (HOST, port), [RequestClass("assign", 1.0, Idempotency.NON_IDEMPOTENT, 2.0)], rate, 800, 1, event_log
-    )
+    classes = [RequestClass("assign", 1.0, Idempotency.NON_IDEMPOTENT, 2.0)]
+    made = LoadGenerator((HOST, port), ClientLoad(classes, rate, 800), 1, event_log)
     uvloop.run(made.run(SECONDS))
     event_log.close()
     return {
--- a/benchmarks/worse_builds.py
+++ b/benchmarks/worse_builds.py
@@ -16,8 +16,8 @@
 
 from ochreflow.lab.builds import make
 from ochreflow.lab.differences import interval
-from ochreflow.lab.runs import Job, play_jobs, read_scenarios
-from ochreflow.lab.scenario import scenario_names
+from ochreflow.lab.runs import Job, play_jobs
+from ochreflow.lab.scenario import read_scenario, scenario_names
 from ochreflow.simulation.simulation import simulate
 
 POLICY = Path("ochreflow/policy")
@@ -49,7 +49,7 @@
 
 
 def ranked(builds: dict[str, Path], seeds: int, jobs: int) -> dict[str, object]:
-    scenarios = read_scenarios(scenario_names(), None)
+    scenarios = {name: read_scenario(name) for name in scenario_names()}
     work = [
         Job(name, scenario, seed, build, program)
         for seed in range(1, seeds + 1)
--- a/ochreflow/cli/lab.py
+++ b/ochreflow/cli/lab.py
@@ -47,14 +47,14 @@
     out: str | None,
 ) -> int:
     """Play scenarios of the library, or of files that end in .toml, and judge each run."""
-    from ..lab.runs import run_all
+    from ..lab.runs import RunPlan, run_all
     from ..lab.scenario import ScenarioError, scenario_names
 
     if not scenarios:
         message = f"name a scenario: {', '.join(scenario_names())}"
         raise click.UsageError(message)
     try:
-        return run_all(_player(simulated=simulated), list(scenarios), seeds, jobs, seconds, out)
+        return run_all(_player(simulated=simulated), RunPlan(list(scenarios), seeds, jobs, seconds, out))
     except ScenarioError as error:
         raise click.UsageError(str(error)) from None
 
@@ -92,11 +92,13 @@
         message = f"{error.name} is missing: install requirements-report.txt"
         raise click.ClickException(message) from None
     from ..lab.builds import BuildError
+    from ..lab.runs import RunPlan
     from ..lab.scenario import ScenarioError, scenario_names
 
     chosen = list(scenarios) or scenario_names()
     try:
-        return compare(_player(simulated=simulated), (a, b), chosen, seeds, jobs, seconds, out, html)
+        plan = RunPlan(chosen, seeds, jobs, seconds, out)
+        return compare(_player(simulated=simulated), (a, b), plan, html)
     except (ScenarioError, BuildError) as error:
         raise click.UsageError(str(error)) from None
 
@@ -132,13 +134,14 @@
     fleets: tuple[str, ...], seeds: int, jobs: int, *, slow: bool, unequal: bool, program: Path | None
 ) -> int:
     """Measure, in simulated time, what all sidecars together send to cold servers against what one bears."""
-    from ..simulation.slow_start_report import FLEETS, run
+    from ..simulation.slow_start_report import FLEETS, SlowStartPlan, run
 
     known = [f"{sidecars}/{servers}" for sidecars, servers in FLEETS]
     if unknown := [name for name in fleets if name not in known]:
         message = f"{unknown[0]}: no such fleet; there are {', '.join(known)}"
         raise click.UsageError(message)
-    return run(list(fleets), seeds, jobs, program, slow_while_cold=slow, unequal=unequal)
+    plan = SlowStartPlan(list(fleets), seeds, jobs, program, slow_while_cold=slow, unequal=unequal)
+    return run(plan)
 
 
 lab.add_command(duplicates)
--- a/ochreflow/lab/arrivals.py
+++ b/ochreflow/lab/arrivals.py
@@ -4,7 +4,7 @@
 
 import random
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from enum import StrEnum
 from itertools import accumulate
 
@@ -65,39 +65,43 @@
     extra_body_bytes: int = 0
 
 
+def _constant_rate(_elapsed_s: float) -> float:
+    return 1.0
+
+
+@dataclass(slots=True)
+class ClientLoad:
+    """What the clients of one sidecar send."""
+
+    request_classes: list[RequestClass]
+    rate_per_s: float
+    key_count: int
+    rate_factor: Callable[[float], float] = _constant_rate  # on the rate, at a time of the run in seconds
+    profile: ClientProfile = field(default_factory=ClientProfile)
+
+
 class ArrivalSchedule:
     """An endless sequence of requests at a rate that changes with time."""
 
-    def __init__(
-        self,
-        request_classes: list[RequestClass],
-        rate_per_s: float,
-        key_count: int,
-        seed: int,
-        rate_factor: Callable[[float], float] = lambda elapsed_s: 1.0,
-        profile: ClientProfile | None = None,
-    ) -> None:
-        """Draw from the seed; `rate_factor` is the factor on the rate at a time of the run, in seconds."""
-        self.request_classes = request_classes
-        self.rate_per_s = rate_per_s
+    def __init__(self, load: ClientLoad, seed: int) -> None:
+        """Draw the requests of a load from a seed."""
+        self.load = load
         self.random = random.Random(seed)
-        self.rate_factor = rate_factor
-        self.profile = profile or ClientProfile()
-        self.class_weights = list(accumulate(one.share for one in request_classes))
+        self.class_weights = list(accumulate(one.share for one in load.request_classes))
         self.key_weights = list(
-            accumulate(1.0 / (rank + 1) ** KEY_ZIPF_EXPONENT for rank in range(key_count))
+            accumulate(1.0 / (rank + 1) ** KEY_ZIPF_EXPONENT for rank in range(load.key_count))
         )
 
     def __iter__(self) -> Iterator[ScheduledRequest]:
         """Draw the requests in the order of their times: a Poisson process."""
         due_s = 0.0
         while True:
-            due_s += self.random.expovariate(self.rate_per_s * self.rate_factor(due_s))
+            due_s += self.random.expovariate(self.load.rate_per_s * self.load.rate_factor(due_s))
             yield self._draw(due_s)
 
     def _draw(self, due_s: float) -> ScheduledRequest:
-        draw, profile = self.random, self.profile
-        request_class = draw.choices(self.request_classes, cum_weights=self.class_weights)[0]
+        draw, profile = self.random, self.load.profile
+        request_class = draw.choices(self.load.request_classes, cum_weights=self.class_weights)[0]
         request_id = f"{draw.getrandbits(REQUEST_ID_BITS):016x}"
         key = draw.choices(range(len(self.key_weights)), cum_weights=self.key_weights)[0]
         work_factor = draw_work_factor(draw, profile.work_log_stddev)
--- a/ochreflow/lab/builds.py
+++ b/ochreflow/lab/builds.py
@@ -41,7 +41,8 @@
         ["git", "archive", "--format=tar", revision, PACKAGE], cwd=HERE.parent, capture_output=True
     )
     if archive.returncode:
-        raise BuildError(f"{revision}: {archive.stderr.decode().strip().splitlines()[-1]}")
+        message = f"{revision}: {archive.stderr.decode().strip().splitlines()[-1]}"
+        raise BuildError(message)
     subprocess.run(["tar", "-x", "-C", str(folder)], input=archive.stdout, check=True)
 
 
@@ -49,12 +50,15 @@
     """Give a constant of a module another value."""
     match = CHANGE.fullmatch(change)
     if match is None:
-        raise BuildError(f"{change}: wanted FILE:NAME=VALUE, such as policy/outlier_detection.py:STRIKES=3.0")
+        message = f"{change}: wanted FILE:NAME=VALUE, such as policy/outlier_detection.py:STRIKES=3.0"
+        raise BuildError(message)
     name, constant, value = match.groups()
     path = package / name
     if not path.exists():
-        raise BuildError(f"{change}: there is no {name}")
+        message = f"{change}: there is no {name}"
+        raise BuildError(message)
     text, count = re.subn(rf"(?m)^{constant} = .*$", f"{constant} = {value}", path.read_text())
     if count != 1:
-        raise BuildError(f"{change}: {name} has no constant {constant}")
+        message = f"{change}: {name} has no constant {constant}"
+        raise BuildError(message)
     path.write_text(text)
--- a/ochreflow/lab/client_connection.py
+++ b/ochreflow/lab/client_connection.py
@@ -13,7 +13,7 @@
     """One connection, one request at a time. Responses beyond one to each go to `on_extra_response`."""
 
     def __init__(
-        self, on_extra_response: Callable[[str, int], None] = lambda request_id, status: None
+        self, on_extra_response: Callable[[str, int], None] = lambda _request_id, _status: None
     ) -> None:
         """Wait for the transport."""
         self.on_extra_response = on_extra_response
--- a/ochreflow/lab/compare.py
+++ b/ochreflow/lab/compare.py
@@ -11,39 +11,30 @@
 from .builds import make
 from .differences import differences, table
 from .html_report import write
-from .runs import Job, Player, append_result, exit_code, line, play_jobs, read_scenarios
+from .runs import Job, Player, RunPlan, append_result, exit_code, line, play_jobs
 
 BAR_WIDTH = 30
 
 
-def compare(
-    play: Player,
-    builds: tuple[str, str],
-    names: list[str],
-    seeds: int,
-    processes: int,
-    duration_s: float | None = None,
-    out: str | None = None,
-    html: str | None = None,
-) -> int:
+def compare(play: Player, builds: tuple[str, str], plan: RunPlan, html: str | None = None) -> int:
     """Play both builds and show the difference; 1 if a rule was broken by either, 3 if runs were void."""
     folder = Path(tempfile.mkdtemp(prefix="builds-"))
     try:
         labels = builds if builds[0] != builds[1] else (f"{builds[0]} (A)", f"{builds[1]} (B)")
-        scenarios = read_scenarios(names, duration_s)
+        scenarios = plan.scenarios()
         programs = {label: make(builds[n], folder / str(n)) for n, label in enumerate(labels)}
         jobs = [
             Job(name, scenario, seed, label, program)
-            for seed in range(1, seeds + 1)
+            for seed in range(1, plan.seeds + 1)
             for name, scenario in scenarios.items()
             for label, program in programs.items()
         ]
         found: list[dict[str, Any]] = []
-        for result in play_jobs(play, jobs, processes, with_series=html is not None):
+        for result in play_jobs(play, jobs, plan.processes, with_series=html is not None):
             found.append(result)
             _print_progress(len(found), len(jobs), line(result))
-            if out is not None:
-                append_result(out, {key: value for key, value in result.items() if key != "series"})
+            if plan.out is not None:
+                append_result(plan.out, {key: value for key, value in result.items() if key != "series"})
     finally:
         shutil.rmtree(folder, ignore_errors=True)
     return _show(found, labels, html)
--- a/ochreflow/lab/control.py
+++ b/ochreflow/lab/control.py
@@ -28,6 +28,7 @@
         connection.request("POST", CONTROL_PATH, json.dumps(order))
         response = connection.getresponse()
         if response.status != http.HTTPStatus.OK:
-            raise ControlError(f"{address} did not take the order: {response.read().decode()}")
+            message = f"{address} did not take the order: {response.read().decode()}"
+            raise ControlError(message)
     finally:
         connection.close()
--- a/ochreflow/lab/event_log.py
+++ b/ochreflow/lab/event_log.py
@@ -7,6 +7,7 @@
 
 import json
 from collections.abc import Callable, Iterator
+from dataclasses import dataclass, field
 from enum import StrEnum
 from pathlib import Path
 from time import time_ns
@@ -59,6 +60,16 @@
     DUPLICATE_RESPONSE = "extra"
 
 
+@dataclass(slots=True)
+class RunEvents:
+    """All events of one run."""
+
+    clients: list[list[Event]]
+    nodes: dict[str, list[Event]]
+    directory: list[Event] = field(default_factory=list)
+    runner: list[Event] = field(default_factory=list)  # of the scenario runner: steps, processes, resources
+
+
 class EventLogError(OchreflowError, ValueError):
     """A line of an event log that is no event."""
 
@@ -106,4 +117,5 @@
             yield json.loads(line)
         except ValueError:
             if number < len(lines):
-                raise EventLogError(f"{path}: line {number} is no event") from None
+                message = f"{path}: line {number} is no event"
+                raise EventLogError(message) from None
--- a/ochreflow/lab/http_server.py
+++ b/ochreflow/lab/http_server.py
@@ -71,7 +71,7 @@
         if self.abort_on_connect:
             self.transport.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio gives it
         """Drop the requests that wait, and report the disconnect."""
         self.transport = None
         self.queue.clear()
@@ -160,7 +160,7 @@
     def __init__(
         self,
         on_request: Callable[[HttpRequest], None],
-        on_disconnect: Callable[[ServerConnection], None] = lambda connection: None,
+        on_disconnect: Callable[[ServerConnection], None] = lambda _connection: None,
         max_connections: int = 0,
     ) -> None:
         """Serve up to `max_connections`; one beyond is aborted as soon as it comes. 0: any number."""
--- a/ochreflow/lab/judge.py
+++ b/ochreflow/lab/judge.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from .event_log import ClientOutcome, Event, EventKind
+from .event_log import ClientOutcome, Event, EventKind, RunEvents
 from .latency import LatencyHistogram
 
 NS_PER_S = 1_000_000_000
@@ -53,36 +53,28 @@
 
 
 def judge(
-    clients: Iterable[Iterable[Event]],
-    nodes: Mapping[str, Iterable[Event]],
-    directory: Iterable[Event],
-    non_idempotent: Iterable[str],
-    runner: Iterable[Event] = (),
-    resource_limits: Mapping[str, float] | None = None,
+    run: RunEvents, non_idempotent: Iterable[str], resource_limits: Mapping[str, float] | None = None
 ) -> Report:
     """Judge a run by its event logs.
 
     `non_idempotent` names the classes whose work must not run twice, keyed ones too: a node that drops a
-    repeat says so itself. `runner` has the sidecars that were killed on purpose (what was pending then is
-    excused) and what they used; `resource_limits` is what one may use, "memory_mb" and "sockets".
+    repeat says so itself. `resource_limits` is what one sidecar may use, "memory_mb" and "sockets".
     """
     report = Report()
     requests: dict[str, Event] = {}
     responses: dict[str, list[Event]] = defaultdict(list)
-    for events in clients:
+    for events in run.clients:
         for event in events:
             if event["what"] == EventKind.REQUEST_SENT:
                 requests[event["id"]] = event
             else:
                 responses[event["id"]].append(event)
-    node_events = {name: list(events) for name, events in nodes.items()}
-    runner_events = list(runner)
-    _judge_responses(report, requests, responses, _downtimes(runner_events))
-    _judge_repeats(report, node_events, set(non_idempotent))
-    _judge_drains(report, node_events, _readiness(directory))
-    _judge_cold_nodes(report, node_events)
-    _judge_bodies(report, responses, node_events)
-    _judge_resources(report, runner_events, resource_limits or {})
+    _judge_responses(report, requests, responses, _downtimes(run.runner))
+    _judge_repeats(report, run.nodes, set(non_idempotent))
+    _judge_drains(report, run.nodes, _readiness(run.directory))
+    _judge_cold_nodes(report, run.nodes)
+    _judge_bodies(report, responses, run.nodes)
+    _judge_resources(report, run.runner, resource_limits or {})
     return report
 
 
--- a/ochreflow/lab/load_generator.py
+++ b/ochreflow/lab/load_generator.py
@@ -7,12 +7,11 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 from time import time_ns
 
 import httptools
 
-from .arrivals import ArrivalSchedule, ClientProfile, Idempotency, RequestClass, ScheduledRequest
+from .arrivals import ArrivalSchedule, ClientLoad, Idempotency, ScheduledRequest
 from .client_connection import ClientConnection
 from .event_log import ClientOutcome, EventKind, EventLog
 
@@ -30,23 +29,11 @@
 class LoadGenerator:
     """Sends requests to one sidecar and records what came back."""
 
-    def __init__(
-        self,
-        address: tuple[str, int],
-        request_classes: list[RequestClass],
-        rate_per_s: float,
-        key_count: int,
-        seed: int,
-        event_log: EventLog,
-        rate_factor: Callable[[float], float] = lambda elapsed_s: 1.0,
-        profile: ClientProfile | None = None,
-    ) -> None:
+    def __init__(self, address: tuple[str, int], load: ClientLoad, seed: int, event_log: EventLog) -> None:
         """Draw the requests from the seed; see `ArrivalSchedule`."""
         self.address = address
-        self.profile = profile or ClientProfile()
-        self.schedule = ArrivalSchedule(
-            request_classes, rate_per_s, key_count, seed, rate_factor, self.profile
-        )
+        self.load = load
+        self.schedule = ArrivalSchedule(load, seed)
         self.event_log = event_log
         self.idle: list[ClientConnection] = []
         self.outcomes = dict.fromkeys(
@@ -85,7 +72,7 @@
         """Send a logical request, and after each rejection another attempt while time is left."""
         loop = asyncio.get_running_loop()
         deadline_s = request.request_class.deadline_s
-        for number in range(self.profile.max_attempts):
+        for number in range(self.load.profile.max_attempts):
             remaining_s = deadline_s - (loop.time() - due)
             if number and remaining_s < MIN_REMAINING_S:
                 return
--- a/ochreflow/lab/node_model.py
+++ b/ochreflow/lab/node_model.py
@@ -128,7 +128,8 @@
         draining = bool(order.pop("draining", self.draining))
         unknown = set(order) - FAULT_WORDS
         if unknown or order.get("form", "") not in ("", *Malformation):
-            raise UnknownFaultError(f"no such trouble: {', '.join(sorted(unknown)) or order['form']}")
+            message = f"no such trouble: {', '.join(sorted(unknown)) or order['form']}"
+            raise UnknownFaultError(message)
         self.draining = draining
         for word, value in order.items():
             self._set_fault(word, value)
--- a/ochreflow/lab/process_environment.py
+++ b/ochreflow/lab/process_environment.py
@@ -120,7 +120,8 @@
             self.process_of[options["name"]] = name
             line = await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT_S)
             if not line:
-                raise StartError(f"{options['name']} did not start: see {self.folder / name}.log")
+                message = f"{options['name']} did not start: see {self.folder / name}.log"
+                raise StartError(message)
             self.addresses[options["name"]] = line.decode().strip()
             addresses.append(self.addresses[options["name"]])
         return addresses
@@ -238,7 +239,8 @@
         async with asyncio.timeout(START_TIMEOUT_S):
             while LISTENS_MESSAGE not in log.read_text():
                 if process.returncode is not None:
-                    raise StartError(f"{name} did not start: {log.read_text().strip()}")
+                    message = f"{name} did not start: {log.read_text().strip()}"
+                    raise StartError(message)
                 await asyncio.sleep(START_POLL_INTERVAL_S)
         self.expected_ends.discard(name)
         self.addresses[name] = log.read_text().split(LISTENS_MESSAGE)[1].split()[0]
--- a/ochreflow/lab/runs.py
+++ b/ochreflow/lab/runs.py
@@ -35,6 +35,27 @@
 Player = Callable[[Scenario, int, Path | None], RunResult]
 
 
+@dataclass(frozen=True, slots=True)
+class RunPlan:
+    """Which runs to play."""
+
+    names: list[str]  # of scenarios
+    seeds: int  # each scenario is played with seeds 1 to this
+    processes: int  # runs at a time
+    duration_s: float | None = None  # in place of the scenarios' own
+    out: str | None = None  # a file to which a JSON line is appended for each run
+
+    def scenarios(self) -> dict[str, Scenario]:
+        """Read the scenarios; ScenarioError if one can't be played."""
+        scenarios = {name: read_scenario(name) for name in self.names}
+        if self.duration_s is None:
+            return scenarios
+        return {
+            name: msgspec.structs.replace(scenario, duration_s=self.duration_s)
+            for name, scenario in scenarios.items()
+        }
+
+
 @dataclass(frozen=True, slots=True)
 class Job:
     """One run to play."""
@@ -105,14 +126,6 @@
     return f"{head} worth {result['worth']:.3f}  {text}  p99 {p99_s * MS_PER_S:.0f} ms"
 
 
-def read_scenarios(names: list[str], duration_s: float | None) -> dict[str, Scenario]:
-    """Read scenarios, each at its own length or at the one given; ScenarioError if one can't be played."""
-    scenarios = {name: read_scenario(name) for name in names}
-    if duration_s is None:
-        return scenarios
-    return {name: msgspec.structs.replace(one, duration_s=duration_s) for name, one in scenarios.items()}
-
-
 def play_jobs(
     play: Player, jobs: list[Job], processes: int, *, with_series: bool = False
 ) -> Iterator[dict[str, Any]]:
@@ -123,20 +136,20 @@
             yield run.result()
 
 
-def run_all(
-    play: Player, names: list[str], seeds: int, processes: int, duration_s: float | None, out: str | None
-) -> int:
+def run_all(play: Player, plan: RunPlan) -> int:
     """Play all, and print a line for each as it ends; 1 if a rule was broken, 3 if a run was void."""
-    scenarios = read_scenarios(names, duration_s)
-    jobs = [Job(name, scenario, seed) for seed in range(1, seeds + 1) for name, scenario in scenarios.items()]
+    scenarios = plan.scenarios()
+    jobs = [
+        Job(name, scenario, seed) for seed in range(1, plan.seeds + 1) for name, scenario in scenarios.items()
+    ]
     verdicts = set()
-    for number, result in enumerate(play_jobs(play, jobs, processes), 1):
+    for number, result in enumerate(play_jobs(play, jobs, plan.processes), 1):
         verdicts.add(result["verdict"])
         print(f"[{number}/{len(jobs)}] {line(result)}", flush=True)
         for finding in result["findings"][:MAX_FINDINGS]:
             print(f"      {finding}")
-        if out is not None:
-            append_result(out, result)
+        if plan.out is not None:
+            append_result(plan.out, result)
     return exit_code(verdicts)
 
 
--- a/ochreflow/lab/scenario.py
+++ b/ochreflow/lab/scenario.py
@@ -7,14 +7,14 @@
 
 import tomllib
 from enum import StrEnum
+from functools import partial
 from pathlib import Path
 from typing import Annotated, Any
 
 import msgspec
 
 from ..errors import OchreflowError
-from . import arrivals
-from .arrivals import Idempotency
+from .arrivals import ClientLoad, ClientProfile, Idempotency, RequestClass
 from .directory_behaviour import Count, DirectoryBehaviour, NonNegative, Share
 from .node_messages import Malformation
 
@@ -224,9 +224,11 @@
         scenario = msgspec.convert(tomllib.loads(path.read_text()), Scenario)
     except FileNotFoundError:
         known = ", ".join(scenario_names())
-        raise ScenarioError(f"{name}: no such scenario; the library has {known}") from None
+        message = f"{name}: no such scenario; the library has {known}"
+        raise ScenarioError(message) from None
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.ValidationError) as error:
-        raise ScenarioError(f"{path}: {error}") from None
+        message = f"{path}: {error}"
+        raise ScenarioError(message) from None
     _check_steps(scenario, str(path))
     return scenario
 
@@ -236,16 +238,16 @@
     known = set(range(1, scenario.fleet.node_count + 1))
     for number, step in enumerate(sorted(scenario.steps, key=lambda step: step.at)):
         if step.action is StepAction.REPLACE and len(step.replacements) != len(step.nodes):
-            raise ScenarioError(f"{path}: steps[{number}]: replace wants a node in `by` for each in `nodes`")
+            message = f"{path}: steps[{number}]: replace wants a node in `by` for each in `nodes`"
+            raise ScenarioError(message)
         if step.action is StepAction.ADD:
             known |= set(step.nodes)
         elif step.action is StepAction.REPLACE:
             known = known - set(step.nodes) | set(step.replacements)
         elif unknown := set(step.nodes) - known:
             missing = ", ".join(map(str, sorted(unknown)))
-            raise ScenarioError(
-                f"{path}: steps[{number}]: {step.action} of nodes that are not there: {missing}"
-            )
+            message = f"{path}: steps[{number}]: {step.action} of nodes that are not there: {missing}"
+            raise ScenarioError(message)
 
 
 def rate_factor(scenario: Scenario, elapsed_s: float) -> float:
@@ -259,16 +261,14 @@
     return factor
 
 
-def client_behaviour(
-    scenario: Scenario,
-) -> tuple[list[arrivals.RequestClass], arrivals.ClientProfile]:
-    """Return the request classes and the profile of its clients."""
+def client_load(scenario: Scenario) -> ClientLoad:
+    """Return what the clients of each sidecar send."""
+    load = scenario.load
     request_classes = [
-        arrivals.RequestClass(name, spec.share, spec.idempotency, spec.deadline_s, spec.mean_work_s)
+        RequestClass(name, spec.share, spec.idempotency, spec.deadline_s, spec.mean_work_s)
         for name, spec in scenario.request_classes.items()
     ]
-    load = scenario.load
-    profile = arrivals.ClientProfile(
+    profile = ClientProfile(
         abandon_share=load.abandon_share,
         slow_share=load.slow_share,
         large_body_share=load.large_body_share,
@@ -277,7 +277,8 @@
         work_log_stddev=load.work_log_stddev,
         max_attempts=load.max_attempts,
     )
-    return request_classes, profile
+    rate_per_s = load.rate_per_s / scenario.sidecar_count
+    return ClientLoad(request_classes, rate_per_s, load.key_count, partial(rate_factor, scenario), profile)
 
 
 def node_profile(scenario: Scenario, name: str, *, cold: bool) -> dict[str, Any]:
--- a/ochreflow/lab/scenario_runner.py
+++ b/ochreflow/lab/scenario_runner.py
@@ -4,10 +4,9 @@
 
 import asyncio
 from collections.abc import Callable
-from functools import partial
 from pathlib import Path
 
-from .event_log import EventKind, EventLog, read_events
+from .event_log import EventKind, EventLog, RunEvents, read_events
 from .judge import judge
 from .load_generator import LoadGenerator
 from .platform_config import RESOURCE_LIMITS
@@ -19,8 +18,7 @@
     Scenario,
     Step,
     StepAction,
-    client_behaviour,
-    rate_factor,
+    client_load,
 )
 from .series import series
 from .step_orders import NODE_ORDERS, STATUS_AFTER
@@ -52,7 +50,7 @@
         return ProcessEnvironment(self.scenario, self.folder, self.seed, self.event_log, program)
 
     async def run(
-        self, on_tick: Callable[[float, ScenarioRunner], None] = lambda elapsed_s, runner: None
+        self, on_tick: Callable[[float, ScenarioRunner], None] = lambda _elapsed_s, _runner: None
     ) -> RunResult:
         """Play it to its end, and judge it; `on_tick` is called once a second."""
         try:
@@ -78,18 +76,9 @@
     def _load(self, number: int, address: str) -> LoadGenerator:
         """Make the clients of one sidecar."""
         host, _, port = address.rpartition(":")
-        request_classes, profile = client_behaviour(self.scenario)
-        load = self.scenario.load
-        return LoadGenerator(
-            (host, int(port)),
-            request_classes,
-            load.rate_per_s / self.scenario.sidecar_count,
-            load.key_count,
-            self.seed * 100 + number,
-            EventLog(self.folder / f"clients-{number}.jsonl"),
-            partial(rate_factor, self.scenario),
-            profile,
-        )
+        event_log = EventLog(self.folder / f"clients-{number}.jsonl")
+        seed = self.seed * 100 + number
+        return LoadGenerator((host, int(port)), client_load(self.scenario), seed, event_log)
 
     async def _run_steps(self) -> None:
         loop = asyncio.get_running_loop()
@@ -168,7 +157,8 @@
             (event for path in directories for event in read_events(path)), key=lambda event: event["at"]
         )
         runner = list(read_events(self.folder / "stage.jsonl"))
-        report = judge(clients, nodes, notified, self.scenario.non_idempotent, runner, RESOURCE_LIMITS)
+        run = RunEvents(clients, nodes, notified, runner)
+        report = judge(run, self.scenario.non_idempotent, RESOURCE_LIMITS)
         max_send_delay_s = max(load.max_send_delay_s for load in self.loads)
-        run_series = series(clients, nodes, runner, self.scenario.duration_s)
+        run_series = series(run, self.scenario.duration_s)
         return RunResult(report, max_send_delay_s, self.environment.crashes, run_series)
--- a/ochreflow/lab/series.py
+++ b/ochreflow/lab/series.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from collections import defaultdict
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Any
 
-from .event_log import ClientOutcome, Event, EventKind
+from .event_log import ClientOutcome, Event, EventKind, RunEvents
 
 NS_PER_S = 1_000_000_000
 STEP_S = 0.5
@@ -37,29 +37,23 @@
     faults: list[tuple[float, str]] = field(default_factory=list)  # when in seconds, and which steps
 
 
-def series(
-    clients: Iterable[Iterable[Event]],
-    nodes: dict[str, list[Event]],
-    runner: Iterable[Event],
-    duration_s: float,
-) -> Series:
+def series(run: RunEvents, duration_s: float) -> Series:
     """Put a run's event logs into steps of half a second."""
-    runner_events = list(runner)
-    started_at = next((event["at"] for event in runner_events if event["what"] == EventKind.RUN_STARTED), 0)
+    started_at = next((event["at"] for event in run.runner if event["what"] == EventKind.RUN_STARTED), 0)
     count = max(int(duration_s / STEP_S), 1)
 
     def step_of(at: int) -> int:
         return min(max(int((at - started_at) / NS_PER_S / STEP_S), 0), count - 1)
 
     made = Series(requests=[0] * count, outcomes={str(name): [0] * count for name in OUTCOMES})
-    _add_clients(made, clients, step_of, count)
-    for name, events in nodes.items():
+    _add_clients(made, run.clients, step_of, count)
+    for name, events in run.nodes.items():
         made.in_node[name] = _in_node(events, step_of, count)
-    _add_runner(made, runner_events, started_at)
+    _add_runner(made, run.runner, started_at)
     return made
 
 
-def _add_clients(made: Series, clients: Iterable[Iterable[Event]], step_of: StepOf, count: int) -> None:
+def _add_clients(made: Series, clients: list[list[Event]], step_of: StepOf, count: int) -> None:
     took_s: list[list[float]] = [[] for _ in range(count)]
     for events in clients:
         for event in events:
--- a/ochreflow/lab/sidecar_log.py
+++ b/ochreflow/lab/sidecar_log.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import os
 import re
 import resource
 from pathlib import Path
@@ -48,7 +47,7 @@
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
         return {
             "memory_mb": round(pages * resource.getpagesize() / BYTES_PER_MB, 1),
-            "sockets": len(os.listdir(f"/proc/{pid}/fd")),
+            "sockets": sum(1 for _ in Path(f"/proc/{pid}/fd").iterdir()),
         }
     except (OSError, IndexError):
         return {}
--- a/ochreflow/lab/step_orders.py
+++ b/ochreflow/lab/step_orders.py
@@ -8,11 +8,11 @@
 from .scenario import Step, StepAction
 
 NODE_ORDERS: dict[StepAction, Callable[[Step], dict[str, Any]]] = {  # the control order to a node
-    StepAction.BLACKHOLE: lambda step: {"swallow": True},
+    StepAction.BLACKHOLE: lambda _step: {"swallow": True},
     StepAction.FAIL_FAST: lambda step: {"fail": step.amount},
     StepAction.SLOW_DOWN: lambda step: {"slow": step.amount},
     StepAction.MALFORM: lambda step: {"spoil": step.amount, "form": step.malformation},
-    StepAction.RECOVER: lambda step: {"swallow": False, "fail": 0.0, "slow": 1.0, "spoil": 0.0},
+    StepAction.RECOVER: lambda _step: {"swallow": False, "fail": 0.0, "slow": 1.0, "spoil": 0.0},
 }
 STATUS_AFTER = {  # of a node in the directory
     StepAction.DRAIN: "DRAINING",
--- a/ochreflow/simulation/limit_trace_report.py
+++ b/ochreflow/simulation/limit_trace_report.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import fields
 from functools import partial
@@ -35,20 +34,18 @@
     )
 
 
-def run(
-    names: list[str], seeds: int, jobs: int, html: str | None, write: Callable[[str], None] = print
-) -> int:
-    """Trace scenarios, and write the line of each."""
-    write(HEAD)
+def run(names: list[str], seeds: int, processes: int, html: str | None) -> int:
+    """Trace scenarios, and print the line of each."""
+    print(HEAD)
     plots: dict[str, Trace] = {}
-    with ProcessPoolExecutor(jobs) as pool:
+    with ProcessPoolExecutor(processes) as pool:
         pending = {
             name: [pool.submit(partial(_trace, seed), name) for seed in range(1, seeds + 1)] for name in names
         }
         for name, runs in pending.items():
             results = [one.result() for one in runs]
             plots[name] = results[0][0]
-            write(line(name, mean([summary for _, summary in results])))
+            print(line(name, mean([summary for _, summary in results])))
     if html is not None:
         _write_plots(Path(html), plots)
     return 0
--- a/ochreflow/simulation/policy_loader.py
+++ b/ochreflow/simulation/policy_loader.py
@@ -42,7 +42,8 @@
     if folder is not None:
         place = (folder / "ochreflow").resolve()
         if not (place / "policy" / "__init__.py").exists():
-            raise PolicyNotFoundError(f"{place / 'policy'}: no decision module there")
+            message = f"{place / 'policy'}: no decision module there"
+            raise PolicyNotFoundError(message)
         package = f"_build_{abs(hash(place)):x}"
         if package not in sys.modules:
             # An empty parent package: only the decision module and the errors below it are loaded.
--- a/ochreflow/simulation/simulated_sidecar.py
+++ b/ochreflow/simulation/simulated_sidecar.py
@@ -39,6 +39,15 @@
         """Return the name of the node of this number."""
 
 
+@dataclass(frozen=True, slots=True)
+class SidecarConfig:
+    """The name, the settings in the platform's form, and the seed of a sidecar."""
+
+    name: str
+    settings: dict[str, Any]
+    seed: int
+
+
 @dataclass(slots=True)
 class PendingRequest:
     """A request that has no final response yet."""
@@ -66,20 +75,18 @@
 
     def __init__(
         self,
-        name: str,
+        config: SidecarConfig,
         policy: PolicyModules,
-        settings: dict[str, Any],
-        seed: int,
         clock: Clock,
         endpoints: EndpointSource,
         run_log: MemoryEventLog,
     ) -> None:
-        """Start a sidecar; `settings` is in the form of the platform's configuration."""
-        self.name = name
+        """Start a sidecar."""
+        self.name = config.name
         self.api = policy.interface
-        self.settings = policy.settings.nested_settings(settings)
+        self.settings = policy.settings.nested_settings(config.settings)
         self.class_numbers = {spec.name: number for number, spec in enumerate(self.settings.classes)}
-        self.balancer = policy.balancer.Balancer(self.settings, seed)
+        self.balancer = policy.balancer.Balancer(self.settings, config.seed)
         self.clock = clock
         self.endpoints = endpoints
         self.run_log = run_log
--- a/ochreflow/simulation/simulation.py
+++ b/ochreflow/simulation/simulation.py
@@ -5,13 +5,12 @@
 import json
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
-from functools import partial
 from hashlib import blake2b
 from pathlib import Path
 from typing import Any
 
 from ..lab.arrivals import ArrivalSchedule, ScheduledRequest
-from ..lab.event_log import ClientOutcome, EventKind, MemoryEventLog
+from ..lab.event_log import ClientOutcome, EventKind, MemoryEventLog, RunEvents
 from ..lab.judge import judge
 from ..lab.load_generator import MIN_REMAINING_S, RESPONSE_GRACE_S, attempt_id
 from ..lab.node_messages import NodeProfile
@@ -24,9 +23,8 @@
     Scenario,
     Step,
     StepAction,
-    client_behaviour,
+    client_load,
     node_profile,
-    rate_factor,
 )
 from ..lab.series import series
 from ..lab.step_orders import NODE_ORDERS, STATUS_AFTER
@@ -34,7 +32,7 @@
 from .policy_loader import PolicyModules, load_policy
 from .simulated_directory import SimulatedDirectory
 from .simulated_node import SimulatedNode
-from .simulated_sidecar import SimulatedSidecar
+from .simulated_sidecar import SidecarConfig, SimulatedSidecar
 
 NS_PER_MS = 1_000_000
 SIDECAR_START_S = 0.5  # that a sidecar takes to start again
@@ -101,9 +99,8 @@
         self.sidecar_starts += 1
         seed = self.seed * 100 + number + RESTART_SEED_STEP * self.sidecar_starts
         name = f"sidecar-{number}"
-        sidecar = SimulatedSidecar(
-            name, self.policy, settings, seed, self.clock, self.directory, self.run_log
-        )
+        config = SidecarConfig(name, settings, seed)
+        sidecar = SimulatedSidecar(config, self.policy, self.clock, self.directory, self.run_log)
         self.sidecars[number] = sidecar
         self.run_log.record(EventKind.PROCESS_STARTED, name=sidecar.name)
         sidecar.post(self.directory.cached_list())
@@ -218,7 +215,7 @@
 
     # The run
 
-    def run(self, on_tick: Callable[[float], None] = lambda elapsed_s: None) -> RunResult:
+    def run(self, on_tick: Callable[[float], None] = lambda _elapsed_s: None) -> RunResult:
         """Play it to its end, and judge it; `on_tick` is called every half second of simulated time."""
         scenario = self.scenario
         for number in range(1, scenario.fleet.node_count + 1):
@@ -228,7 +225,8 @@
         for number in range(1, scenario.sidecar_count + 1):
             self.client_logs.append(self.event_log(f"clients-{number}"))
             self.start_sidecar(number)
-            self._schedule_next(iter(self._arrivals(number)), number)
+            schedule = ArrivalSchedule(client_load(scenario), self.seed * 100 + number)
+            self._schedule_next(iter(schedule), number)
         for step in scenario.steps:
             self.clock.at(START_NS + int(step.at * scenario.duration_s * NS_PER_S), self._apply, step)
         max_deadline_s = max(spec.deadline_s for spec in scenario.request_classes.values())
@@ -237,27 +235,14 @@
             on_tick(self.clock.seconds)
         return self._result()
 
-    def _arrivals(self, number: int) -> ArrivalSchedule:
-        """Return what the clients of one sidecar send."""
-        request_classes, profile = client_behaviour(self.scenario)
-        load = self.scenario.load
-        return ArrivalSchedule(
-            request_classes,
-            load.rate_per_s / self.scenario.sidecar_count,
-            load.key_count,
-            self.seed * 100 + number,
-            partial(rate_factor, self.scenario),
-            profile,
-        )
-
     def _result(self) -> RunResult:
         nodes = {name: log.events for name, log in self.event_logs.items() if name.startswith("node-")}
         clients = [log.events for log in self.client_logs]
-        run_events, notified = self.run_log.events, self.event_logs["directory"].events
-        report = judge(clients, nodes, notified, self.scenario.non_idempotent, run_events, RESOURCE_LIMITS)
+        run = RunEvents(clients, nodes, self.event_logs["directory"].events, self.run_log.events)
+        report = judge(run, self.scenario.non_idempotent, RESOURCE_LIMITS)
         everything = {name: log.events for name, log in sorted(self.event_logs.items())}
         digest = blake2b(json.dumps(everything).encode(), digest_size=DIGEST_BYTES).hexdigest()
-        run_series = series(clients, nodes, run_events, self.scenario.duration_s)
+        run_series = series(run, self.scenario.duration_s)
         return RunResult(report, 0.0, [], run_series, digest)
 
 
--- a/ochreflow/simulation/slow_start_report.py
+++ b/ochreflow/simulation/slow_start_report.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from concurrent.futures import Future, ProcessPoolExecutor
 from dataclasses import dataclass
 from pathlib import Path
@@ -15,6 +14,18 @@
 HEAD = "sidecars servers  cold       worst median present sends     N of capacity of its ramp served"
 
 
+@dataclass(frozen=True, slots=True)
+class SlowStartPlan:
+    """Which runs to play."""
+
+    fleets: list[str]  # named as "5/10"; empty: all of FLEETS
+    seeds: int  # each case is played with seeds 1 to this
+    processes: int  # runs at a time
+    program: Path | None = None  # the folder of another build
+    slow_while_cold: bool = False
+    unequal: bool = False
+
+
 @dataclass(slots=True)
 class _PendingLine:
     """A line whose runs are not all played yet."""
@@ -39,28 +50,19 @@
     )
 
 
-def run(
-    fleets: list[str],
-    seeds: int,
-    jobs: int,
-    program: Path | None,
-    *,
-    slow_while_cold: bool,
-    unequal: bool,
-    write: Callable[[str], None] = print,
-) -> int:
-    """Write the lines of the fleets named as "5/10", of all without a name."""
-    write(HEAD)
-    with ProcessPoolExecutor(jobs) as pool:
+def run(plan: SlowStartPlan) -> int:
+    """Print the lines of the fleets of a plan."""
+    print(HEAD)
+    with ProcessPoolExecutor(plan.processes) as pool:
         pending = []
         for sidecars, servers in FLEETS:
-            if fleets and f"{sidecars}/{servers}" not in fleets:
+            if plan.fleets and f"{sidecars}/{servers}" not in plan.fleets:
                 continue
             for cold, share in COLD_SHARES.items():
-                case = SlowStartCase(sidecars, servers, share, slow_while_cold, unequal)
-                runs = [pool.submit(play, case, seed, program) for seed in range(1, seeds + 1)]
+                case = SlowStartCase(sidecars, servers, share, plan.slow_while_cold, plan.unequal)
+                runs = [pool.submit(play, case, seed, plan.program) for seed in range(1, plan.seeds + 1)]
                 pending.append(_PendingLine(sidecars, servers, cold, runs))
         for one in pending:
             metrics = [run.result() for run in one.runs]
-            write(line(one.sidecars, one.servers, one.cold, metrics))
+            print(line(one.sidecars, one.servers, one.cold, metrics))
     return 0
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,8 +11,8 @@
 import pytest
 from net_helpers import HOST, WAIT, Fake, ask, read_message, reply, run
 
-from ochreflow.lab.arrivals import ClientProfile, Idempotency, RequestClass
-from ochreflow.lab.event_log import EventLog, read_events
+from ochreflow.lab.arrivals import ClientLoad, ClientProfile, Idempotency, RequestClass
+from ochreflow.lab.event_log import EventLog, RunEvents, read_events
 from ochreflow.lab.fake_directory import FakeDirectory
 from ochreflow.lab.fake_node import FakeNode
 from ochreflow.lab.fake_server import open_server
@@ -329,7 +329,8 @@
     events = {name: [*known, *more.get(name, [])] for name, known in FINE.items()}
     nodes = {name: events[name] for name in ("n", "m")}
     means = {"memory_mb": 192, "sockets": 1024}
-    return judge([events["clients"]], nodes, events["directory"], ["assign"], more.get("stage", ()), means)
+    run_events = RunEvents([events["clients"]], nodes, events["directory"], more.get("stage", []))
+    return judge(run_events, ["assign"], means)
 
 
 @pytest.mark.parametrize("name", WRONG)
@@ -356,20 +357,14 @@
         seen = []
         fake = await Fake(twice).start()
         event_log = EventLog(tmp_path / "clients")
-        load = LoadGenerator(
-            (HOST, fake.port),
-            [RequestClass("assign", 1.0, Idempotency.NON_IDEMPOTENT, 2.0)],
-            100.0,
-            5,
-            1,
-            event_log,
-        )
+        clients = ClientLoad([RequestClass("assign", 1.0, Idempotency.NON_IDEMPOTENT, 2.0)], 100.0, 5)
+        load = LoadGenerator((HOST, fake.port), clients, 1, event_log)
         await load.run(0.3)
         event_log.close()
         return seen
 
     seen = run(play())
-    report = judge([read_events(tmp_path / "clients")], {"n": []}, [], ["assign"])
+    report = judge(RunEvents([list(read_events(tmp_path / "clients"))], {"n": []}), ["assign"])
     assert len(seen) > 3
     assert [finding.text.split(":")[0] for finding in report.findings] == [f"request {seen[2]}"]
     assert "2 answers" in report.findings[0].text
@@ -490,15 +485,10 @@
         profile = ClientProfile(
             slow_share=0.3, large_body_share=0.3, large_body_bytes=50_000, cost_hint_share=1.0, max_attempts=3
         )
-        load = LoadGenerator(
-            (HOST, fake.port),
-            [RequestClass("a", 1.0, Idempotency.IDEMPOTENT_WITH_KEY, 2.0, 0.05)],
-            60.0,
-            5,
-            1,
-            event_log,
-            profile=profile,
+        clients = ClientLoad(
+            [RequestClass("a", 1.0, Idempotency.IDEMPOTENT_WITH_KEY, 2.0, 0.05)], 60.0, 5, profile=profile
         )
+        load = LoadGenerator((HOST, fake.port), clients, 1, event_log)
         await load.run(0.4)
         event_log.close()
         return tries, load
@@ -514,7 +504,7 @@
         assert waits == sorted(waits, reverse=True) and waits[2] < 2000
         assert int(messages[0].headers["x-cost-hint"]) > 1000
     assert any(len(messages[0].body) > 50_000 for messages in tries.values())
-    report = judge([read_events(tmp_path / "clients")], {"n": []}, [], [])
+    report = judge(RunEvents([list(read_events(tmp_path / "clients"))], {"n": []}), [])
     assert (
         len(report.logical_requests["a"]) == len(tries) and None not in report.logical_requests["a"].values()
     )
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ochreflow.lab.arrivals import ArrivalSchedule, ClientProfile, Idempotency, RequestClass
+from ochreflow.lab.arrivals import ArrivalSchedule, ClientLoad, ClientProfile, Idempotency, RequestClass
 from ochreflow.lab.node_messages import (
     CloseConnection,
     Collapse,
@@ -126,7 +126,9 @@
     ]
 
     def row(seed, profile=None):
-        arrivals = iter(ArrivalSchedule(classes, 100.0, 50, seed, profile=profile))
+        arrivals = iter(
+            ArrivalSchedule(ClientLoad(classes, 100.0, 50, profile=profile or ClientProfile()), seed)
+        )
         return [next(arrivals) for _ in range(500)]
 
     def plain(requests):
