--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -25,11 +25,11 @@
 from .limits import Usage
 from .log import log
 from .ports import (
-    Call,
     EndpointSource,
     FinalResponse,
     Frontend,
     GossipSender,
+    IncomingRequest,
     Reason,
     ResponseSink,
     UpstreamAttempt,
@@ -129,7 +129,7 @@
         return self.engine.begin_answer(self.held, self, head, length)
 
     def part(self, data: bytes) -> None:
-        self.held.response_sink.part(self.held.call, data)
+        self.held.response_sink.part(self.held.request, data)
 
     def ended(self, status: Status, answer: object, report: tuple[float, ...]) -> None:
         self.engine.end_attempt(self.held, self, status, answer, report)
@@ -140,7 +140,7 @@
     """A request that has been taken."""
 
     id: int
-    call: Call
+    request: IncomingRequest
     response_sink: ResponseSink
     frontend_binding: FrontendBinding
     timer: asyncio.TimerHandle | None = None
@@ -151,9 +151,13 @@
     relaying: Attempt | None = None  # whose answer is on its way to the client already
 
 
-def _shown(call: Call) -> str:
+def _shown(request: IncomingRequest) -> str:
     """A request's name, for the log."""
-    return call.name.decode("latin-1") if isinstance(call.name, bytes) else str(call.name)
+    return (
+        request.request_id.decode("latin-1")
+        if isinstance(request.request_id, bytes)
+        else str(request.request_id)
+    )
 
 
 class Engine:
@@ -299,58 +303,60 @@
 
     # Requests
 
-    def take(self, frontend_binding: FrontendBinding, response_sink: ResponseSink, call: Call) -> None:
+    def take(
+        self, frontend_binding: FrontendBinding, response_sink: ResponseSink, request: IncomingRequest
+    ) -> None:
         """Take a request: from here on it is owed one final answer, which may come within this call."""
-        if self.lifecycle.turns_away and call.name not in frontend_binding.names.used:
-            self._turn_away(frontend_binding, response_sink, call, Disposition.DECLINED, Reason.DRAINING)
+        if self.lifecycle.turns_away and request.request_id not in frontend_binding.names.used:
+            self._turn_away(frontend_binding, response_sink, request, Disposition.DECLINED, Reason.DRAINING)
             return
         # Guards servers against a second copy, here or elsewhere: a request of this name may still run.
-        if not frontend_binding.names.claim(call.name):
+        if not frontend_binding.names.claim(request.request_id):
             self._turn_away(
-                frontend_binding, response_sink, call, Disposition.ABORTED, Reason.DUPLICATE_REQUEST_ID
+                frontend_binding, response_sink, request, Disposition.ABORTED, Reason.DUPLICATE_REQUEST_ID
             )
             return
-        held = Held(self.next_id, call, response_sink, frontend_binding)
+        held = Held(self.next_id, request, response_sink, frontend_binding)
         self.next_id += 1
         self.held[held.id] = held
-        call.ticket = held.id
+        request.pending_id = held.id
         if len(self.held) > self.max_open:
             self._finish(held, FinalResponse(Disposition.DECLINED, Reason.OVERLOADED))
             return
-        held.uploading = not call.body.complete
+        held.uploading = not request.body.complete
         if held.uploading:
-            call.body.on_spent = partial(self.post, api.BodyDiscarded(held.id))
+            request.body.on_spent = partial(self.post, api.BodyDiscarded(held.id))
         else:
             self._set_guard(held)
         self.post(
             api.Request(
                 held.id,
-                call.cls,
-                call.tenant,
-                call.deadline_ns,
-                call.key,
-                call.cost_ns,
-                call.is_retry,
-                call.is_write,
+                request.cls,
+                request.tenant,
+                request.deadline_ns,
+                request.key,
+                request.cost_ns,
+                request.is_retry,
+                request.is_write,
                 held.uploading,
-                max(self.now() - (call.deadline_ns - call.wait_ns), 0),
+                max(self.now() - (request.deadline_ns - request.timeout_ns), 0),
             )
         )
 
-    def body_ended(self, call: Call) -> None:
+    def body_ended(self, request: IncomingRequest) -> None:
         """The last byte of a request that was taken before has come: its time runs from now."""
-        held = self.held.get(call.ticket)
+        held = self.held.get(request.pending_id)
         if held is None:
             return
         self._set_guard(held)
-        left = call.deadline_ns - ATTEMPT_MARGIN_NS - self.now()
+        left = request.deadline_ns - ATTEMPT_MARGIN_NS - self.now()
         for attempt in self._out(held):
             if attempt.upstream_attempt is not None and held.relaying is not attempt:
                 attempt.upstream_attempt.set_timeout(left / SECOND)
 
-    def body_broken(self, call: Call, disposition: Disposition, detail: object = None) -> None:
+    def body_broken(self, request: IncomingRequest, disposition: Disposition, detail: object = None) -> None:
         """The body of a request that was taken before can't be read to its end."""
-        held = self.held.get(call.ticket)
+        held = self.held.get(request.pending_id)
         if held is None:
             return
         if held.relaying is None:
@@ -361,14 +367,14 @@
         self._abandon(held)
         self.post(api.RequestCancelled(held.id))
 
-    def left(self, call: Call) -> None:
-        """The client of a request has gone: it is over, and what is out for it the module may call off."""
-        held = self.held.get(call.ticket)
+    def left(self, request: IncomingRequest) -> None:
+        """The client of a request has gone: it is over, and what is out for it the module may cancel."""
+        held = self.held.get(request.pending_id)
         if held is not None:
             self._settle(held)
             if log.debugging:
                 self._tell_verdict(
-                    held.frontend_binding, call, Disposition.ABORTED, Reason.CLIENT_DISCONNECTED
+                    held.frontend_binding, request, Disposition.ABORTED, Reason.CLIENT_DISCONNECTED
                 )
             self._abandon(held)
             self.post(api.RequestCancelled(held.id))
@@ -381,28 +387,32 @@
         self,
         frontend_binding: FrontendBinding,
         response_sink: ResponseSink,
-        call: Call,
+        request: IncomingRequest,
         disposition: Disposition,
         reason: Reason,
     ) -> None:
-        self.stats.ended(call.cls, disposition, frontend_binding.counts)
+        self.stats.ended(request.cls, disposition, frontend_binding.counts)
         if log.debugging:
-            self._tell_verdict(frontend_binding, call, disposition, reason)
-        response_sink.respond(call, FinalResponse(disposition, reason))
+            self._tell_verdict(frontend_binding, request, disposition, reason)
+        response_sink.respond(request, FinalResponse(disposition, reason))
 
     def _tell_verdict(
-        self, frontend_binding: FrontendBinding, call: Call, disposition: Disposition, reason: Reason
+        self,
+        frontend_binding: FrontendBinding,
+        request: IncomingRequest,
+        disposition: Disposition,
+        reason: Reason,
     ) -> None:
         log.debug(
             "final_response",
             frontend=frontend_binding.label,
-            request=_shown(call),
+            request=_shown(request),
             outcome=disposition.name.lower(),
             reason=reason.value,
         )
 
     def _set_guard(self, held: Held) -> None:
-        left = max(held.call.deadline_ns - GUARD_MARGIN_NS - self.now(), 0)
+        left = max(held.request.deadline_ns - GUARD_MARGIN_NS - self.now(), 0)
         held.timer = self.loop.call_later(left / SECOND, self._guard, held)
 
     def _out(self, held: Held) -> list[Attempt]:
@@ -447,14 +457,14 @@
     def _finish(self, held: Held, response: FinalResponse) -> None:
         """Give the one final answer."""
         self._settle(held)
-        self.stats.ended(held.call.cls, response.disposition, held.frontend_binding.counts)
+        self.stats.ended(held.request.cls, response.disposition, held.frontend_binding.counts)
         if log.debugging:
-            self._tell_verdict(held.frontend_binding, held.call, response.disposition, response.reason)
-        held.response_sink.respond(held.call, response)
+            self._tell_verdict(held.frontend_binding, held.request, response.disposition, response.reason)
+        held.response_sink.respond(held.request, response)
 
     def _settle(self, held: Held) -> None:
         held.owed = False
-        held.frontend_binding.names.ended(held.call.name)
+        held.frontend_binding.names.ended(held.request.request_id)
         self.held.pop(held.id, None)
         if held.timer is not None:
             held.timer.cancel()
@@ -479,15 +489,15 @@
         attempt = Attempt(self, held, held.attempts, action.server, now, action.timeout_ns)
         held.attempts += 1
         self.attempts[held.id, attempt.number] = attempt
-        call = held.call
+        request = held.request
         wait = self.remaining_time_ns(held, attempt)
-        if held.attempts > self.settings.max_attempts or wait <= 0 or call.body.spent:
+        if held.attempts > self.settings.max_attempts or wait <= 0 or request.body.spent:
             self.end_attempt(held, attempt, Status.NOT_SENT, None, ())
             return
-        timeout = wait / SECOND if call.body.complete else None
+        timeout = wait / SECOND if request.body.complete else None
         try:
             attempt.upstream_attempt = held.frontend_binding.upstream_transport.start(
-                action.server, call, timeout, attempt
+                action.server, request, timeout, attempt
             )
         except Exception:
             self.fault("an attempt could not be started")
@@ -501,8 +511,8 @@
         Guards a server against work for nobody: told at the decision, a connection that came up late made it
         more than the client still waited. The client's time runs from the last byte of its body.
         """
-        call, now = held.call, self.now()
-        left = call.deadline_ns - ATTEMPT_MARGIN_NS - now if call.body.complete else call.wait_ns
+        request, now = held.request, self.now()
+        left = request.deadline_ns - ATTEMPT_MARGIN_NS - now if request.body.complete else request.timeout_ns
         return min(left, attempt.sent_ns + attempt.timeout_ns - now) if attempt.timeout_ns > 0 else left
 
     def write_timeout_s(self, held: Held, attempt: Attempt) -> float:
@@ -511,12 +521,12 @@
         The rules are judged at this instant and not at that of the decision: connections come up late, and
         by then a window may be over, a server may drain, the client may have left or its time have run out.
         """
-        call, now = held.call, self.now()
-        if not held.owed or (call.body.complete and now >= call.deadline_ns - ATTEMPT_MARGIN_NS):
+        request, now = held.request, self.now()
+        if not held.owed or (request.body.complete and now >= request.deadline_ns - ATTEMPT_MARGIN_NS):
             return 0.0
-        if call.body.spent:  # another attempt has taken it, and the module may not know
+        if request.body.spent:  # another attempt has taken it, and the module may not know
             return 0.0
-        if held.response_sink.gone(call):
+        if held.response_sink.gone(request):
             return 0.0
         try:
             end = self.balancer.write_by(now, held.id, attempt.number)
@@ -530,7 +540,7 @@
         """The last byte of an attempt whose body was still coming has been written: it begins now."""
         held.uploading = False
         attempt.sent_ns = self.now()
-        self.post(api.BodyUploaded(held.id, held.call.deadline_ns))
+        self.post(api.BodyUploaded(held.id, held.request.deadline_ns))
 
     def begin_answer(self, held: Held, attempt: Attempt, head: object, length: int | None) -> bool:
         """An answer begins to reach the client; from here on it has no deadline, only a pace."""
@@ -542,7 +552,7 @@
             held.timer.cancel()
         attempt.upstream_attempt.clear_timeout()
         attempt.answered_ns = self.now()
-        held.response_sink.begin(held.call, head, length, attempt.upstream_attempt.pause)
+        held.response_sink.begin(held.request, head, length, attempt.upstream_attempt.pause)
         took = attempt.answered_ns - attempt.sent_ns
         self.post(api.StreamStarted(held.id, attempt.number, attempt.server, took))
         return True
@@ -570,18 +580,21 @@
     def _end_answer(self, held: Held, whole: bool) -> None:
         self._settle(held)
         disposition = Disposition.SUCCEEDED if whole else Disposition.ABORTED
-        self.stats.ended(held.call.cls, disposition, held.frontend_binding.counts)
+        self.stats.ended(held.request.cls, disposition, held.frontend_binding.counts)
         if log.debugging:
             self._tell_verdict(
-                held.frontend_binding, held.call, disposition, Reason.ANSWERED if whole else Reason.TRUNCATED
+                held.frontend_binding,
+                held.request,
+                disposition,
+                Reason.ANSWERED if whole else Reason.TRUNCATED,
             )
-        held.response_sink.end(held.call, whole)
+        held.response_sink.end(held.request, whole)
 
     def _tell_attempt(self, held: Held, attempt: Attempt, status: Status) -> None:
         log.debug(
             "attempt",
             frontend=held.frontend_binding.label,
-            request=_shown(held.call),
+            request=_shown(held.request),
             attempt=attempt.number,
             server=attempt.server,
             status=status.name.lower(),
--- a/ochreflow/core/ports.py
+++ b/ochreflow/core/ports.py
@@ -47,38 +47,38 @@
 
 
 @dataclass(slots=True, eq=False)
-class Call:
-    """A request as its front read it. Each front's own kind of call adds what its carrier needs."""
+class IncomingRequest:
+    """A request as its frontend read it. each frontend's own class adds what its upstream transport needs."""
 
-    name: Hashable  # as the client named it; unique within the front while it is open
+    request_id: Hashable  # as the client named it; unique within the front while it is open
     cls: int
     tenant: int
     key: int
-    wait_ns: int  # how long its client waits, from its last byte
+    timeout_ns: int  # how long its client waits, from its last byte
     deadline_ns: int  # on the clock; while its body is coming, as if that were through
     cost_ns: int
     is_retry: bool
     is_write: bool
     body: Body
-    ticket: int = field(init=False, default=0)  # the engine's number for it; 0: not taken
+    pending_id: int = field(init=False, default=0)  # the engine's number for it; 0: not accepted
 
 
 class ResponseSink(Protocol):
     """Whoever is owed the answer to a request: a response, or a flowing answer from its begin to its end."""
 
-    def respond(self, call: Call, response: FinalResponse) -> None: ...
+    def respond(self, request: IncomingRequest, response: FinalResponse) -> None: ...
 
-    def begin(self, call: Call, head: object, length: int | None, pause: Pause) -> None:
+    def begin(self, request: IncomingRequest, head: object, length: int | None, pause: Pause) -> None:
         """A server's answer begins to flow. `length` in bytes; None where it is not known."""
         ...
 
-    def part(self, call: Call, data: bytes) -> None: ...
+    def part(self, request: IncomingRequest, data: bytes) -> None: ...
 
-    def gone(self, call: Call) -> bool:
+    def gone(self, request: IncomingRequest) -> bool:
         """Whether its client has left, as far as can be read at this instant. Such a client is let go."""
         ...
 
-    def end(self, call: Call, whole: bool) -> None:
+    def end(self, request: IncomingRequest, whole: bool) -> None:
         """The flowing answer has ended; one that is not whole must not look as if it were."""
         ...
 
@@ -146,7 +146,7 @@
     """Whatever carries attempts to servers in one protocol."""
 
     def start(
-        self, server: int, call: Call, timeout: float | None, observer: AttemptObserver
+        self, server: int, request: IncomingRequest, timeout: float | None, observer: AttemptObserver
     ) -> UpstreamAttempt:
         """Send an attempt; its server is told to answer within the observer's `remaining_time_ns`.
 
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -14,10 +14,10 @@
 
 from ..core.body import HOLD_MOST, Body
 from ..core.engine import SECOND, Engine, FrontendBinding
-from ..core.ports import Call, FinalResponse, Pause, Reason
+from ..core.ports import FinalResponse, IncomingRequest, Pause, Reason
 from ..core.stats import Disposition
 from .clients import Clients
-from .grammar import Grammar, HttpCall, RequestError
+from .grammar import Grammar, HttpRequest, RequestError
 from .progress import HangupWatch, StallTimer, peer_gone, unacknowledged, unread
 from .response import HOP_BY_HOP
 from .response import Response as Answer
@@ -149,9 +149,9 @@
         self.clients = shared.clients
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.waiting: deque[HttpCall | Ready | RequestError] = deque()
-        self.current: HttpCall | None = None
-        self.flowing: HttpCall | None = None  # taken up before its body had come
+        self.waiting: deque[HttpRequest | Ready | RequestError] = deque()
+        self.current: HttpRequest | None = None
+        self.flowing: HttpRequest | None = None  # taken up before its body had come
         self.passing: Passing | None = None
         self.ending = False  # closes when the message that is still coming is through
         self.pumping = False
@@ -313,8 +313,11 @@
             self.linger.cancel()
         self.engine.memory.release(self.held_size)
         self.held_size = 0
-        call, self.current = self.current, None
-        for body in (self.body, *(item.body for item in (call, *self.waiting) if isinstance(item, HttpCall))):
+        request, self.current = self.current, None
+        for body in (
+            self.body,
+            *(item.body for item in (request, *self.waiting) if isinstance(item, HttpRequest)),
+        ):
             if body is not None:
                 body.drop()
         self.waiting.clear()
@@ -325,8 +328,8 @@
         self.clients.remove(self)
         if self.transport is not None:
             self.shared.hangups.remove(self.transport)
-        if call is not None:
-            self.engine.left(call)
+        if request is not None:
+            self.engine.left(request)
         self.engine.lifecycle.client_left()
 
     def pause_writing(self) -> None:
@@ -418,12 +421,12 @@
             self._reject(400, "upgrades are not known here")
             return
         self.asked = True
-        call = self.flowing
-        if call is not None:
+        request = self.flowing
+        if request is not None:
             self.flowing = None
-            call.deadline_ns = self.engine.now() + call.wait_ns
+            request.deadline_ns = self.engine.now() + request.timeout_ns
             self.body.end()
-            self.engine.body_ended(call)
+            self.engine.body_ended(request)
         elif not self.skipping:
             self.body.end()
             self._take_up()
@@ -436,7 +439,7 @@
         """Queue the message that has come, or whose body is still coming."""
         assert self.body is not None
         keep_alive = self.parser.should_keep_alive()
-        item: HttpCall | Ready | RequestError
+        item: HttpRequest | Ready | RequestError
         if self.target == READY_TARGET:
             item = Ready(keep_alive)
         else:
@@ -458,7 +461,7 @@
                 problem.keep_alive = keep_alive
                 item = problem
         self.waiting.append(item)
-        if not isinstance(item, HttpCall):
+        if not isinstance(item, HttpRequest):
             self._release(self.message_size)
             self.skipping = True
             self.body.drop()
@@ -493,18 +496,18 @@
             return
         self.deaf = True
         self.begun = False
-        call, self.flowing = self.flowing, None
+        request, self.flowing = self.flowing, None
         if self.body is not None:
             self.body.drop()
-        if call is None and not self.skipping:
+        if request is None and not self.skipping:
             self._release(self.message_size)
             self.waiting.append(RequestError(code, text))
-        elif call is not None and call is self.current:
-            call.keep_alive = False
-            self.engine.body_broken(call, disposition(code), (code, f"{text}\n".encode()))
-        elif call is not None and call in self.waiting:
-            self._release(call.size)
-            self.waiting[self.waiting.index(call)] = RequestError(code, text, call.cls)
+        elif request is not None and request is self.current:
+            request.keep_alive = False
+            self.engine.body_broken(request, disposition(code), (code, f"{text}\n".encode()))
+        elif request is not None and request in self.waiting:
+            self._release(request.size)
+            self.waiting[self.waiting.index(request)] = RequestError(code, text, request.cls)
         elif self.current is None and not self.waiting:
             self._leave()  # it has had its answer
 
@@ -515,10 +518,10 @@
         self.pumping = True
         try:
             while self.waiting and self.current is None and not self.unread and not self.closed:
-                if isinstance(self.waiting[0], HttpCall) and self.close_if_gone():
+                if isinstance(self.waiting[0], HttpRequest) and self.close_if_gone():
                     break  # its end may lie behind what has just been read, or was not read at all
                 item = self.waiting.popleft()
-                if isinstance(item, HttpCall):
+                if isinstance(item, HttpRequest):
                     self.current = item
                     self.engine.take(self.shared.frontend_binding, self, item)
                 elif isinstance(item, Ready):
@@ -538,14 +541,14 @@
 
     # What the core owes: see `Owed`
 
-    def gone(self, call: Call) -> bool:
+    def gone(self, request: IncomingRequest) -> bool:
         """Whether its client has left: a request over HTTP/1.1 can't be cancelled but with its connection."""
-        return self.current is not call or self.close_if_gone()
+        return self.current is not request or self.close_if_gone()
 
-    def respond(self, call: Call, response: FinalResponse) -> None:
+    def respond(self, request: IncomingRequest, response: FinalResponse) -> None:
         """The final answer to the request that is being served."""
         current = self.current
-        if current is not call or current is None:
+        if current is not request or current is None:
             return
         self.current = None
         self._let_go(current)
@@ -554,10 +557,10 @@
         self._pump()
         self.clients.place(self)
 
-    def begin(self, call: Call, head: object, length: int | None, pause: Pause) -> None:
+    def begin(self, request: IncomingRequest, head: object, length: int | None, pause: Pause) -> None:
         """The final answer has begun to come, and goes on to the client from its first bytes."""
         current = self.current
-        if current is not call or current is None:
+        if current is not request or current is None:
             return
         assert isinstance(head, Answer)
         headers = _lines(head)
@@ -571,14 +574,14 @@
             headers += b"Content-Length: %d\r\n" % length
         self._write(_head(200, headers, keep_alive))
 
-    def part(self, call: Call, data: bytes) -> None:
-        if self.current is call and self.passing is not None:
+    def part(self, request: IncomingRequest, data: bytes) -> None:
+        if self.current is request and self.passing is not None:
             self._write(b"%x\r\n%s\r\n" % (len(data), data) if self.passing.chunked else data)
 
-    def end(self, call: Call, whole: bool) -> None:
+    def end(self, request: IncomingRequest, whole: bool) -> None:
         """The answer has ended; one that is not whole must not look as if it were."""
         current, passing = self.current, self.passing
-        if current is not call or current is None or passing is None:
+        if current is not request or current is None or passing is None:
             return
         self.current = self.passing = None
         self._let_go(current)
@@ -601,11 +604,11 @@
             # that has read nothing of an answer sends its request again.
             self._end_sending()
 
-    def _let_go(self, call: HttpCall) -> None:
+    def _let_go(self, request: HttpRequest) -> None:
         """Of what was held of a request; what still comes of it is read and thrown away."""
-        self._release(call.size)
-        call.body.drop()
-        if call is self.flowing:
+        self._release(request.size)
+        request.body.drop()
+        if request is self.flowing:
             self.flowing = None
             self.skipping = True
 
@@ -631,7 +634,7 @@
     def _drop_waiting(self) -> None:
         """Let go of the requests that are not taken up any more."""
         for item in self.waiting:
-            if isinstance(item, HttpCall):
+            if isinstance(item, HttpRequest):
                 item.body.drop()
         self.waiting.clear()
 
--- a/ochreflow/http/grammar.py
+++ b/ochreflow/http/grammar.py
@@ -9,7 +9,7 @@
 import httptools
 
 from ..core.body import Body
-from ..core.ports import Call
+from ..core.ports import IncomingRequest
 from ..errors import OchreflowError
 from ..policy.interface import Effect, Settings
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class HttpCall(Call):
+class HttpRequest(IncomingRequest):
     """A request as its client sent it."""
 
     method: bytes
@@ -64,7 +64,7 @@
         lines: list[bytes],
         body: Body,
         keep_alive: bool,
-    ) -> HttpCall:
+    ) -> HttpRequest:
         path = target
         if not path.startswith(b"/"):  # the absolute form, as to a proxy
             try:
@@ -101,7 +101,7 @@
         key = 0
         if value := headers.get(b"x-key"):
             key = int.from_bytes(blake2b(value, digest_size=8).digest(), "little")
-        return HttpCall(
+        return HttpRequest(
             ident,
             cls,
             tenant,
--- a/ochreflow/http/upstream_transport.py
+++ b/ochreflow/http/upstream_transport.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 
 from ..core.body import HOLD_MOST, Body
-from ..core.ports import Address, AttemptObserver, Call, UpstreamAttempt
+from ..core.ports import Address, AttemptObserver, IncomingRequest, UpstreamAttempt
 from ..policy.interface import State, Status
 from .exchange import Exchange
-from .grammar import HttpCall
+from .grammar import HttpRequest
 from .reports import Reports
 from .response import Response
 from .upstream import Upstreams
@@ -23,12 +23,12 @@
         self.probe_path = b"/-/load" if report_columns else b"/-/healthy"
 
     def start(
-        self, server: int, call: Call, timeout: float | None, watcher: AttemptObserver
+        self, server: int, request: IncomingRequest, timeout: float | None, watcher: AttemptObserver
     ) -> UpstreamAttempt:
-        assert isinstance(call, HttpCall)
-        payload = self._payload(call)
-        body: Body | None = call.body
-        if not call.is_write and call.body.complete and not call.body.size:
+        assert isinstance(request, HttpRequest)
+        payload = self._payload(request)
+        body: Body | None = request.body
+        if not request.is_write and request.body.complete and not request.body.size:
             body = None
 
         def head() -> bytes:
@@ -49,15 +49,15 @@
             body,
             watcher,
             watcher.write_timeout_s,
-            safe=not call.is_write,
+            safe=not request.is_write,
         )
         self.upstreams.start(server, exchange, timeout)
         return exchange
 
     @staticmethod
-    def _payload(call: HttpCall) -> bytes:
+    def _payload(request: HttpRequest) -> bytes:
         """The head, less what is known only as it is written: the time left, and the framing of the body."""
-        return b"%s %s HTTP/1.1\r\n%s" % (call.method, call.target, b"".join(call.headers))
+        return b"%s %s HTTP/1.1\r\n%s" % (request.method, request.target, b"".join(request.headers))
 
     def probe(self, server: int, timeout: float, done: Callable[[Status, tuple[float, ...]], None]) -> None:
         def ended(_: Exchange, status: Status, response: Response | None) -> None:
--- a/tests/duplicate_model.py
+++ b/tests/duplicate_model.py
@@ -14,7 +14,7 @@
 from ochreflow.core.endpoints import EndpointIds, EndpointRecord, EndpointUpdate
 from ochreflow.core.engine import Engine
 from ochreflow.core.limits import MB, Descriptors, Memory, Usage
-from ochreflow.core.ports import Call
+from ochreflow.core.ports import IncomingRequest
 from ochreflow.core.stats import Disposition
 from ochreflow.policy.interface import Effect, Endpoint, RequestClass, Scope, Settings, State, Status
 
@@ -107,7 +107,7 @@
 class Asked:
     """A request as the model sees it."""
 
-    call: Call
+    call: IncomingRequest
     spec: RequestClass
     copies: list = field(default_factory=list)
     verdicts: list = field(default_factory=list)
@@ -131,7 +131,7 @@
         self.findings = []  # each break; not raised, since the engine outlives exceptions of whom it calls
 
     def first_byte(self, now, call, server):
-        asked = self.asked[call.name]
+        asked = self.asked[call.request_id]
         copy = Copy(server, self.groups[server], now)
         for other in asked.copies:
             self._may_follow(now, asked, other, copy)
@@ -154,7 +154,7 @@
                 self.findings.append(f"after the window: {what}")
 
     def last_byte(self, now, call, copy):
-        asked = self.asked[call.name]
+        asked = self.asked[call.request_id]
         copy.whole = True
         if asked.declined and not asked.may_invite:
             self.findings.append(f"{call_name(asked)}: written after the client was invited to repeat")
@@ -163,7 +163,7 @@
                 self._may_follow(now, asked, other, copy)
 
     def respond(self, call, response):
-        asked = self.asked[call.name]
+        asked = self.asked[call.request_id]
         if asked.verdicts:
             self.findings.append(f"{call_name(asked)}: answered twice")
         asked.verdicts.append(response)
@@ -182,7 +182,7 @@
 
 
 def call_name(asked):
-    return f"request {asked.call.name} ({asked.spec.name})"
+    return f"request {asked.call.request_id} ({asked.spec.name})"
 
 
 class SimulatedCarriage:
@@ -376,16 +376,16 @@
         self.rule.respond(call, response)
 
     def gone(self, call):
-        return call.name in self.gone_calls
+        return call.request_id in self.gone_calls
 
     def begin(self, call, head, length, pause):
-        self.rule.asked[call.name].flows = True
+        self.rule.asked[call.request_id].flows = True
 
     def part(self, call, data):
         pass
 
     def end(self, call, whole):
-        self.rule.asked[call.name].verdicts.append(whole)
+        self.rule.asked[call.request_id].verdicts.append(whole)
 
     def stop_accepting(self):
         pass
@@ -462,19 +462,19 @@
         if complete:
             body.end()
         spec = self.settings.classes[cls]
-        call = Call(name, cls, 0, 0, DEADLINE, self.loop.now + DEADLINE, 0, False, True, body)
+        call = IncomingRequest(name, cls, 0, 0, DEADLINE, self.loop.now + DEADLINE, 0, False, True, body)
         self.rule.asked[name] = Asked(call, spec)
         self.engine.take(self.frontend_binding, self.clients, call)
         return call
 
     def end_body(self, call):
-        call.deadline_ns = self.loop.now + call.wait_ns
+        call.deadline_ns = self.loop.now + call.timeout_ns
         call.body.end()
         self.engine.body_ended(call)
 
     def leave(self, call):
-        self.rule.asked[call.name].left = True
-        self.clients.gone_calls.add(call.name)
+        self.rule.asked[call.request_id].left = True
+        self.clients.gone_calls.add(call.request_id)
         call.body.drop()
         self.engine.left(call)
 
--- a/tests/line_frontend.py
+++ b/tests/line_frontend.py
@@ -10,18 +10,18 @@
 from net_helpers import HOST, Fake, read_message, reply, reset
 
 from ochreflow.core.body import Body
-from ochreflow.core.ports import Call
+from ochreflow.core.ports import IncomingRequest
 from ochreflow.policy.interface import State, Status
 
 ENDS = {"ok": Status.OK, "full": Status.REJECTED, "error": Status.ERROR}
 
 
 class LineCarriage(asyncio.Protocol):
-    def __init__(self, upstream_transport, address, call, watcher):
-        self.upstream_transport, self.address, self.call, self.watcher = (
+    def __init__(self, upstream_transport, address, request, watcher):
+        self.upstream_transport, self.address, self.request, self.watcher = (
             upstream_transport,
             address,
-            call,
+            request,
             watcher,
         )
         self.begun = False
@@ -49,9 +49,9 @@
             return
         self.begun = True
         if self.upstream_transport.writes_in_part:
-            transport.write(self.call.name)
+            transport.write(self.request.request_id)
             return
-        transport.write(b"%s\n" % self.call.name)
+        transport.write(b"%s\n" % self.request.request_id)
         self.may_run = True
         self.watcher.written()
 
@@ -92,8 +92,8 @@
         self.gate = asyncio.Event()
         self.gate.set()
 
-    def start(self, server, call, timeout, watcher):
-        upstream_attempt = LineCarriage(self, self.addresses.get(server, (HOST, 1)), call, watcher)
+    def start(self, server, request, timeout, watcher):
+        upstream_attempt = LineCarriage(self, self.addresses.get(server, (HOST, 1)), request, watcher)
         self.waiting.setdefault(server, []).append(upstream_attempt)
         if timeout is not None:
             upstream_attempt.set_timeout(timeout)
@@ -140,25 +140,27 @@
             cls = [spec.name for spec in specs].index(name_of_class.decode())
             body = Body(engine.memory, 0)
             body.end()
-            wait_ns = int(wait) * 1_000_000
-            call = Call(name, cls, 0, 0, wait_ns, engine.now() + wait_ns, 0, False, cls > 0, body)
-            self.calls.add(call)
-            engine.take(self.frontend.frontend_binding, self, call)
-
-    def respond(self, call, response):
-        self.calls.discard(call)
+            timeout_ns = int(wait) * 1_000_000
+            request = IncomingRequest(
+                name, cls, 0, 0, timeout_ns, engine.now() + timeout_ns, 0, False, cls > 0, body
+            )
+            self.calls.add(request)
+            engine.take(self.frontend.frontend_binding, self, request)
+
+    def respond(self, request, response):
+        self.calls.discard(request)
         words = ["served", "refused", "failed"][response.disposition]
         self.transport.write(f"{words} {response.reason.value} {response.retry_after_ns}\n".encode())
         if self.frontend.closes_on_answer:
             self.transport.abort()
 
-    def gone(self, call):
-        return call not in self.calls or self.transport.is_closing()
+    def gone(self, request):
+        return request not in self.calls or self.transport.is_closing()
 
     def connection_lost(self, exc):
         self.frontend.clients.discard(self)
-        for call in self.calls:
-            self.frontend.engine.left(call)
+        for request in self.calls:
+            self.frontend.engine.left(request)
         self.frontend.engine.lifecycle.client_left()
 
 
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -29,11 +29,11 @@
 
 
 def dispositions(stage, call):
-    return [response.disposition for response in stage.rule.asked[call.name].verdicts]
+    return [response.disposition for response in stage.rule.asked[call.request_id].verdicts]
 
 
 def copies(stage, call):
-    return stage.rule.asked[call.name].copies
+    return stage.rule.asked[call.request_id].copies
 
 
 # Keyed classes: the group and the window of the first copy
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -25,7 +25,7 @@
 
 
 def verdicts(stage, call):
-    return stage.rule.asked[call.name].verdicts
+    return stage.rule.asked[call.request_id].verdicts
 
 
 def dispositions(stage, call):
@@ -33,7 +33,7 @@
 
 
 def copies(stage, call):
-    return stage.rule.asked[call.name].copies
+    return stage.rule.asked[call.request_id].copies
 
 
 # A fault in an action
@@ -201,7 +201,7 @@
     stage.engine.lifecycle.answered = True
     answers = []
     again = stage.ask(name="other")
-    again.name = call.name
+    again.request_id = call.request_id
     stage.clients.respond = lambda _, response: answers.append(response)
     stage.engine.take(stage.frontend_binding, stage.clients, again)
     assert [(one.disposition, one.reason) for one in answers] == [
--- a/tests/test_duplicate_faults.py
+++ b/tests/test_duplicate_faults.py
@@ -129,7 +129,7 @@
         made = {}
 
         def start(upstream_attempt):
-            name = upstream_attempt.call.name
+            name = upstream_attempt.call.request_id
             number = made[name] = made.get(name, -1) + 1
             scripted = SCRIPTS[name % len(SCRIPTS)]
             script(stage, upstream_attempt, scripted[min(number, len(scripted) - 1)])
--- a/tests/test_duplicate_machine.py
+++ b/tests/test_duplicate_machine.py
@@ -70,7 +70,7 @@
     @property
     def held(self):
         """Requests that are owed an answer."""
-        return [call for call in self.calls if call.ticket in self.stage.engine.held]
+        return [call for call in self.calls if call.pending_id in self.stage.engine.held]
 
     def unfinished(self):
         """Of these, the ones whose body is still coming."""
@@ -117,7 +117,7 @@
 
     def _change_list(self, what, which):
         """It concerns a server to which a copy of a request that is held has gone, if there is any."""
-        asked = [self.stage.rule.asked[call.name] for call in self.held]
+        asked = [self.stage.rule.asked[call.request_id] for call in self.held]
         tried = [copy.server for one in asked for copy in one.copies] or [1]
         known = self.stage.endpoints[tried[which % len(tried)]]
         if what == "a server moves":
