--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -41,9 +41,9 @@
 MS = 1_000_000
 SECOND = 1_000_000_000
 ATTEMPT_MARGIN_NS = 15 * MS  # before the client's deadline the last attempt is given up
-GUARD_MARGIN_NS = 8 * MS  # ... and a request that then still has no answer gets one
-PROBE_TIMEOUT = 0.4  # seconds
-SWEEP_EVERY = 0.1
+WATCHDOG_MARGIN_NS = 8 * MS  # ... and a request that then still has no answer gets one
+PROBE_TIMEOUT_S = 0.4
+SWEEP_INTERVAL_S = 0.1
 
 
 class Clock:
@@ -73,70 +73,70 @@
     """One attempt, from its start to its one end. Its carrier tells it what becomes of it."""
 
     __slots__ = (
-        "answered_ns",
         "engine",
-        "held",
-        "let_begin",
+        "first_byte_permitted",
+        "fully_written",
         "number",
+        "pending",
+        "response_started_ns",
         "sent_ns",
         "server",
         "timeout_ns",
         "upstream_attempt",
-        "whole",
     )
 
     def __init__(
-        self, engine: Engine, held: Held, number: int, server: int, sent_ns: int, timeout_ns: int
+        self, engine: Engine, pending: PendingRequest, number: int, server: int, sent_ns: int, timeout_ns: int
     ) -> None:
         self.engine = engine
-        self.held = held
+        self.pending = pending
         self.number = number
         self.server = server
         self.sent_ns = sent_ns  # when it began: for a body that was still coming, when that was through
         self.timeout_ns = timeout_ns  # from its start, as the module has it; 0: what its request has left
-        self.answered_ns = 0  # when its answer began to go on to the client
+        self.response_started_ns = 0  # when its answer began to go on to the client
         self.upstream_attempt: UpstreamAttempt | None = None  # None: it is being made, or failed meanwhile
-        self.let_begin = False  # its first byte may have gone out
-        self.whole = False  # its last byte has
+        self.first_byte_permitted = False  # its first byte may have gone out
+        self.fully_written = False  # its last byte has
 
     @property
-    def over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether its end has been told."""
-        return self.engine.attempts.get((self.held.id, self.number)) is not self
+        return self.engine.attempts.get((self.pending.id, self.number)) is not self
 
     @property
     def may_run(self) -> bool:
         """Whether its server may have all of it, as far as is known before its end."""
         if self.upstream_attempt is None:
-            return self.let_begin
-        return self.whole or self.upstream_attempt.may_run
+            return self.first_byte_permitted
+        return self.fully_written or self.upstream_attempt.may_run
 
     def write_timeout_s(self) -> float:
-        within = 0.0 if self.over else self.engine.write_timeout_s(self.held, self)
-        self.let_begin = self.let_begin or within > 0.0
-        return within
+        timeout_s = 0.0 if self.has_ended else self.engine.write_timeout_s(self.pending, self)
+        self.first_byte_permitted = self.first_byte_permitted or timeout_s > 0.0
+        return timeout_s
 
     def remaining_time_ns(self) -> int:
-        return self.engine.remaining_time_ns(self.held, self)
+        return self.engine.remaining_time_ns(self.pending, self)
 
     def written(self) -> None:
-        self.whole = True
+        self.fully_written = True
         self.engine.stats.forwarded()
-        if self.held.uploading:
-            self.engine.uploaded(self.held, self)
+        if self.pending.uploading:
+            self.engine.body_uploaded(self.pending, self)
 
     def begin(self, head: object, length: int | None) -> bool:
-        return self.engine.begin_answer(self.held, self, head, length)
+        return self.engine.begin_response(self.pending, self, head, length)
 
     def part(self, data: bytes) -> None:
-        self.held.response_sink.part(self.held.request, data)
+        self.pending.response_sink.part(self.pending.request, data)
 
     def ended(self, status: Status, answer: object, report: tuple[float, ...]) -> None:
-        self.engine.end_attempt(self.held, self, status, answer, report)
+        self.engine.end_attempt(self.pending, self, status, answer, report)
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class PendingRequest:
     """A request that has been taken."""
 
     id: int
@@ -146,12 +146,12 @@
     timer: asyncio.TimerHandle | None = None
     attempts: int = 0
     may_have_run: bool = False  # some attempt has ended without a proof that it did not
-    owed: bool = True  # its final answer
+    unanswered: bool = True  # its final answer
     uploading: bool = False  # the module was told that its body is still coming
-    relaying: Attempt | None = None  # whose answer is on its way to the client already
+    streaming: Attempt | None = None  # whose answer is on its way to the client already
 
 
-def _shown(request: IncomingRequest) -> str:
+def _format_request_id(request: IncomingRequest) -> str:
     """A request's name, for the log."""
     return (
         request.request_id.decode("latin-1")
@@ -182,16 +182,16 @@
         self.endpoints = EndpointTable(names, self.transports)
         self.source: EndpointSource | None = None
         self.gossip: GossipSender | None = None
-        self.held: dict[int, Held] = {}
+        self.pending_requests: dict[int, PendingRequest] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}  # those out, also of requests that are over
         self.next_id = 1
         self.events: deque[api.Event] = deque()
         self.handling = False
-        self.doing = self._actions()
+        self.action_handlers = self._actions()
         self.stats = Stats([spec.name for spec in settings.classes])
         longest = max(spec.deadline_ns for spec in settings.classes) / SECOND
-        self.lifecycle = Lifecycle(loop, self.descriptors, longest, self._answer_all)
-        self.reported_at = -math.inf  # when an exception of the module was last logged
+        self.lifecycle = Lifecycle(loop, self.descriptors, longest, self._answer_pending)
+        self.fault_logged_at = -math.inf  # when an exception of the module was last logged
 
     # How it is put together
 
@@ -219,7 +219,7 @@
 
     # Events to the module, its actions
 
-    def post(self, event: api.Event) -> None:
+    def dispatch(self, event: api.Event) -> None:
         """Hand the module an event after those that came before it; then do what it says."""
         self.events.append(event)
         if self.handling:
@@ -233,46 +233,46 @@
                     actions = self.balancer.handle(self.now(), event)
                 except Exception:
                     # Guards all other requests against a fault in one; the last guard answers that one.
-                    self.fault("the module failed on an event")
+                    self.log_fault("the module failed on an event")
                     actions = self.balancer.ctx.actions
                 for action in actions:
                     try:
                         self._act(action)
                     except Exception:
-                        self.fault("an action failed")
+                        self.log_fault("an action failed")
         finally:
             self.handling = False
 
-    def fault(self, reason: str) -> None:
-        if monotonic() - self.reported_at >= 1.0:
-            self.reported_at = monotonic()
+    def log_fault(self, reason: str) -> None:
+        if monotonic() - self.fault_logged_at >= 1.0:
+            self.fault_logged_at = monotonic()
             log.exception("fault", reason=reason)
 
     def _actions(self) -> dict[type, Callable[[Any], None]]:
         """What is done for each kind of action."""
         return {
             api.Send: self._send,
-            api.Reject: self._refuse,
+            api.Reject: self._reject_pending,
             api.Fail: self._fail,
             api.Cancel: self._cancel,
             api.SetTimer: self._set_timer,
             api.Probe: self._probe,
             api.CloseIdle: self._close_idle,
-            api.PublishGossip: self._tell,
+            api.PublishGossip: self._publish_gossip,
             api.Watch: self._watch,
             api.Fetch: self._fetch,
             api.Log: self._log,
         }
 
     def _act(self, action: api.Action) -> None:
-        self.doing[type(action)](action)
+        self.action_handlers[type(action)](action)
 
     def _set_timer(self, action: api.SetTimer) -> None:
         # Whole milliseconds, upwards: the loop counts in these, and an early bell rings for nothing.
-        self.loop.call_later(-(-action.after_ns // MS) / 1000, self.post, api.Timer(action.token))
+        self.loop.call_later(-(-action.after_ns // MS) / 1000, self.dispatch, api.Timer(action.token))
 
-    def _refuse(self, action: api.Reject) -> None:
-        self._decided(
+    def _reject_pending(self, action: api.Reject) -> None:
+        self._finish_by_id(
             action.id,
             FinalResponse(
                 Disposition.DECLINED, Reason.BALANCER_DECISION, retry_after_ns=action.retry_after_ns
@@ -280,13 +280,13 @@
         )
 
     def _fail(self, action: api.Fail) -> None:
-        self._decided(action.id, FinalResponse(Disposition.ABORTED, Reason.BALANCER_DECISION))
+        self._finish_by_id(action.id, FinalResponse(Disposition.ABORTED, Reason.BALANCER_DECISION))
 
     def _close_idle(self, action: api.CloseIdle) -> None:
         for upstream_transport in self.transports:
             upstream_transport.close_idle(action.server)
 
-    def _tell(self, action: api.PublishGossip) -> None:
+    def _publish_gossip(self, action: api.PublishGossip) -> None:
         if self.gossip is not None:
             self.gossip.send(action.data, action.peer)
 
@@ -303,34 +303,34 @@
 
     # Requests
 
-    def take(
+    def accept(
         self, frontend_binding: FrontendBinding, response_sink: ResponseSink, request: IncomingRequest
     ) -> None:
         """Take a request: from here on it is owed one final answer, which may come within this call."""
-        if self.lifecycle.turns_away and request.request_id not in frontend_binding.names.used:
-            self._turn_away(frontend_binding, response_sink, request, Disposition.DECLINED, Reason.DRAINING)
+        if self.lifecycle.rejects_new_requests and request.request_id not in frontend_binding.names.used:
+            self._reject(frontend_binding, response_sink, request, Disposition.DECLINED, Reason.DRAINING)
             return
         # Guards servers against a second copy, here or elsewhere: a request of this name may still run.
         if not frontend_binding.names.claim(request.request_id):
-            self._turn_away(
+            self._reject(
                 frontend_binding, response_sink, request, Disposition.ABORTED, Reason.DUPLICATE_REQUEST_ID
             )
             return
-        held = Held(self.next_id, request, response_sink, frontend_binding)
+        pending = PendingRequest(self.next_id, request, response_sink, frontend_binding)
         self.next_id += 1
-        self.held[held.id] = held
-        request.pending_id = held.id
-        if len(self.held) > self.max_open:
-            self._finish(held, FinalResponse(Disposition.DECLINED, Reason.OVERLOADED))
+        self.pending_requests[pending.id] = pending
+        request.pending_id = pending.id
+        if len(self.pending_requests) > self.max_open:
+            self._finish(pending, FinalResponse(Disposition.DECLINED, Reason.OVERLOADED))
             return
-        held.uploading = not request.body.complete
-        if held.uploading:
-            request.body.on_spent = partial(self.post, api.BodyDiscarded(held.id))
+        pending.uploading = not request.body.complete
+        if pending.uploading:
+            request.body.on_spent = partial(self.dispatch, api.BodyDiscarded(pending.id))
         else:
-            self._set_guard(held)
-        self.post(
+            self._start_watchdog(pending)
+        self.dispatch(
             api.Request(
-                held.id,
+                pending.id,
                 request.cls,
                 request.tenant,
                 request.deadline_ns,
@@ -338,52 +338,52 @@
                 request.cost_ns,
                 request.is_retry,
                 request.is_write,
-                held.uploading,
+                pending.uploading,
                 max(self.now() - (request.deadline_ns - request.timeout_ns), 0),
             )
         )
 
     def body_ended(self, request: IncomingRequest) -> None:
         """The last byte of a request that was taken before has come: its time runs from now."""
-        held = self.held.get(request.pending_id)
-        if held is None:
+        pending = self.pending_requests.get(request.pending_id)
+        if pending is None:
             return
-        self._set_guard(held)
-        left = request.deadline_ns - ATTEMPT_MARGIN_NS - self.now()
-        for attempt in self._out(held):
-            if attempt.upstream_attempt is not None and held.relaying is not attempt:
-                attempt.upstream_attempt.set_timeout(left / SECOND)
+        self._start_watchdog(pending)
+        remaining_ns = request.deadline_ns - ATTEMPT_MARGIN_NS - self.now()
+        for attempt in self._attempts_in_flight(pending):
+            if attempt.upstream_attempt is not None and pending.streaming is not attempt:
+                attempt.upstream_attempt.set_timeout(remaining_ns / SECOND)
 
-    def body_broken(self, request: IncomingRequest, disposition: Disposition, detail: object = None) -> None:
+    def body_failed(self, request: IncomingRequest, disposition: Disposition, detail: object = None) -> None:
         """The body of a request that was taken before can't be read to its end."""
-        held = self.held.get(request.pending_id)
-        if held is None:
+        pending = self.pending_requests.get(request.pending_id)
+        if pending is None:
             return
-        if held.relaying is None:
+        if pending.streaming is None:
             response = FinalResponse(disposition, Reason.INVALID_BODY, detail=detail)
-            if disposition is Disposition.DECLINED and self._may_have_run(held):
+            if disposition is Disposition.DECLINED and self._may_have_run(pending):
                 response = FinalResponse(Disposition.ABORTED, Reason.BALANCER_DECISION)
-            self._finish(held, response)
-        self._abandon(held)
-        self.post(api.RequestCancelled(held.id))
+            self._finish(pending, response)
+        self._abandon(pending)
+        self.dispatch(api.RequestCancelled(pending.id))
 
-    def left(self, request: IncomingRequest) -> None:
+    def client_disconnected(self, request: IncomingRequest) -> None:
         """The client of a request has gone: it is over, and what is out for it the module may cancel."""
-        held = self.held.get(request.pending_id)
-        if held is not None:
-            self._settle(held)
+        pending = self.pending_requests.get(request.pending_id)
+        if pending is not None:
+            self._mark_answered(pending)
             if log.debugging:
-                self._tell_verdict(
-                    held.frontend_binding, request, Disposition.ABORTED, Reason.CLIENT_DISCONNECTED
+                self._log_final_response(
+                    pending.frontend_binding, request, Disposition.ABORTED, Reason.CLIENT_DISCONNECTED
                 )
-            self._abandon(held)
-            self.post(api.RequestCancelled(held.id))
+            self._abandon(pending)
+            self.dispatch(api.RequestCancelled(pending.id))
 
-    def turned_away(self, frontend_binding: FrontendBinding, cls: int, disposition: Disposition) -> None:
+    def record_rejection(self, frontend_binding: FrontendBinding, cls: int, disposition: Disposition) -> None:
         """A front answered by itself what never became a request: it is counted all the same."""
         self.stats.ended(cls, disposition, frontend_binding.counts)
 
-    def _turn_away(
+    def _reject(
         self,
         frontend_binding: FrontendBinding,
         response_sink: ResponseSink,
@@ -393,10 +393,10 @@
     ) -> None:
         self.stats.ended(request.cls, disposition, frontend_binding.counts)
         if log.debugging:
-            self._tell_verdict(frontend_binding, request, disposition, reason)
+            self._log_final_response(frontend_binding, request, disposition, reason)
         response_sink.respond(request, FinalResponse(disposition, reason))
 
-    def _tell_verdict(
+    def _log_final_response(
         self,
         frontend_binding: FrontendBinding,
         request: IncomingRequest,
@@ -406,195 +406,224 @@
         log.debug(
             "final_response",
             frontend=frontend_binding.label,
-            request=_shown(request),
+            request=_format_request_id(request),
             outcome=disposition.name.lower(),
             reason=reason.value,
         )
 
-    def _set_guard(self, held: Held) -> None:
-        left = max(held.request.deadline_ns - GUARD_MARGIN_NS - self.now(), 0)
-        held.timer = self.loop.call_later(left / SECOND, self._guard, held)
+    def _start_watchdog(self, pending: PendingRequest) -> None:
+        remaining_ns = max(pending.request.deadline_ns - WATCHDOG_MARGIN_NS - self.now(), 0)
+        pending.timer = self.loop.call_later(remaining_ns / SECOND, self._on_watchdog, pending)
 
-    def _out(self, held: Held) -> list[Attempt]:
+    def _attempts_in_flight(self, pending: PendingRequest) -> list[Attempt]:
         """Its attempts that have no end yet."""
-        numbers = range(held.attempts)
-        return [self.attempts[held.id, n] for n in numbers if (held.id, n) in self.attempts]
+        numbers = range(pending.attempts)
+        return [self.attempts[pending.id, n] for n in numbers if (pending.id, n) in self.attempts]
 
-    def _may_have_run(self, held: Held) -> bool:
+    def _may_have_run(self, pending: PendingRequest) -> bool:
         """Whether any server may have run it, by ends and by what is still out."""
-        return held.may_have_run or any(attempt.may_run for attempt in self._out(held))
+        return pending.may_have_run or any(attempt.may_run for attempt in self._attempts_in_flight(pending))
 
-    def _give_up(self, attempt: Attempt, status: Status) -> None:
+    def _give_up_attempt(self, attempt: Attempt, status: Status) -> None:
         """End an attempt within this call, whatever becomes of its carrier."""
         if attempt.upstream_attempt is not None:
             try:
                 attempt.upstream_attempt.give_up(status)
             except Exception:
-                self.fault("an attempt could not be given up")
-        if not attempt.over:  # its carrier failed: whatever may have begun may have run
-            end = status if attempt.let_begin else Status.NOT_SENT
-            self.end_attempt(attempt.held, attempt, end, None, ())
+                self.log_fault("an attempt could not be given up")
+        if not attempt.has_ended:  # its carrier failed: whatever may have begun may have run
+            end = status if attempt.first_byte_permitted else Status.NOT_SENT
+            self.end_attempt(attempt.pending, attempt, end, None, ())
 
-    def _abandon(self, held: Held) -> None:
+    def _abandon(self, pending: PendingRequest) -> None:
         """Give up what is out for a request whose client or body is gone."""
-        for attempt in self._out(held):
+        for attempt in self._attempts_in_flight(pending):
             upstream_attempt = attempt.upstream_attempt
             # What is written in part is cut, so that it can't run any more.
-            if upstream_attempt is not None and (not upstream_attempt.may_run or held.relaying is attempt):
-                self._give_up(attempt, Status.CANCELLED)
+            if upstream_attempt is not None and (
+                not upstream_attempt.may_run or pending.streaming is attempt
+            ):
+                self._give_up_attempt(attempt, Status.CANCELLED)
 
-    def _guard(self, held: Held) -> None:
+    def _on_watchdog(self, pending: PendingRequest) -> None:
         """Time is up: whatever the module still plans, the client gets its answer now."""
-        if not held.owed or held.relaying is not None:
+        if not pending.unanswered or pending.streaming is not None:
             return
-        for attempt in self._out(held):
-            self._give_up(attempt, Status.TIMEOUT)
-        if held.owed:
-            disposition = Disposition.ABORTED if held.may_have_run else Disposition.DECLINED
-            self._finish(held, FinalResponse(disposition, Reason.DEADLINE_EXCEEDED))
-            self.post(api.RequestCancelled(held.id))
-
-    def _finish(self, held: Held, response: FinalResponse) -> None:
+        for attempt in self._attempts_in_flight(pending):
+            self._give_up_attempt(attempt, Status.TIMEOUT)
+        if pending.unanswered:
+            disposition = Disposition.ABORTED if pending.may_have_run else Disposition.DECLINED
+            self._finish(pending, FinalResponse(disposition, Reason.DEADLINE_EXCEEDED))
+            self.dispatch(api.RequestCancelled(pending.id))
+
+    def _finish(self, pending: PendingRequest, response: FinalResponse) -> None:
         """Give the one final answer."""
-        self._settle(held)
-        self.stats.ended(held.request.cls, response.disposition, held.frontend_binding.counts)
+        self._mark_answered(pending)
+        self.stats.ended(pending.request.cls, response.disposition, pending.frontend_binding.counts)
         if log.debugging:
-            self._tell_verdict(held.frontend_binding, held.request, response.disposition, response.reason)
-        held.response_sink.respond(held.request, response)
-
-    def _settle(self, held: Held) -> None:
-        held.owed = False
-        held.frontend_binding.names.ended(held.request.request_id)
-        self.held.pop(held.id, None)
-        if held.timer is not None:
-            held.timer.cancel()
+            self._log_final_response(
+                pending.frontend_binding, pending.request, response.disposition, response.reason
+            )
+        pending.response_sink.respond(pending.request, response)
+
+    def _mark_answered(self, pending: PendingRequest) -> None:
+        pending.unanswered = False
+        pending.frontend_binding.names.ended(pending.request.request_id)
+        self.pending_requests.pop(pending.id, None)
+        if pending.timer is not None:
+            pending.timer.cancel()
         # Guards servers against a request without its body, which goes with the answer: what still waits
         # for a connection is not sent any more.
-        for attempt in self._out(held):
+        for attempt in self._attempts_in_flight(pending):
             if attempt.upstream_attempt is not None and not attempt.upstream_attempt.begun:
-                self._give_up(attempt, Status.CANCELLED)
+                self._give_up_attempt(attempt, Status.CANCELLED)
 
-    def _decided(self, ident: int, response: FinalResponse) -> None:
-        held = self.held.get(ident)
-        if held is not None:
-            self._finish(held, response)
+    def _finish_by_id(self, ident: int, response: FinalResponse) -> None:
+        pending = self.pending_requests.get(ident)
+        if pending is not None:
+            self._finish(pending, response)
 
     # Attempts
 
     def _send(self, action: api.Send) -> None:
-        held = self.held.get(action.id)
-        if held is None:
+        pending = self.pending_requests.get(action.id)
+        if pending is None:
             return  # over already: the module was told, or will be by an event in the queue
         now = self.now()
-        attempt = Attempt(self, held, held.attempts, action.server, now, action.timeout_ns)
-        held.attempts += 1
-        self.attempts[held.id, attempt.number] = attempt
-        request = held.request
-        wait = self.remaining_time_ns(held, attempt)
-        if held.attempts > self.settings.max_attempts or wait <= 0 or request.body.spent:
-            self.end_attempt(held, attempt, Status.NOT_SENT, None, ())
+        attempt = Attempt(self, pending, pending.attempts, action.server, now, action.timeout_ns)
+        pending.attempts += 1
+        self.attempts[pending.id, attempt.number] = attempt
+        request = pending.request
+        wait = self.remaining_time_ns(pending, attempt)
+        if pending.attempts > self.settings.max_attempts or wait <= 0 or request.body.spent:
+            self.end_attempt(pending, attempt, Status.NOT_SENT, None, ())
             return
         timeout = wait / SECOND if request.body.complete else None
         try:
-            attempt.upstream_attempt = held.frontend_binding.upstream_transport.start(
+            attempt.upstream_attempt = pending.frontend_binding.upstream_transport.start(
                 action.server, request, timeout, attempt
             )
         except Exception:
-            self.fault("an attempt could not be started")
-            if not attempt.let_begin:
-                self.end_attempt(held, attempt, Status.NOT_SENT, None, ())
+            self.log_fault("an attempt could not be started")
+            if not attempt.first_byte_permitted:
+                self.end_attempt(pending, attempt, Status.NOT_SENT, None, ())
             # Else it may run: its end is still told by its carrier, or by the last guard.
 
-    def remaining_time_ns(self, held: Held, attempt: Attempt) -> int:
+    def remaining_time_ns(self, pending: PendingRequest, attempt: Attempt) -> int:
         """What is left to an attempt at this instant: see `AttemptObserver.remaining_time_ns`.
 
         Guards a server against work for nobody: told at the decision, a connection that came up late made it
         more than the client still waited. The client's time runs from the last byte of its body.
         """
-        request, now = held.request, self.now()
-        left = request.deadline_ns - ATTEMPT_MARGIN_NS - now if request.body.complete else request.timeout_ns
-        return min(left, attempt.sent_ns + attempt.timeout_ns - now) if attempt.timeout_ns > 0 else left
+        request, now = pending.request, self.now()
+        remaining_ns = (
+            request.deadline_ns - ATTEMPT_MARGIN_NS - now if request.body.complete else request.timeout_ns
+        )
+        return (
+            min(remaining_ns, attempt.sent_ns + attempt.timeout_ns - now)
+            if attempt.timeout_ns > 0
+            else remaining_ns
+        )
 
-    def write_timeout_s(self, held: Held, attempt: Attempt) -> float:
+    def write_timeout_s(self, pending: PendingRequest, attempt: Attempt) -> float:
         """The one guard of an attempt's first byte: see `AttemptObserver.write_timeout_s`.
 
         The rules are judged at this instant and not at that of the decision: connections come up late, and
         by then a window may be over, a server may drain, the client may have left or its time have run out.
         """
-        request, now = held.request, self.now()
-        if not held.owed or (request.body.complete and now >= request.deadline_ns - ATTEMPT_MARGIN_NS):
+        request, now = pending.request, self.now()
+        if not pending.unanswered or (
+            request.body.complete and now >= request.deadline_ns - ATTEMPT_MARGIN_NS
+        ):
             return 0.0
         if request.body.spent:  # another attempt has taken it, and the module may not know
             return 0.0
-        if held.response_sink.gone(request):
+        if pending.response_sink.gone(request):
             return 0.0
         try:
-            end = self.balancer.write_by(now, held.id, attempt.number)
+            end = self.balancer.write_by(now, pending.id, attempt.number)
         except Exception:
             # Guards the answer and the connection of whoever is being served in this turn.
-            self.fault("the module failed on a first byte")
+            self.log_fault("the module failed on a first byte")
             return 0.0
         return math.inf if end >= NO_END else max(end - now, 0) / SECOND
 
-    def uploaded(self, held: Held, attempt: Attempt) -> None:
+    def body_uploaded(self, pending: PendingRequest, attempt: Attempt) -> None:
         """The last byte of an attempt whose body was still coming has been written: it begins now."""
-        held.uploading = False
+        pending.uploading = False
         attempt.sent_ns = self.now()
-        self.post(api.BodyUploaded(held.id, held.request.deadline_ns))
+        self.dispatch(api.BodyUploaded(pending.id, pending.request.deadline_ns))
 
-    def begin_answer(self, held: Held, attempt: Attempt, head: object, length: int | None) -> bool:
+    def begin_response(
+        self, pending: PendingRequest, attempt: Attempt, head: object, length: int | None
+    ) -> bool:
         """An answer begins to reach the client; from here on it has no deadline, only a pace."""
-        if not held.owed or held.relaying is not None or attempt.upstream_attempt is None:
+        if not pending.unanswered or pending.streaming is not None or attempt.upstream_attempt is None:
             return False
-        held.relaying = attempt
-        held.may_have_run = True
-        if held.timer is not None:
-            held.timer.cancel()
+        pending.streaming = attempt
+        pending.may_have_run = True
+        if pending.timer is not None:
+            pending.timer.cancel()
         attempt.upstream_attempt.clear_timeout()
-        attempt.answered_ns = self.now()
-        held.response_sink.begin(held.request, head, length, attempt.upstream_attempt.pause)
-        took = attempt.answered_ns - attempt.sent_ns
-        self.post(api.StreamStarted(held.id, attempt.number, attempt.server, took))
+        attempt.response_started_ns = self.now()
+        pending.response_sink.begin(pending.request, head, length, attempt.upstream_attempt.pause)
+        duration_ns = attempt.response_started_ns - attempt.sent_ns
+        self.dispatch(api.StreamStarted(pending.id, attempt.number, attempt.server, duration_ns))
         return True
 
     def end_attempt(
-        self, held: Held, attempt: Attempt, status: Status, answer: object, report: tuple[float, ...]
+        self,
+        pending: PendingRequest,
+        attempt: Attempt,
+        status: Status,
+        answer: object,
+        report: tuple[float, ...],
     ) -> None:
         """An attempt has ended: a served answer reaches the client, the module hears of all."""
-        if attempt.over:
+        if attempt.has_ended:
             return  # only the first end counts, whatever a carrier that failed tells
-        del self.attempts[held.id, attempt.number]
-        if attempt.whole and status in UNWRITTEN:
+        del self.attempts[pending.id, attempt.number]
+        if attempt.fully_written and status in UNWRITTEN:
             status = Status.RESET  # what was told before is the truth: it may have run
         if status not in PROVES_NOT_RUN:
-            held.may_have_run = True
+            pending.may_have_run = True
         if log.debugging:
-            self._tell_attempt(held, attempt, status)
-        if status is Status.OK and held.owed and held.relaying is None:
-            self._finish(held, FinalResponse(Disposition.SUCCEEDED, Reason.ANSWERED, answer))
-        if held.relaying is attempt and held.owed:
-            self._end_answer(held, whole=status is Status.OK)
-        took = (attempt.answered_ns or self.now()) - attempt.sent_ns
-        self.post(api.Outcome(held.id, attempt.number, attempt.server, status, took, not held.owed, report))
-
-    def _end_answer(self, held: Held, whole: bool) -> None:
-        self._settle(held)
-        disposition = Disposition.SUCCEEDED if whole else Disposition.ABORTED
-        self.stats.ended(held.request.cls, disposition, held.frontend_binding.counts)
+            self._log_attempt(pending, attempt, status)
+        if status is Status.OK and pending.unanswered and pending.streaming is None:
+            self._finish(pending, FinalResponse(Disposition.SUCCEEDED, Reason.ANSWERED, answer))
+        if pending.streaming is attempt and pending.unanswered:
+            self._end_response(pending, complete=status is Status.OK)
+        duration_ns = (attempt.response_started_ns or self.now()) - attempt.sent_ns
+        self.dispatch(
+            api.Outcome(
+                pending.id,
+                attempt.number,
+                attempt.server,
+                status,
+                duration_ns,
+                not pending.unanswered,
+                report,
+            )
+        )
+
+    def _end_response(self, pending: PendingRequest, *, complete: bool) -> None:
+        self._mark_answered(pending)
+        disposition = Disposition.SUCCEEDED if complete else Disposition.ABORTED
+        self.stats.ended(pending.request.cls, disposition, pending.frontend_binding.counts)
         if log.debugging:
-            self._tell_verdict(
-                held.frontend_binding,
-                held.request,
+            self._log_final_response(
+                pending.frontend_binding,
+                pending.request,
                 disposition,
-                Reason.ANSWERED if whole else Reason.TRUNCATED,
+                Reason.ANSWERED if complete else Reason.TRUNCATED,
             )
-        held.response_sink.end(held.request, whole)
+        pending.response_sink.end(pending.request, complete)
 
-    def _tell_attempt(self, held: Held, attempt: Attempt, status: Status) -> None:
+    def _log_attempt(self, pending: PendingRequest, attempt: Attempt, status: Status) -> None:
         log.debug(
             "attempt",
-            frontend=held.frontend_binding.label,
-            request=_shown(held.request),
+            frontend=pending.frontend_binding.label,
+            request=_format_request_id(pending.request),
             attempt=attempt.number,
             server=attempt.server,
             status=status.name.lower(),
@@ -603,33 +632,33 @@
     def _cancel(self, action: api.Cancel) -> None:
         attempt = self.attempts.get((action.id, action.attempt))
         if attempt is not None and attempt.upstream_attempt is not None:
-            self._give_up(attempt, Status.CANCELLED)
+            self._give_up_attempt(attempt, Status.CANCELLED)
 
     def _probe(self, action: api.Probe) -> None:
         server, started = action.server, self.now()
 
         def done(status: Status, report: tuple[float, ...]) -> None:
-            self.post(api.ProbeResult(server, status, self.now() - started, report))
+            self.dispatch(api.ProbeResult(server, status, self.now() - started, report))
 
-        self.transports[0].probe(server, PROBE_TIMEOUT, done)
+        self.transports[0].probe(server, PROBE_TIMEOUT_S, done)
 
     # The list of servers
 
     def on_endpoint_update(self, news: EndpointUpdate | None) -> None:
         """A source has news; None: it has failed."""
         if news is None:
-            self.post(api.Membership(api.ListKind.FAILED, 0, []))
+            self.dispatch(api.Membership(api.ListKind.FAILED, 0, []))
         else:
             self._apply(news)
 
     def _apply(self, news: EndpointUpdate, kind: api.ListKind | None = None) -> None:
-        self.post(news.membership(kind))
+        self.dispatch(news.membership(kind))
         self.endpoints.apply(news)
         # After changes too: on a day of replacements no whole list may ever come.
         self.endpoints.names.keep(set(self.balancer.endpoints.servers) | set(self.endpoints.listed))
 
     def on_gossip(self, sender: int, data: bytes) -> None:
-        self.post(api.GossipReceived(sender, data))
+        self.dispatch(api.GossipReceived(sender, data))
 
     # Housekeeping and the end
 
@@ -638,15 +667,15 @@
             upstream_transport.sweep()
         for frontend_binding in self.frontend_bindings:
             frontend_binding.frontend.sweep()
-        self.loop.call_later(SWEEP_EVERY, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def _answer_all(self) -> None:
-        for held in list(self.held.values()):
+    def _answer_pending(self) -> None:
+        for pending in list(self.pending_requests.values()):
             try:
-                self._guard(held)
+                self._on_watchdog(pending)
             except Exception:
                 # Guards the answers to all others: they would end with the process, without a word.
-                self.fault("a request could not be answered")
+                self.log_fault("a request could not be answered")
 
     # What operators ask and order
 
@@ -655,17 +684,17 @@
 
     def report(self) -> str:
         gauges = Gauges(
-            outstanding=len(self.held),
+            outstanding=len(self.pending_requests),
             discovered=len(self.endpoints.listed),
             ejected=len(self.balancer.endpoints.ejected),
         )
         return render(self.stats, gauges)
 
-    def fail(self) -> bool:
-        return self.lifecycle.fail()
+    def drain(self) -> bool:
+        return self.lifecycle.drain()
 
-    def ok(self) -> bool:
-        return self.lifecycle.ok()
+    def undrain(self) -> bool:
+        return self.lifecycle.undrain()
 
     def close(self) -> None:
         """Let go of all sockets."""
--- a/ochreflow/core/lifecycle.py
+++ b/ochreflow/core/lifecycle.py
@@ -10,14 +10,16 @@
 from .log import log
 from .ports import Frontend
 
-ACCEPT_AFTER_TERM = 0.5  # seconds for which new connections still come after SIGTERM
-EMPTY_AFTER = 1.0  # seconds of a drain in which clients' next answers tell them to leave by themselves
-EMPTY_EVERY = 0.1  # seconds between looks for connections that have become idle since
-KILL_AFTER_DEADLINE = 0.7  # seconds after the longest deadline at which the platform kills at the soonest
-DEADLINE_MOST = 3.0  # seconds that the platform counts a longer deadline as
-LEAVE_BEFORE_KILL = 1.6  # seconds before that at which clients are told to leave, where nobody takes over
-ANSWER_BEFORE_KILL = 0.4  # seconds before that at which nothing held goes unanswered any more ...
-STOP_BEFORE_KILL = 0.1  # ... and at which clients have had time to read their answers
+ACCEPT_AFTER_SIGTERM_S = 0.5  # seconds for which new connections still come after SIGTERM
+IDLE_CLOSE_DELAY_S = 1.0  # seconds of a drain in which clients' next answers tell them to leave by themselves
+IDLE_CLOSE_INTERVAL_S = 0.1  # seconds between looks for connections that have become idle since
+KILL_AFTER_DEADLINE_S = 0.7  # seconds after the longest deadline at which the platform kills at the soonest
+MAX_DEADLINE_S = 3.0  # seconds that the platform counts a longer deadline as
+ANNOUNCE_CLOSE_BEFORE_KILL_S = (
+    1.6  # seconds before that at which clients are told to leave, where nobody takes over
+)
+ANSWER_BEFORE_KILL_S = 0.4  # seconds before that at which nothing held goes unanswered any more ...
+STOP_BEFORE_KILL_S = 0.1  # ... and at which clients have had time to read their answers
 
 
 class Phase(Enum):
@@ -32,21 +34,25 @@
         self,
         loop: asyncio.AbstractEventLoop,
         descriptors: Descriptors,
-        longest_deadline: float,
-        answer_all: Callable[[], None],
+        longest_deadline_s: float,
+        answer_pending: Callable[[], None],
     ) -> None:
         self.loop = loop
         self.descriptors = descriptors
         self.frontends: list[Frontend] = []
-        self.answer_all = answer_all
-        self.kill_after = min(longest_deadline, DEADLINE_MOST) + KILL_AFTER_DEADLINE
+        self.answer_pending = answer_pending
+        self.kill_after_s = min(longest_deadline_s, MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S
         self.phase = Phase.STARTING
-        self.emptying = False  # idle connections are closed, and what still comes is turned away
-        self.sending_away = False  # the end is so near that clients do better elsewhere
-        self.answered = False  # the end is so near that nothing held goes on, and nothing new begins
+        self.closing_idle_connections = (
+            False  # idle connections are closed, and what still comes is turned away
+        )
+        self.announcing_close = False  # the end is so near that clients do better elsewhere
+        self.final_answers_given = (
+            False  # the end is so near that nothing held goes on, and nothing new begins
+        )
         self.accepting = False
         self.stopped: asyncio.Future[None] = loop.create_future()
-        self.emptier: asyncio.TimerHandle | None = None
+        self.idle_closer: asyncio.TimerHandle | None = None
 
     @property
     def ready(self) -> bool:
@@ -54,18 +60,18 @@
         return self.phase is Phase.SERVING
 
     @property
-    def leaving(self) -> bool:
+    def responses_announce_close(self) -> bool:
         """Whether answers tell their clients to come back on another connection."""
-        return self.phase is Phase.DRAINING or self.sending_away
+        return self.phase is Phase.DRAINING or self.announcing_close
 
     @property
-    def turns_away(self) -> bool:
+    def rejects_new_requests(self) -> bool:
         """Whether a drain, or the end, is so far on that a new request would hold it up.
 
         Guards the end against a request that comes when all that was held has just been answered: nobody
         would look after it any more, and it would end with the process.
         """
-        return self.answered or (self.phase is Phase.DRAINING and self.emptying)
+        return self.final_answers_given or (self.phase is Phase.DRAINING and self.closing_idle_connections)
 
     @property
     def connected(self) -> int:
@@ -80,39 +86,39 @@
 
     # An operator's drain
 
-    def fail(self) -> bool:
+    def drain(self) -> bool:
         """Begin to empty the sidecar; False if it is ending anyway."""
         if self.phase is Phase.TERMINATING:
             return False
         if self.phase is not Phase.DRAINING:
             self.phase = Phase.DRAINING
             log.info("draining")
-            self.emptier = self.loop.call_later(EMPTY_AFTER, self._empty)
+            self.idle_closer = self.loop.call_later(IDLE_CLOSE_DELAY_S, self._close_idle_connections)
         return True
 
-    def ok(self) -> bool:
+    def undrain(self) -> bool:
         """Go back to work; False if the process is ending."""
         if self.phase is Phase.TERMINATING:
             return False
         if self.phase is Phase.DRAINING:
             self.phase = Phase.SERVING
-            self._stop_emptying()
+            self._stop_closing_idle_connections()
             log.info("undrained")
         return True
 
-    def _empty(self) -> None:
+    def _close_idle_connections(self) -> None:
         """Close what stands idle, again and again: a connection may have been busy until now."""
-        self.emptying = True
+        self.closing_idle_connections = True
         for frontend in self.frontends:
             frontend.close_idle_connections()
-        self.emptier = self.loop.call_later(EMPTY_EVERY, self._empty)
-        self._end_if_done()
+        self.idle_closer = self.loop.call_later(IDLE_CLOSE_INTERVAL_S, self._close_idle_connections)
+        self._stop_if_unused()
 
-    def _stop_emptying(self) -> None:
-        self.emptying = False
-        if self.emptier is not None:
-            self.emptier.cancel()
-            self.emptier = None
+    def _stop_closing_idle_connections(self) -> None:
+        self.closing_idle_connections = False
+        if self.idle_closer is not None:
+            self.idle_closer.cancel()
+            self.idle_closer = None
 
     # The planned end
 
@@ -125,54 +131,56 @@
         if self.phase is Phase.TERMINATING:
             return
         self.phase = Phase.TERMINATING
-        self._stop_emptying()
+        self._stop_closing_idle_connections()
         log.info("terminating", clients=self.connected)
         taken_over = self.descriptors.others > 0
-        self.loop.call_later(ACCEPT_AFTER_TERM, self._stop_accepting)
+        self.loop.call_later(ACCEPT_AFTER_SIGTERM_S, self._stop_accepting)
         if taken_over:
-            self.sending_away = True
+            self.announcing_close = True
         else:
-            self.loop.call_later(max(self.kill_after - LEAVE_BEFORE_KILL, 0.0), self._send_away)
-        self.loop.call_later(max(self.kill_after - ANSWER_BEFORE_KILL, 0.0), self._answer_all)
-        self.loop.call_later(max(self.kill_after - STOP_BEFORE_KILL, 0.0), self._stop)
+            self.loop.call_later(
+                max(self.kill_after_s - ANNOUNCE_CLOSE_BEFORE_KILL_S, 0.0), self._announce_close
+            )
+        self.loop.call_later(max(self.kill_after_s - ANSWER_BEFORE_KILL_S, 0.0), self._give_final_answers)
+        self.loop.call_later(max(self.kill_after_s - STOP_BEFORE_KILL_S, 0.0), self._stop)
 
     def _stop_accepting(self) -> None:
         """Close the own descriptors only: another process may go on listening on the same socket."""
-        self._close_doors()
-        if self.sending_away:
-            self._empty()
+        self._stop_listening()
+        if self.announcing_close:
+            self._close_idle_connections()
 
-    def _send_away(self) -> None:
-        self.sending_away = True
+    def _announce_close(self) -> None:
+        self.announcing_close = True
         if not self.accepting:
-            self._empty()
+            self._close_idle_connections()
 
-    def _answer_all(self) -> None:
+    def _give_final_answers(self) -> None:
         """Answer what is held; from here on nothing new is taken."""
-        self.answered = True
-        self.answer_all()
+        self.final_answers_given = True
+        self.answer_pending()
 
-    def client_left(self) -> None:
-        self._end_if_done()
+    def client_disconnected(self) -> None:
+        self._stop_if_unused()
 
-    def _end_if_done(self) -> None:
+    def _stop_if_unused(self) -> None:
         """The end has come when nobody is connected any more: every answer has been flushed."""
         if self.phase is Phase.TERMINATING and not self.accepting and not self.connected:
             self._stop()
 
     def _stop(self) -> None:
         # Guards a request that is read while the process ends: nobody would answer it any more.
-        self._answer_all()
+        self._give_final_answers()
         if not self.stopped.done():
             self.stopped.set_result(None)
 
     def close(self) -> None:
         """Nothing is owed or taken any more: the sockets can be closed."""
-        self._stop_emptying()
-        self._close_doors()
-        self._answer_all()
+        self._stop_closing_idle_connections()
+        self._stop_listening()
+        self._give_final_answers()
 
-    def _close_doors(self) -> None:
+    def _stop_listening(self) -> None:
         self.accepting = False
         for frontend in self.frontends:
             frontend.stop_accepting()
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -282,7 +282,7 @@
         except httptools.HttpParserUpgrade:
             self._reject(400, "upgrades are not known here")
         except httptools.HttpParserCallbackError:
-            self.engine.fault("a request could not be read")
+            self.engine.log_fault("a request could not be read")
             self._reject(400, "unreadable request")
         except httptools.HttpParserError:
             self._reject(400, "malformed request")
@@ -329,8 +329,8 @@
         if self.transport is not None:
             self.shared.hangups.remove(self.transport)
         if request is not None:
-            self.engine.left(request)
-        self.engine.lifecycle.client_left()
+            self.engine.client_disconnected(request)
+        self.engine.lifecycle.client_disconnected()
 
     def pause_writing(self) -> None:
         # Guards the memory against clients that ask and do not read.
@@ -350,7 +350,7 @@
             self.passing.pause(False)
         self._pump()
         self.clients.place(self)
-        if self.engine.lifecycle.emptying and self.quiet:
+        if self.engine.lifecycle.closing_idle_connections and self.quiet:
             self.close()
 
     # The parser's calls
@@ -504,7 +504,7 @@
             self.waiting.append(RequestError(code, text))
         elif request is not None and request is self.current:
             request.keep_alive = False
-            self.engine.body_broken(request, disposition(code), (code, f"{text}\n".encode()))
+            self.engine.body_failed(request, disposition(code), (code, f"{text}\n".encode()))
         elif request is not None and request in self.waiting:
             self._release(request.size)
             self.waiting[self.waiting.index(request)] = RequestError(code, text, request.cls)
@@ -523,14 +523,14 @@
                 item = self.waiting.popleft()
                 if isinstance(item, HttpRequest):
                     self.current = item
-                    self.engine.take(self.shared.frontend_binding, self, item)
+                    self.engine.accept(self.shared.frontend_binding, self, item)
                 elif isinstance(item, Ready):
                     ok = self.engine.lifecycle.ready
                     text = b"ready\n" if ok else b"not ready\n"
                     self._respond(200 if ok else 503, b"", text, item.keep_alive)
                 else:
                     if item.cls is not None:
-                        self.engine.turned_away(
+                        self.engine.record_rejection(
                             self.shared.frontend_binding, item.cls, disposition(item.code)
                         )
                     keep_alive = item.keep_alive and not self.deaf
@@ -613,7 +613,7 @@
             self.skipping = True
 
     def _keeps(self, keep_alive: bool) -> bool:
-        return keep_alive and not (self.engine.lifecycle.leaving and not self.waiting)
+        return keep_alive and not (self.engine.lifecycle.responses_announce_close and not self.waiting)
 
     def _respond(self, code: int, headers: bytes, body: bytes, keep_alive: bool) -> None:
         keep_alive = self._keeps(keep_alive)
--- a/ochreflow/http/management.py
+++ b/ochreflow/http/management.py
@@ -37,9 +37,9 @@
 
     def report(self) -> str: ...
 
-    def fail(self) -> bool: ...
+    def drain(self) -> bool: ...
 
-    def ok(self) -> bool: ...
+    def undrain(self) -> bool: ...
 
 
 class Management:
@@ -53,8 +53,8 @@
         self.routes = {
             b"/healthcheck": (b"GET", lambda: _verdict(operated.healthy())),
             b"/stats": (b"GET", lambda: (200, operated.report())),
-            b"/healthcheck/fail": (b"POST", lambda: _verdict(operated.fail())),
-            b"/healthcheck/ok": (b"POST", lambda: _verdict(operated.ok())),
+            b"/healthcheck/fail": (b"POST", lambda: _verdict(operated.drain())),
+            b"/healthcheck/ok": (b"POST", lambda: _verdict(operated.undrain())),
         }
 
     async def listen(self, address: Address | None) -> None:
--- a/ochreflow/simulation/simulated_sidecar.py
+++ b/ochreflow/simulation/simulated_sidecar.py
@@ -19,7 +19,7 @@
 
 NS_PER_MS = 1_000_000
 ATTEMPT_MARGIN_NS = 15 * NS_PER_MS
-GUARD_MARGIN_NS = 8 * NS_PER_MS
+WATCHDOG_MARGIN_NS = 8 * NS_PER_MS
 STATUS_OK = 200
 EJECTION_LOG_PREFIX = "ejected "
 
@@ -136,7 +136,7 @@
         self.next_id += 1
         deadline = self.clock.now + int(timeout_s * NS_PER_S)
         self.pending[number] = PendingRequest(scheduled, request_id, deadline, on_response)
-        self.clock.at(deadline - GUARD_MARGIN_NS, self._give_up, number)
+        self.clock.at(deadline - WATCHDOG_MARGIN_NS, self._give_up, number)
         class_number = self.class_numbers[scheduled.request_class.name]
         cost_hint_ns = int(scheduled.cost_hint_s * NS_PER_S)
         write = scheduled.request_class.idempotency != Idempotency.IDEMPOTENT
--- a/tests/duplicate_model.py
+++ b/tests/duplicate_model.py
@@ -464,7 +464,7 @@
         spec = self.settings.classes[cls]
         call = IncomingRequest(name, cls, 0, 0, DEADLINE, self.loop.now + DEADLINE, 0, False, True, body)
         self.rule.asked[name] = Asked(call, spec)
-        self.engine.take(self.frontend_binding, self.clients, call)
+        self.engine.accept(self.frontend_binding, self.clients, call)
         return call
 
     def end_body(self, call):
@@ -476,7 +476,7 @@
         self.rule.asked[call.request_id].left = True
         self.clients.gone_calls.add(call.request_id)
         call.body.drop()
-        self.engine.left(call)
+        self.engine.client_disconnected(call)
 
     def attempt(self, call, number=-1):
         """Its carriage by its place among those of its request that are out."""
--- a/tests/line_frontend.py
+++ b/tests/line_frontend.py
@@ -145,7 +145,7 @@
                 name, cls, 0, 0, timeout_ns, engine.now() + timeout_ns, 0, False, cls > 0, body
             )
             self.calls.add(request)
-            engine.take(self.frontend.frontend_binding, self, request)
+            engine.accept(self.frontend.frontend_binding, self, request)
 
     def respond(self, request, response):
         self.calls.discard(request)
@@ -160,8 +160,8 @@
     def connection_lost(self, exc):
         self.frontend.clients.discard(self)
         for request in self.calls:
-            self.frontend.engine.left(request)
-        self.frontend.engine.lifecycle.client_left()
+            self.frontend.engine.client_disconnected(request)
+        self.frontend.engine.lifecycle.client_disconnected()
 
 
 class LineFrontend:
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -62,7 +62,7 @@
             end_can_be_read(front)
             assert front.gone(call) and front.transport.is_closing()
             assert front.gone(call)  # asked again before the loop has turned, too
-            await until(lambda: not sidecar.engine.held and not sidecar.http.clients.all)
+            await until(lambda: not sidecar.engine.pending_requests and not sidecar.http.clients.all)
             assert front.gone(call)  # ... and by an attempt that comes later still
             client.close()
         server.close()
@@ -105,7 +105,7 @@
 
             setattr(looking, name, look_and_leave)
             assert await left
-            await until(lambda: not sidecar.engine.held)
+            await until(lambda: not sidecar.engine.pending_requests)
             client.close()
             taken.take()
             assert taken.got.count(b"X-Request-Id") == 1
@@ -187,7 +187,7 @@
             await until(lambda: taken.take() or taken.got.endswith(b"a" * FLOWING))
             client.sendall(b"last")
             leave_unseen(sidecar, client, how)
-            await until(lambda: not sidecar.engine.held and not sidecar.engine.attempts)
+            await until(lambda: not sidecar.engine.pending_requests and not sidecar.engine.attempts)
             await until(lambda: taken.take() or taken.ended)
             assert b"big" in taken.got and b"last" not in taken.got
             assert sidecar.engine.stats.forwards == 0
--- a/tests/test_client_left_attempts.py
+++ b/tests/test_client_left_attempts.py
@@ -16,7 +16,7 @@
 
 
 async def nothing_open(sidecar):
-    await until(lambda: not sidecar.engine.held and not sidecar.engine.attempts)
+    await until(lambda: not sidecar.engine.pending_requests and not sidecar.engine.attempts)
     await until(lambda: not sidecar.http.clients.all)
 
 
@@ -46,7 +46,7 @@
                 whole = message("order", "gone", "3000m", bytes(2 * HOLD_MOST))
                 client.sendall(whole[: -HOLD_MOST // 2])
             taken = await server.accept()
-            await until(lambda: sidecar.engine.held)
+            await until(lambda: sidecar.engine.pending_requests)
             front = front_of(sidecar, client)
             if body == "half":
                 await until(lambda: front.paused)
@@ -105,14 +105,14 @@
             taken = await server.accept()
             await taken.has(b"gone")
             bells = []
-            sidecar.engine.doing[api.SetTimer] = bells.append
+            sidecar.engine.action_handlers[api.SetTimer] = bells.append
             taken.answer(503, "X-Not-Run: 1")
             await until(lambda: bells)
             # It waits for its repeat, which will find a connection that stands ready.
-            assert sidecar.engine.held and not sidecar.engine.attempts
+            assert sidecar.engine.pending_requests and not sidecar.engine.attempts
             leave_unseen(sidecar, client, how)
             for bell in bells:
-                sidecar.engine.post(api.Timer(bell.token))
+                sidecar.engine.dispatch(api.Timer(bell.token))
             await nothing_open(sidecar)
             assert server.take_all().count(b"gone") == 1
             client.close()
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -48,7 +48,7 @@
     assert len(copies(stage, call)) == 1
     stage.attempt(call).clear_timeout()  # its time-out was not set yet
     if how == "SIGTERM":
-        stage.engine.lifecycle._answer_all()
+        stage.engine.lifecycle._give_final_answers()
     stage.finish()
     assert dispositions(stage, call) == [Disposition.ABORTED]
 
@@ -100,7 +100,7 @@
     for call in calls:
         stage.attempt(call).connect()
         stage.attempt(call).give_up = fail
-    stage.engine.lifecycle._answer_all()
+    stage.engine.lifecycle._give_final_answers()
     assert [dispositions(stage, call) for call in calls] == [[Disposition.ABORTED]] * 2
 
 
@@ -116,7 +116,7 @@
         raise RecursionError("injected")
 
     stage.engine.balancer.handle = fail
-    stage.engine.post(RequestCancelled(9999))
+    stage.engine.dispatch(RequestCancelled(9999))
     stage.engine.balancer.handle = handle
     assert len([one for one in stage.upstream_transport.out if one.call is call]) == 1
 
@@ -132,7 +132,7 @@
     upstream_attempt.connect()
     call.body.end()
     assert upstream_attempt.may_run
-    stage.engine.body_broken(call, Disposition.DECLINED, (503, b"too much is held\n"))
+    stage.engine.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
     stage.finish()
     assert dispositions(stage, call) == [Disposition.ABORTED]
 
@@ -140,7 +140,7 @@
 def test_a_body_that_breaks_with_nothing_written_is_refused_as_its_front_says():
     stage = Stage()
     call = stage.ask(complete=False)
-    stage.engine.body_broken(call, Disposition.DECLINED, (503, b"too much is held\n"))
+    stage.engine.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
     stage.finish()
     (response,) = verdicts(stage, call)
     assert (response.disposition, response.reason) == (Disposition.DECLINED, Reason.INVALID_BODY)
@@ -152,7 +152,7 @@
     call = stage.ask(complete=False)
     upstream_attempt = stage.attempt(call)
     upstream_attempt.connect()
-    stage.engine.body_broken(call, Disposition.DECLINED, (503, b"too much is held\n"))
+    stage.engine.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
     call.body.end()
     assert upstream_attempt.over and not upstream_attempt.may_run
     stage.finish()
@@ -169,7 +169,7 @@
     if reached == "whole, then answered":
         stage.attempt(call).begin()
     if how == "SIGTERM":
-        stage.engine.lifecycle._answer_all()
+        stage.engine.lifecycle._give_final_answers()
     stage.run(DEADLINE + 50 * MS)
     if reached == "whole, then answered":
         assert not verdicts(stage, call)  # its answer flows on, at its client's pace
@@ -198,12 +198,12 @@
     stage = Stage()
     call = stage.ask()
     stage.attempt(call).connect()
-    stage.engine.lifecycle.answered = True
+    stage.engine.lifecycle.final_answers_given = True
     answers = []
     again = stage.ask(name="other")
     again.request_id = call.request_id
     stage.clients.respond = lambda _, response: answers.append(response)
-    stage.engine.take(stage.frontend_binding, stage.clients, again)
+    stage.engine.accept(stage.frontend_binding, stage.clients, again)
     assert [(one.disposition, one.reason) for one in answers] == [
         (Disposition.ABORTED, Reason.DUPLICATE_REQUEST_ID)
     ]
--- a/tests/test_duplicate_machine.py
+++ b/tests/test_duplicate_machine.py
@@ -70,7 +70,7 @@
     @property
     def held(self):
         """Requests that are owed an answer."""
-        return [call for call in self.calls if call.pending_id in self.stage.engine.held]
+        return [call for call in self.calls if call.pending_id in self.stage.engine.pending_requests]
 
     def unfinished(self):
         """Of these, the ones whose body is still coming."""
@@ -108,7 +108,7 @@
                 self.calls.append(self.stage.ask(complete=which > 1))
         elif what == "the process ends":
             self.ended = True
-            self.stage.engine.lifecycle._answer_all()
+            self.stage.engine.lifecycle._give_final_answers()
         elif what == "a client leaves":
             if self.held:
                 self.stage.leave(self.held[which % len(self.held)])
@@ -137,7 +137,7 @@
     def _end_body(self, call, breaks):
         if breaks:
             call.body.drop()
-            self.stage.engine.body_broken(call, Disposition.DECLINED, (503, b"too much is held\n"))
+            self.stage.engine.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
         else:
             self.stage.end_body(call)
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -119,7 +119,7 @@
             )
             writer.close()
             async with asyncio.timeout(SOON):
-                await until(lambda: not sidecar.engine.held and not sidecar.engine.attempts)
+                await until(lambda: not sidecar.engine.pending_requests and not sidecar.engine.attempts)
             (upstream_attempt,) = next(iter(carriages.values()))
             assert upstream_attempt.watcher is None and upstream_attempt.transport.is_closing()
 
@@ -128,8 +128,8 @@
 
 def test_a_request_that_comes_after_all_held_ones_were_answered_gets_its_answer_too(tmp_path, monkeypatch):
     """The server hangs; the client whose answer the end gave at once sends again on another connection."""
-    monkeypatch.setattr(lifecycle, "ANSWER_BEFORE_KILL", 4.6)  # 0.1 s after SIGTERM with deadlines of 4 s
-    monkeypatch.setattr(lifecycle, "DEADLINE_MOST", 4.0)
+    monkeypatch.setattr(lifecycle, "ANSWER_BEFORE_KILL_S", 4.6)  # 0.1 s after SIGTERM with deadlines of 4 s
+    monkeypatch.setattr(lifecycle, "MAX_DEADLINE_S", 4.0)
 
     async def play():
         async def hang(message, reader, writer):
@@ -146,7 +146,7 @@
             open_before[1].write(message("order", "again"))
             async with asyncio.timeout(WAIT):
                 got = await read_message(open_before[0])
-            assert got.code == 503 and not sidecar.engine.held
+            assert got.code == 503 and not sidecar.engine.pending_requests
             assert sidecar.engine.lifecycle.stopped.done() is False  # answered before, not by the end
             open_before[1].close()
         assert len(fake.got) == 1
@@ -163,7 +163,7 @@
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
             held = asyncio.create_task(ask(sidecar.port, message("order", "held")))
             await until(lambda: fake.got)
-            sidecar.engine.lifecycle.answer_all()  # what it writes waits for the turn to end
+            sidecar.engine.lifecycle.answer_pending()  # what it writes waits for the turn to end
             sidecar.close()
             assert (await held).code in (502, 504)
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -83,7 +83,7 @@
             listed.endpoint.zone, listed.endpoint.cell = zone, cell
             listed.endpoint.state, listed.endpoint.started_ns = state, started
             endpoints.append(listed.endpoint)
-        self.engine.post(Membership(ListKind.DELTA, 2, endpoints))
+        self.engine.dispatch(Membership(ListKind.DELTA, 2, endpoints))
 
 
 @contextlib.asynccontextmanager
@@ -232,7 +232,7 @@
 
             sidecar.upstreams._try_send = put
             stage.loop.open.set()
-            await until(lambda: not stage.engine.held and not stage.engine.attempts)
+            await until(lambda: not stage.engine.pending_requests and not stage.engine.attempts)
             await asyncio.sleep(0)
             assert not server.got
             sock.close()
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -62,7 +62,9 @@
 
     def clean(self):
         engine = self.engine
-        return not (engine.held or engine.attempts or engine.balancer.pending or engine.memory.held)
+        return not (
+            engine.pending_requests or engine.attempts or engine.balancer.pending or engine.memory.held
+        )
 
 
 def play(tmp_path, act, steps, servers=1, rules=()):
@@ -202,7 +204,7 @@
         asked = await Asked(frontend, rig.ports).send("order", "ab")
         await until(lambda: rig.engine.attempts)
         asked.writer.close()
-        await until(lambda: not rig.engine.held)
+        await until(lambda: not rig.engine.pending_requests)
         go.set()
         assert await rig.ask(frontend, "order", "cd") == "served"
         assert fake.got == ["cd"]
@@ -221,23 +223,23 @@
         assert fake.got.count("same") == 2
         for asked in held:
             asked.writer.close()
-        await until(lambda: not rig.engine.held)
+        await until(lambda: not rig.engine.pending_requests)
         assert await rig.ask(frontend, "order", "same") == "failed"  # it has just been
 
     play(tmp_path, lambda name: "silent", steps)
 
 
 def test_a_drain_of_the_sidecar_refuses_at_once_and_can_be_undone(tmp_path, frontend, monkeypatch):
-    monkeypatch.setattr(lifecycle, "EMPTY_AFTER", 0.0)
+    monkeypatch.setattr(lifecycle, "IDLE_CLOSE_DELAY_S", 0.0)
 
     async def steps(rig, fake):
         held = await Asked(frontend, rig.ports).send("order", "held")
         await until(lambda: fake.got)
-        rig.engine.fail()
-        await until(lambda: rig.engine.lifecycle.emptying)
+        rig.engine.drain()
+        await until(lambda: rig.engine.lifecycle.closing_idle_connections)
         assert await rig.ask(frontend, "order", "ab") == "refused"
         assert fake.got == ["held"]
-        rig.engine.ok()
+        rig.engine.undrain()
         assert await rig.ask(frontend, "order", "cd") == "served"
         held.writer.close()
 
@@ -273,7 +275,10 @@
         await until(lambda: fake.got)
         reasons = []
         finish = rig.engine._finish
-        rig.engine._finish = lambda held, response: (reasons.append(response.reason), finish(held, response))
+        rig.engine._finish = lambda pending, response: (
+            reasons.append(response.reason),
+            finish(pending, response),
+        )
         assert await rig.ask(frontend, "order", "ab") == "refused"
         assert reasons == [Reason.OVERLOADED]
         held.writer.close()
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -183,7 +183,7 @@
 
 
 def test_a_drain_empties_the_sidecar_and_can_be_undone(tmp_path, monkeypatch):
-    monkeypatch.setattr(lifecycle, "EMPTY_AFTER", 0.2)
+    monkeypatch.setattr(lifecycle, "IDLE_CLOSE_DELAY_S", 0.2)
 
     async def play():
         async def act(message, reader, writer):
@@ -209,7 +209,7 @@
             got = await ask(sidecar.port, message("order", "late"))  # within the front's delay
             assert got.code == 200 and got.headers["connection"] == "close"
             assert await idle_reader.read() == b""
-            await until(lambda: sidecar.engine.lifecycle.emptying)
+            await until(lambda: sidecar.engine.lifecycle.closing_idle_connections)
             half_writer.write(whole[30:])  # had begun: answered, not cut
             assert (await read_message(half_reader)).headers["connection"] == "close"
             assert (await ask(sidecar.port, message("order", "later"))).code == 503
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -479,6 +479,6 @@
                 len(sidecar.http.frontend_binding.names.used) <= 102
                 and len(sidecar.http.frontend_binding.names.over) <= 102
             )
-            assert not sidecar.engine.held and not sidecar.engine.attempts
+            assert not sidecar.engine.pending_requests and not sidecar.engine.attempts
 
     run(play())
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -206,7 +206,7 @@
             for number in range(3):
                 assert (await ask(sidecar.port, message("lookup", f"id{number}"))).code == 200
             assert (await lost).code == 503
-            assert not sidecar.engine.held
+            assert not sidecar.engine.pending_requests
 
     run(play())
 
@@ -240,7 +240,7 @@
             engine = sidecar.engine
             sidecar.upstream_transport._payload = broken
             assert (await ask(sidecar.port, message("order", "ab", "300m"))).code == 503
-            assert not engine.held and not engine.attempts
+            assert not engine.pending_requests and not engine.attempts
             del sidecar.upstream_transport._payload
             assert (await ask(sidecar.port, message("order", "cd"))).code == 200
 
@@ -257,7 +257,9 @@
             writer.close()
             await until(lambda: fake.ended == 1, "its attempt is called off")
             engine = sidecar.engine
-            await until(lambda: not engine.held and not engine.attempts and not engine.balancer.pending)
+            await until(
+                lambda: not engine.pending_requests and not engine.attempts and not engine.balancer.pending
+            )
             assert not sidecar.http.clients.all
             (server,) = engine.balancer.endpoints.servers.values()
             assert not server.in_flight  # the attempt's end was told as well
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -178,7 +178,7 @@
             await until(lambda: sidecar.http.clients.all)
             front = front_of(sidecar, client)
             engine = sidecar.engine
-            take, complete = engine.take, front.on_message_complete
+            take, complete = engine.accept, front.on_message_complete
 
             def take_and_close(*args):
                 front.close()
@@ -189,13 +189,15 @@
                 front.close()
 
             if closing == "taken":
-                engine.take = take_and_close
+                engine.accept = take_and_close
             else:
                 front.on_message_complete = complete_and_close
                 front.parser = HttpRequestParser(front)
             client.sendall(b"".join(message("order", f"id{n}") for n in range(3)))
-            await until(lambda: not sidecar.http.clients.all and not engine.held and not engine.attempts)
-            engine.take = take
+            await until(
+                lambda: not sidecar.http.clients.all and not engine.pending_requests and not engine.attempts
+            )
+            engine.accept = take
             assert (await ask(sidecar.port, message("order", "other"))).code == 200
             assert ids(fake) == ["warm", "other"]
             client.close()
@@ -272,7 +274,7 @@
     async def play():
         fake = await Fake(answer_long).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
-            sidecar.engine.lifecycle.sending_away = why == "leaving"
+            sidecar.engine.lifecycle.announcing_close = why == "leaving"
             client = connect_narrow(sidecar.port)
             client.sendall(b"")
             await until(lambda: sidecar.http.clients.all)
@@ -313,7 +315,7 @@
         async with sidecar_before(tmp_path, fake) as sidecar:
             client = connect_narrow(sidecar.port)
             client.sendall(message("order", "first") + message("order", "second"))
-            await until(lambda: len(fake.got) == 2 and not sidecar.engine.held)
+            await until(lambda: len(fake.got) == 2 and not sidecar.engine.pending_requests)
             data, _ = await receive(client)
             first, _, rest = data.partition(LONG)
             assert first.startswith(b"HTTP/1.1 200") and rest.startswith(b"HTTP/1.1 200")
@@ -409,7 +411,7 @@
             taken = await server.accept()
             await taken.has(b"first")
             await until(lambda: len(front_of(sidecar, client).waiting) == 4)
-            sidecar.engine.lifecycle.answered = True
+            sidecar.engine.lifecycle.final_answers_given = True
             taken.answer()
             data, _ = await receive(client)
             assert data.count(b"HTTP/1.1 200") == data.count(b"HTTP/1.1 503") == 1
@@ -447,7 +449,7 @@
                 assert front.gone(front.current)
             data, _ = await receive(client)
             assert data.startswith(b"HTTP/1.1 502") and data.count(b"HTTP/1.1") == 1
-            await until(lambda: not sidecar.http.clients.all and not sidecar.engine.held)
+            await until(lambda: not sidecar.http.clients.all and not sidecar.engine.pending_requests)
             assert server.take_all().count(b"X-Request-Id") == 1
             client.close()
         server.close()
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -51,8 +51,8 @@
 SABOTAGE = {  # the rule: where one line is changed, what it becomes, and a scenario in which it matters
     "one final answer": (
         "core/engine.py",
-        "        held.response_sink.respond(held.request, response)",
-        "        response.answer and held.response_sink.respond(held.request, response)",
+        "        pending.response_sink.respond(pending.request, response)",
+        "        response.answer and pending.response_sink.respond(pending.request, response)",
         TROUBLED,
     ),
     "no repeat beyond the class": (
@@ -75,8 +75,9 @@
     ),
     "within its means": (
         "core/engine.py",
-        "        self.held[held.id] = held\n",
-        "        self.held[held.id] = held; self.__dict__.setdefault('kept', []).append(b'x' * 1_500_000)\n",
+        "        self.pending_requests[pending.id] = pending\n",
+        "        self.pending_requests[pending.id] = pending\n"
+        "        self.__dict__.setdefault('kept', []).append(b'x' * 1_500_000)\n",
         TROUBLED,
     ),
     "true answers": (
@@ -125,7 +126,7 @@
     file, old, _, made = SABOTAGE["one final answer"]
     late = """\
         wait = 0.0 if response.answer else 0.07  # it gives up 15 ms before the deadline
-        self.loop.call_later(wait, held.response_sink.respond, held.request, response)"""
+        self.loop.call_later(wait, pending.response_sink.respond, pending.request, response)"""
     run = play(made, tmp_path, 1, sabotaged(tmp_path / "program", file, old, late))
     assert run.findings and run.broken == {"one final answer"}
     assert all(" after 2.055 of 2 s" in text for _, text in run.findings)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -48,7 +48,7 @@
 def test_the_margins_are_those_of_the_engine():
     """The simulation may not import it, and keeps its own copy."""
     assert simulated_sidecar.ATTEMPT_MARGIN_NS == engine.ATTEMPT_MARGIN_NS
-    assert simulated_sidecar.GUARD_MARGIN_NS == engine.GUARD_MARGIN_NS
+    assert simulated_sidecar.WATCHDOG_MARGIN_NS == engine.WATCHDOG_MARGIN_NS
 
 
 @pytest.mark.parametrize("made", [TROUBLED, DRAINED, KILLED, COLD])
--- a/tests/test_unwritten.py
+++ b/tests/test_unwritten.py
@@ -280,7 +280,7 @@
             server, attempt = await stage.partly_written()
             await until(lambda: server.read() or len(server.received[0]) > len(first))
             writer.write(parts[1])
-            await until(lambda: attempt.held.request.body.complete)
+            await until(lambda: attempt.pending.request.body.complete)
             assert not attempt.upstream_attempt.may_run  # the rest waits for room
             await ended_in_one_poll(stage, reader, server, attempt, end)
 
