--- a/ochreflow/lab/fault/framing.py
+++ b/ochreflow/lab/fault/framing.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from enum import Enum
 
-LINE_MOST = 64 * 1024  # a line that is longer is no line
+MAX_LINE_BYTES = 64 * 1024  # a line that is longer is no line
 
 
 class Place(Enum):
@@ -30,13 +30,13 @@
     def __init__(self) -> None:
         self.state = self._start
         self.line = bytearray()
-        self.left = 0  # bytes of a body or chunk
-        self._clear()
+        self.remaining = 0  # bytes of a body or chunk
+        self._reset_message()
 
-    def _clear(self) -> None:
+    def _reset_message(self) -> None:
         self.length: int | None = None
         self.chunked = False
-        self.first = b""  # the first line
+        self.first_line = b""  # the first line
         self.name = ""  # of the header that is being read
         self.value = bytearray()
 
@@ -51,7 +51,7 @@
     # Each state takes bytes from `at` on: how many it took, and the pieces they are.
 
     def _start(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
-        self._clear()
+        self._reset_message()
         self.state = self._name
         return 0, [(Place.START, b"")]
 
@@ -64,8 +64,8 @@
         if byte == b":" and self.line[:-1].lower() == b"content-length":
             self.state = self._value
             self.value.clear()
-        elif len(self.line) > LINE_MOST:
-            self.state = self._rest
+        elif len(self.line) > MAX_LINE_BYTES:
+            self.state = self._until_eof
         return 1, [(Place.HEAD, byte)]
 
     def _value(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
@@ -81,27 +81,27 @@
         line = bytes(self.line).strip()
         self.line.clear()
         if line:
-            if not self.first:
-                self.first = line
+            if not self.first_line:
+                self.first_line = line
             name, _, value = line.lower().partition(b":")
             if name == b"transfer-encoding" and value.strip() == b"chunked":
                 self.chunked = True
             return []
-        if not self.first:
+        if not self.first_line:
             return []  # an empty line in front of a message
         return self._end_head()
 
     def _end_head(self) -> list[Piece]:
-        words = self.first.split()
-        answer = self.first.startswith(b"HTTP/")
+        words = self.first_line.split()
+        answer = self.first_line.startswith(b"HTTP/")
         if self.chunked:
             self.state = self._chunk_size
         elif answer and (words[1:2] and words[1][:1] == b"1"):
             self.state = self._start  # an interim answer: the real one follows
         elif self.length:
-            self.left, self.state = self.length, self._body
+            self.remaining, self.state = self.length, self._body
         elif answer and self.length is None:
-            self.state = self._rest
+            self.state = self._until_eof
         else:
             return self._end_message()
         return []
@@ -111,9 +111,9 @@
         return [(Place.END, b"")]
 
     def _body(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
-        part = data[at : at + self.left]
-        self.left -= len(part)
-        return len(part), [(Place.BODY, part), *(self._end_message() if not self.left else [])]
+        part = data[at : at + self.remaining]
+        self.remaining -= len(part)
+        return len(part), [(Place.BODY, part), *(self._end_message() if not self.remaining else [])]
 
     def _chunk_size(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
         byte = data[at : at + 1]
@@ -123,16 +123,16 @@
         text = bytes(self.line).split(b";")[0].strip()
         self.line.clear()
         try:
-            self.left = int(text, 16) + 2  # with the line end behind it
-            self.state = self._chunk if self.left > 2 else self._trailer
+            self.remaining = int(text, 16) + 2  # with the line end behind it
+            self.state = self._chunk if self.remaining > 2 else self._trailer
         except ValueError:
-            self.state = self._rest
+            self.state = self._until_eof
         return 1, [(Place.CHUNK_SIZE, byte)]
 
     def _chunk(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
-        part = data[at : at + self.left]
-        self.left -= len(part)
-        if not self.left:
+        part = data[at : at + self.remaining]
+        self.remaining -= len(part)
+        if not self.remaining:
             self.state = self._chunk_size
         return len(part), [(Place.BODY, part)]
 
@@ -145,5 +145,5 @@
         self.line.clear()
         return 1, [(Place.BODY, byte), *(self._end_message() if not line else [])]
 
-    def _rest(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
+    def _until_eof(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
         return len(data) - at, [(Place.BODY, data[at:])]
--- a/ochreflow/lab/fault/machine.py
+++ b/ochreflow/lab/fault/machine.py
@@ -52,22 +52,23 @@
 class Transcript:
     """What was done, in a form that does not depend on how the bytes were cut or on other connections."""
 
-    passed: dict[tuple[int, Side], int] = field(default_factory=lambda: defaultdict(int))
+    forwarded_bytes: dict[tuple[int, Side], int] = field(default_factory=lambda: defaultdict(int))
     hashes: dict = field(default_factory=lambda: defaultdict(lambda: blake2b(digest_size=16)))
     faults: dict[tuple[int, Side], list[str]] = field(default_factory=lambda: defaultdict(list))
 
-    def forward(self, number: int, side: Side, data: bytes) -> None:
-        self.passed[number, side] += len(data)
+    def record_bytes(self, number: int, side: Side, data: bytes) -> None:
+        self.forwarded_bytes[number, side] += len(data)
         self.hashes[number, side].update(data)
 
-    def note(self, number: int, side: Side, what: str) -> None:
-        self.faults[number, side].append(f"{self.passed[number, side]} {what}")
+    def record_fault(self, number: int, side: Side, what: str) -> None:
+        self.faults[number, side].append(f"{self.forwarded_bytes[number, side]} {what}")
 
     def lines(self) -> list[str]:
         """One line for each direction of each connection, in their order."""
-        keys = sorted({*self.passed, *self.faults}, key=lambda key: (key[0], key[1].value))
+        keys = sorted({*self.forwarded_bytes, *self.faults}, key=lambda key: (key[0], key[1].value))
         return [
-            f"{number} {side.value} {self.passed[number, side]} {self.hashes[number, side].hexdigest()} "
+            f"{number} {side.value} {self.forwarded_bytes[number, side]} "
+            f"{self.hashes[number, side].hexdigest()} "
             + "; ".join(self.faults.get((number, side), []))
             for number, side in keys
         ]
@@ -76,125 +77,127 @@
         return blake2b("\n".join(self.lines()).encode(), digest_size=16).hexdigest()
 
 
-def drawn(seed: int, number: int, place: int) -> random.Random:
+def fault_random(seed: int, number: int, place: int) -> random.Random:
     """The chances of one fault on one connection or datagram."""
     return random.Random(f"{seed}/{number}/{place}")
 
 
-def delay(fault: Fault, chance: random.Random) -> float:
+def delay_seconds(fault: Fault, rng: random.Random) -> float:
     """Seconds of a delay."""
     if fault.spread == "uniform":
-        return chance.uniform(0.0, fault.ms) / 1000
+        return rng.uniform(0.0, fault.ms) / 1000
     if fault.spread == "heavy":
-        return fault.ms * (chance.paretovariate(HEAVY_SHAPE) - 1.0) / 1000
+        return fault.ms * (rng.paretovariate(HEAVY_SHAPE) - 1.0) / 1000
     return fault.ms / 1000
 
 
-def garbled(data: bytes, chance: random.Random) -> bytes:
+def garble(data: bytes, rng: random.Random) -> bytes:
     """Other bytes in the place of these; digits stay digits: a length stays one, but a wrong one."""
     return bytes(
-        chance.choice([digit for digit in b"0123456789" if digit != byte])
+        rng.choice([digit for digit in b"0123456789" if digit != byte])
         if byte in b"0123456789"
-        else byte ^ chance.randrange(1, 256)
+        else byte ^ rng.randrange(1, 256)
         for byte in data
     )
 
 
 @dataclass(slots=True)
-class _Direction:
+class _DirectionState:
     """One side of a connection: where its bytes stand."""
 
     framer: Framer = field(default_factory=Framer)
     message: int = -1
     place: Place = Place.START
-    into: dict[Place, int] = field(default_factory=lambda: defaultdict(int))  # bytes, in this message
+    offsets: dict[Place, int] = field(default_factory=lambda: defaultdict(int))  # bytes, in this message
     rate: int = 0  # bytes a second; 0: as fast as they come
-    garble: int = 0  # bytes that are still to be garbled ...
-    chance: random.Random | None = None  # ... by this
+    garble_remaining: int = 0  # bytes that are still to be garbled ...
+    garble_rng: random.Random | None = None  # ... by this
     swallowing: bool = False
     ended: bool = False  # its receiver was told so
 
 
-class Wire:
+class StreamMachine:
     """One connection through the tool. Faults may be set anew while it is open."""
 
     def __init__(self, seed: int, number: int, faults: Sequence[Fault], transcript: Transcript) -> None:
         self.seed = seed
         self.number = number
         self.transcript = transcript
-        self.sides = {side: _Direction() for side in Side}
-        self.over = False
-        self.armed: list[tuple[Fault, random.Random]] = []
-        self.arm(faults)
+        self.sides = {side: _DirectionState() for side in Side}
+        self.closed = False
+        self.pending_faults: list[tuple[Fault, random.Random]] = []
+        self.set_faults(faults)
 
-    def arm(self, faults: Sequence[Fault]) -> None:
+    def set_faults(self, faults: Sequence[Fault]) -> None:
         """Take other faults from here on; what has begun, such as a rate, goes on."""
-        self.armed = []
+        self.pending_faults = []
         for place, fault in enumerate(faults):
-            chance = drawn(self.seed, self.number, place)
-            if chance.random() < fault.share and (not fault.most or self.number < fault.most):
-                self.armed.append((fault, chance))
+            rng = fault_random(self.seed, self.number, place)
+            if rng.random() < fault.share and (not fault.most or self.number < fault.most):
+                self.pending_faults.append((fault, rng))
 
     def feed(self, side: Side, data: bytes) -> list[Action]:
         """Bytes have come from this side: what to do on the way to the other."""
         direction = self.sides[side]
         actions: list[Action] = []
         for place, part in direction.framer.feed(data):
-            if self.over:
+            if self.closed:
                 break
-            self._piece(side, direction, place, part, actions)
+            self._feed_piece(side, direction, place, part, actions)
         return actions
 
     def eof(self, side: Side) -> list[Action]:
         """This side says that nothing more comes."""
         direction = self.sides[side]
-        if self.over or direction.ended or direction.swallowing:
+        if self.closed or direction.ended or direction.swallowing:
             return []
         direction.ended = True
-        self.transcript.note(self.number, side, "eof")
+        self.transcript.record_fault(self.number, side, "eof")
         return [HalfClose()]
 
-    def _piece(
-        self, side: Side, direction: _Direction, place: Place, part: bytes, actions: list[Action]
+    def _feed_piece(
+        self, side: Side, direction: _DirectionState, place: Place, part: bytes, actions: list[Action]
     ) -> None:
         if place is Place.START:
             direction.message += 1
-            direction.into.clear()
+            direction.offsets.clear()
         direction.place = place
-        while not self.over:
+        while not self.closed:
             due = self._next_fault(side, direction, len(part))
             if due is None:
-                self._pass(side, direction, part, actions)
+                self._forward(side, direction, part, actions)
                 return
-            fault, chance = due
-            before = max(fault.after - direction.into[place], 0)
-            self._pass(side, direction, part[:before], actions)
-            part = part[before:]
-            self.armed.remove(due)
-            self._strike(side, direction, fault, chance, actions)
-
-    def _next_fault(self, side: Side, direction: _Direction, size: int) -> tuple[Fault, random.Random] | None:
+            fault, rng = due
+            prefix_bytes = max(fault.after - direction.offsets[place], 0)
+            self._forward(side, direction, part[:prefix_bytes], actions)
+            part = part[prefix_bytes:]
+            self.pending_faults.remove(due)
+            self._apply(side, direction, fault, rng, actions)
+
+    def _next_fault(
+        self, side: Side, direction: _DirectionState, size: int
+    ) -> tuple[Fault, random.Random] | None:
         """The fault that falls due first within the next so many bytes."""
-        into = direction.into[direction.place]
+        offsets = direction.offsets[direction.place]
         due = [
             (fault.after, number)
-            for number, (fault, _) in enumerate(self.armed)
+            for number, (fault, _) in enumerate(self.pending_faults)
             if fault.side is side
             and fault.message == direction.message
             and fault.place is direction.place
-            and (into <= fault.after < into + size or fault.after == into)
+            and (offsets <= fault.after < offsets + size or fault.after == offsets)
         ]
-        return self.armed[min(due)[1]] if due else None
+        return self.pending_faults[min(due)[1]] if due else None
 
-    def _pass(self, side: Side, direction: _Direction, part: bytes, actions: list[Action]) -> None:
-        direction.into[direction.place] += len(part)
+    def _forward(self, side: Side, direction: _DirectionState, part: bytes, actions: list[Action]) -> None:
+        direction.offsets[direction.place] += len(part)
         if not part or direction.swallowing or direction.ended:
             return
-        if direction.garble and direction.chance is not None:
-            hit = part[: direction.garble]
-            direction.garble -= len(hit)
-            part = garbled(hit, direction.chance) + part[len(hit) :]
-        self.transcript.forward(self.number, side, part)
+        if direction.garble_remaining and direction.garble_rng is not None:
+            struck = part[: direction.garble_remaining]
+            direction.garble_remaining -= len(struck)
+            part = garble(struck, direction.garble_rng) + part[len(struck) :]
+        self.transcript.record_bytes(self.number, side, part)
         if direction.rate:
             actions.append(Wait(len(part) / direction.rate))
         if actions and isinstance(actions[-1], Forward):
@@ -202,41 +205,41 @@
         else:
             actions.append(Forward(part))
 
-    def _strike(
-        self, side: Side, direction: _Direction, fault: Fault, chance: random.Random, actions: list[Action]
+    def _apply(
+        self, side: Side, direction: _DirectionState, fault: Fault, rng: random.Random, actions: list[Action]
     ) -> None:
         if direction.ended or direction.swallowing:
             return
-        self.transcript.note(self.number, side, fault.do)
+        self.transcript.record_fault(self.number, side, fault.do)
         if fault.do == "delay":
-            seconds = delay(fault, chance)
-            self.transcript.note(self.number, side, f"{seconds * 1e6:.0f} us")
+            seconds = delay_seconds(fault, rng)
+            self.transcript.record_fault(self.number, side, f"{seconds * 1e6:.0f} us")
             actions.append(Wait(seconds))
         elif fault.do == "rate":
             direction.rate = fault.per_second
         elif fault.do == "garble":
-            direction.garble, direction.chance = fault.count, chance
+            direction.garble_remaining, direction.garble_rng = fault.count, rng
         elif fault.do == "black_hole":
             direction.swallowing = True
         elif fault.do == "half_close":
             direction.ended = True
             actions.append(HalfClose())
         else:
-            self.over = True
+            self.closed = True
             actions.append(Close(reset=fault.do == "reset"))
 
 
-class Datagrams:
+class DatagramMachine:
     """What becomes of datagrams, each by its number on its side."""
 
     def __init__(self, seed: int, faults: Sequence[Fault], transcript: Transcript) -> None:
         self.seed = seed
         self.transcript = transcript
         self.counts = dict.fromkeys(Side, 0)
-        self.held: dict[Side, list[tuple[float, bytes]]] = {side: [] for side in Side}
-        self.arm(faults)
+        self.buffered: dict[Side, list[tuple[float, bytes]]] = {side: [] for side in Side}
+        self.set_faults(faults)
 
-    def arm(self, faults: Sequence[Fault]) -> None:
+    def set_faults(self, faults: Sequence[Fault]) -> None:
         self.faults = list(faults)
 
     def feed(self, side: Side, data: bytes) -> list[tuple[float, bytes]]:
@@ -246,29 +249,29 @@
         """
         number = self.counts[side]
         self.counts[side] += 1
-        copies, wait, hold = 1, 0.0, False
+        copies, delay_s, reorders = 1, 0.0, False
         for place, fault in enumerate(self.faults):
-            chance = drawn(self.seed, number, place)
-            spared = number < fault.message or bool(fault.most and number >= fault.message + fault.most)
-            if fault.side is not side or spared or chance.random() >= fault.share:
+            rng = fault_random(self.seed, number, place)
+            exempt = number < fault.message or bool(fault.most and number >= fault.message + fault.most)
+            if fault.side is not side or exempt or rng.random() >= fault.share:
                 continue
-            self.transcript.note(number, side, fault.do)
+            self.transcript.record_fault(number, side, fault.do)
             if fault.do == "drop":
                 copies = 0
             elif fault.do == "duplicate":
                 copies += 1
             elif fault.do == "delay":
-                wait += delay(fault, chance)
+                delay_s += delay_seconds(fault, rng)
             elif fault.do == "reorder":
-                hold = True
+                reorders = True
             else:
-                hit = data[fault.after : fault.after + fault.count]
-                data = data[: fault.after] + garbled(hit, chance) + data[fault.after + len(hit) :]
-        out = [(wait, data)] * copies
+                struck = data[fault.after : fault.after + fault.count]
+                data = data[: fault.after] + garble(struck, rng) + data[fault.after + len(struck) :]
+        outgoing = [(delay_s, data)] * copies
         for _ in range(copies):
-            self.transcript.forward(number, side, data)
-        if hold and not self.held[side]:
-            self.held[side] = out
+            self.transcript.record_bytes(number, side, data)
+        if reorders and not self.buffered[side]:
+            self.buffered[side] = outgoing
             return []
-        out, self.held[side] = out + self.held[side], []
-        return out
+        outgoing, self.buffered[side] = outgoing + self.buffered[side], []
+        return outgoing
--- a/tests/test_fault.py
+++ b/tests/test_fault.py
@@ -30,8 +30,16 @@
 )
 
 from ochreflow.lab.fault.framing import Framer, Place
-from ochreflow.lab.fault.machine import Close, Datagrams, Forward, HalfClose, Transcript, Wait, Wire
-from ochreflow.lab.fault.proxy import DatagramTool, Tool
+from ochreflow.lab.fault.machine import (
+    Close,
+    DatagramMachine,
+    Forward,
+    HalfClose,
+    StreamMachine,
+    Transcript,
+    Wait,
+)
+from ochreflow.lab.fault.proxy import DatagramProxy, FaultProxy
 from ochreflow.lab.fault.script import Fault, ScriptError, Side, read_script
 
 ROOT = Path(__file__).parent.parent
@@ -110,7 +118,7 @@
 def played(parts, faults, seed=3, number=0):
     """What a wire makes of an answer that comes in parts: its transcript, and the actions, bytes joined."""
     transcript = Transcript()
-    wire = Wire(seed, number, faults, transcript)
+    wire = StreamMachine(seed, number, faults, transcript)
     actions = [action for part in parts for action in wire.feed(Side.ANSWER, part)]
     data = b"".join(action.data for action in actions if isinstance(action, Forward))
     others = [action for action in actions if not isinstance(action, Forward | Wait)]
@@ -147,9 +155,9 @@
 
 
 def test_a_fault_that_is_set_while_a_message_is_half_through_strikes_in_it():
-    wire = Wire(1, 0, [], Transcript())
+    wire = StreamMachine(1, 0, [], Transcript())
     assert wire.feed(Side.ANSWER, ANSWER[:-6]) == [Forward(ANSWER[:-6])]
-    wire.arm([fault("cut", place="body", after=7), fault("cut", place="head", after=1)])
+    wire.set_faults([fault("cut", place="body", after=7), fault("cut", place="head", after=1)])
     assert wire.feed(Side.ANSWER, ANSWER[-6:]) == [Forward(ANSWER[-6:-3]), Close(reset=False)]
 
 
@@ -165,15 +173,15 @@
 
 
 async def through_tool(tmp_path, faults, cls, answer, deadline):
-    """One request through a sidecar whose server is behind the tool: what the client got, and the runs."""
+    """One request through a sidecar whose server is behind the proxy: what the client got, and the runs."""
 
     async def act(message, reader, writer):
         writer.write(answer)
 
     fake = await Fake(act).start()
     loop = asyncio.get_running_loop()
-    tool = Tool((HOST, fake.port), faults, seed=5)
-    server = await loop.create_server(tool.accept, HOST, 0)
+    proxy = FaultProxy((HOST, fake.port), faults, seed=5)
+    server = await loop.create_server(proxy.accept, HOST, 0)
     address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
     async with Sidecar(tmp_path / "c", config(news(1, entry("s1", address)))) as sidecar:
         try:
@@ -181,10 +189,10 @@
             word = {200: "served", 503: "refused"}.get(got.code, "failed")
         except (OSError, asyncio.IncompleteReadError):
             word = "cut"
-    tool.close()
+    proxy.close()
     server.close()
     # Requests tell the time that is left, so the same traffic twice is what servers answer.
-    answers = [line for line in tool.transcript.lines() if " answer " in line]
+    answers = [line for line in proxy.transcript.lines() if " answer " in line]
     return word, len(fake.got), answers
 
 
@@ -229,7 +237,7 @@
         for cls, (word, runs) in zip(("order", "lookup"), expected, strict=True):
             first = await through_tool(tmp_path, [what], cls, OK, "1500m")
             assert first[:2] == (word, runs), cls
-            if cls == "order":  # a repeat's time is the sidecar's chance, not the tool's
+            if cls == "order":  # a repeat's time is the sidecar's chance, not the proxy's
                 assert await through_tool(tmp_path, [what], cls, OK, "1500m") == first
 
     run(play())
@@ -252,14 +260,14 @@
             writer.write(OK)
 
         fake = await Fake(act).start()
-        tool = Tool((HOST, fake.port), [fault("reset", place="end")], 1)
+        proxy = FaultProxy((HOST, fake.port), [fault("reset", place="end")], 1)
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(tool.accept, HOST, 0)
+        server = await loop.create_server(proxy.accept, HOST, 0)
         sock = socket.create_connection(server.sockets[0].getsockname())
         sock.setblocking(False)
         await loop.sock_sendall(sock, REQUEST)
         async with asyncio.timeout(WAIT):
-            while tool.pairs or not tool.number:
+            while proxy.connections or not proxy.number:
                 await asyncio.sleep(0.001)
             with pytest.raises(ConnectionResetError):
                 while await loop.sock_recv(sock, 5):
@@ -274,12 +282,12 @@
     async def play():
         fake = await Fake(answer_ok).start()
         for faults in ([], [fault("half_close", "request", "end")], [fault("delay", ms=5)]):
-            tool = Tool((HOST, fake.port), faults, 1)
-            server = await asyncio.get_running_loop().create_server(tool.accept, HOST, 0)
+            proxy = FaultProxy((HOST, fake.port), faults, 1)
+            server = await asyncio.get_running_loop().create_server(proxy.accept, HOST, 0)
             for number in range(5):
                 got = await ask(server.sockets[0].getsockname()[1], message("order", f"id{number}"))
                 assert got.code == 200
-            await until(lambda tool=tool: not tool.pairs)
+            await until(lambda proxy=proxy: not proxy.connections)
             server.close()
 
     run(play())
@@ -291,10 +299,10 @@
             writer.write(OK)
 
         fake = await Fake(act).start()
-        tool = Tool((HOST, fake.port), [], 1)
+        proxy = FaultProxy((HOST, fake.port), [], 1)
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(tool.accept, HOST, 0)
-        control = await loop.create_server(tool.control().connection, HOST, 0)
+        server = await loop.create_server(proxy.accept, HOST, 0)
+        control = await loop.create_server(proxy.control().connection, HOST, 0)
         steer = control.sockets[0].getsockname()[1]
 
         async def order(method, path, body=b""):
@@ -313,7 +321,7 @@
         assert await reader.read() == b""
         told = json.loads((await order("GET", "/transcript")).body)
         assert told["lines"][1].startswith(f"0 request {2 * len(REQUEST) - 6} ") and "cut" in told["lines"][1]
-        assert told["digest"] == tool.transcript.digest()
+        assert told["digest"] == proxy.transcript.digest()
         assert (await order("GET", "/nothing")).code == 404
         writer.close()
         server.close()
@@ -326,7 +334,7 @@
 
 def test_datagrams_are_dropped_doubled_delayed_garbled_and_put_out_of_order():
     def sent(*faults, count=4):
-        machine = Datagrams(2, faults, Transcript())
+        machine = DatagramMachine(2, faults, Transcript())
         return [
             [data for _, data in machine.feed(Side.REQUEST, b"%d-abc" % number)] for number in range(count)
         ]
@@ -342,7 +350,7 @@
         one[0][:2] == b"%d-" % n and one[0][2:4] != b"ab" and one[0][4:] == b"c"
         for n, one in enumerate(garbled)
     )
-    machine = Datagrams(2, [on_requests("delay", ms=50)], Transcript())
+    machine = DatagramMachine(2, [on_requests("delay", ms=50)], Transcript())
     assert machine.feed(Side.REQUEST, b"x") == [(0.05, b"x")] and machine.feed(Side.ANSWER, b"y") == [
         (0.0, b"y")
     ]
@@ -369,9 +377,9 @@
         for _ in range(2):
             echo, _ = await loop.create_datagram_endpoint(Echo, local_addr=(HOST, 0))
             faults = [fault("duplicate", "answer", message=1, most=1), fault("drop", "request", most=1)]
-            tool = Tool(echo.get_extra_info("sockname"), faults, 1, datagrams=True)
+            proxy = FaultProxy(echo.get_extra_info("sockname"), faults, 1, datagrams=True)
             between, _ = await loop.create_datagram_endpoint(
-                lambda tool=tool: DatagramTool(tool), local_addr=(HOST, 0)
+                lambda proxy=proxy: DatagramProxy(proxy), local_addr=(HOST, 0)
             )
             asker, protocol = await loop.create_datagram_endpoint(
                 Asker, remote_addr=between.get_extra_info("sockname")
@@ -381,7 +389,7 @@
                 for name, copies in ((b"a", 1), (b"b", 2), (b"c", 1)):
                     asker.sendto(name)
                     assert [await protocol.got.get() for _ in range(copies)] == [b"re:" + name] * copies
-            digests.append(tool.transcript.digest())
+            digests.append(proxy.transcript.digest())
             for transport in (echo, between, asker):
                 transport.close()
         assert digests[0] == digests[1]
