--- a/ochreflow/cli/lab.py
+++ b/ochreflow/cli/lab.py
@@ -158,7 +158,7 @@
     """Stand between sockets: delay, cut, half-close, garble; the same way for the same seed."""
     import asyncio
 
-    from ..lab.fault.proxy import serve
+    from ..lab.fault.proxy import FaultProxy, serve
     from ..lab.fault.script import DATAGRAM_FAULTS, STREAM_FAULTS, ScriptError, read_script
 
     try:
@@ -169,7 +169,8 @@
     listen_address, target_address = parse_address(listen), parse_address(target)
     control_address = parse_address(control) if control else None
     try:
-        asyncio.run(serve(listen_address, target_address, faults, seed, control_address, udp))
+        proxy = FaultProxy(target_address, faults, seed, datagrams=udp)
+        asyncio.run(serve(proxy, listen_address, control_address, udp=udp))
     except OSError as error:
         message = f"can't stand there: {error}"
         raise click.ClickException(message) from None
--- a/ochreflow/lab/fault/framing.py
+++ b/ochreflow/lab/fault/framing.py
@@ -6,13 +6,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from enum import Enum
+from typing import NamedTuple
 
 MAX_LINE_BYTES = 64 * 1024  # a line that is longer is no line
+LINE_END_BYTES = 2  # CR LF behind a chunk
 
 
 class Place(Enum):
+    """A part of a message; the values are the script's words."""
+
     START = "start"  # before the first byte of a message
     HEAD = "head"
     LENGTH = "length"  # the value of Content-Length
@@ -21,14 +25,30 @@
     END = "end"  # after the last byte of a message
 
 
-Piece = tuple[Place, bytes]
+class Piece(NamedTuple):
+    """Bytes that follow each other in one part of a message."""
+
+    place: Place
+    data: bytes
+
+
+class Step(NamedTuple):
+    """What one state of the framer took: how many bytes, and the pieces that they are."""
+
+    size: int
+    pieces: list[Piece]
+
+
+State = Callable[[bytes, int], Step]
+"""Takes bytes of what was read, from an offset on."""
 
 
 class Framer:
     """Cuts one direction of a connection into labelled pieces; START and END come with no bytes."""
 
     def __init__(self) -> None:
-        self.state = self._start
+        """Begin in front of a message."""
+        self.state: State = self._start
         self.line = bytearray()
         self.remaining = 0  # bytes of a body or chunk
         self._reset_message()
@@ -36,8 +56,7 @@
     def _reset_message(self) -> None:
         self.length: int | None = None
         self.chunked = False
-        self.first_line = b""  # the first line
-        self.name = ""  # of the header that is being read
+        self.first_line = b""
         self.value = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Piece]:
@@ -48,34 +67,34 @@
             yield from pieces
             at += size
 
-    # Each state takes bytes from `at` on: how many it took, and the pieces they are.
+    # The states: each takes bytes from `at` on.
 
-    def _start(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
+    def _start(self, _data: bytes, _at: int) -> Step:
         self._reset_message()
         self.state = self._name
-        return 0, [(Place.START, b"")]
+        return Step(0, [Piece(Place.START, b"")])
 
-    def _name(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
+    def _name(self, data: bytes, at: int) -> Step:
         """A line up to its end, or up to the colon of a header whose value has a place of its own."""
         byte = data[at : at + 1]
         self.line += byte
         if byte == b"\n":
-            return 1, [(Place.HEAD, byte), *self._end_line()]
+            return Step(1, [Piece(Place.HEAD, byte), *self._end_line()])
         if byte == b":" and self.line[:-1].lower() == b"content-length":
             self.state = self._value
             self.value.clear()
         elif len(self.line) > MAX_LINE_BYTES:
             self.state = self._until_eof
-        return 1, [(Place.HEAD, byte)]
+        return Step(1, [Piece(Place.HEAD, byte)])
 
-    def _value(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
+    def _value(self, data: bytes, at: int) -> Step:
         byte = data[at : at + 1]
         if byte in b"\r\n":
             self.state = self._name
             self.length = int(self.value) if self.value.strip().isdigit() else None
-            return 0, []
+            return Step(0, [])
         self.value += byte
-        return 1, [(Place.HEAD if byte == b" " else Place.LENGTH, byte)]
+        return Step(1, [Piece(Place.HEAD if byte == b" " else Place.LENGTH, byte)])
 
     def _end_line(self) -> list[Piece]:
         line = bytes(self.line).strip()
@@ -108,42 +127,44 @@
 
     def _end_message(self) -> list[Piece]:
         self.state = self._start
-        return [(Place.END, b"")]
+        return [Piece(Place.END, b"")]
 
-    def _body(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
+    def _body(self, data: bytes, at: int) -> Step:
         part = data[at : at + self.remaining]
         self.remaining -= len(part)
-        return len(part), [(Place.BODY, part), *(self._end_message() if not self.remaining else [])]
+        end = [] if self.remaining else self._end_message()
+        return Step(len(part), [Piece(Place.BODY, part), *end])
 
-    def _chunk_size(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
+    def _chunk_size(self, data: bytes, at: int) -> Step:
         byte = data[at : at + 1]
         self.line += byte
         if byte != b"\n":
-            return 1, [(Place.CHUNK_SIZE, byte)]
+            return Step(1, [Piece(Place.CHUNK_SIZE, byte)])
         text = bytes(self.line).split(b";")[0].strip()
         self.line.clear()
         try:
-            self.remaining = int(text, 16) + 2  # with the line end behind it
-            self.state = self._chunk if self.remaining > 2 else self._trailer
+            size = int(text, 16)
+            self.remaining = size + LINE_END_BYTES
+            self.state = self._chunk if size > 0 else self._trailer
         except ValueError:
             self.state = self._until_eof
-        return 1, [(Place.CHUNK_SIZE, byte)]
+        return Step(1, [Piece(Place.CHUNK_SIZE, byte)])
 
-    def _chunk(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
+    def _chunk(self, data: bytes, at: int) -> Step:
         part = data[at : at + self.remaining]
         self.remaining -= len(part)
         if not self.remaining:
             self.state = self._chunk_size
-        return len(part), [(Place.BODY, part)]
+        return Step(len(part), [Piece(Place.BODY, part)])
 
-    def _trailer(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
+    def _trailer(self, data: bytes, at: int) -> Step:
         byte = data[at : at + 1]
         self.line += byte
         if byte != b"\n":
-            return 1, [(Place.BODY, byte)]
+            return Step(1, [Piece(Place.BODY, byte)])
         line = bytes(self.line).strip()
         self.line.clear()
-        return 1, [(Place.BODY, byte), *(self._end_message() if not line else [])]
+        return Step(1, [Piece(Place.BODY, byte), *(self._end_message() if not line else [])])
 
-    def _until_eof(self, data: bytes, at: int) -> tuple[int, list[Piece]]:
-        return len(data) - at, [(Place.BODY, data[at:])]
+    def _until_eof(self, data: bytes, at: int) -> Step:
+        return Step(len(data) - at, [Piece(Place.BODY, data[at:])])
--- /dev/null
+++ b/ochreflow/lab/fault/stream_proxy.py
@@ -0,0 +1,191 @@
+"""The sockets of one proxied connection: plays the actions of its machine."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+from collections import deque
+from collections.abc import Callable
+from typing import cast
+
+from .script import Side
+from .stream import Action, Close, Forward, HalfClose, StreamMachine, Wait
+
+Address = tuple[str, int]
+MAX_BUFFERED_BYTES = 256 * 1024  # on their way in one direction before its sender is read no further
+RESUME_BELOW_BYTES = 64 * 1024
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with no time: a close resets
+
+
+class ProxiedConnection:
+    """Owns the connection of a peer, the one made for it to the target, and the timers of both directions."""
+
+    def __init__(
+        self,
+        machine: StreamMachine,
+        target: Address,
+        on_closed: Callable[[ProxiedConnection], None],
+    ) -> None:
+        """Wait for the peer's connection to be made; `on_closed` is called once."""
+        self.machine = machine
+        self.target = target
+        self.on_closed = on_closed
+        self.ends = {side: ConnectionEnd(self, side) for side in Side}
+        self.queues: dict[Side, deque[Action]] = {side: deque() for side in Side}
+        self.timers: dict[Side, asyncio.TimerHandle | None] = dict.fromkeys(Side)
+        self.buffered_bytes = dict.fromkeys(Side, 0)
+        self.connecting: asyncio.Task[None] | None = None
+        self.closed = False
+
+    def connect(self) -> None:
+        """Connect to the target; a target that does not accept resets the peer's connection."""
+        self.connecting = asyncio.get_running_loop().create_task(self._connect())
+
+    async def _connect(self) -> None:
+        try:
+            loop = asyncio.get_running_loop()
+            await loop.create_connection(lambda: self.ends[Side.ANSWER], *self.target)
+        except OSError:
+            self.close(reset=True)  # nobody listens there: the connecting peer sees the same
+            return
+        self._run_actions(Side.REQUEST)
+
+    def enqueue(self, side: Side, actions: list[Action]) -> None:
+        """Take the actions that bytes or the end of one side led to."""
+        self.queues[side] += actions
+        self.buffered_bytes[side] += sum(
+            len(action.data) for action in actions if isinstance(action, Forward)
+        )
+        if self.buffered_bytes[side] > MAX_BUFFERED_BYTES:
+            self.ends[side].pause_reading()
+        self._run_actions(side)
+
+    def _run_actions(self, side: Side) -> None:
+        """Do what is due in one direction, up to the next wait."""
+        receiver = self.ends[side.opposite]
+        queue = self.queues[side]
+        if receiver.transport is None and not receiver.disconnected:
+            return  # it is still being connected
+        while queue and self.timers[side] is None and not self.closed:
+            self._run(side, queue.popleft())
+        if all(end.received_eof for end in self.ends.values()) and not any(self.queues.values()):
+            self.close(reset=False)  # both ends have sent all they had, and all of it has been forwarded
+
+    def _run(self, side: Side, action: Action) -> None:
+        receiver = self.ends[side.opposite]
+        match action:
+            case Forward(data):
+                self.buffered_bytes[side] -= len(data)
+                receiver.write(data)
+                if self.buffered_bytes[side] < RESUME_BELOW_BYTES:
+                    self.ends[side].resume_reading()
+            case Wait(seconds):
+                loop = asyncio.get_running_loop()
+                self.timers[side] = loop.call_later(seconds, self._resume, side)
+            case HalfClose():
+                receiver.half_close()
+            case Close(reset):
+                self.close(reset=reset)
+
+    def _resume(self, side: Side) -> None:
+        self.timers[side] = None
+        self._run_actions(side)
+
+    def end_lost(self, *, reset: bool) -> None:
+        """One end is disconnected: a reset goes on to the other at once, a close when both are closed."""
+        if reset:
+            self.close(reset=True)
+        elif all(end.disconnected for end in self.ends.values()):
+            self.close(reset=False)
+
+    def close(self, *, reset: bool) -> None:
+        """Close both connections and cancel what waits."""
+        if self.closed:
+            return
+        self.closed = True
+        self.on_closed(self)
+        if self.connecting is not None:
+            self.connecting.cancel()
+        for timer in self.timers.values():
+            if timer is not None:
+                timer.cancel()
+        for end in self.ends.values():
+            end.close(reset=reset)
+
+
+class ConnectionEnd(asyncio.Protocol):
+    """One of the two sockets of a proxied connection: the bytes that are read from it are of its side."""
+
+    def __init__(self, connection: ProxiedConnection, side: Side) -> None:
+        """Belong to a connection, which is told of all that happens here."""
+        self.connection = connection
+        self.side = side
+        self.transport: asyncio.Transport | None = None
+        self.disconnected = False
+        self.received_eof = False
+        self.reading = True
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Connect to the target once the peer is connected."""
+        self.transport = cast(asyncio.Transport, transport)
+        if self.connection.closed:
+            self.close(reset=True)
+        elif self.side is Side.REQUEST:
+            self.connection.connect()
+
+    def data_received(self, data: bytes) -> None:
+        """Feed the bytes to the machine."""
+        if not self.connection.closed:
+            self.connection.enqueue(self.side, self.connection.machine.feed(self.side, data))
+
+    def eof_received(self) -> bool:
+        """Feed the end to the machine; the other direction may still be in use."""
+        self.received_eof = True
+        if not self.connection.closed:
+            self.connection.enqueue(self.side, self.connection.machine.eof(self.side))
+        return True
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Tell the connection whether it was a close or a reset."""
+        self.disconnected = True
+        self.connection.end_lost(reset=exc is not None)
+
+    @property
+    def _open_transport(self) -> asyncio.Transport | None:
+        if self.transport is None or self.transport.is_closing():
+            return None
+        return self.transport
+
+    def pause_reading(self) -> None:
+        """Read nothing until `resume_reading`."""
+        if (transport := self._open_transport) is not None and self.reading:
+            self.reading = False
+            transport.pause_reading()
+
+    def resume_reading(self) -> None:
+        """Read on, if reading was paused."""
+        if (transport := self._open_transport) is not None and not self.reading:
+            self.reading = True
+            transport.resume_reading()
+
+    def write(self, data: bytes) -> None:
+        """Write, unless the connection is closing."""
+        if (transport := self._open_transport) is not None:
+            transport.write(data)
+
+    def half_close(self) -> None:
+        """End the sending; reading goes on."""
+        if (transport := self._open_transport) is not None:
+            transport.write_eof()
+
+    def close(self, *, reset: bool) -> None:
+        """Close in order once all is written, or reset at once."""
+        if (transport := self._open_transport) is None:
+            return
+        if reset:
+            sock = transport.get_extra_info("socket")
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            transport.abort()
+        else:
+            transport.close()
--- a/tests/test_fault.py
+++ b/tests/test_fault.py
@@ -29,18 +29,12 @@
     until,
 )
 
+from ochreflow.lab.fault.datagrams import DatagramMachine
 from ochreflow.lab.fault.framing import Framer, Place
-from ochreflow.lab.fault.machine import (
-    Close,
-    DatagramMachine,
-    Forward,
-    HalfClose,
-    StreamMachine,
-    Transcript,
-    Wait,
-)
-from ochreflow.lab.fault.proxy import DatagramProxy, FaultProxy
-from ochreflow.lab.fault.script import Fault, ScriptError, Side, read_script
+from ochreflow.lab.fault.proxy import FaultProxy
+from ochreflow.lab.fault.script import Fault, FaultKind, ScriptError, Side, read_script
+from ochreflow.lab.fault.stream import Close, Forward, HalfClose, StreamMachine, Wait
+from ochreflow.lab.fault.transcript import Transcript
 
 ROOT = Path(__file__).parent.parent
 REQUEST = b"POST /order HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 10\r\n\r\n0123456789"
@@ -378,9 +372,7 @@
             echo, _ = await loop.create_datagram_endpoint(Echo, local_addr=(HOST, 0))
             faults = [fault("duplicate", "answer", message=1, most=1), fault("drop", "request", most=1)]
             proxy = FaultProxy(echo.get_extra_info("sockname"), faults, 1, datagrams=True)
-            between, _ = await loop.create_datagram_endpoint(
-                lambda proxy=proxy: DatagramProxy(proxy), local_addr=(HOST, 0)
-            )
+            between, _ = await loop.create_datagram_endpoint(proxy.accept_datagrams, local_addr=(HOST, 0))
             asker, protocol = await loop.create_datagram_endpoint(
                 Asker, remote_addr=between.get_extra_info("sockname")
             )
@@ -426,12 +418,12 @@
     path = tmp_path / "s.toml"
     good = '[[fault]]\ndo = "cut"\nside = "request"\nplace = "length"\nafter = 1\n'
     path.write_text(good)
-    assert read_script(str(path), ("cut",)) == [fault("cut", "request", "length", after=1)]
+    assert read_script(str(path), (FaultKind.CUT,)) == [fault("cut", "request", "length", after=1)]
     path.write_text(
         good + '[[fault]]\ndo = "cat"\n[[fault]]\ndo = "rate"\n[[fault]]\ndo = "cut"\nshare = 2.0\n'
     )
     with pytest.raises(ScriptError) as caught:
-        read_script(str(path), ("cut", "rate"))
+        read_script(str(path), (FaultKind.CUT, FaultKind.RATE))
     lines = str(caught.value).splitlines()
     assert [line.split(": ")[1] for line in lines] == ["fault[1]", "fault[2]", "fault[3]"]
     command = [
