--- a/ochreflow/http/acceptor.py
+++ b/ochreflow/http/acceptor.py
@@ -2,7 +2,7 @@
 
 Whom the gate refuses costs a descriptor for a moment and nothing else: no transport is made. So does a client
 that left while it waited in the backlog, and the gate does not count it. While the system has no descriptor
-left, connections wait in the backlog; see `ochreflow.admission.door`.
+left, connections wait in the backlog; see `ochreflow.admission.accept_throttle`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from time import monotonic
 
-from ..admission.door import GIVE_WAY, SHORT, Door
+from ..admission.accept_throttle import DESCRIPTOR_ERRNOS, MAX_EVICTIONS_PER_PAUSE, AcceptThrottle
 from ..core.log import log
 from .clients import Clients
 from .connection import ClientConnection
@@ -32,7 +32,7 @@
         self.sock = sock
         self.made = made
         self.clients = clients
-        self.door = Door()
+        self.accept_throttle = AcceptThrottle()
         self.connecting: set[asyncio.Task[None]] = set()
         self.resuming: asyncio.TimerHandle | None = None
         sock.setblocking(False)
@@ -41,7 +41,7 @@
     def _come(self) -> None:
         """Connections wait."""
         count = 0
-        for _ in range(self.door.may_accept(monotonic())):
+        for _ in range(self.accept_throttle.accepts_allowed(monotonic())):
             try:
                 sock, address = self.sock.accept()
             except (BlockingIOError, InterruptedError):
@@ -53,7 +53,7 @@
                 return
             count += 1
             self._take(sock, str(address[0]))
-        self.door.accepted(count)
+        self.accept_throttle.accepted(count)
 
     def _take(self, sock: socket.socket, host: str) -> None:
         # Guards the places of those that stay: a client that has left would keep its place for some turns of
@@ -78,10 +78,10 @@
 
     def _pause(self, error: OSError) -> None:
         """Let what waits for nothing make room, and leave the rest in the backlog for a while."""
-        wait = self.door.short(monotonic())
+        wait = self.accept_throttle.out_of_descriptors(monotonic())
         gone = 0
-        if error.errno in SHORT:
-            while gone < GIVE_WAY and self.clients.give_way_to_newcomer():
+        if error.errno in DESCRIPTOR_ERRNOS:
+            while gone < MAX_EVICTIONS_PER_PAUSE and self.clients.give_way_to_newcomer():
                 gone += 1
         log.warning("accept_paused", reason=error.strerror or str(error), seconds=wait, closed=gone)
         self.loop.remove_reader(self.sock)
--- a/tests/test_door.py
+++ b/tests/test_accept_throttle.py
@@ -31,44 +31,51 @@
 from test_operator_file import command
 from test_process import Process
 
-from ochreflow.admission.door import FIRST, MOST, PAUSE_FIRST, PAUSE_MOST, SHORT, Door
+from ochreflow.admission.accept_throttle import (
+    DESCRIPTOR_ERRNOS,
+    MAX_ACCEPTS_PER_TURN,
+    MAX_PAUSE_S,
+    MIN_ACCEPTS_PER_TURN,
+    MIN_PAUSE_S,
+    AcceptThrottle,
+)
 from ochreflow.admission.gate import HANDED, KNOWN_AT, Caps, Gate
 from ochreflow.http.acceptor import Acceptor
 
 GATED = '[operators]\nlisten = "127.0.0.1:0"\n[admission]\non = true\n'
 
 
-def test_a_door_that_found_no_descriptor_pauses_and_opens_by_steps():
-    door = Door()
-    assert door.may_accept(0.0) == MOST
-    assert door.short(1.0) == PAUSE_FIRST
-    assert door.may_accept(1.0) == 0
-    now = 1.0 + PAUSE_FIRST
+def test_a_throttle_that_found_no_descriptor_pauses_and_opens_by_steps():
+    throttle = AcceptThrottle()
+    assert throttle.accepts_allowed(0.0) == MAX_ACCEPTS_PER_TURN
+    assert throttle.out_of_descriptors(1.0) == MIN_PAUSE_S
+    assert throttle.accepts_allowed(1.0) == 0
+    now = 1.0 + MIN_PAUSE_S
     taken = []
-    while not taken or taken[-1] < MOST:
-        taken.append(door.may_accept(now))
-        door.accepted(taken[-1])
-    assert taken[0] == FIRST and all(b <= 2 * a for a, b in itertools.pairwise(taken))
+    while not taken or taken[-1] < MAX_ACCEPTS_PER_TURN:
+        taken.append(throttle.accepts_allowed(now))
+        throttle.accepted(taken[-1])
+    assert taken[0] == MIN_ACCEPTS_PER_TURN and all(b <= 2 * a for a, b in itertools.pairwise(taken))
 
 
 @given(st.lists(st.tuples(st.booleans(), st.floats(0.0, 1.0)), max_size=60))
-def test_a_door_never_stays_shut_for_long_nor_opens_early(events):
-    door, now, shut = Door(), 0.0, 0.0
+def test_a_throttle_never_stays_shut_for_long_nor_opens_early(events):
+    throttle, now, shut = AcceptThrottle(), 0.0, 0.0
     for short, gap in events:
         now += gap
-        assert (door.may_accept(now) > 0) == (now >= shut)
-        assert door.may_accept(now) <= MOST
+        assert (throttle.accepts_allowed(now) > 0) == (now >= shut)
+        assert throttle.accepts_allowed(now) <= MAX_ACCEPTS_PER_TURN
         if now >= shut:
             if short:
-                wait = door.short(now)
-                assert PAUSE_FIRST <= wait <= PAUSE_MOST
+                wait = throttle.out_of_descriptors(now)
+                assert MIN_PAUSE_S <= wait <= MAX_PAUSE_S
                 shut = now + wait
             else:
-                door.accepted(door.may_accept(now))
+                throttle.accepted(throttle.accepts_allowed(now))
 
 
-def test_what_is_meant_by_short():
-    assert {errno.EMFILE, errno.ENFILE} <= SHORT and errno.EBADF not in SHORT
+def test_the_errors_that_mean_no_descriptor_is_left():
+    assert {errno.EMFILE, errno.ENFILE} <= DESCRIPTOR_ERRNOS and errno.EBADF not in DESCRIPTOR_ERRNOS
 
 
 def test_a_waiting_connection_gives_way_before_one_that_is_owed_an_answer(tmp_path):
