--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from time import perf_counter
 
-from ochreflow.admission.gate import Caps, Gate
+from ochreflow.admission.connection_admission import ConnectionAdmission, Limits
 
 PAGE = os.sysconf("SC_PAGE_SIZE") // 1024
 GAP = 0.001  # seconds between connections: a thousand a second
@@ -29,22 +29,22 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--addresses", type=int, default=10_000_000)
     many = parser.parse_args().addresses
-    gate: Gate[int] = Gate(Caps(), lambda: 1000)
-    told: dict[str, float] = {"addresses": many, "before_kib": resident()}
+    admission: ConnectionAdmission[int] = ConnectionAdmission(Limits(), lambda: 1000)
+    figures: dict[str, float] = {"addresses": many, "before_kib": resident()}
     began = perf_counter()
     let_in = 0
     for number in range(many):
         now = number * GAP
         address = f"{10 + (number >> 24)}.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}"
-        if gate.open(now, number, address) is None:
+        if admission.admit(now, number, address) is None:
             let_in += 1
             if number % 10 == 0:
-                gate.completed(now, number)
-            gate.close(number)
+                admission.request_completed(now, number)
+            admission.connection_closed(number)
         if number == many // 10:
-            told["after_a_tenth_kib"] = resident()
-    told |= {"after_kib": resident(), "let_in": let_in, "remembered": len(gate.absent)}
-    print(json.dumps({**told, "us_for_each": round((perf_counter() - began) / many * 1e6, 2)}))
+            figures["after_a_tenth_kib"] = resident()
+    figures |= {"after_kib": resident(), "let_in": let_in, "remembered": len(admission.absent)}
+    print(json.dumps({**figures, "us_for_each": round((perf_counter() - began) / many * 1e6, 2)}))
 
 
 if __name__ == "__main__":
--- a/ochreflow/admission/__init__.py
+++ b/ochreflow/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which clients' connections are let in, and which goes when there is no room: decisions without I/O."""
+"""Which clients' connections are admitted, and which are evicted without capacity: decisions without I/O."""
--- a/ochreflow/app/operator.py
+++ b/ochreflow/app/operator.py
@@ -67,7 +67,7 @@
 
 
 class AdmissionTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Caps on clients' connections by address; see `ochreflow.admission.gate.Caps`."""
+    """Limits on clients' connections by address; see `Limits` of `ochreflow.admission`."""
 
     on: Annotated[bool, Fixed("addresses are counted from the start")] = False
     open: Annotated[int, Within(1, 1_000_000)] = 64
--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -82,10 +82,10 @@
     management = Management(loop, engine)
     reloader = Reloader(loop, sidecar, management, options, path)
     reloader.take_options(options, options.sink())
-    gate = sidecar.http.clients.gate
-    if gate is not None and overlap is not None:
+    admission = sidecar.http.clients.admission
+    if admission is not None and overlap is not None:
         for books in overlap.books:
-            gate.take_over(monotonic(), books)
+            admission.restore(monotonic(), books)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, engine.lifecycle.terminate)
     loop.add_signal_handler(signal.SIGHUP, reloader.ask)
@@ -97,7 +97,7 @@
             await loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
             engine.gossip = peers
         await management.listen(options.operators or config.management)
-        if gate is not None:
+        if admission is not None:
             from ..http.acceptor import Acceptor
 
             sock = inherited or socket.create_server(config.listen)
--- a/ochreflow/app/reload.py
+++ b/ochreflow/app/reload.py
@@ -143,15 +143,25 @@
             self._take_admission(file.admission)
 
     def _take_admission(self, table: AdmissionTable) -> None:
-        """Put the gate before clients' connections, or give it other caps."""
-        from ..admission.gate import Caps, Gate
-        from ..admission.show import told
-
-        caps = Caps(**{name: getattr(table, name) for name in Caps.__slots__})
+        """Turn the connection admission on, or give it other limits."""
+        from ..admission.connection_admission import ConnectionAdmission, Limits
+        from ..admission.status import format_status
+
+        limits = Limits(
+            max_open=table.open,
+            max_incomplete=table.half_written,
+            max_new_per_s=table.new_per_second,
+            prefix_multiplier=table.prefix_times,
+            reserved_share=table.known_part,
+            half_life_s=table.half_life,
+            max_absent=table.remembered,
+        )
         clients = self.sidecar.http.clients
-        if isinstance(clients.gate, Gate):
-            clients.gate.caps = caps
+        if isinstance(clients.admission, ConnectionAdmission):
+            clients.admission.limits = limits
             return
-        gate: Gate[Client] = Gate(caps, lambda: clients.descriptors.clients)
-        clients.gate = gate
-        self.management.routes[b"/admission"] = (b"GET", lambda: (200, told(gate, monotonic())))
+        admission: ConnectionAdmission[Client] = ConnectionAdmission(
+            limits, lambda: clients.descriptors.clients
+        )
+        clients.admission = admission
+        self.management.routes[b"/admission"] = (b"GET", lambda: (200, format_status(admission, monotonic())))
--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -71,9 +71,9 @@
         )
 
     def known_clients(self) -> object:
-        """The gate's books for a process that begins beside this one; None without a gate."""
-        gate = self.http.clients.gate
-        return gate.books(monotonic()) if gate is not None else None
+        """The known addresses for a process that begins beside this one; None without admission."""
+        admission = self.http.clients.admission
+        return admission.snapshot(monotonic()) if admission is not None else None
 
     def reload(self, config: Config) -> None:
         """Take what may change while running of a new configuration: the directory may have moved."""
--- a/ochreflow/http/acceptor.py
+++ b/ochreflow/http/acceptor.py
@@ -1,8 +1,8 @@
 """Accepts the clients' connections where `[admission]` is on.
 
-Whom the gate refuses costs a descriptor for a moment and nothing else: no transport is made. So does a client
-that left while it waited in the backlog, and the gate does not count it. While the system has no descriptor
-left, connections wait in the backlog; see `ochreflow.admission.accept_throttle`.
+A connection that is rejected costs a descriptor for a moment and nothing else: no transport is made. So does
+one whose client left while it waited in the backlog, and it is not counted. While the system has no
+descriptor left, connections wait in the backlog; see `ochreflow.admission.accept_throttle`.
 """
 
 from __future__ import annotations
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -66,24 +66,24 @@
     def value(self) -> Any: ...
 
 
-class Gate(Protocol):
+class ConnectionAdmission(Protocol):
     """What decides on connections by their addresses, where that is asked for; see `ochreflow.admission`."""
 
-    def open(self, now: float, key: Client, address: str) -> Refusal | None: ...
+    def admit(self, now: float, key: Client, address: str) -> Refusal | None: ...
 
-    def half_written(self, now: float, key: Client, half: bool) -> Client | None: ...
+    def message_in_progress(self, now: float, key: Client, in_progress: bool) -> Client | None: ...
 
-    def completed(self, now: float, key: Client) -> None: ...
+    def request_completed(self, now: float, key: Client) -> None: ...
 
-    def close(self, key: Client) -> None: ...
+    def connection_closed(self, key: Client) -> None: ...
 
-    def books(self, now: float) -> list[tuple[str, float]]: ...
+    def snapshot(self, now: float) -> list[tuple[str, float]]: ...
 
-    def take_over(self, now: float, books: object) -> None: ...
+    def restore(self, now: float, snapshot: object) -> None: ...
 
-    def first_to_go(self, now: float, keys: Iterable[Client]) -> Client: ...
+    def eviction_candidate(self, now: float, keys: Iterable[Client]) -> Client: ...
 
-    def knows(self, now: float, key: Client) -> bool: ...
+    def is_known(self, now: float, key: Client) -> bool: ...
 
 
 class Clients:
@@ -98,18 +98,18 @@
         self.descriptors = descriptors
         self.total = descriptors.total  # as the clients were last cut down to their share of it
         self.times = Times()
-        self.gate: Gate | None = None
+        self.admission: ConnectionAdmission | None = None
         self.all: dict[Client, None] = {}
         self.waited: dict[Client, float] = {}
         self.heard: dict[Client, float] = {}
         self.idle: dict[Client, float] = {}
         self.lingering: dict[Client, None] = {}
-        self.let_in: set[Client] = set()  # by the gate, and not added yet
+        self.let_in: set[Client] = set()  # by the connection admission, and not added yet
         descriptors.waiting.append(self.give_way)
 
     def admit(self, client: Client, host: str) -> bool:
-        """Whether the gate, if there is one, lets in a connection from this address."""
-        refusal = self.gate.open(monotonic(), client, host) if self.gate is not None else None
+        """Whether the connection admission, if there is one, lets in a connection from this address."""
+        refusal = self.admission.admit(monotonic(), client, host) if self.admission is not None else None
         if refusal is not None:
             log.info("connection_refused", address=host, reason=refusal.value)
             return False
@@ -119,8 +119,8 @@
     def never_came(self, client: Client) -> None:
         """It was let in, and ended before it was added."""
         self.let_in.discard(client)
-        if self.gate is not None:
-            self.gate.close(client)
+        if self.admission is not None:
+            self.admission.connection_closed(client)
 
     def add(self, client: Client) -> None:
         """Take up a new connection, if it is let in; over the clients' share, one of them goes."""
@@ -143,8 +143,8 @@
             del self.all[client]
             self.descriptors.held -= 1
             self.descriptors.connected -= 1
-        if self.gate is not None:
-            self.gate.close(client)
+        if self.admission is not None:
+            self.admission.connection_closed(client)
 
     def _forget(self, client: Client) -> None:
         for places in (self.waited, self.heard, self.idle):
@@ -169,8 +169,8 @@
             self.waited.setdefault(client, now)
             self.heard.pop(client, None)
             self.heard[client] = now
-            if self.gate is not None:
-                self._too_many(self.gate, now, client)
+            if self.admission is not None:
+                self._too_many(self.admission, now, client)
         elif client.asked:
             self.waited.pop(client, None)
             self.heard.pop(client, None)
@@ -179,15 +179,15 @@
             self._owes_nothing(client)
 
     def _owes_nothing(self, client: Client) -> None:
-        """Tell the gate that its messages have come to their end."""
-        if self.gate is not None:
-            self.gate.half_written(monotonic(), client, False)
+        """Tell the connection admission that its messages have come to their end."""
+        if self.admission is not None:
+            self.admission.message_in_progress(monotonic(), client, False)
             if client.idle:
-                self.gate.completed(monotonic(), client)
+                self.admission.request_completed(monotonic(), client)
 
-    def _too_many(self, gate: Gate, now: float, client: Client) -> None:
+    def _too_many(self, admission: ConnectionAdmission, now: float, client: Client) -> None:
         """A message has begun: its address may owe too many of them, and the oldest goes."""
-        late = gate.half_written(now, client, True)
+        late = admission.message_in_progress(now, client, True)
         if late is not None and late is not client:
             self._forget(late)
             late.expire()
@@ -200,9 +200,9 @@
         longest ago and can come again.
         """
         now = monotonic()
-        if self.gate is not None:
+        if self.admission is not None:
             could = [one for one in self.all if self._can_go(one)]
-            return self.gate.first_to_go(now, could or [new])
+            return self.admission.eviction_candidate(now, could or [new])
         lingering = next((client for client in self.lingering if not client.serving), None)
         if lingering is not None:
             return lingering
@@ -230,7 +230,7 @@
         Those accepted in this turn are not among the clients yet, so a known one may be all that could go.
         """
         now = monotonic()
-        if self.gate is not None and all(self.gate.knows(now, one) for one in self._could_go()):
+        if self.admission is not None and all(self.admission.is_known(now, one) for one in self._could_go()):
             return False
         return self.give_way()
 
@@ -251,12 +251,12 @@
 
     def _let_go(self, most: int) -> int:
         """Close up to so many that wait for nothing; how many they were."""
-        if self.gate is None:
+        if self.admission is None:
             going = list(islice(self._could_go(), most))
         else:
             left, going = dict.fromkeys(self._could_go()), []
             while left and len(going) < most:
-                going.append(self.gate.first_to_go(monotonic(), left))
+                going.append(self.admission.eviction_candidate(monotonic(), left))
                 del left[going[-1]]
         for one in going:
             self._forget(one)
--- a/tests/test_accept_throttle.py
+++ b/tests/test_accept_throttle.py
@@ -39,7 +39,12 @@
     MIN_PAUSE_S,
     AcceptThrottle,
 )
-from ochreflow.admission.gate import HANDED, KNOWN_AT, Caps, Gate
+from ochreflow.admission.connection_admission import (
+    MAX_SNAPSHOT_ENTRIES,
+    MIN_KNOWN_REPUTATION,
+    ConnectionAdmission,
+    Limits,
+)
 from ochreflow.http.acceptor import Acceptor
 
 GATED = '[operators]\nlisten = "127.0.0.1:0"\n[admission]\non = true\n'
@@ -171,7 +176,7 @@
     async def play():
         async with gated_process(tmp_path) as process:
             reader, writer = await asyncio.open_connection(HOST, process.port)
-            for number in range(int(KNOWN_AT) + 1):
+            for number in range(int(MIN_KNOWN_REPUTATION) + 1):
                 writer.write(message("lookup", f"a{number}"))
                 assert (await read_message(reader)).code == 200
             leave_few(process)
@@ -224,7 +229,7 @@
         node = await Fake(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(news(1, entry("a", node.address)))) as sidecar:
             clients = sidecar.http.clients
-            clients.gate = Gate(Caps(), lambda: PLACES)
+            clients.admission = ConnectionAdmission(Limits(), lambda: PLACES)
             listening = socket.create_server((HOST, 0))
             port = listening.getsockname()[1]
             gone = [connect(port) for _ in range(LEFT)]
@@ -236,7 +241,7 @@
             sidecar.http.listen(Acceptor(loop, listening, sidecar.http.connection, clients))
             reader, writer = await asyncio.open_connection(sock=stays)
             assert (await read_message(reader)).code == 200
-            assert not clients.gate.refused
+            assert not clients.admission.rejected
             writer.close()
             for one in gone:
                 one.close()
@@ -245,18 +250,19 @@
 
 
 def test_books_are_handed_over_and_odd_ones_left_aside():
-    old: Gate[int] = Gate(Caps(), lambda: 100)
+    old: ConnectionAdmission[int] = ConnectionAdmission(Limits(), lambda: 100)
     for key, times in ((1, 40), (2, 10), (3, 2)):
-        old.open(0.0, key, f"10.0.0.{key}")
+        old.admit(0.0, key, f"10.0.0.{key}")
         for _ in range(times):
-            old.completed(0.0, key)
-    old.close(2)
-    books = old.books(0.0)
-    assert [name for name, _ in books] == ["10.0.0.1", "10.0.0.2"]
-    new: Gate[int] = Gate(Caps(), lambda: 100)
-    new.take_over(5.0, [list(one) for one in books])
-    assert new.books(5.0) == books
-    assert new.books(65.0) == [("10.0.0.1", 20.0), ("10.0.0.2", 5.0)]  # it ages as if it had been earned here
+            old.request_completed(0.0, key)
+    old.connection_closed(2)
+    snapshot = old.snapshot(0.0)
+    assert [name for name, _ in snapshot] == ["10.0.0.1", "10.0.0.2"]
+    new: ConnectionAdmission[int] = ConnectionAdmission(Limits(), lambda: 100)
+    new.restore(5.0, [list(one) for one in snapshot])
+    assert new.snapshot(5.0) == snapshot
+    # It decays as if it had been earned here.
+    assert new.snapshot(65.0) == [("10.0.0.1", 20.0), ("10.0.0.2", 5.0)]
     for odd in (
         None,
         3,
@@ -268,10 +274,10 @@
         [["a", -1]],
         [["a", 1e300]],
     ):
-        new.take_over(5.0, odd)
-    assert new.books(5.0) == books
-    new.take_over(5.0, [[f"10.1.{n >> 8}.{n & 255}", 9.0] for n in range(3 * HANDED)])
-    assert len(new.books(5.0)) <= HANDED
+        new.restore(5.0, odd)
+    assert new.snapshot(5.0) == snapshot
+    new.restore(5.0, [[f"10.1.{n >> 8}.{n & 255}", 9.0] for n in range(3 * MAX_SNAPSHOT_ENTRIES)])
+    assert len(new.snapshot(5.0)) <= MAX_SNAPSHOT_ENTRIES
 
 
 def test_the_next_process_knows_the_clients_of_this_one(tmp_path):
@@ -288,7 +294,7 @@
             for process in (first, second):
                 process.arguments = ["--config", str(tmp_path / "o.toml")]
             async with first:
-                for number in range(2 * int(KNOWN_AT)):
+                for number in range(2 * int(MIN_KNOWN_REPUTATION)):
                     assert (await ask(port, message("lookup", f"a{number}"))).code == 200
                 async with second:
                     shown = await asyncio.to_thread(
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,73 +11,83 @@
 from test_operator_file import command
 from test_process import Process
 
-from ochreflow.admission.gate import KNOWN_AT, Caps, Gate, Why, prefix_of
-from ochreflow.admission.show import told
-from ochreflow.admission.sketch import Sketch
+from ochreflow.admission.connection_admission import (
+    MIN_KNOWN_REPUTATION,
+    ConnectionAdmission,
+    Limits,
+    RejectionReason,
+    prefix_of,
+)
+from ochreflow.admission.count_min_sketch import CountMinSketch
+from ochreflow.admission.status import format_status
 
 PLACES = 40
 
 
-def gate(places=PLACES, **caps):
-    return Gate(Caps(**{"open": 4, "half_written": 2, "new_per_second": 1000.0, **caps}), lambda: places)
+def admission(places=PLACES, **limits):
+    return ConnectionAdmission(
+        Limits(**{"max_open": 4, "max_incomplete": 2, "max_new_per_s": 1000.0, **limits}), lambda: places
+    )
 
 
 def earn(one, now, key, times=20):
     for _ in range(times):
-        one.completed(now, key)
+        one.request_completed(now, key)
 
 
 def test_an_address_has_its_caps_and_standing_widens_them_until_it_ages():
-    one = gate(places=1000)
-    assert [one.open(0.0, n, "10.0.0.1") for n in range(5)] == [None] * 4 + [Why.OPEN]
+    one = admission(places=1000)
+    verdicts = [one.admit(0.0, n, "10.0.0.1") for n in range(5)]
+    assert verdicts == [None] * 4 + [RejectionReason.ADDRESS_CONNECTIONS]
     earn(one, 0.0, 0, 200)  # a gateway: many good clients
-    assert [one.open(0.0, n, "10.0.0.1") for n in range(10, 50)].count(None) == 40
-    assert one.open(0.0, 99, "10.0.0.2") is None  # its prefix is crowded by a known address
-    assert one.open(1200.0, 100, "10.0.0.1") is Why.OPEN  # twenty half-lives later
+    assert [one.admit(0.0, n, "10.0.0.1") for n in range(10, 50)].count(None) == 40
+    assert one.admit(0.0, 99, "10.0.0.2") is None  # its prefix is crowded by a known address
+    # Twenty half-lives later:
+    assert one.admit(1200.0, 100, "10.0.0.1") is RejectionReason.ADDRESS_CONNECTIONS
 
 
 def test_a_prefix_has_caps_for_addresses_that_nobody_knows():
-    one = gate(places=1000, prefix_times=2.0)
-    assert [one.open(0.0, n, f"10.0.0.{n}") for n in range(9)].count(Why.PREFIX) == 1
-    assert one.open(0.0, 20, "10.0.1.1") is None
-    one.close(0)
-    assert one.open(0.0, 21, "10.0.0.77") is None
+    one = admission(places=1000, prefix_multiplier=2.0)
+    assert [one.admit(0.0, n, f"10.0.0.{n}") for n in range(9)].count(RejectionReason.PREFIX_CONNECTIONS) == 1
+    assert one.admit(0.0, 20, "10.0.1.1") is None
+    one.connection_closed(0)
+    assert one.admit(0.0, 21, "10.0.0.77") is None
 
 
 def test_who_opens_too_fast_is_refused_and_after_a_while_let_in():
-    one = gate(places=1000, open=100, new_per_second=5.0)
-    verdicts = [one.open(10.0, n, "10.0.0.1") for n in range(8)]
-    assert verdicts == [None] * 5 + [Why.RATE] * 3
-    assert one.open(13.0, 9, "10.0.0.1") is None
-    unnamed = [one.open(20.0, 100 + n, "") for n in range(6)]  # what can't be told counts once, as others do
-    assert unnamed == [None] * 5 + [Why.RATE]
+    one = admission(places=1000, max_open=100, max_new_per_s=5.0)
+    verdicts = [one.admit(10.0, n, "10.0.0.1") for n in range(8)]
+    assert verdicts == [None] * 5 + [RejectionReason.ADDRESS_RATE] * 3
+    assert one.admit(13.0, 9, "10.0.0.1") is None
+    unnamed = [one.admit(20.0, 100 + n, "") for n in range(6)]  # what can't be told counts once, as others do
+    assert unnamed == [None] * 5 + [RejectionReason.ADDRESS_RATE]
 
 
 def test_of_half_written_ones_the_oldest_of_the_address_goes():
-    one = gate()
+    one = admission()
     for n in range(3):
-        one.open(0.0, n, "10.0.0.1")
-    assert one.half_written(0.0, 2, True) == 0
-    one.half_written(0.0, 0, False)
-    assert one.half_written(0.0, 2, True) is None
-    one.open(0.0, 7, "10.0.0.2")
-    assert one.half_written(0.0, 7, True) is None  # another address
+        one.admit(0.0, n, "10.0.0.1")
+    assert one.message_in_progress(0.0, 2, True) == 0
+    one.message_in_progress(0.0, 0, False)
+    assert one.message_in_progress(0.0, 2, True) is None
+    one.admit(0.0, 7, "10.0.0.2")
+    assert one.message_in_progress(0.0, 7, True) is None  # another address
 
 
 def test_unknown_ones_go_before_known_ones_and_the_crowd_before_the_single():
-    one = gate()
+    one = admission()
     for key, address in (("k1", "10.0.0.1"), ("k2", "10.0.0.1"), ("u1", "10.0.1.1"), ("u2", "10.0.2.1")):
-        one.open(0.0, key, address)
-    one.open(0.0, "u3", "10.0.2.1")
+        one.admit(0.0, key, address)
+    one.admit(0.0, "u3", "10.0.2.1")
     earn(one, 0.0, "k1")
-    one.half_written(0.0, "k1", False)
-    one.half_written(0.0, "u1", False)
+    one.message_in_progress(0.0, "k1", False)
+    one.message_in_progress(0.0, "u1", False)
     order = []
     left = ["k1", "k2", "u1", "u2", "u3"]
     while left:
-        order.append(one.first_to_go(0.0, left))
+        order.append(one.eviction_candidate(0.0, left))
         left.remove(order[-1])
-        one.close(order[-1])
+        one.connection_closed(order[-1])
     assert order == ["u2", "u3", "u1", "k2", "k1"]
 
 
@@ -85,14 +95,14 @@
     """A gate under any events, held against what they should come to."""
 
     def __init__(self):
-        self.gate = gate()
+        self.admission = admission()
         self.now = 0.0
         self.open = {}
         self.next = 0
 
     def known(self, address):
-        found = self.gate.addresses.get(address)
-        return found is not None and self.gate._known(self.now, found)
+        found = self.admission.addresses.get(address)
+        return found is not None and self.admission._known(self.now, found)
 
     def step(self, what, number, address):
         self.now += 0.01 * number
@@ -100,31 +110,33 @@
         key = keys[number % len(keys)] if keys else None
         if what == "open":
             if len(self.open) >= PLACES:  # as the front does: one goes for the new one
-                gone = self.gate.first_to_go(self.now, keys)
+                gone = self.admission.eviction_candidate(self.now, keys)
                 if self.known(self.open[gone]):
                     assert all(self.known(address) for address in self.open.values())
-                self.gate.close(gone)
+                self.admission.connection_closed(gone)
                 del self.open[gone]
             self.next += 1
-            if self.gate.open(self.now, self.next, address) is None:
+            if self.admission.admit(self.now, self.next, address) is None:
                 self.open[self.next] = address
                 if not self.known(address):
-                    caps = self.gate.caps
-                    assert list(self.open.values()).count(address) <= caps.open * 2
-                    assert self.gate.unknown_open(self.now) <= PLACES * (1 - caps.known_part)
+                    limits = self.admission.limits
+                    assert list(self.open.values()).count(address) <= limits.max_open * 2
+                    share = 1 - limits.reserved_share
+                    assert self.admission.unknown_connections(self.now) <= PLACES * share
         elif key is not None and what == "close":
-            self.gate.close(key)
+            self.admission.connection_closed(key)
             del self.open[key]
         elif key is not None and what == "complete":
-            earn(self.gate, self.now, key, number)
+            earn(self.admission, self.now, key, number)
         elif key is not None:
-            late = self.gate.half_written(self.now, key, what == "half")
+            late = self.admission.message_in_progress(self.now, key, what == "half")
             assert late is None or self.open[late] == self.open[key]
-        one = self.gate
-        assert set(one.of) == set(self.open)
-        assert sum(found.open for found in one.addresses.values()) == len(self.open)
+        one = self.admission
+        assert set(one.by_connection) == set(self.open)
+        assert sum(found.open_connections for found in one.addresses.values()) == len(self.open)
         assert sum(map(len, one.prefixes.values())) == len(one.addresses)
-        assert all(found.open for found in one.addresses.values()) and len(one.absent) <= one.caps.remembered
+        assert all(found.open_connections for found in one.addresses.values())
+        assert len(one.absent) <= one.limits.max_absent
 
 
 EVENTS = st.tuples(
@@ -145,22 +157,24 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 40), st.floats(0.0, 0.3)), max_size=200))
 def test_the_sketch_never_counts_too_little(events):
-    sketch, now, seen = Sketch(), 0.0, []
+    sketch, now, seen = CountMinSketch(), 0.0, []
     for number, gap in events:
         now += gap
         seen.append((now, number))
-        assert sketch.add(str(number), now) >= sum(n == number and at >= sketch.begun for at, n in seen)
+        assert sketch.add(str(number), now) >= sum(
+            n == number and at >= sketch.window_start for at, n in seen
+        )
 
 
 def test_memory_is_bounded_whatever_addresses_come():
-    one = gate(places=1000, remembered=100)
+    one = admission(places=1000, max_absent=100)
     for number in range(50_000):
         address = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}"
-        if one.open(number * 0.1, number, address) is None:
+        if one.admit(number * 0.1, number, address) is None:
             if number % 3 == 0:
-                one.completed(number * 0.1, number)
-            one.close(number)
-    assert not one.of and not one.addresses and not one.prefixes
+                one.request_completed(number * 0.1, number)
+            one.connection_closed(number)
+    assert not one.by_connection and not one.addresses and not one.prefixes
     assert len(one.absent) == 100
 
 
@@ -188,7 +202,9 @@
         async with Sidecar(tmp_path / "c", given) as sidecar:
             clients = sidecar.http.clients
             places = clients.descriptors.clients
-            clients.gate = Gate(Caps(new_per_second=1e6, known_part=0.3), lambda: places)
+            clients.admission = ConnectionAdmission(
+                Limits(max_new_per_s=1e6, reserved_share=0.3), lambda: places
+            )
             for n in range(8):  # so that the address of the good client is known
                 assert (await ask(sidecar.port, message("lookup", f"k{n}"))).code == 200
             loop = asyncio.get_running_loop()
@@ -196,13 +212,13 @@
             for one in flood:
                 await loop.sock_connect(one, (HOST, sidecar.port))
             async with asyncio.timeout(WAIT):
-                while clients.gate.refused.total() < 2 * places:
+                while clients.admission.rejected.total() < 2 * places:
                     await asyncio.sleep(0.005)
-            assert clients.gate.unknown_open(loop.time()) <= places * 0.7
+            assert clients.admission.unknown_connections(loop.time()) <= places * 0.7
             got = await asyncio.gather(*(ask(sidecar.port, message("lookup", f"g{n}")) for n in range(5)))
             assert [one.code for one in got] == [200] * 5
-            said = told(clients.gate, loop.time())
-            assert Why.KEPT.value in said and f"\n{HOST} " in said
+            said = format_status(clients.admission, loop.time())
+            assert RejectionReason.RESERVED.value in said and f"\n{HOST} " in said
             for one in flood:
                 one.close()
 
@@ -244,20 +260,20 @@
 
 
 def test_known_is_what_the_docs_say():
-    one = gate()
-    one.open(0.0, 1, "10.0.0.1")
-    earn(one, 0.0, 1, int(KNOWN_AT) - 1)
-    assert one.unknown_open(0.0) == 1
+    one = admission()
+    one.admit(0.0, 1, "10.0.0.1")
+    earn(one, 0.0, 1, int(MIN_KNOWN_REPUTATION) - 1)
+    assert one.unknown_connections(0.0) == 1
     earn(one, 0.0, 1, 1)
-    assert one.unknown_open(0.0) == 0
+    assert one.unknown_connections(0.0) == 0
 
 
 def test_the_last_places_are_for_known_addresses_only():
-    one = gate()
-    one.open(0.0, "k", "10.9.9.9")
+    one = admission()
+    one.admit(0.0, "k", "10.9.9.9")
     earn(one, 0.0, "k")
-    verdicts = [one.open(0.0, n, f"10.{n}.0.1") for n in range(PLACES)]
-    assert verdicts == [None] * 30 + [Why.KEPT] * 10  # three quarters of 40
-    assert one.open(0.0, "k2", "10.9.9.9") is None
-    one.close(0)
-    assert one.open(0.0, "u", "10.99.0.1") is None
+    verdicts = [one.admit(0.0, n, f"10.{n}.0.1") for n in range(PLACES)]
+    assert verdicts == [None] * 30 + [RejectionReason.RESERVED] * 10  # three quarters of 40
+    assert one.admit(0.0, "k2", "10.9.9.9") is None
+    one.connection_closed(0)
+    assert one.admit(0.0, "u", "10.99.0.1") is None
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -559,25 +559,25 @@
 
 
 class LatestFirst:
-    """A gate that lets all in, and by whose rule the latest goes."""
+    """A connection admission that lets all in, and by whose rule the latest goes."""
 
-    def open(self, *_):
+    def admit(self, *_):
         return None
 
-    def close(self, _):
+    def connection_closed(self, _):
         pass
 
-    def first_to_go(self, _, keys):
+    def eviction_candidate(self, _, keys):
         return list(keys)[-1]
 
-    def knows(self, _, key):
+    def is_known(self, _, key):
         return key.known
 
 
 @pytest.mark.parametrize("gate", [None, LatestFirst()], ids=["no-gate", "gate"])
 def test_clients_are_cut_down_to_a_smaller_share_in_steps_and_none_that_is_served(gate):
     clients = Clients(Descriptors(LEAST))
-    clients.gate = gate
+    clients.admission = gate
     come = [Silent(clients, serving=number % 10 == 0) for number in range(clients.descriptors.clients)]
     for one in come:
         clients.add(one)
@@ -601,7 +601,7 @@
 def test_no_known_client_gives_way_to_a_connection_that_is_not_accepted_yet():
     """With no descriptor at accept, unknown ones of the same turn are no clients yet: the known one went."""
     clients = Clients(Descriptors(LEAST))
-    clients.gate = LatestFirst()
+    clients.admission = LatestFirst()
     come = [Silent(clients, serving=False) for _ in range(3)]
     for one in come:
         clients.add(one)
