--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -14,7 +14,8 @@
 from pathlib import Path
 from time import perf_counter
 
-from ochreflow.admission.connection_admission import ConnectionAdmission, Limits
+from ochreflow.admission.connection_admission import ConnectionAdmission
+from ochreflow.admission.limits import Limits
 
 PAGE = os.sysconf("SC_PAGE_SIZE") // 1024
 GAP = 0.001  # seconds between connections: a thousand a second
--- a/ochreflow/admission/connection_admission.py
+++ b/ochreflow/admission/connection_admission.py
@@ -12,14 +12,19 @@
 
 from collections import Counter, OrderedDict
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-from enum import Enum
 from itertools import islice
-from typing import Generic, TypeVar
-
+from typing import Generic
+
+from .addresses import (
+    AddressRecord,
+    AddressReputation,
+    AddressStatus,
+    Key,
+    parse_address_reputation,
+    prefix_of,
+)
 from .count_min_sketch import CountMinSketch
-
-Key = TypeVar("Key")
+from .limits import Limits, RejectionReason
 
 MIN_KNOWN_REPUTATION = 5.0  # recently completed requests from which on an address is known
 REPUTATION_PER_MULTIPLE = 20.0  # for each so much its limits grow by one time, up to:
@@ -27,56 +32,6 @@
 EVICTION_SAMPLE_SIZE = 8  # of so many absent addresses the one of least reputation is forgotten
 MAX_STATUS_ROWS = 50
 MAX_SNAPSHOT_ENTRIES = 1024  # known addresses handed to the next process: some 40 KiB
-MAX_REPUTATION = 1e9  # more than that was not earned by requests
-
-
-@dataclass(frozen=True, slots=True)
-class Limits:
-    """What one address may have before it has earned any reputation."""
-
-    max_open: int = 64  # connections
-    max_incomplete: int = 16  # of them, whose client has yet to finish a message, or to begin the first one
-    max_new_per_s: float = 50.0
-    prefix_multiplier: float = 4.0  # a prefix (/24, /48) may have so many times as much as an address
-    reserved_share: float = 0.25  # of the capacity, for known addresses alone
-    half_life_s: float = 60.0  # in which reputation decays to half
-    max_absent: int = 4096  # addresses without a connection whose reputation is kept
-
-
-class RejectionReason(Enum):
-    """Why a connection was rejected."""
-
-    ADDRESS_CONNECTIONS = "address has too many open"
-    PREFIX_CONNECTIONS = "prefix has too many open"
-    ADDRESS_RATE = "address opens too fast"
-    PREFIX_RATE = "prefix opens too fast"
-    RESERVED = "what is left is kept for known addresses"
-
-
-@dataclass(slots=True)
-class AddressRecord(Generic[Key]):
-    """What is known of one address."""
-
-    name: str
-    prefix: str
-    open_connections: int = 0
-    incomplete: dict[Key, None] = field(
-        default_factory=dict
-    )  # those with an unfinished message, oldest first
-    reputation: float = 0.0  # as of `reputation_at`
-    reputation_at: float = 0.0
-    rejected: int = 0
-
-
-@dataclass(frozen=True, slots=True)
-class AddressStatus:
-    """An address as operators see it."""
-
-    address: str
-    open_connections: int
-    incomplete: int
-    reputation: float
-    rejected: int
 
 
 class ConnectionAdmission(Generic[Key]):
@@ -113,22 +68,25 @@
         self.by_connection[key] = record
         return None
 
-    def message_in_progress(self, now: float, key: Key, in_progress: bool) -> Key | None:
-        """Record that a message of this connection has begun, or is complete.
+    def message_begun(self, now: float, key: Key) -> Key | None:
+        """Record that a message of this connection has begun.
 
         Return the connection of the same address that has to be closed for it, if any.
         """
         record = self.by_connection.get(key)
         if record is None:
             return None
-        if not in_progress:
-            record.incomplete.pop(key, None)
-            return None
         record.incomplete.setdefault(key, None)
         if len(record.incomplete) <= int(self.limits.max_incomplete * self._limit_multiplier(now, record)):
             return None
         return next(iter(record.incomplete))
 
+    def message_complete(self, key: Key) -> None:
+        """Record that the message of this connection is complete."""
+        record = self.by_connection.get(key)
+        if record is not None:
+            record.incomplete.pop(key, None)
+
     def request_completed(self, now: float, key: Key) -> None:
         """Record that a request of this connection has been answered: its address earns reputation."""
         record = self.by_connection.get(key)
@@ -170,29 +128,31 @@
             return False, False, 0
         return self._known(now, record), key not in record.incomplete, -record.open_connections
 
-    def snapshot(self, now: float) -> list[tuple[str, float]]:
+    def snapshot(self, now: float) -> list[AddressReputation]:
         """Return the known addresses with their reputation for the next process.
 
         The highest reputation comes first; at most `MAX_SNAPSHOT_ENTRIES`.
         """
-        records = [*self.addresses.values(), *self.absent.values()]
+        records = (*self.addresses.values(), *self.absent.values())
         known = [
-            (record.name, self._reputation(now, record)) for record in records if self._known(now, record)
+            AddressReputation(record.name, self._reputation(now, record))
+            for record in records
+            if self._known(now, record)
         ]
-        return sorted(known, key=lambda entry: -entry[1])[:MAX_SNAPSHOT_ENTRIES]
+        return sorted(known, key=lambda entry: -entry.reputation)[:MAX_SNAPSHOT_ENTRIES]
 
     def restore(self, now: float, snapshot: object) -> None:
         """Begin with the snapshot of another process; entries that are not of its form are ignored."""
-        for entry in snapshot[:MAX_SNAPSHOT_ENTRIES] if isinstance(snapshot, list) else ():
-            if not (isinstance(entry, list | tuple) and len(entry) == 2 and isinstance(entry[0], str)):
-                continue
-            name, reputation = entry
-            if not (isinstance(reputation, int | float) and 0.0 < reputation < MAX_REPUTATION):
+        if not isinstance(snapshot, list):
+            return
+        for entry in snapshot[:MAX_SNAPSHOT_ENTRIES]:
+            inherited = parse_address_reputation(entry)
+            if inherited is None:
                 continue
-            record = self._record_of(name)
-            record.reputation = max(self._reputation(now, record), float(reputation))
+            record = self._record_of(inherited.address)
+            record.reputation = max(self._reputation(now, record), inherited.reputation)
             record.reputation_at = now
-            if name not in self.addresses:
+            if record.name not in self.addresses:
                 self._keep_absent(record)
 
     def busiest_addresses(self, now: float) -> list[AddressStatus]:
@@ -269,11 +229,3 @@
         if len(self.absent) > self.limits.max_absent:
             oldest = list(islice(self.absent.values(), EVICTION_SAMPLE_SIZE))
             del self.absent[min(oldest, key=lambda other: other.reputation).name]
-
-
-def prefix_of(address: str) -> str:
-    """Return the /24 of an IPv4 address, the /48 of an IPv6 one, as text; anything else is its own prefix."""
-    if ":" in address:
-        return ":".join(address.split(":")[:3]) + "::/48"
-    parts = address.split(".")
-    return ".".join(parts[:3]) + ".0/24" if len(parts) == 4 else address
--- a/ochreflow/app/reload.py
+++ b/ochreflow/app/reload.py
@@ -144,7 +144,8 @@
 
     def _take_admission(self, table: AdmissionTable) -> None:
         """Turn the connection admission on, or give it other limits."""
-        from ..admission.connection_admission import ConnectionAdmission, Limits
+        from ..admission.connection_admission import ConnectionAdmission
+        from ..admission.limits import Limits
         from ..admission.status import format_status
 
         limits = Limits(
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 from itertools import chain, islice, takewhile
 from time import monotonic
@@ -71,13 +71,15 @@
 
     def admit(self, now: float, key: Client, address: str) -> Refusal | None: ...
 
-    def message_in_progress(self, now: float, key: Client, in_progress: bool) -> Client | None: ...
+    def message_begun(self, now: float, key: Client) -> Client | None: ...
+
+    def message_complete(self, key: Client) -> None: ...
 
     def request_completed(self, now: float, key: Client) -> None: ...
 
     def connection_closed(self, key: Client) -> None: ...
 
-    def snapshot(self, now: float) -> list[tuple[str, float]]: ...
+    def snapshot(self, now: float) -> Sequence[tuple[str, float]]: ...
 
     def restore(self, now: float, snapshot: object) -> None: ...
 
@@ -181,13 +183,13 @@
     def _owes_nothing(self, client: Client) -> None:
         """Tell the connection admission that its messages have come to their end."""
         if self.admission is not None:
-            self.admission.message_in_progress(monotonic(), client, False)
+            self.admission.message_complete(client)
             if client.idle:
                 self.admission.request_completed(monotonic(), client)
 
     def _too_many(self, admission: ConnectionAdmission, now: float, client: Client) -> None:
         """A message has begun: its address may owe too many of them, and the oldest goes."""
-        late = admission.message_in_progress(now, client, True)
+        late = admission.message_begun(now, client)
         if late is not None and late is not client:
             self._forget(late)
             late.expire()
--- a/tests/test_accept_throttle.py
+++ b/tests/test_accept_throttle.py
@@ -1,4 +1,4 @@
-"""Accepting while descriptors are short, who gives way, and what the next process knows of clients."""
+"""Accepting while descriptors are short, what is evicted, and what the next process knows of clients."""
 
 import asyncio
 import contextlib
@@ -43,11 +43,11 @@
     MAX_SNAPSHOT_ENTRIES,
     MIN_KNOWN_REPUTATION,
     ConnectionAdmission,
-    Limits,
 )
+from ochreflow.admission.limits import Limits
 from ochreflow.http.acceptor import Acceptor
 
-GATED = '[operators]\nlisten = "127.0.0.1:0"\n[admission]\non = true\n'
+ADMISSION_ON = '[operators]\nlisten = "127.0.0.1:0"\n[admission]\non = true\n'
 
 
 def test_a_throttle_that_found_no_descriptor_pauses_and_opens_by_steps():
@@ -83,7 +83,7 @@
     assert {errno.EMFILE, errno.ENFILE} <= DESCRIPTOR_ERRNOS and errno.EBADF not in DESCRIPTOR_ERRNOS
 
 
-def test_a_waiting_connection_gives_way_before_one_that_is_owed_an_answer(tmp_path):
+def test_an_idle_connection_is_evicted_before_one_that_waits_for_its_response(tmp_path):
     async def play():
         async def act(got, reader, writer):
             await go.wait()
@@ -139,15 +139,18 @@
     return made
 
 
-SPARE = 2  # descriptors, fewer than the gate gives to unknown addresses of the smallest sidecar
+FREE_DESCRIPTORS = 2  # descriptors, fewer than admission allows unknown addresses of the smallest sidecar
 
 
 @contextlib.asynccontextmanager
-async def gated_process(tmp_path):
-    """A process with the gate, whose own descriptors do not change: its call to the directory stays open."""
+async def process_with_admission(tmp_path):
+    """A process with connection admission and a fixed number of descriptors of its own.
+
+    Its call to the directory stays open.
+    """
     node = await Fake(answer_ok).start()
     directory = await Fake(silent).start()
-    (tmp_path / "o.toml").write_text(GATED)
+    (tmp_path / "o.toml").write_text(ADMISSION_ON)
     known = config(news(1, entry("a", node.address)), directory.address)
     process = Process(tmp_path / "c", known)
     process.arguments = ["--config", str(tmp_path / "o.toml")]
@@ -160,12 +163,12 @@
     """Take all descriptors but a few from a process that runs, so that it accepts in vain.
 
     So few that it does not matter whether it has counted with the new limit yet, which it does ten times a
-    second: the gate lets in more unknown connections than there are descriptors, before as well as after.
+    second: admission allows more unknown connections than there are descriptors, before as well as after.
     """
     ident = process.process.pid
     in_use = {int(name) for name in os.listdir(f"/proc/{ident}/fd")}
     free = (number for number in itertools.count() if number not in in_use)
-    *_, last = itertools.islice(free, SPARE)
+    *_, last = itertools.islice(free, FREE_DESCRIPTORS)
     limit = last + 1  # the limit is on the number of a new descriptor: higher ones that are open stay so
     resource.prlimit(ident, resource.RLIMIT_NOFILE, (limit, limit))
 
@@ -174,7 +177,7 @@
     """A flood that the system's own limit stops: kept connections are answered, in a drain as well."""
 
     async def play():
-        async with gated_process(tmp_path) as process:
+        async with process_with_admission(tmp_path) as process:
             reader, writer = await asyncio.open_connection(HOST, process.port)
             for number in range(int(MIN_KNOWN_REPUTATION) + 1):
                 writer.write(message("lookup", f"a{number}"))
@@ -199,11 +202,11 @@
     run(play())
 
 
-def test_when_descriptors_come_back_new_clients_are_let_in(tmp_path):
+def test_when_descriptors_come_back_new_clients_are_accepted(tmp_path):
     """The first one too, behind all those of a flood that have left before they were accepted."""
 
     async def play():
-        async with gated_process(tmp_path) as process:
+        async with process_with_admission(tmp_path) as process:
             leave_few(process)
             loop = asyncio.get_running_loop()
             flood = [from_address(f"127.1.{number}.1") for number in range(100)]
@@ -217,23 +220,23 @@
     run(play())
 
 
-LEFT = 20  # clients in the backlog that have left
-PLACES = 4  # of them three for unknown addresses
+DISCONNECTED = 20  # clients in the backlog that have left
+CAPACITY = 4  # of them three for unknown addresses
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_clients_that_left_in_the_backlog_take_no_place_from_those_that_stay(tmp_path, how):
+def test_clients_that_disconnected_in_the_backlog_take_no_capacity_from_those_that_stay(tmp_path, how):
     """All are connected before the loop turns, so they are found in the backlog at once, in their order."""
 
     async def play():
         node = await Fake(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(news(1, entry("a", node.address)))) as sidecar:
             clients = sidecar.http.clients
-            clients.admission = ConnectionAdmission(Limits(), lambda: PLACES)
+            clients.admission = ConnectionAdmission(Limits(), lambda: CAPACITY)
             listening = socket.create_server((HOST, 0))
             port = listening.getsockname()[1]
-            gone = [connect(port) for _ in range(LEFT)]
-            for one in gone:
+            disconnected = [connect(port) for _ in range(DISCONNECTED)]
+            for one in disconnected:
                 leave(one, how)
             stays = connect(port)
             stays.sendall(message("order", "stays"))
@@ -243,13 +246,13 @@
             assert (await read_message(reader)).code == 200
             assert not clients.admission.rejected
             writer.close()
-            for one in gone:
+            for one in disconnected:
                 one.close()
 
     run(play())
 
 
-def test_books_are_handed_over_and_odd_ones_left_aside():
+def test_a_snapshot_is_restored_and_malformed_ones_are_ignored():
     old: ConnectionAdmission[int] = ConnectionAdmission(Limits(), lambda: 100)
     for key, times in ((1, 40), (2, 10), (3, 2)):
         old.admit(0.0, key, f"10.0.0.{key}")
@@ -283,7 +286,7 @@
 def test_the_next_process_knows_the_clients_of_this_one(tmp_path):
     async def play():
         node = await Fake(answer_ok).start()
-        (tmp_path / "o.toml").write_text(GATED)
+        (tmp_path / "o.toml").write_text(ADMISSION_ON)
         folder = tmp_path / "shared"
         folder.mkdir()
         with contextlib.closing(socket.create_server((HOST, 0))) as listening:
@@ -297,9 +300,9 @@
                 for number in range(2 * int(MIN_KNOWN_REPUTATION)):
                     assert (await ask(port, message("lookup", f"a{number}"))).code == 200
                 async with second:
-                    shown = await asyncio.to_thread(
+                    status = await asyncio.to_thread(
                         command, "admission", "show", f"{HOST}:{second.operators}"
                     )
-                    assert "known addresses: 1\n" in shown.stdout, shown.stdout + shown.stderr
+                    assert "known addresses: 1\n" in status.stdout, status.stdout + status.stderr
 
     run(play())
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The gate by itself, its properties under any order of events, and at the door of a real sidecar."""
+"""Connection admission by itself, its properties under any order of events, and in a real sidecar."""
 
 import asyncio
 import signal
@@ -11,22 +11,18 @@
 from test_operator_file import command
 from test_process import Process
 
-from ochreflow.admission.connection_admission import (
-    MIN_KNOWN_REPUTATION,
-    ConnectionAdmission,
-    Limits,
-    RejectionReason,
-    prefix_of,
-)
+from ochreflow.admission.addresses import prefix_of
+from ochreflow.admission.connection_admission import MIN_KNOWN_REPUTATION, ConnectionAdmission
 from ochreflow.admission.count_min_sketch import CountMinSketch
+from ochreflow.admission.limits import Limits, RejectionReason
 from ochreflow.admission.status import format_status
 
-PLACES = 40
+CAPACITY = 40
 
 
-def admission(places=PLACES, **limits):
+def admission(capacity=CAPACITY, **limits):
     return ConnectionAdmission(
-        Limits(**{"max_open": 4, "max_incomplete": 2, "max_new_per_s": 1000.0, **limits}), lambda: places
+        Limits(**{"max_open": 4, "max_incomplete": 2, "max_new_per_s": 1000.0, **limits}), lambda: capacity
     )
 
 
@@ -35,8 +31,8 @@
         one.request_completed(now, key)
 
 
-def test_an_address_has_its_caps_and_standing_widens_them_until_it_ages():
-    one = admission(places=1000)
+def test_an_address_has_its_limits_and_reputation_raises_them_until_it_decays():
+    one = admission(capacity=1000)
     verdicts = [one.admit(0.0, n, "10.0.0.1") for n in range(5)]
     assert verdicts == [None] * 4 + [RejectionReason.ADDRESS_CONNECTIONS]
     earn(one, 0.0, 0, 200)  # a gateway: many good clients
@@ -46,53 +42,53 @@
     assert one.admit(1200.0, 100, "10.0.0.1") is RejectionReason.ADDRESS_CONNECTIONS
 
 
-def test_a_prefix_has_caps_for_addresses_that_nobody_knows():
-    one = admission(places=1000, prefix_multiplier=2.0)
+def test_a_prefix_has_limits_for_unknown_addresses():
+    one = admission(capacity=1000, prefix_multiplier=2.0)
     assert [one.admit(0.0, n, f"10.0.0.{n}") for n in range(9)].count(RejectionReason.PREFIX_CONNECTIONS) == 1
     assert one.admit(0.0, 20, "10.0.1.1") is None
     one.connection_closed(0)
     assert one.admit(0.0, 21, "10.0.0.77") is None
 
 
-def test_who_opens_too_fast_is_refused_and_after_a_while_let_in():
-    one = admission(places=1000, max_open=100, max_new_per_s=5.0)
+def test_an_address_that_opens_too_fast_is_rejected_and_after_a_while_admitted():
+    one = admission(capacity=1000, max_open=100, max_new_per_s=5.0)
     verdicts = [one.admit(10.0, n, "10.0.0.1") for n in range(8)]
     assert verdicts == [None] * 5 + [RejectionReason.ADDRESS_RATE] * 3
     assert one.admit(13.0, 9, "10.0.0.1") is None
-    unnamed = [one.admit(20.0, 100 + n, "") for n in range(6)]  # what can't be told counts once, as others do
+    unnamed = [one.admit(20.0, 100 + n, "") for n in range(6)]  # counts as an address like any other
     assert unnamed == [None] * 5 + [RejectionReason.ADDRESS_RATE]
 
 
-def test_of_half_written_ones_the_oldest_of_the_address_goes():
+def test_of_incomplete_connections_the_oldest_of_the_address_is_evicted():
     one = admission()
     for n in range(3):
         one.admit(0.0, n, "10.0.0.1")
-    assert one.message_in_progress(0.0, 2, True) == 0
-    one.message_in_progress(0.0, 0, False)
-    assert one.message_in_progress(0.0, 2, True) is None
+    assert one.message_begun(0.0, 2) == 0
+    one.message_complete(0)
+    assert one.message_begun(0.0, 2) is None
     one.admit(0.0, 7, "10.0.0.2")
-    assert one.message_in_progress(0.0, 7, True) is None  # another address
+    assert one.message_begun(0.0, 7) is None  # another address
 
 
-def test_unknown_ones_go_before_known_ones_and_the_crowd_before_the_single():
+def test_unknown_addresses_are_evicted_before_known_ones_and_the_crowd_before_the_single():
     one = admission()
     for key, address in (("k1", "10.0.0.1"), ("k2", "10.0.0.1"), ("u1", "10.0.1.1"), ("u2", "10.0.2.1")):
         one.admit(0.0, key, address)
     one.admit(0.0, "u3", "10.0.2.1")
     earn(one, 0.0, "k1")
-    one.message_in_progress(0.0, "k1", False)
-    one.message_in_progress(0.0, "u1", False)
+    one.message_complete("k1")
+    one.message_complete("u1")
     order = []
-    left = ["k1", "k2", "u1", "u2", "u3"]
-    while left:
-        order.append(one.eviction_candidate(0.0, left))
-        left.remove(order[-1])
+    remaining = ["k1", "k2", "u1", "u2", "u3"]
+    while remaining:
+        order.append(one.eviction_candidate(0.0, remaining))
+        remaining.remove(order[-1])
         one.connection_closed(order[-1])
     assert order == ["u2", "u3", "u1", "k2", "k1"]
 
 
-class Watched:
-    """A gate under any events, held against what they should come to."""
+class CheckedAdmission:
+    """A connection admission under any events, compared with what they should come to."""
 
     def __init__(self):
         self.admission = admission()
@@ -109,12 +105,12 @@
         keys = list(self.open)
         key = keys[number % len(keys)] if keys else None
         if what == "open":
-            if len(self.open) >= PLACES:  # as the front does: one goes for the new one
-                gone = self.admission.eviction_candidate(self.now, keys)
-                if self.known(self.open[gone]):
+            if len(self.open) >= CAPACITY:  # as the front does: one goes for the new one
+                evicted = self.admission.eviction_candidate(self.now, keys)
+                if self.known(self.open[evicted]):
                     assert all(self.known(address) for address in self.open.values())
-                self.admission.connection_closed(gone)
-                del self.open[gone]
+                self.admission.connection_closed(evicted)
+                del self.open[evicted]
             self.next += 1
             if self.admission.admit(self.now, self.next, address) is None:
                 self.open[self.next] = address
@@ -122,15 +118,17 @@
                     limits = self.admission.limits
                     assert list(self.open.values()).count(address) <= limits.max_open * 2
                     share = 1 - limits.reserved_share
-                    assert self.admission.unknown_connections(self.now) <= PLACES * share
+                    assert self.admission.unknown_connections(self.now) <= CAPACITY * share
         elif key is not None and what == "close":
             self.admission.connection_closed(key)
             del self.open[key]
-        elif key is not None and what == "complete":
+        elif key is not None and what == "complete request":
             earn(self.admission, self.now, key, number)
+        elif key is not None and what == "complete message":
+            self.admission.message_complete(key)
         elif key is not None:
-            late = self.admission.message_in_progress(self.now, key, what == "half")
-            assert late is None or self.open[late] == self.open[key]
+            evicted = self.admission.message_begun(self.now, key)
+            assert evicted is None or self.open[evicted] == self.open[key]
         one = self.admission
         assert set(one.by_connection) == set(self.open)
         assert sum(found.open_connections for found in one.addresses.values()) == len(self.open)
@@ -140,7 +138,9 @@
 
 
 EVENTS = st.tuples(
-    st.sampled_from(["open", "open", "open", "close", "complete", "half", "whole"]),
+    st.sampled_from(
+        ["open", "open", "open", "close", "complete request", "begin message", "complete message"]
+    ),
     st.integers(0, 9),
     st.sampled_from([f"10.0.{n % 4}.{n}" for n in range(24)]),
 )
@@ -148,15 +148,15 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(EVENTS, max_size=120))
-def test_under_any_events_the_books_are_right_and_no_known_client_goes_first(events):
-    watched = Watched()
+def test_under_any_events_the_records_are_right_and_no_known_client_is_evicted_first(events):
+    checked = CheckedAdmission()
     for event in events:
-        watched.step(*event)
+        checked.step(*event)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 40), st.floats(0.0, 0.3)), max_size=200))
-def test_the_sketch_never_counts_too_little(events):
+def test_the_count_min_sketch_never_counts_too_little(events):
     sketch, now, seen = CountMinSketch(), 0.0, []
     for number, gap in events:
         now += gap
@@ -167,7 +167,7 @@
 
 
 def test_memory_is_bounded_whatever_addresses_come():
-    one = admission(places=1000, max_absent=100)
+    one = admission(capacity=1000, max_absent=100)
     for number in range(50_000):
         address = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}"
         if one.admit(number * 0.1, number, address) is None:
@@ -194,38 +194,38 @@
     return made
 
 
-def test_a_flood_of_silent_sockets_leaves_the_known_clients_their_places(tmp_path):
+def test_a_flood_of_silent_sockets_leaves_the_known_clients_their_capacity(tmp_path):
     async def play():
         node = await Fake(answer_ok).start()
         given = config(news(1, entry("a", node.address)))
         given["limits"]["sockets"] = 200
         async with Sidecar(tmp_path / "c", given) as sidecar:
             clients = sidecar.http.clients
-            places = clients.descriptors.clients
+            capacity = clients.descriptors.clients
             clients.admission = ConnectionAdmission(
-                Limits(max_new_per_s=1e6, reserved_share=0.3), lambda: places
+                Limits(max_new_per_s=1e6, reserved_share=0.3), lambda: capacity
             )
             for n in range(8):  # so that the address of the good client is known
                 assert (await ask(sidecar.port, message("lookup", f"k{n}"))).code == 200
             loop = asyncio.get_running_loop()
-            flood = [connected(sidecar.port, f"127.0.{n % 40 + 2}.1") for n in range(4 * places)]
+            flood = [connected(sidecar.port, f"127.0.{n % 40 + 2}.1") for n in range(4 * capacity)]
             for one in flood:
                 await loop.sock_connect(one, (HOST, sidecar.port))
             async with asyncio.timeout(WAIT):
-                while clients.admission.rejected.total() < 2 * places:
+                while clients.admission.rejected.total() < 2 * capacity:
                     await asyncio.sleep(0.005)
-            assert clients.admission.unknown_connections(loop.time()) <= places * 0.7
+            assert clients.admission.unknown_connections(loop.time()) <= capacity * 0.7
             got = await asyncio.gather(*(ask(sidecar.port, message("lookup", f"g{n}")) for n in range(5)))
             assert [one.code for one in got] == [200] * 5
-            said = format_status(clients.admission, loop.time())
-            assert RejectionReason.RESERVED.value in said and f"\n{HOST} " in said
+            output = format_status(clients.admission, loop.time())
+            assert RejectionReason.RESERVED.value in output and f"\n{HOST} " in output
             for one in flood:
                 one.close()
 
     run(play())
 
 
-def test_operators_turn_it_on_see_it_and_change_its_caps(tmp_path):
+def test_operators_turn_admission_on_see_it_and_change_its_limits(tmp_path):
     async def play():
         file = tmp_path / "o.toml"
         file.write_text('[operators]\nlisten = "127.0.0.1:0"\n[admission]\non = true\nopen = 3\n')
@@ -235,11 +235,11 @@
         async with process:
             operators = f"{HOST}:{process.operators}"
             assert (await ask(process.port, message("lookup", "a"))).code == 200
-            held = [await asyncio.open_connection(HOST, process.port) for _ in range(4)]
+            connections = [await asyncio.open_connection(HOST, process.port) for _ in range(4)]
             await process.heard(b"refused: address has too many open")
-            said = await asyncio.to_thread(command, "admission", "show", operators)
-            assert said.returncode == 0 and ", address has too many open" in said.stdout
-            assert "caps of an address: 3 open" in said.stdout
+            output = await asyncio.to_thread(command, "admission", "show", operators)
+            assert output.returncode == 0 and ", address has too many open" in output.stdout
+            assert "caps of an address: 3 open" in output.stdout
             file.write_text(file.read_text().replace("open = 3", "open = 30"))
             process.process.send_signal(signal.SIGHUP)
             await process.heard(b"read again: admission.open")
@@ -247,14 +247,14 @@
             file.write_text(file.read_text().replace("on = true", "on = false"))
             process.process.send_signal(signal.SIGHUP)
             await process.heard(b"can't change while running: admission.on")
-            for _, writer in held:
+            for _, writer in connections:
                 writer.close()
         off = Process(tmp_path / "c", config(news(1, entry("s1", node.address))))
         file.write_text('[operators]\nlisten = "127.0.0.1:0"\n')
         off.arguments = ["--config", str(file)]
         async with off:
-            said = await asyncio.to_thread(command, "admission", "show", f"{HOST}:{off.operators}")
-            assert said.returncode == 1 and "admission is off" in said.stderr
+            output = await asyncio.to_thread(command, "admission", "show", f"{HOST}:{off.operators}")
+            assert output.returncode == 1 and "admission is off" in output.stderr
 
     run(play())
 
@@ -268,11 +268,11 @@
     assert one.unknown_connections(0.0) == 0
 
 
-def test_the_last_places_are_for_known_addresses_only():
+def test_the_reserved_share_is_for_known_addresses_only():
     one = admission()
     one.admit(0.0, "k", "10.9.9.9")
     earn(one, 0.0, "k")
-    verdicts = [one.admit(0.0, n, f"10.{n}.0.1") for n in range(PLACES)]
+    verdicts = [one.admit(0.0, n, f"10.{n}.0.1") for n in range(CAPACITY)]
     assert verdicts == [None] * 30 + [RejectionReason.RESERVED] * 10  # three quarters of 40
     assert one.admit(0.0, "k2", "10.9.9.9") is None
     one.connection_closed(0)
