--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -1,4 +1,4 @@
-"""The gate's memory and time while ever new addresses connect.
+"""Memory and time of connection admission while ever new addresses connect.
 
     python benchmarks/addresses.py [--addresses 10000000]
 
--- a/ochreflow/admission/accept_throttle.py
+++ b/ochreflow/admission/accept_throttle.py
@@ -14,8 +14,8 @@
 import errno
 
 DESCRIPTOR_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-MIN_ACCEPTS_PER_TURN = 4  # in the first loop iteration after a pause
-MAX_ACCEPTS_PER_TURN = 64  # an iteration of the loop must not be long
+MIN_ACCEPTS_PER_ITERATION = 4  # in the first loop iteration after a pause
+MAX_ACCEPTS_PER_ITERATION = 64  # an iteration of the loop must not be long
 MIN_PAUSE_S = 0.01  # responses free descriptors about so often
 MAX_PAUSE_S = 0.32  # a client's system tries to connect again after a second
 MAX_EVICTIONS_PER_PAUSE = 8  # more than one, because the clients of a flood connect again
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         """Begin without a pause."""
-        self.allowance = MAX_ACCEPTS_PER_TURN
+        self.allowance = MAX_ACCEPTS_PER_ITERATION
         self.paused_until = 0.0
         self.next_pause_s = MIN_PAUSE_S
 
@@ -38,12 +38,12 @@
         """Record how many connections were accepted in a loop iteration."""
         if count:
             self.next_pause_s = MIN_PAUSE_S
-        self.allowance = min(self.allowance * 2, MAX_ACCEPTS_PER_TURN)
+        self.allowance = min(self.allowance * 2, MAX_ACCEPTS_PER_ITERATION)
 
     def out_of_descriptors(self, now: float) -> float:
         """Record that accepting failed for want of descriptors; return the pause in seconds."""
         pause_s = self.next_pause_s
         self.paused_until = now + pause_s
         self.next_pause_s = min(self.next_pause_s * 2, MAX_PAUSE_S)
-        self.allowance = MIN_ACCEPTS_PER_TURN
+        self.allowance = MIN_ACCEPTS_PER_ITERATION
         return pause_s
--- a/ochreflow/simulator_adapter/actions.py
+++ b/ochreflow/simulator_adapter/actions.py
@@ -11,7 +11,7 @@
 from typing import Never
 
 from ..policy import interface as api
-from .codes import EVERY_PEER, ActionCode
+from .codes import ALL_PEERS, ActionCode
 from .frames import Reply
 
 
@@ -52,7 +52,7 @@
             case api.Cancel():
                 add(_pack_retract(instance, action.id, action.attempt))
             case api.PublishGossip():
-                peer = EVERY_PEER if action.peer is None else action.peer
+                peer = ALL_PEERS if action.peer is None else action.peer
                 _add_with_tail(reply, partial(_pack_share, instance, peer), action.data)
             case api.Probe():
                 add(_pack_touch(instance, action.server))
--- a/ochreflow/simulator_adapter/codes.py
+++ b/ochreflow/simulator_adapter/codes.py
@@ -108,4 +108,4 @@
     PhaseCode.READY: api.State.READY,
     PhaseCode.DRAINING: api.State.DRAINING,
 }
-EVERY_PEER = 0xFFFFFFFF  # `recipient` of `SHARE`: all instances of the tier
+ALL_PEERS = 0xFFFFFFFF  # `recipient` of `SHARE`: all instances of the tier
--- a/tests/test_accept_throttle.py
+++ b/tests/test_accept_throttle.py
@@ -33,9 +33,9 @@
 
 from ochreflow.admission.accept_throttle import (
     DESCRIPTOR_ERRNOS,
-    MAX_ACCEPTS_PER_TURN,
+    MAX_ACCEPTS_PER_ITERATION,
     MAX_PAUSE_S,
-    MIN_ACCEPTS_PER_TURN,
+    MIN_ACCEPTS_PER_ITERATION,
     MIN_PAUSE_S,
     AcceptThrottle,
 )
@@ -52,15 +52,15 @@
 
 def test_a_throttle_that_found_no_descriptor_pauses_and_opens_by_steps():
     throttle = AcceptThrottle()
-    assert throttle.accepts_allowed(0.0) == MAX_ACCEPTS_PER_TURN
+    assert throttle.accepts_allowed(0.0) == MAX_ACCEPTS_PER_ITERATION
     assert throttle.out_of_descriptors(1.0) == MIN_PAUSE_S
     assert throttle.accepts_allowed(1.0) == 0
     now = 1.0 + MIN_PAUSE_S
     taken = []
-    while not taken or taken[-1] < MAX_ACCEPTS_PER_TURN:
+    while not taken or taken[-1] < MAX_ACCEPTS_PER_ITERATION:
         taken.append(throttle.accepts_allowed(now))
         throttle.accepted(taken[-1])
-    assert taken[0] == MIN_ACCEPTS_PER_TURN and all(b <= 2 * a for a, b in itertools.pairwise(taken))
+    assert taken[0] == MIN_ACCEPTS_PER_ITERATION and all(b <= 2 * a for a, b in itertools.pairwise(taken))
 
 
 @given(st.lists(st.tuples(st.booleans(), st.floats(0.0, 1.0)), max_size=60))
@@ -69,7 +69,7 @@
     for short, gap in events:
         now += gap
         assert (throttle.accepts_allowed(now) > 0) == (now >= shut)
-        assert throttle.accepts_allowed(now) <= MAX_ACCEPTS_PER_TURN
+        assert throttle.accepts_allowed(now) <= MAX_ACCEPTS_PER_ITERATION
         if now >= shut:
             if short:
                 wait = throttle.out_of_descriptors(now)
@@ -79,7 +79,7 @@
                 throttle.accepted(throttle.accepts_allowed(now))
 
 
-def test_the_errors_that_mean_no_descriptor_is_left():
+def test_the_errors_of_accepting_without_a_free_descriptor():
     assert {errno.EMFILE, errno.ENFILE} <= DESCRIPTOR_ERRNOS and errno.EBADF not in DESCRIPTOR_ERRNOS
 
 
