--- a/benchmarks/worse_builds.py
+++ b/benchmarks/worse_builds.py
@@ -23,13 +23,17 @@
 POLICY = Path("ochreflow/policy")
 WORSE = {  # the file that is changed, what in it, and into what
     "as it is": None,
-    "no ejection": ("outlier_detection.py", "STRIKES = 2.0", "STRIKES = 1e9"),
+    "no ejection": (
+        "outlier_detection.py",
+        "MAX_CONSECUTIVE_FAILURES = 2.0",
+        "MAX_CONSECUTIVE_FAILURES = 1e9",
+    ),
     "random pick": (
         "endpoint_picker.py",
         "if best is None or delay < lowest:",
         "if best is None or self.ctx.random.random() < 0.5:",
     ),
-    "no retry budget": ("repeats.py", "RETRY_SHARE = 0.1", "RETRY_SHARE = 1e6"),
+    "no retry budget": ("retry_policy.py", "RETRIES_PER_REQUEST = 0.1", "RETRIES_PER_REQUEST = 1e6"),
 }
 
 
--- a/ochreflow/lab/builds.py
+++ b/ochreflow/lab/builds.py
@@ -2,7 +2,7 @@
 
 .                                   the checkout as it is
 HEAD~3                              a revision, in a folder of its own
-.,policy/outlier_detection.py:STRIKES=1e9       one whose constant has another value
+.,policy/slow_start.py:BURST_S=0.5      one whose constant has another value
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
     """Give a constant of a module another value."""
     match = CHANGE.fullmatch(change)
     if match is None:
-        message = f"{change}: wanted FILE:NAME=VALUE, such as policy/outlier_detection.py:STRIKES=3.0"
+        message = f"{change}: wanted FILE:NAME=VALUE, such as policy/slow_start.py:BURST_S=0.5"
         raise BuildError(message)
     name, constant, value = match.groups()
     path = package / name
--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -17,15 +17,22 @@
 from .endpoint_set import EndpointSet
 from .interface import Action, Effect, Event, Outcome, Request, Settings, Status
 from .latency import LatencyEstimates
-from .outlier_detection import EJECT_SHARE, EJECT_SHARE_ON_SILENCE, HINT_STRIKE, OutlierDetector
+from .outlier_detection import (
+    MAX_EJECTED_SHARE,
+    MAX_EJECTED_SHARE_ON_SILENCE,
+    OVERDUE_FAILURE_WEIGHT,
+    OutlierDetector,
+)
 from .retry_policy import RetryPolicy
 from .safety_rules import SafetyRules
 from .slow_start import SlowStart
-from .state_records import OUT, OVERDUE, REPEAT, WATCH, Attempt, Context, PendingRequest, Server
+from .state_records import OUT, OVERDUE, POLL, RETRY, Attempt, Context, PendingRequest, Server
 from .tenant_quota import TenantQuotas
 
-RETRY_AFTER = 0.5  # of the time left or to the aim, as advice with a refusal: a new try has the other half
-RETRY_AFTER_LEAST = 0.5  # of it after jitter, lest refused clients come back together
+RETRY_AFTER_SHARE = (
+    0.5  # of the time left or to the aim, as advice with a refusal: a new try has the other half
+)
+MIN_RETRY_AFTER_JITTER = 0.5  # of it after jitter, lest refused clients come back together
 
 AGAIN = 1 << 16  # marks the timers of attempts that were overdue before
 
@@ -40,7 +47,7 @@
         self.picker = EndpointPicker(ctx, self.latency, self.endpoints, self.safety_rules)
         self.tenant_quotas = TenantQuotas(ctx)
         self.limiter = ConcurrencyLimiter(ctx, self.latency, self.tenant_quotas, self.endpoints)
-        self.outlier_detector = OutlierDetector(ctx, self.limiter, self.picker, self._rescue_all)
+        self.outlier_detector = OutlierDetector(ctx, self.limiter, self.picker, self._retry_all_from)
         self.retry_policy = RetryPolicy(ctx, self.latency, self.safety_rules)
         self.pending: dict[int, PendingRequest] = {}
         self.timer_armed = self.timer_token = 0
@@ -48,12 +55,12 @@
             Request: self._on_request,
             Outcome: self._on_outcome,
             api.Timer: self._on_timer,
-            api.RequestCancelled: self._on_dropped,
-            api.Membership: lambda event: self.limiter.shrink(self.endpoints.apply(event)),
-            api.GossipReceived: self.tenant_quotas.hear,
+            api.RequestCancelled: self._on_cancelled,
+            api.Membership: lambda event: self.limiter.scale_down(self.endpoints.apply(event)),
+            api.GossipReceived: self.tenant_quotas.record_gossip,
             api.ProbeResult: self._on_probe,
             api.StreamStarted: self._on_stream,
-            api.BodyDiscarded: self._on_spent,
+            api.BodyDiscarded: self._on_body_discarded,
             api.BodyUploaded: self._on_uploaded,
         }
 
@@ -83,7 +90,7 @@
         request = PendingRequest(event, spec, self.ctx.now)
         self.pending[request.id] = request
         self.retry_policy.earn()
-        if self.tenant_quotas.asks and not event.is_retry:
+        if self.tenant_quotas.request_rates and not event.is_retry:
             self.tenant_quotas.count(request.tenant)
         self.endpoints.count_request()
         if event.deadline_ns <= self.ctx.now:
@@ -91,8 +98,8 @@
             return
         server = self._pick(request)
         if server is None:
-            self._plan_repeat(request)
-        elif self.limiter.admit(request, self.limiter.value(event, request)):
+            self._schedule_retry(request)
+        elif self.limiter.admit(request, self.limiter.expected_value(event, request)):
             self._send(request, server)
         elif fallback := self.outlier_detector.fallback_server(request):
             self._send(request, fallback)
@@ -105,7 +112,7 @@
         return self.picker.pick(request)
 
     def _on_outcome(self, event: Outcome) -> None:
-        server = self.outlier_detector.ended(event)
+        server = self.outlier_detector.record_end(event)
         request = self.pending.get(event.id)
         if request is None:
             return
@@ -113,7 +120,9 @@
             # It ended before its body was through.
             self.outlier_detector.learn(server, self.ctx.now, request.cls, event, False)
         elif server and request.streaming and event.status is Status.RESET:
-            self.outlier_detector.strike(server, 1.0, EJECT_SHARE)  # it began to answer, and broke
+            self.outlier_detector.record_failure(
+                server, 1.0, MAX_EJECTED_SHARE
+            )  # it began to answer, and broke
         settled = request.record_end(event.attempt, event.status)
         if event.final:
             self._forget(request)
@@ -122,9 +131,9 @@
         elif event.status is Status.ERROR:
             self._end(request)  # a plain error is an answer: the design does not repeat it
         elif not request.retry_scheduled:
-            self._plan_repeat(request)
+            self._schedule_retry(request)
 
-    def _on_dropped(self, event: api.RequestCancelled) -> None:
+    def _on_cancelled(self, event: api.RequestCancelled) -> None:
         if event.id in self.pending:
             self._forget(self.pending[event.id])
 
@@ -134,12 +143,12 @@
         if request is None:
             return
         request.streaming = True  # nothing more may be sent for it
-        self.outlier_detector.ended(
+        self.outlier_detector.record_end(
             Outcome(event.id, event.attempt, event.server, Status.OK, event.duration_ns, False)
         )
         self._cancel_others(request, event.attempt)
 
-    def _on_spent(self, event: api.BodyDiscarded) -> None:
+    def _on_body_discarded(self, event: api.BodyDiscarded) -> None:
         if event.id in self.pending:
             self.pending[event.id].body_discarded = True
 
@@ -152,12 +161,12 @@
         attempt = request.attempts[-1] = request.attempts[-1]._replace(sent=self.ctx.now)
         server = attempt.server
         if self.endpoints.servers.get(server.id) is server:  # else it has left
-            self._count_out(request, server, len(request.attempts) - 1)
+            self._count_in_flight(request, server, len(request.attempts) - 1)
 
     def _on_probe(self, event: api.ProbeResult) -> None:
         server = self.endpoints.servers.get(event.server)
         if server is not None and event.status is Status.OK:
-            self.picker.heed(server, event.report)
+            self.picker.record_load_report(server, event.report)
 
     def _on_timer(self, event: api.Timer) -> None:
         now = self.ctx.now
@@ -165,7 +174,7 @@
             self.timer_armed = 0
         while self.ctx.timers and self.ctx.timers[0][0] <= now:
             _, kind, ident, attempt = heapq.heappop(self.ctx.timers)
-            if kind == WATCH:
+            if kind == POLL:
                 self.endpoints.poll()
                 continue
             request = self.pending.get(ident)
@@ -173,9 +182,9 @@
                 continue
             if kind == OVERDUE:
                 self._overdue(request, attempt)
-            elif kind == REPEAT and request.retry_scheduled:
+            elif kind == RETRY and request.retry_scheduled:
                 request.retry_scheduled = False
-                self._try(request)
+                self._retry(request)
 
     def _send(self, request: PendingRequest, server: Server) -> None:
         number = len(request.attempts)
@@ -188,9 +197,9 @@
         if server.ejected:
             server.half_open_in_flight = True
         if not request.uploading:  # else its server has no work with it before the body is through
-            self._count_out(request, server, number)
+            self._count_in_flight(request, server, number)
 
-    def _count_out(self, request: PendingRequest, server: Server, number: int) -> None:
+    def _count_in_flight(self, request: PendingRequest, server: Server, number: int) -> None:
         """Its server has the whole of an attempt: it is in flight from now on."""
         overdue = self.outlier_detector.overdue_after(server, request.cls, request.deadline - self.ctx.now)
         server.in_flight[(request.id, number)] = (self.ctx.now, request.cls)
@@ -198,35 +207,35 @@
             self.endpoints.inflight += 1
         self.ctx.at(self.ctx.now + overdue, OVERDUE, request.id, number)
 
-    def _plan_repeat(self, request: PendingRequest) -> None:
+    def _schedule_retry(self, request: PendingRequest) -> None:
         """Wait a jittered part of the time left, then repeat; or end the request."""
         delay = self.retry_policy.delay(request)
         if delay is not None:
             request.retry_scheduled = True
-            self.ctx.at(self.ctx.now + max(delay, 1), REPEAT, request.id)
+            self.ctx.at(self.ctx.now + max(delay, 1), RETRY, request.id)
         elif not request.any_in_flight():  # an attempt still out may yet answer
             self._end(request)
 
-    def _try(self, request: PendingRequest) -> None:
+    def _retry(self, request: PendingRequest) -> None:
         server = self._pick(request)
         if server is not None:
             self._send(request, server)
         elif not request.any_in_flight():
-            self._plan_repeat(request)
+            self._schedule_retry(request)
 
     def _end(self, request: PendingRequest) -> None:
         """Give the final answer."""
         if self.safety_rules.may_refuse(request):
             wait = 0
             if self.ctx.settings.retry_after:
-                left: float = max(request.deadline - self.ctx.now, 0)
-                until_objective = request.spec.objective_ns - request.age - self.latency.usual[request.cls]
+                remaining_ns: float = max(request.deadline - self.ctx.now, 0)
+                until_objective = request.spec.objective_ns - request.age - self.latency.baseline[request.cls]
                 if until_objective > 0.0:
-                    left = min(
-                        left, until_objective
+                    remaining_ns = min(
+                        remaining_ns, until_objective
                     )  # another try may still be in time; a later one hardly earns
-                most = min(self.ctx.settings.max_retry_after_ns, left * RETRY_AFTER)
-                wait = int(most * self.ctx.random.uniform(RETRY_AFTER_LEAST, 1.0))
+                ceiling = min(self.ctx.settings.max_retry_after_ns, remaining_ns * RETRY_AFTER_SHARE)
+                wait = int(ceiling * self.ctx.random.uniform(MIN_RETRY_AFTER_JITTER, 1.0))
             self.ctx.actions.append(api.Reject(request.id, wait))
         else:
             self.ctx.actions.append(api.Fail(request.id))
@@ -256,24 +265,24 @@
             if not silent:
                 self.outlier_detector.write_off(server, (request.id, number))
         elif not silent:
-            self.limiter.press(server, request.cls, self.ctx.now - sent)  # late news is no use
+            self.limiter.record_latency(server, request.cls, self.ctx.now - sent)  # late news is no use
         else:  # one long piece of work must not condemn a server by itself
             server.answering = False
-            self.outlier_detector.strike(server, HINT_STRIKE, EJECT_SHARE_ON_SILENCE)
+            self.outlier_detector.record_failure(server, OVERDUE_FAILURE_WEIGHT, MAX_EJECTED_SHARE_ON_SILENCE)
         if server.ejected:
-            self._rescue(request, number)
+            self._retry_elsewhere(request, number)
         again = 2 * self.ctx.now - sent
         if again < request.deadline:
             self.ctx.at(again, OVERDUE, request.id, number + AGAIN)
 
-    def _rescue_all(self, server: Server) -> None:
+    def _retry_all_from(self, server: Server) -> None:
         """What waits at a server that has just been ejected is likely lost: do not wait it out."""
         for ident, number in list(server.in_flight):
             request = self.pending.get(ident)
             if request is not None:
-                self._rescue(request, number)
+                self._retry_elsewhere(request, number)
 
-    def _rescue(self, request: PendingRequest, number: int) -> None:
+    def _retry_elsewhere(self, request: PendingRequest, number: int) -> None:
         """Repeat an attempt that its server seems to have lost, where the class and the site allow it."""
         unsafe = request.spec.effect is Effect.NON_IDEMPOTENT
         if (
@@ -284,6 +293,6 @@
         ):
             return
         if self.ctx.settings.hedging:
-            self._plan_repeat(request)
+            self._schedule_retry(request)
         elif self.ctx.settings.can_cancel:
             self.ctx.actions.append(api.Cancel(request.id, number))
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -9,17 +9,23 @@
 from .state_records import SECOND, Context, EndpointGroup, PendingRequest, Server
 
 SMOOTHING = 0.08  # weight of a new sample of one server: work varies far more than servers do
-FORGET_GAPS = 20.0  # estimates halve their distance to the mean in so many usual gaps between answers
-STALE_AFTER = 4.0  # shortest deadlines after which a latency says half as much of the queue others made
+ESTIMATE_HALF_LIFE_GAPS = (
+    20.0  # estimates halve their distance to the mean in so many usual gaps between answers
+)
+STALE_HALF_LIFE = 4.0  # shortest deadlines after which a latency says half as much of the queue others made
 STALE_SHARPNESS = 2.0  # how much better than in proportion to speed: one of two drawn wins by its square
-LEAN = 0.2  # step of a group's weight for each class mean that an answer differs by: ten answers turn it
-LEAN_FADE = 0.01  # ... of it forgotten with each answer, lest chance walks it away
-LEAN_CLIP = 3.0  # class means that one late answer counts at most
-LEAN_MOST = 3.0  # e^3 either way: a group is never shut out, or nothing would tell of its recovery
-LEAN_CROSS = 3.0  # aims of delay for each point of price for a crossing: it is paid where zones are level
-LOAD_FADE = 0.5  # shortest deadlines in which a report comes to say half as much, and is of use
+BIAS_STEP = (
+    0.2  # step of a group's weight for each class mean that an answer differs by: ten answers attempt it
+)
+BIAS_DECAY = 0.01  # ... of it forgotten with each answer, lest chance walks it away
+MAX_BIAS_EXCESS = 3.0  # class means that one late answer counts at most
+MAX_BIAS = 3.0  # e^3 either way: a group is never shut out, or nothing would tell of its recovery
+BIAS_CROSS_ZONE_WEIGHT = (
+    3.0  # aims of delay for each point of price for a crossing: it is paid where zones are level
+)
+LOAD_REPORT_HALF_LIFE = 0.5  # shortest deadlines in which a report comes to say half as much, and is of use
 GROUP_SMOOTHING = 0.1  # of a group's mean latency, after as many answers
-CROSS_WEIGHT = 4.0  # aims of delay for each point of price for a crossing
+CROSS_ZONE_WEIGHT = 4.0  # aims of delay for each point of price for a crossing
 
 
 class EndpointPicker:
@@ -30,41 +36,48 @@
         self.groups: defaultdict[tuple[int, bool], EndpointGroup] = defaultdict(EndpointGroup)
         self.mean_relative_latency = 1.0
         columns = ctx.settings.report_columns
-        held = [columns.index(name) for name in ("inflight", "queue") if name in columns]
-        self.load_column = held[0] if held else None
-        self.cross = ctx.settings.price_cross_zone * CROSS_WEIGHT
+        load_columns = [columns.index(name) for name in ("inflight", "queue") if name in columns]
+        self.load_column = load_columns[0] if load_columns else None
+        self.cross = ctx.settings.price_cross_zone * CROSS_ZONE_WEIGHT
 
     def delay(self, server: Server, cls: int) -> float:
         """Expected delay by the design: (in-flight + 1) x smoothed latency.
 
-        A sidecar that sees little draws it about the estimate, the wider the older its news is: most of
+        With low traffic it is drawn about the estimate, the wider the older the estimate is: most of
         what is in flight there is of others. Guards against all of them crowding the faster kind.
         """
-        news = server.last_heard_at
+        last_heard_at = server.last_heard_at
         if (
             self.endpoints.low_traffic
-            and self.ctx.now - server.load_reported_at < LOAD_FADE * self.ctx.shortest
+            and self.ctx.now - server.load_reported_at < LOAD_REPORT_HALF_LIFE * self.ctx.shortest
         ):
             group = self.group(server)
-            known = 0.5 ** ((self.ctx.now - server.load_reported_at) / (LOAD_FADE * self.ctx.shortest))
+            known = 0.5 ** (
+                (self.ctx.now - server.load_reported_at) / (LOAD_REPORT_HALF_LIFE * self.ctx.shortest)
+            )
             load = max(group.load + (server.load - group.load) * known, len(server.in_flight))
             delay = (
                 (load + 1.0)
                 * (server.latency_per_request or group.latency_per_request)
-                * self.latency.base[cls]
+                * self.latency.class_mean[cls]
             )
             delay = max(delay, self.silence(server))
-            news = server.load_reported_at
+            last_heard_at = server.load_reported_at
         else:
-            delay = (len(server.in_flight) + 1) * self.slowness(server) * self.latency.base[cls]
+            delay = (len(server.in_flight) + 1) * self.slowness(server) * self.latency.class_mean[cls]
         if self.endpoints.low_traffic:
-            stale = 1.0 - 0.5 ** ((self.ctx.now - news) / (STALE_AFTER * self.ctx.shortest))
+            stale = 1.0 - 0.5 ** ((self.ctx.now - last_heard_at) / (STALE_HALF_LIFE * self.ctx.shortest))
             delay *= self.ctx.random.expovariate(1.0) ** (stale / STALE_SHARPNESS)
         return delay
 
     def slowness(self, server: Server) -> float:
         """Smoothed latency in class means, aged towards the mean, raised by an unanswered attempt."""
-        forget = FORGET_GAPS * max(self.endpoints.ready_count, 1) / max(self.latency.rate, 1.0) * SECOND
+        forget = (
+            ESTIMATE_HALF_LIFE_GAPS
+            * max(self.endpoints.ready_count, 1)
+            / max(self.latency.answer_rate, 1.0)
+            * SECOND
+        )
         mean = self.group(server).relative_latency if self.endpoints.low_traffic else 1.0
         relative_latency = server.relative_latency if server.samples else mean
         relative_latency = mean + (relative_latency - mean) * 0.5 ** (
@@ -72,7 +85,7 @@
         )
         if server.in_flight:
             _, cls = next(iter(server.in_flight.values()))
-            relative_latency = max(relative_latency, self.silence(server) / self.latency.base[cls])
+            relative_latency = max(relative_latency, self.silence(server) / self.latency.class_mean[cls])
         return relative_latency
 
     def silence(self, server: Server) -> float:
@@ -81,8 +94,10 @@
             return 0.0
         return self.ctx.now - max(next(iter(server.in_flight.values()))[0], server.last_alive_at)
 
-    def heed(self, server: Server, report: tuple[float, ...], relative_latency: float = 0.0) -> None:
-        """Take a load report, and what the answer that it came with took for each request held."""
+    def record_load_report(
+        self, server: Server, report: tuple[float, ...], relative_latency: float = 0.0
+    ) -> None:
+        """Take a load report, and what the answer that it came with took for each request load_columns."""
         column = self.load_column
         if column is None or len(report) <= column or not 0.0 <= (load := report[column]) < math.inf:
             return
@@ -103,7 +118,7 @@
         tried = {attempt.server for attempt in request.attempts}
         for avoided in (tried, ()) if tried else ((),):
             best, lowest = None, 0.0
-            for server, extra in self.sampled(request, avoided):
+            for server, extra in self.candidates(request, avoided):
                 delay = self.delay(server, request.cls) + extra
                 if best is None or delay < lowest:
                     best, lowest = server, delay
@@ -114,12 +129,14 @@
                 return server
         return None
 
-    def sampled(self, request: PendingRequest, tried) -> list[tuple[Server, float]]:
+    def candidates(self, request: PendingRequest, tried) -> list[tuple[Server, float]]:
         """Candidates, with what is added to their delay for crossing zones."""
         if not self.endpoints.low_traffic:
             cross = self.cross * request.spec.objective_ns
-            pairs = [(server, 0.0) for server in self.two(self.endpoints.local, request, tried)]
-            return pairs + [(server, cross) for server in self.two(self.endpoints.remote, request, tried)]
+            pairs = [(server, 0.0) for server in self.sample_pair(self.endpoints.local, request, tried)]
+            return pairs + [
+                (server, cross) for server in self.sample_pair(self.endpoints.remote, request, tried)
+            ]
         # Too few own answers to know a zone or kind as overrun by its servers: two of the set, by weights
         # that follow what each group's answers took. The price of a crossing is in the weights.
         for servers in (self.endpoints.local + self.endpoints.remote, self.endpoints.outside_subset):
@@ -140,7 +157,7 @@
     def group(self, server: Server) -> EndpointGroup:
         return self.groups[(server.kind, server.zone != self.ctx.settings.zone)]
 
-    def lean(self, server: Server, relative_latency: float) -> None:
+    def update_weight_bias(self, server: Server, relative_latency: float) -> None:
         """Lean towards the groups that answer sooner than the mean, as integral control does.
 
         Guards against a zone with too much traffic, and a slow kind, being overrun in the first seconds.
@@ -153,12 +170,12 @@
         excess = relative_latency - self.mean_relative_latency
         self.mean_relative_latency += GROUP_SMOOTHING * excess
         if server.zone != self.ctx.settings.zone:
-            aims = sum(spec.objective_ns for spec in self.ctx.settings.classes) / sum(self.latency.base)
-            excess += LEAN_CROSS * self.ctx.settings.price_cross_zone * aims
-        lean = group.weight_bias * (1.0 - LEAN_FADE) - LEAN * min(max(excess, -1.0), LEAN_CLIP)
-        group.weight_bias = min(max(lean, -LEAN_MOST), LEAN_MOST)
+            aims = sum(spec.objective_ns for spec in self.ctx.settings.classes) / sum(self.latency.class_mean)
+            excess += BIAS_CROSS_ZONE_WEIGHT * self.ctx.settings.price_cross_zone * aims
+        bias = group.weight_bias * (1.0 - BIAS_DECAY) - BIAS_STEP * min(max(excess, -1.0), MAX_BIAS_EXCESS)
+        group.weight_bias = min(max(bias, -MAX_BIAS), MAX_BIAS)
 
-    def two(self, group: list[Server], request: PendingRequest, tried) -> list[Server]:
+    def sample_pair(self, group: list[Server], request: PendingRequest, tried) -> list[Server]:
         """Up to two different servers of the group that may take this request now."""
         found: list[Server] = []
         size = len(group)
@@ -166,9 +183,9 @@
             return found
         at = self.ctx.random.randrange(size)
         step = self.ctx.random.randrange(1, size) if size > 2 else 1
-        for turn in range(size + 1):
+        for attempt in range(size + 1):
             # The first two are a uniform pair; the walk over all beyond them only replaces unfit ones.
-            ahead = turn * step if turn < 2 else turn - 1
+            ahead = attempt * step if attempt < 2 else attempt - 1
             server = group[(at + ahead) % size]
             if server not in found and server not in tried and self.safety_rules.may_send(request, server):
                 found.append(server)
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -1,21 +1,31 @@
 """The server list: who may be sampled, what is in flight at them, and when to ask for news of them."""
 
 from .interface import ListKind, Membership, State, Watch
-from .state_records import SECOND, WATCH, Context, Server
+from .state_records import POLL, SECOND, Context, Server
 
-SET_LEAST = 2  # servers of each side (own zone, others) sampled from at the least: a pick of two needs two
-SET_SPAN = 1.0  # ... or as many as are asked in so many shortest deadlines: each is heard from so often
-DEMAND_SPAN = 5.0  # shortest deadlines over which the own requests are counted
+MIN_SUBSET_SIZE = (
+    2  # servers of each side (own zone, others) sampled from at the least: a pick of two needs two
+)
+SUBSET_DEADLINES = (
+    1.0  # ... or as many as are asked in so many shortest deadlines: each is heard from so often
+)
+REQUEST_RATE_DEADLINES = 5.0  # shortest deadlines over which the own requests are counted
 
 # Asking discovery, as parts of the time within which a sidecar must ask.
-WATCH_SPREAD = 0.05  # the first call is spread over this
-WATCH_EACH = 0.007  # ... or over so much for each sidecar, where that is more: one service serves all
-WATCH_MOST = 0.6  # ... doubling up to this
-WATCH_LEAST = 0.1  # of the span at the least, to leave a failing registry alone
-WATCH_STEADY = 0.75  # ... once it grows no more: calls are spread by then, and fewer of them do
+MIN_POLL_SPREAD = 0.05  # the first call is spread over this
+POLL_SPREAD_PER_SIDECAR = (
+    0.007  # ... or over so much for each sidecar, where that is more: one service serves all
+)
+MAX_POLL_SPREAD = 0.6  # ... doubling up to this
+MIN_POLL_DELAY = 0.1  # of the span at the least, to leave a failing registry alone
+MIN_STEADY_POLL_DELAY = 0.75  # ... once it grows no more: calls are spread by then, and fewer of them do
 
-TOLD_IN = 6 * SECOND  # by the protocol: what discovery has counts as told then, also after a failed call
-ANSWER = 2 * SECOND  # by the protocol: a call is answered or refused in this; so long a connect is tried
+LIST_DEADLINE_NS = (
+    6 * SECOND
+)  # by the protocol: what discovery has counts as told then, also after a failed call
+POLL_TIMEOUT_NS = (
+    2 * SECOND
+)  # by the protocol: a call is answered or refused in this; so long a connect is tried
 
 
 class EndpointSet:
@@ -69,12 +79,15 @@
 
     def needed_subset_size(self) -> int:
         """Servers of a side to sample from: so few that each is heard from about once a deadline."""
-        return max(SET_LEAST, int(self.request_rate * SET_SPAN * self.ctx.shortest / SECOND))
+        return max(MIN_SUBSET_SIZE, int(self.request_rate * SUBSET_DEADLINES * self.ctx.shortest / SECOND))
 
     def count_request(self) -> None:
         if not self.first_request_at:
             self.first_request_at = self.request_rate_at = self.ctx.now
-        span = min(self.ctx.now - self.first_request_at + self.ctx.shortest, DEMAND_SPAN * self.ctx.shortest)
+        span = min(
+            self.ctx.now - self.first_request_at + self.ctx.shortest,
+            REQUEST_RATE_DEADLINES * self.ctx.shortest,
+        )
         self.request_rate = (
             self.request_rate * max(0.0, 1.0 - (self.ctx.now - self.request_rate_at) / span) + SECOND / span
         )
@@ -120,18 +133,25 @@
         """Ask again, over a span that spreads the calls of all sidecars and yet tells this one in time.
 
         Unspread, what had waited too long was worked on too, and none got a list. Discovery may be back since
-        the failed call began: what that took, the span and an answer fit into TOLD_IN and the grace.
+        the failed call began: what that took, the span and an answer fit into LIST_DEADLINE_NS and the grace.
         """
         settings, hung = self.ctx.settings, self.ctx.now - self.poll_started_at
         if not settings.polling_required:
             return
-        first = settings.polling_interval_ns * max(WATCH_SPREAD, WATCH_EACH * settings.fleet_size)
-        told = TOLD_IN + settings.drain_grace_ns - ANSWER - hung * (hung <= 2 * ANSWER)  # longer: was taken
-        span = min(max(first, 2 * self.poll_spread_ns), settings.polling_interval_ns * WATCH_MOST, told)
-        least = WATCH_STEADY if self.poll_spread_ns >= span else WATCH_LEAST
+        first = settings.polling_interval_ns * max(
+            MIN_POLL_SPREAD, POLL_SPREAD_PER_SIDECAR * settings.fleet_size
+        )
+        told = (
+            LIST_DEADLINE_NS
+            + settings.drain_grace_ns
+            - POLL_TIMEOUT_NS
+            - hung * (hung <= 2 * POLL_TIMEOUT_NS)
+        )  # longer: was taken
+        span = min(max(first, 2 * self.poll_spread_ns), settings.polling_interval_ns * MAX_POLL_SPREAD, told)
+        least = MIN_STEADY_POLL_DELAY if self.poll_spread_ns >= span else MIN_POLL_DELAY
         self.poll_spread_ns = span
         self.poll_at = self.ctx.now + int(span * self.ctx.random.uniform(least, 1.0)) + 1
-        self.ctx.at(self.poll_at, WATCH)
+        self.ctx.at(self.poll_at, POLL)
 
     def poll(self) -> None:
         if not self.subscribed and 0 < self.poll_at <= self.ctx.now:  # else a later failure has put it off
--- a/ochreflow/policy/latency.py
+++ b/ochreflow/policy/latency.py
@@ -3,10 +3,12 @@
 from .state_records import SECOND, Context
 
 CLASS_SMOOTHING = 0.03  # the class mean moves slower than any server, being the common yardstick
-UNKNOWN_LATENCY = 0.25  # of the aim, the class yardstick before any answer
-USUAL_FIRST = 30  # answers of a class that are simply averaged into its usual latency
-USUAL_SPAN = 25.0  # shortest deadlines over which it moves then, slower than any trouble lasts
-USUAL_DRIFT = 0.1  # ... and this part of that under pressure, lest it never forgives a wrong start
+UNKNOWN_LATENCY_SHARE = 0.25  # of the aim, the class yardstick before any answer
+BASELINE_AVERAGED_SAMPLES = 30  # answers of a class that are simply averaged into its usual latency
+BASELINE_DEADLINES = 25.0  # shortest deadlines over which it moves then, slower than any trouble lasts
+BASELINE_DRIFT_UNDER_PRESSURE = (
+    0.1  # ... and this part of that under pressure, lest it never forgives a wrong start
+)
 
 
 class LatencyEstimates:
@@ -14,41 +16,43 @@
 
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
-        self.base = [spec.objective_ns * UNKNOWN_LATENCY for spec in ctx.settings.classes]
-        self.deviation = [base / 2 for base in self.base]
-        self.seen, self.usual_at = [0] * len(self.base), [0] * len(self.base)
-        self.rate, self.rate_at = 0.0, 0  # own requests answered per second, smoothed
-        self.usual = list(self.base)
-
-    def learn(self, cls: int, took: int) -> None:
-        base = self.base[cls]
-        weight = max(CLASS_SMOOTHING, 1.0 / (self.seen[cls] + 1))
-        self.seen[cls] += 1
-        self.deviation[cls] += weight * (abs(took - base) - self.deviation[cls])
-        self.base[cls] = base + weight * (took - base)
-
-    def follow(self, cls: int, took: int) -> None:
+        self.class_mean = [spec.objective_ns * UNKNOWN_LATENCY_SHARE for spec in ctx.settings.classes]
+        self.deviation = [class_mean / 2 for class_mean in self.class_mean]
+        self.sample_counts, self.baseline_at = [0] * len(self.class_mean), [0] * len(self.class_mean)
+        self.answer_rate, self.answer_rate_at = 0.0, 0  # own requests answered per second, smoothed
+        self.baseline = list(self.class_mean)
+
+    def learn(self, cls: int, duration_ns: int) -> None:
+        class_mean = self.class_mean[cls]
+        weight = max(CLASS_SMOOTHING, 1.0 / (self.sample_counts[cls] + 1))
+        self.sample_counts[cls] += 1
+        self.deviation[cls] += weight * (abs(duration_ns - class_mean) - self.deviation[cls])
+        self.class_mean[cls] = class_mean + weight * (duration_ns - class_mean)
+
+    def raise_class_mean(self, cls: int, duration_ns: int) -> None:
         """A living server was too slow: all may be, so let the yardstick follow, or time-outs multiply."""
-        self.base[cls] += CLASS_SMOOTHING * max(0.0, took - self.base[cls])
+        self.class_mean[cls] += CLASS_SMOOTHING * max(0.0, duration_ns - self.class_mean[cls])
 
     def count_answer(self) -> None:
         tau = self.ctx.settings.overload_for_ns or self.ctx.shortest
-        self.rate = self.rate * max(0.0, 1.0 - (self.ctx.now - self.rate_at) / tau) + SECOND / tau
-        self.rate_at = self.ctx.now
-
-    def learn_usual(self, cls: int, took: int, pressed: bool) -> None:
-        if self.seen[cls] < USUAL_FIRST:
-            step = 1.0 / (self.seen[cls] + 1)
+        self.answer_rate = (
+            self.answer_rate * max(0.0, 1.0 - (self.ctx.now - self.answer_rate_at) / tau) + SECOND / tau
+        )
+        self.answer_rate_at = self.ctx.now
+
+    def learn_baseline(self, cls: int, duration_ns: int, pressed: bool) -> None:
+        if self.sample_counts[cls] < BASELINE_AVERAGED_SAMPLES:
+            step = 1.0 / (self.sample_counts[cls] + 1)
         else:
-            step = min((self.ctx.now - self.usual_at[cls]) / (USUAL_SPAN * self.ctx.shortest), 0.1)
+            step = min((self.ctx.now - self.baseline_at[cls]) / (BASELINE_DEADLINES * self.ctx.shortest), 0.1)
             if pressed:
-                step *= USUAL_DRIFT
-        self.usual_at[cls] = self.ctx.now
-        self.usual[cls] += step * (took - self.usual[cls])
+                step *= BASELINE_DRIFT_UNDER_PRESSURE
+        self.baseline_at[cls] = self.ctx.now
+        self.baseline[cls] += step * (duration_ns - self.baseline[cls])
 
     def cost(self, cls: int) -> float:
         """The work of a class against the mean of the classes, by its usual latency."""
-        return self.usual[cls] / self.mean_usual()
+        return self.baseline[cls] / self.mean_baseline()
 
-    def mean_usual(self) -> float:
-        return sum(self.usual) / len(self.usual)
+    def mean_baseline(self) -> float:
+        return sum(self.baseline) / len(self.baseline)
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -12,8 +12,8 @@
     (Status.CONNECT_FAILED, Status.NOT_SENT)
 )  # ends of attempts that cost no server any work
 PROVES_NOT_RUN = UNWRITTEN | {Status.REJECTED}
-OVERDUE, REPEAT, WATCH = range(3)  # kinds of timers
-UNSENT_MOST = 0.45  # of a request's time may pass with nothing sent, while another try is still of use
+OVERDUE, RETRY, POLL = range(3)  # kinds of timers
+MAX_UNSENT_SHARE = 0.45  # of a request's time may pass with nothing sent, while another try is still of use
 
 
 class Context:
@@ -97,7 +97,7 @@
     def __init__(self, request: Request, spec: RequestClass, now: int) -> None:
         self.id, self.cls, self.tenant, self.spec = request.id, request.cls, request.tenant, spec
         self.deadline = request.deadline_ns
-        self.first_send_by = now + int(UNSENT_MOST * (self.deadline - now))
+        self.first_send_by = now + int(MAX_UNSENT_SHARE * (self.deadline - now))
         self.reached_server = False  # some attempt has reached a server
         self.age = 0  # since the client's first try, as far as is known
         self.attempts: list[Attempt] = []  # by number
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -60,15 +60,18 @@
 
 
 def test_builds_are_had_or_refused_in_one_line(tmp_path):
-    made = make(".,policy/outlier_detection.py:STRIKES=9.5,policy/slow_start.py:PACE=1.0", tmp_path / "a")
+    made = make(
+        ".,policy/outlier_detection.py:MAX_CONSECUTIVE_FAILURES=9.5,policy/slow_start.py:OVERLOAD_SHARE=1.0",
+        tmp_path / "a",
+    )
     text = "".join(
         (made / "ochreflow/policy" / name).read_text() for name in ("outlier_detection.py", "slow_start.py")
     )
-    assert "\nSTRIKES = 9.5\n" in text and "\nPACE = 1.0\n" in text
+    assert "\nMAX_CONSECUTIVE_FAILURES = 9.5\n" in text and "\nOVERLOAD_SHARE = 1.0\n" in text
     for number, (wrong, said) in enumerate(
         [
             (".,STRIKES=9", "wanted FILE:NAME=VALUE"),
-            (".,policy/none.py:STRIKES=9", "there is no policy/none.py"),
+            (".,policy/none.py:MAX_CONSECUTIVE_FAILURES=9", "there is no policy/none.py"),
             (".,policy/balancer.py:NONE=9", "no constant NONE"),
             ("no-such-revision", "no-such-revision"),
         ]
@@ -92,7 +95,7 @@
 
 def test_the_command_finds_a_worse_build_and_writes_a_report(tmp_path):
     out, html = tmp_path / "r.jsonl", tmp_path / "r.html"
-    worse = ".,policy/state_records.py:UNSENT_MOST=0.0"  # what reached no server is given up
+    worse = ".,policy/state_records.py:MAX_UNSENT_SHARE=0.0"  # what reached no server is given up
     options = ["--rehearse", "--seeds", "4", "--jobs", "4", "--out", str(out), "--html", str(html)]
     done = command("lab", "compare", ".", worse, "-s", "vanished", "-s", "quiet", *options)
     assert done.returncode == 0, done.stderr
--- a/tests/test_little.py
+++ b/tests/test_little.py
@@ -142,7 +142,7 @@
     before = server.load, server.load_reported_at
     assert before == (3.0, now)
     for odd in ((), (1.0,), (1.0, float("nan")), (1.0, -3.0), (1.0, float("inf"))):
-        balancer.picker.heed(server, odd)
+        balancer.picker.record_load_report(server, odd)
     assert (server.load, server.load_reported_at) == before
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -113,9 +113,9 @@
 def test_the_usual_latency_is_not_learned_from_a_collapse(feed):
     """Incident i545f60: it followed the collapse and the limit never bound."""
     feed.run(5, 300, fast)
-    before = feed.balancer.latency.usual[0]
+    before = feed.balancer.latency.baseline[0]
     feed.run(8, 300, late)
-    assert feed.balancer.latency.usual[0] < 3 * before
+    assert feed.balancer.latency.baseline[0] < 3 * before
 
 
 def test_the_limit_does_not_leap_after_a_cut(feed):
@@ -126,7 +126,7 @@
     for _ in range(10):
         feed.run(0.2, 100, fast)
         limits.append(feed.balancer.limiter.limit)
-    known_good = feed.balancer.limiter.wanted_inflight
+    known_good = feed.balancer.limiter.target_inflight
     assert limits[-1] < 5 * max(known_good, limits[0])
 
 
@@ -167,18 +167,22 @@
 
 def test_one_correction_goes_a_part_of_the_way_and_little_in_flight_tells_nothing():
     balancer, now = make()
-    balancer.limiter.limit, balancer.limiter.limit_at, balancer.limiter.born = 100.0, now, now - 100 * SECOND
-    balancer.limiter.wanted_inflight = 100.0
+    balancer.limiter.limit, balancer.limiter.updated_at, balancer.limiter.first_update_at = (
+        100.0,
+        now,
+        now - 100 * SECOND,
+    )
+    balancer.limiter.target_inflight = 100.0
     step = 0.2 * (100.0 * 0.5 + 10.0 - 100.0)
     for pressure, inflight, limit in ((0.5, 10, 100.0), (4.0, 100, 100.0 + step)):
         balancer.endpoints.inflight = inflight
-        balancer.limiter.press_sum, balancer.limiter.press_count, balancer.limiter.pressed_at = (
+        balancer.limiter.pressure_sum, balancer.limiter.pressure_count, balancer.limiter.pressure_at = (
             pressure * 1e9,
             1e9,
             now,
         )
-        balancer.ctx.now = now = now + balancer.limiter.limit_every
-        balancer.limiter.correct()
+        balancer.ctx.now = now = now + balancer.limiter.update_interval_ns
+        balancer.limiter.update()
         assert balancer.limiter.limit == pytest.approx(limit, rel=1e-6)
 
 
@@ -304,8 +308,8 @@
     balancer.handle(feed.now, GossipReceived(1, told[-1][:3]))
     balancer.handle(feed.now, GossipReceived(1, told[-1]))
     feed.run(2, 20, fast, tenant=lambda n: 0)
-    assert balancer.tenant_quotas.over_share[0] > 0.5  # 20 here and 20 there, of 10
-    assert balancer.tenant_quotas.over_share[1] == 0.0
+    assert balancer.tenant_quotas.over_quota[0] > 0.5  # 20 here and 20 there, of 10
+    assert balancer.tenant_quotas.over_quota[1] == 0.0
 
 
 def test_a_surge_is_let_in_only_as_far_as_answers_justify():
@@ -324,7 +328,7 @@
     """Incident ifc0f20: no class of the site was safe, so what had recovered stayed ejected for good."""
     balancer, now = make(servers=6, effect=effect)
     lost = balancer.endpoints.servers[100]
-    balancer.outlier_detector.strike(lost, 5.0, 1.0)
+    balancer.outlier_detector.record_failure(lost, 5.0, 1.0)
     assert lost.ejected
     tried = []
     for step in range(1000):
@@ -344,7 +348,7 @@
         RequestClass("unsafe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.NON_IDEMPOTENT),
     ]
     balancer, now = make(servers=6, classes=classes)
-    balancer.outlier_detector.strike(balancer.endpoints.servers[100], 5.0, 1.0)
+    balancer.outlier_detector.record_failure(balancer.endpoints.servers[100], 5.0, 1.0)
     now += 30 * SECOND
     sent = [a for n in range(3) for a in balancer.handle(now, request(n, now, cls=1)) if isinstance(a, Send)]
     assert sent and all(action.server != 100 for action in sent)
@@ -404,7 +408,7 @@
 def crowded(status, errors=2, **more):
     """Four servers, of which one was ejected after so many failures; the others are full to the limit."""
     balancer, now = make(entries=[endpoint(100 + n) for n in range(4)], hedging=False, **more)
-    balancer.limiter.correct()
+    balancer.limiter.update()
     ident = failed = 0
     while failed < errors or not balancer.endpoints.ejected:
         now += 500 * MS
@@ -419,7 +423,7 @@
             failed += bad
             ended = Outcome(action.id, 0, action.server, status if bad else Status.OK, 5 * MS, True)
             balancer.handle(now, ended)
-    balancer.limiter.limit, balancer.limiter.limit_at = 1.0, now  # what an overload makes of it
+    balancer.limiter.limit, balancer.limiter.updated_at = 1.0, now  # what an overload makes of it
     actions = []
     for more_of_them in range(1, 9):
         actions += balancer.handle(now, request(1000 + more_of_them, now))
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -69,7 +69,7 @@
     server = restarted(balancer, now)
     balancer.slow_start.allows(server, 0, True)
     taken = server.slow_start_tokens
-    balancer.slow_start.earn(server, 0)
+    balancer.slow_start.record_answer(server, 0)
     assert server.slow_start_tokens == taken
 
 
@@ -80,7 +80,7 @@
         for number, rate in rates.items():
             if tick % (100 // rate) == 0:
                 balancer.ctx.now = at
-                balancer.slow_start.earn(balancer.endpoints.servers[number], 0)
+                balancer.slow_start.record_answer(balancer.endpoints.servers[number], 0)
     return now + seconds * SECOND
 
 
@@ -96,18 +96,18 @@
     now = carry(balancer, now, {1: 10, 2: 10})
     balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(n, started=now) for n in (1, 2)]))
     server = balancer.endpoints.servers[1]
-    assert balancer.slow_start.usual_load(server) == pytest.approx(10.0, rel=0.05)
+    assert balancer.slow_start.baseline_load(server) == pytest.approx(10.0, rel=0.05)
     now = carry(balancer, now, {1: 1, 2: 1}, 30)
-    assert balancer.slow_start.usual_load(server) == pytest.approx(10.0, rel=0.05)
+    assert balancer.slow_start.baseline_load(server) == pytest.approx(10.0, rel=0.05)
 
 
-def test_the_usual_load_is_that_of_warm_servers_not_of_all():
+def test_the_baseline_load_is_that_of_warm_servers_not_of_all():
     balancer, now = began([endpoint(n) for n in (1, 2, 3, 4)])
     now = carry(balancer, now, dict.fromkeys((1, 2, 3, 4), 10))
     changes = [endpoint(n, started=now) for n in (1, 2, 3)]
     balancer.handle(now, Membership(ListKind.DELTA, 2, changes))
     now = carry(balancer, now, {1: 1, 2: 1, 3: 1, 4: 20}, 10)
-    assert 10.0 < balancer.slow_start.usual_load(balancer.endpoints.servers[1]) < 20.0
+    assert 10.0 < balancer.slow_start.baseline_load(balancer.endpoints.servers[1]) < 20.0
 
 
 def test_a_cold_server_is_paced_by_its_own_kind_and_cell():
@@ -121,7 +121,9 @@
     for number, entry in enumerate(fresh):
         entry.kind = number // 2
     balancer.handle(now, Membership(ListKind.DELTA, 2, fresh))
-    loads = [balancer.slow_start.usual_load(balancer.endpoints.servers[number + 10]) for number in range(4)]
+    loads = [
+        balancer.slow_start.baseline_load(balancer.endpoints.servers[number + 10]) for number in range(4)
+    ]
     # Cells are only taken off what a kind carries: the others of a kind stay at its mean.
     assert loads == pytest.approx([7.5, 5.0, 15.0, 10.0], rel=0.05)
 
@@ -137,7 +139,7 @@
         entry.started_ns = now
     balancer.handle(now, Membership(ListKind.DELTA, 2, entries[1:]))
     carry(balancer, now, {1: 50, 2: 1}, 8)
-    assert balancer.slow_start.usual_load(balancer.endpoints.servers[2]) == pytest.approx(10.0, rel=0.05)
+    assert balancer.slow_start.baseline_load(balancer.endpoints.servers[2]) == pytest.approx(10.0, rel=0.05)
 
 
 def test_a_weak_kind_with_a_cell_of_its_own_is_not_taken_off_twice():
@@ -148,7 +150,7 @@
     balancer, now = began(entries)
     now = carry(balancer, now, {0: 2, 1: 2, 2: 2, 3: 20, 4: 20, 5: 20})
     server = restarted(balancer, now, 9, cell=0)
-    assert balancer.slow_start.usual_load(server) == pytest.approx(2.0, rel=0.05)
+    assert balancer.slow_start.baseline_load(server) == pytest.approx(2.0, rel=0.05)
 
 
 def test_a_cell_that_is_not_sampled_is_not_taken_for_one_that_is_held_down():
@@ -160,10 +162,10 @@
     now = carry(balancer, now, dict.fromkeys(sampled, 2))
     for number in range(4):
         server = restarted(balancer, now, 100 + number, cell=number)
-        assert balancer.slow_start.usual_load(server) == pytest.approx(2.0, rel=0.05)
+        assert balancer.slow_start.baseline_load(server) == pytest.approx(2.0, rel=0.05)
 
 
-def test_a_cold_server_gets_a_part_of_what_would_push_it_over_if_the_usual_load_were_all_it_can_do():
+def test_a_cold_server_gets_a_part_of_what_would_push_it_over_if_the_baseline_load_were_all_it_can_do():
     """In the mean: whole requests come by chance."""
     sent, budget = 0, 0.0
     for seed in range(20):
@@ -173,7 +175,7 @@
         server, pace = restarted(balancer, now), balancer.slow_start
         for tick in range(300):
             balancer.ctx.now = now + tick * 10 * MS
-            budget += 2.5 * 20 * pace.ramp(server) / 100
+            budget += 2.5 * 20 * pace.warm_share(server) / 100
             if pace.allows(server, 0, False):
                 pace.allows(server, 0, True)
                 sent += 1
@@ -193,7 +195,7 @@
             continue
         for tick in range(500):
             balancer.ctx.now = now + tick * 10 * MS
-            budget += 2 * 2.5 * 2 * pace.ramp(server) / 100
+            budget += 2 * 2.5 * 2 * pace.warm_share(server) / 100
             if pace.allows(server, 0, False):
                 pace.allows(server, 0, True)
                 sent += 1
@@ -221,7 +223,7 @@
     server, pace = restarted(balancer, now), balancer.slow_start
     balancer.ctx.now = now + 2 * SECOND
     assert pace.allows(server, 0, False)
-    pace.lose(server)
+    pace.drain_tokens(server)
     assert not pace.allows(server, 0, False)
     balancer.ctx.now += 2 * SECOND
     assert pace.allows(server, 0, False)
@@ -233,7 +235,7 @@
     other = endpoint(9, started=now)
     other.kind = 5
     balancer.handle(now, Membership(ListKind.DELTA, 2, [other]))
-    assert balancer.slow_start.usual_load(balancer.endpoints.servers[9]) == pytest.approx(15.0, rel=0.05)
+    assert balancer.slow_start.baseline_load(balancer.endpoints.servers[9]) == pytest.approx(15.0, rel=0.05)
 
 
 def test_pace_is_earned_from_the_news_of_a_start_not_from_the_first_look():
@@ -251,7 +253,7 @@
     balancer.ctx.now = now
     balancer.slow_start.allows(server, 0, True)
     taken = server.slow_start_tokens
-    balancer.slow_start.earn(server, 0)
+    balancer.slow_start.record_answer(server, 0)
     assert server.slow_start_tokens > taken + 1.0
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -309,7 +309,7 @@
     """With no time that overload must last, each answer was a fault of the module, and lost its estimates."""
     balancer, now = make(overload_for_ns=0)
     now, _ = serve(balancer, now, range(20), 50 * MS)
-    assert 5.0 < balancer.latency.rate < 40.0
+    assert 5.0 < balancer.latency.answer_rate < 40.0
 
 
 def test_when_every_server_was_lost_requests_still_go_out():
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -402,9 +402,9 @@
 
 
 def test_times_that_the_parts_count_on_agree():
-    assert endpoint_set_module.ANSWER == TOLD_AFTER * SECOND == ANSWER * SECOND
+    assert endpoint_set_module.POLL_TIMEOUT_NS == TOLD_AFTER * SECOND == ANSWER * SECOND
     assert CONNECT_WITHIN <= ANSWER < directory.ANSWER_WITHIN
-    assert endpoint_set_module.TOLD_IN == TOLD_IN * SECOND
+    assert endpoint_set_module.LIST_DEADLINE_NS == TOLD_IN * SECOND
 
 
 def test_a_discovery_without_whole_lists_is_asked_no_more_often_than_one_that_is_down():
