--- a/ochreflow/simulation/policy_loader.py
+++ b/ochreflow/simulation/policy_loader.py
@@ -21,6 +21,7 @@
     ("", "RequestCancelled", "Dropped"),
 )
 _EARLIER_FIELDS = {"warm_up_ns": "warm_within_ns"}  # of `Settings`
+_EARLIER_PARTS = {"limiter": "limit", "endpoints": "fleet"}  # of `Balancer`
 
 
 class PolicyNotFoundError(OchreflowError, FileNotFoundError):
@@ -54,9 +55,19 @@
     _add_earlier_names(interface)
     renamed = importlib.util.find_spec(f"{name}.balancer") is not None
     balancer = importlib.import_module(f"{name}.{'balancer' if renamed else 'logic'}")
+    if folder is not None:
+        balancer.Balancer.__getattr__ = _earlier_part  # asked only for parts that this build does not have
     return PolicyModules(interface, balancer, importlib.import_module(f"{name}.settings"))
 
 
+def _earlier_part(balancer: object, name: str) -> object:
+    """Find a part of an earlier build's balancer by the name that it has in this build."""
+    if name not in _EARLIER_PARTS:
+        missing = f"{type(balancer).__name__!r} object has no attribute {name!r}"
+        raise AttributeError(missing)
+    return getattr(balancer, _EARLIER_PARTS[name])
+
+
 def _add_earlier_names(interface: ModuleType) -> None:
     """Let a simulation use an earlier build by the names of this one."""
     for owner, name, earlier in _EARLIER_NAMES:
