--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -4,6 +4,10 @@
 not count, its passing does. No other test may be passed over so. The list is collected as a test file
 (`testpaths` names it), an entry a test: so the whole run judges it and ends in pytest's closing line, and a
 run of one test file does not judge entries of others.
+
+With pytest-xdist each worker collects all tests and judges entries like a run without workers. The process
+that started the workers collects nothing: each worker reports at its end which listed tests it has collected,
+so that the closing summary can print them.
 """
 
 from collections.abc import Iterator
@@ -13,6 +17,8 @@
 import pytest
 
 MOST = 3
+COLLECTED_ID = pytest.StashKey[str]()  # a test's id; pytest-xdist appends the name of its group to `nodeid`
+WORKER_OUTPUT = "known_red_collected"  # the listed tests that a worker has collected
 
 
 @dataclass(frozen=True)
@@ -79,7 +85,7 @@
         self.path = path
         self.entries = entries(path.read_text()) if path.exists() else []
         self.expected = {entry.test: entry for entry in self.entries[:MOST] if not entry.missing()}
-        self.collected: set[str] = set()
+        self.collected: set[str] = set()  # in this process, or listed ones in a worker
 
     def faults(self, entry: Entry) -> list[str]:
         found = [f"no {name}" for name in entry.missing()]
@@ -101,6 +107,7 @@
 
     def pytest_itemcollected(self, item: pytest.Item) -> None:
         self.collected.add(item.nodeid)
+        item.stash[COLLECTED_ID] = item.nodeid
         if entry := self.expected.get(item.nodeid):
             reason = f"{entry.cause} ({entry.issue})"
             item.add_marker(pytest.mark.xfail(strict=True, reason=reason), append=False)
@@ -109,18 +116,27 @@
     def pytest_runtest_makereport(self, item: pytest.Item, call: pytest.CallInfo):
         """What is neither seen to fail nor to pass: a listed test skipped, another one expected to fail."""
         report = yield
-        listed = item.nodeid in self.expected
+        test = item.stash[COLLECTED_ID]
+        listed = test in self.expected
         forgiven = report.skipped and hasattr(report, "wasxfail")
         if listed and report.skipped and not forgiven:
-            report.outcome, report.longrepr = "failed", f"in {self.path.name}, but skipped: {item.nodeid}"
+            report.outcome, report.longrepr = "failed", f"in {self.path.name}, but skipped: {test}"
         elif forgiven and not listed:
             del report.wasxfail
-            report.outcome, report.longrepr = (
-                "failed",
-                f"fails, and is not in {self.path.name}: {item.nodeid}",
-            )
+            report.outcome, report.longrepr = "failed", f"fails, and is not in {self.path.name}: {test}"
         return report
 
+    def pytest_sessionfinish(self, session: pytest.Session) -> None:
+        """In a worker: report which listed tests are collected."""
+        output = getattr(session.config, "workeroutput", None)
+        if output is not None:
+            output[WORKER_OUTPUT] = sorted(self.collected & self.expected.keys())
+
+    @pytest.hookimpl(optionalhook=True)
+    def pytest_testnodedown(self, node) -> None:
+        """In the process that started the workers: `node` has ended, without output if it crashed."""
+        self.collected.update(getattr(node, "workeroutput", {}).get(WORKER_OUTPUT, ()))
+
     def pytest_terminal_summary(self, terminalreporter) -> None:
         met = [entry for test, entry in self.expected.items() if test in self.collected]
         if met:
--- a/tests/test_accept_throttle.py
+++ b/tests/test_accept_throttle.py
@@ -47,6 +47,8 @@
 from ochreflow.admission.limits import Limits
 from ochreflow.http.acceptor import Acceptor
 
+pytestmark = pytest.mark.xdist_group("processes")
+
 ADMISSION_ON = '[operators]\nlisten = "127.0.0.1:0"\n[admission]\non = true\n'
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -194,6 +194,7 @@
     return made
 
 
+@pytest.mark.xdist_group("processes")
 def test_a_flood_of_silent_sockets_leaves_the_known_clients_their_capacity(tmp_path):
     async def play():
         node = await Fake(answer_ok).start()
@@ -225,6 +226,7 @@
     run(play())
 
 
+@pytest.mark.xdist_group("processes")
 def test_operators_turn_admission_on_see_it_and_change_its_limits(tmp_path):
     async def play():
         file = tmp_path / "o.toml"
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -18,6 +18,8 @@
 from ochreflow.http.connection import WAITING_MOST
 from ochreflow.http.progress import LOOK_EVERY, HangupWatch
 
+pytestmark = pytest.mark.xdist_group("real-time")
+
 FLOWING = 2 * HOLD_MOST  # bytes of a body that goes on to its server while it comes
 PIPELINED = b"".join(message("order", f"more{n}") for n in range(400))  # more than is read while one waits
 
--- a/tests/test_client_left_attempts.py
+++ b/tests/test_client_left_attempts.py
@@ -14,6 +14,8 @@
 from ochreflow.core.body import HOLD_MOST
 from ochreflow.policy import interface as api
 
+pytestmark = pytest.mark.xdist_group("real-time")
+
 
 async def nothing_open(sidecar):
     await until(lambda: not sidecar.engine.pending_requests and not sidecar.engine.attempts)
--- a/tests/test_duplicate_search.py
+++ b/tests/test_duplicate_search.py
@@ -339,6 +339,7 @@
 ALONE = ["--without", "early", "--without", "freeze", "--without", "sidecars", "--without", "servers"]
 
 
+@pytest.mark.xdist_group("real-time")
 def test_the_command_finds_a_program_that_sends_requests_twice(tmp_path, capsys):
     package = tmp_path / "ochreflow"
     package.mkdir()
@@ -351,6 +352,7 @@
     assert "1 of 1 runs broke the rule: 3" in said
 
 
+@pytest.mark.xdist_group("real-time")
 def test_a_build_that_does_not_start_is_one_line(tmp_path, capsys):
     package = tmp_path / "ochreflow"
     package.mkdir()
@@ -393,6 +395,7 @@
     return fixed_plan(PARTLY, treatment, (UNREAD,) * 4)
 
 
+@pytest.mark.xdist_group("real-time")
 @pytest.mark.parametrize("act", [Act.HALF_CLOSE, Act.GARBAGE])
 def test_what_is_partly_written_when_its_server_ends_is_not_sent_again(act):
     result = play(partly_written(act), ROOT)
@@ -411,6 +414,7 @@
     return PipelinedPair(ask.at, lookup, order, line_after=0.8, reads_after=0.9)
 
 
+@pytest.mark.xdist_group("real-time")
 def test_clients_that_end_their_sending_or_read_late_are_played_and_answered():
     treatment = Treatment(Act.SERVE, work=0.3)
     alone = fixed_plan(0, treatment, (PLAIN,) * 4)
@@ -422,6 +426,7 @@
     assert result.unrepeatable == {502: len(ending.asks), 200: len(pairs)}
 
 
+@pytest.mark.xdist_group("real-time")
 def test_no_drawn_run_breaks_the_rule():
     plans = [draw(seed, 2.5, frozenset(Crossing)) for seed in (2, 10)]
     with ProcessPoolExecutor(len(plans)) as pool:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -24,7 +24,12 @@
 CASES = '@pytest.mark.parametrize("case", ["a", "b | c"])\ndef test_case(case):\n    assert case == "a"\n'
 
 
-def pytest_on(folder, listed, more="", *arguments):
+GROUPED = (
+    "\npytestmark = pytest.mark.xdist_group('machine')\n"  # in a test file: its tests run one after the other
+)
+
+
+def pytest_on(folder, listed, more="", *arguments, workers=0):
     """Run the whole suite of a project that has this project's settings, conftest.py and plugin."""
     tests = folder / "tests"
     tests.mkdir()
@@ -36,7 +41,7 @@
     if listed is not None:
         (folder / "KNOWN-RED.txt").write_text(listed)
     return subprocess.run(
-        [sys.executable, "-m", "pytest", *arguments],
+        [sys.executable, "-m", "pytest", "-n", str(workers), *arguments],
         cwd=folder,
         capture_output=True,
         text=True,
@@ -124,14 +129,37 @@
 }
 
 
-@pytest.mark.parametrize("name", FAILING)
-def test_what_fails_the_run(tmp_path, name):
-    listed, more, counts, said = FAILING[name]
-    done = pytest_on(tmp_path, listed, more)
+def check_failing(name, folder, more="", workers=0):
+    listed, tests, counts, said = FAILING[name]
+    done = pytest_on(folder, listed, tests + more, workers=workers)
     assert closing(done) == (counts, 1)
     assert said in done.stdout
 
 
+@pytest.mark.parametrize("name", FAILING)
+def test_what_fails_the_run(tmp_path, name):
+    check_failing(name, tmp_path)
+
+
+@pytest.mark.parametrize("name", FAILING)
+def test_what_fails_the_run_fails_it_with_workers_and_groups(tmp_path, name):
+    check_failing(name, tmp_path, GROUPED, workers=2)
+
+
+@pytest.mark.parametrize(("more", "workers"), [("", 2), (GROUPED, 2), (GROUPED, 0)])
+def test_a_listed_failure_is_passed_over_and_printed_with_workers_and_groups(tmp_path, more, workers):
+    line = f"{RED} | the widget is late | issue 7"
+    done = pytest_on(tmp_path, f"{line}\n", RED_TEST + more, workers=workers)
+    assert closing(done) == ("3 passed, 1 xfailed", 0)
+    assert done.stdout.splitlines().count(line) == 1
+
+
+def test_a_listed_test_that_ends_its_worker_fails_the_run(tmp_path):
+    done = pytest_on(tmp_path, SLOW, "def test_red():\n    import os\n    os._exit(1)\n", workers=2)
+    assert closing(done) == ("1 failed, 3 passed", 1)
+    assert f"worker 'gw0' crashed while running '{RED}'" in re.sub(r"gw\d", "gw0", done.stdout)
+
+
 def test_an_entry_is_one_case_and_its_id_may_hold_what_separates(tmp_path):
     done = pytest_on(tmp_path, "tests/test_small.py::test_case[b | c] | slow | issue 7\n", CASES)
     assert closing(done) == ("4 passed, 1 xfailed", 0)
@@ -155,3 +183,4 @@
     assert "\ntest: .venv/test\n\t$(RUN) -m pytest\n" in recipes and "\nRUN = .venv/bin/python\n" in recipes
     options = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["pytest"]["ini_options"]
     assert options["testpaths"] == ["tests", "KNOWN-RED.txt"]
+    assert re.search(r" -p xdist -n \d+ --dist loadgroup --max-worker-restart 0$", options["addopts"])
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -21,6 +21,8 @@
 from ochreflow.lab.node_messages import NodeProfile
 from ochreflow.lab.node_model import DeduplicationGroup
 
+pytestmark = pytest.mark.xdist_group("real-time")
+
 ROOT = Path(__file__).parent.parent
 
 
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -18,6 +18,8 @@
 from ochreflow.app import operator
 from ochreflow.core.log import Log
 
+pytestmark = pytest.mark.xdist_group("processes")
+
 ROOT = Path(__file__).parent.parent
 
 
--- a/tests/test_overlap.py
+++ b/tests/test_overlap.py
@@ -6,6 +6,7 @@
 import signal
 import socket
 
+import pytest
 from net_helpers import HOST, Fake, answer_ok, ask, config, entry, message, news, run, until
 from test_process import Process
 
@@ -14,6 +15,8 @@
 from ochreflow.core.limits import MB, Descriptors, Memory, Usage
 from ochreflow.membership.directory import format_endpoint_list, parse_endpoint_update
 
+pytestmark = pytest.mark.xdist_group("processes")
+
 
 def usage(sockets=384, memory=80):
     return Usage(Descriptors(sockets), Memory(memory * MB))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -36,6 +36,8 @@
 
 from ochreflow.policy.settings import nested_settings, parse_settings
 
+pytestmark = pytest.mark.xdist_group("processes")
+
 ROOT = Path(__file__).parent.parent
 READY = b"GET /-/ready HTTP/1.1\r\n\r\n"
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -37,6 +37,8 @@
 from ochreflow.core.limits import Descriptors
 from ochreflow.http.clients import CUT_MOST, Clients
 
+pytestmark = pytest.mark.xdist_group("real-time")
+
 LEAST = 256  # descriptors of the least configuration
 LEFT = 71  # descriptors that are left to a process of which others hold the rest: half a share and its own
 LOWERED = 100  # the limit that is set while clients hold their share of that
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -132,6 +132,7 @@
     assert all(" after 2.055 of 2 s" in text for _, text in run.findings)
 
 
+@pytest.mark.xdist_group("real-time")
 def test_the_library_is_fine_and_the_command_plays_it(tmp_path):
     assert len(scenario_names()) >= 12
     for name in scenario_names():
