--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -8,8 +8,7 @@
 """
 
 import heapq
-from collections.abc import Callable
-from typing import Any
+from typing import assert_never
 
 from . import interface as api
 from .concurrency_limiter import ConcurrencyLimiter
@@ -26,7 +25,19 @@
 from .retry_policy import RetryPolicy
 from .safety_rules import SafetyRules
 from .slow_start import SlowStart
-from .state_records import OUT, OVERDUE, POLL, RETRY, Attempt, Context, PendingRequest, Server
+from .state_records import (
+    IN_FLIGHT,
+    OVERDUE,
+    POLL,
+    RETRY,
+    Attempt,
+    AttemptKey,
+    Context,
+    InFlightAttempt,
+    PendingRequest,
+    ScheduledTimer,
+    Server,
+)
 from .tenant_quota import TenantQuotas
 
 RETRY_AFTER_SHARE = (
@@ -34,8 +45,6 @@
 )
 MIN_RETRY_AFTER_JITTER = 0.5  # of it after jitter, lest refused clients come back together
 
-AGAIN = 1 << 16  # marks the timers of attempts that were overdue before
-
 
 class Balancer:
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -51,30 +60,47 @@
         self.retry_policy = RetryPolicy(ctx, self.latency, self.safety_rules)
         self.pending: dict[int, PendingRequest] = {}
         self.timer_armed = self.timer_token = 0
-        self.handlers: dict[type, Callable[[Any], None]] = {
-            Request: self._on_request,
-            Outcome: self._on_outcome,
-            api.Timer: self._on_timer,
-            api.RequestCancelled: self._on_cancelled,
-            api.Membership: lambda event: self.limiter.scale_down(self.endpoints.apply(event)),
-            api.GossipReceived: self.tenant_quotas.record_gossip,
-            api.ProbeResult: self._on_probe,
-            api.StreamStarted: self._on_stream,
-            api.BodyDiscarded: self._on_body_discarded,
-            api.BodyUploaded: self._on_uploaded,
-        }
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
         """Take one event at the given time; return what to do, in order."""
         ctx = self.ctx
         ctx.now, ctx.actions = now_ns, []
-        self.handlers[type(event)](event)
-        if ctx.timers and (not self.timer_armed or ctx.timers[0][0] < self.timer_armed):
-            self.timer_armed = ctx.timers[0][0]
+        self._dispatch(event)
+        if ctx.timers and (not self.timer_armed or ctx.timers[0].due_ns < self.timer_armed):
+            self.timer_armed = ctx.timers[0].due_ns
             self.timer_token = (self.timer_token + 1) & 0xFFFFFFFF
             ctx.actions.append(api.SetTimer(max(self.timer_armed - now_ns, 1), self.timer_token))
         return ctx.actions
 
+    def actions_before_fault(self) -> list[Action]:
+        """Return what was decided for the latest event before `handle` raised; it is to be done still."""
+        return self.ctx.actions
+
+    def _dispatch(self, event: Event) -> None:  # one case for each event
+        match event:
+            case Request():
+                self._on_request(event)
+            case Outcome():
+                self._on_outcome(event)
+            case api.Timer():
+                self._on_timer(event)
+            case api.RequestCancelled():
+                self._on_cancelled(event)
+            case api.Membership():
+                self.limiter.scale_down(self.endpoints.apply(event))
+            case api.GossipReceived():
+                self.tenant_quotas.record_gossip(event)
+            case api.ProbeResult():
+                self._on_probe(event)
+            case api.StreamStarted():
+                self._on_stream(event)
+            case api.BodyDiscarded():
+                self._on_body_discarded(event)
+            case api.BodyUploaded():
+                self._on_uploaded(event)
+            case _:
+                assert_never(event)
+
     def write_by(self, now_ns: int, ident: int, number: int) -> int:
         """Until when an attempt's last byte may go out, judged anew as its first one is to; 0: it may not."""
         self.ctx.now = now_ns
@@ -172,17 +198,17 @@
         now = self.ctx.now
         if event.token == self.timer_token:
             self.timer_armed = 0
-        while self.ctx.timers and self.ctx.timers[0][0] <= now:
-            _, kind, ident, attempt = heapq.heappop(self.ctx.timers)
-            if kind == POLL:
+        while self.ctx.timers and self.ctx.timers[0].due_ns <= now:
+            timer = heapq.heappop(self.ctx.timers)
+            if timer.kind is POLL:
                 self.endpoints.poll()
                 continue
-            request = self.pending.get(ident)
+            request = self.pending.get(timer.request_id)
             if request is None or request.streaming:
                 continue
-            if kind == OVERDUE:
-                self._overdue(request, attempt)
-            elif kind == RETRY and request.retry_scheduled:
+            if timer.kind is OVERDUE:
+                self._on_overdue(request, timer)
+            elif timer.kind is RETRY and request.retry_scheduled:
                 request.retry_scheduled = False
                 self._retry(request)
 
@@ -202,17 +228,19 @@
     def _count_in_flight(self, request: PendingRequest, server: Server, number: int) -> None:
         """Its server has the whole of an attempt: it is in flight from now on."""
         overdue = self.outlier_detector.overdue_after(server, request.cls, request.deadline - self.ctx.now)
-        server.in_flight[(request.id, number)] = (self.ctx.now, request.cls)
+        server.in_flight[AttemptKey(request.id, number)] = InFlightAttempt(self.ctx.now, request.cls)
         if not server.ejected:
             self.endpoints.inflight += 1
-        self.ctx.at(self.ctx.now + overdue, OVERDUE, request.id, number)
+        due_ns = self.ctx.now + overdue
+        self.ctx.schedule(ScheduledTimer(due_ns, OVERDUE, request.id, attempt=number))
 
     def _schedule_retry(self, request: PendingRequest) -> None:
         """Wait a jittered part of the time left, then repeat; or end the request."""
         delay = self.retry_policy.delay(request)
         if delay is not None:
             request.retry_scheduled = True
-            self.ctx.at(self.ctx.now + max(delay, 1), RETRY, request.id)
+            due_ns = self.ctx.now + max(delay, 1)
+            self.ctx.schedule(ScheduledTimer(due_ns, RETRY, request.id))
         elif not request.any_in_flight():  # an attempt still out may yet answer
             self._end(request)
 
@@ -247,23 +275,24 @@
 
     def _cancel_others(self, request: PendingRequest, keep: int) -> None:
         for number, attempt in enumerate(request.attempts):
-            if attempt.state == OUT and number != keep and self.ctx.settings.can_cancel:
+            if attempt.state is IN_FLIGHT and number != keep and self.ctx.settings.can_cancel:
                 self.ctx.actions.append(api.Cancel(request.id, number))
 
-    def _overdue(self, request: PendingRequest, number: int) -> None:
-        """An attempt is late: evidence against a silent server, and a repeat if that one is ejected.
+    def _on_overdue(self, request: PendingRequest, timer: ScheduledTimer) -> None:
+        """An attempt is late: evidence against a silent server, and a retry if that one is ejected.
 
         Guards against retry storms: at a server not known to be bad either the work is long, which a repeat
         would not shorten, or all is slow, which it would make worse; and silence may be little traffic.
         """
-        first, number = number < AGAIN, number % AGAIN
-        server, _, _, _, sent, state = request.attempts[number]
-        if state != OUT:
+        number = timer.attempt
+        attempt = request.attempts[number]
+        if attempt.state is not IN_FLIGHT:
             return
+        server, sent = attempt.server, attempt.sent
         silent = server.last_alive_at <= sent
-        if not first:
+        if timer.rechecked:
             if not silent:
-                self.outlier_detector.write_off(server, (request.id, number))
+                self.outlier_detector.write_off(server, AttemptKey(request.id, number))
         elif not silent:
             self.limiter.record_latency(server, request.cls, self.ctx.now - sent)  # late news is no use
         else:  # one long piece of work must not condemn a server by itself
@@ -271,9 +300,9 @@
             self.outlier_detector.record_failure(server, OVERDUE_FAILURE_WEIGHT, MAX_EJECTED_SHARE_ON_SILENCE)
         if server.ejected:
             self._retry_elsewhere(request, number)
-        again = 2 * self.ctx.now - sent
-        if again < request.deadline:
-            self.ctx.at(again, OVERDUE, request.id, number + AGAIN)
+        recheck_at = 2 * self.ctx.now - sent
+        if recheck_at < request.deadline:
+            self.ctx.schedule(ScheduledTimer(recheck_at, OVERDUE, request.id, True, number))
 
     def _retry_all_from(self, server: Server) -> None:
         """What waits at a server that has just been ejected is likely lost: do not wait it out."""
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -1,7 +1,7 @@
 """The server list: who may be sampled, what is in flight at them, and when to ask for news of them."""
 
 from .interface import ListKind, Membership, State, Watch
-from .state_records import POLL, SECOND, Context, Server
+from .state_records import POLL, SECOND, Context, ScheduledTimer, Server
 
 MIN_SUBSET_SIZE = (
     2  # servers of each side (own zone, others) sampled from at the least: a pick of two needs two
@@ -151,7 +151,7 @@
         least = MIN_STEADY_POLL_DELAY if self.poll_spread_ns >= span else MIN_POLL_DELAY
         self.poll_spread_ns = span
         self.poll_at = self.ctx.now + int(span * self.ctx.random.uniform(least, 1.0)) + 1
-        self.ctx.at(self.poll_at, POLL)
+        self.ctx.schedule(ScheduledTimer(self.poll_at, POLL))
 
     def poll(self) -> None:
         if not self.subscribed and 0 < self.poll_at <= self.ctx.now:  # else a later failure has put it off
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -5,7 +5,7 @@
 from .concurrency_limiter import REJECTION_PRESSURE, ConcurrencyLimiter
 from .endpoint_picker import SMOOTHING, EndpointPicker
 from .interface import Effect, Outcome, Status
-from .state_records import SECOND, UNWRITTEN, Context, PendingRequest, Server
+from .state_records import SECOND, UNWRITTEN, AttemptKey, Context, PendingRequest, Server
 
 MIN_FAILURE_SAMPLE = 4.0  # what a failure counts at least: a fast error must not look like a fast server
 STALE_SAMPLE_HALF_LIFE = (
@@ -52,7 +52,7 @@
     def record_end(self, event: Outcome) -> Server | None:
         """Whatever became of an attempt, it is in flight no more. Its server, if that is still known."""
         server = self.endpoints.servers.get(event.server)
-        attempt = (event.id, event.attempt)
+        attempt = AttemptKey(event.id, event.attempt)
         if server and attempt in server.in_flight:
             sent, cls = server.in_flight.pop(attempt)
             written_off = attempt in server.written_off
@@ -172,7 +172,7 @@
         server.relative_latency = min(server.relative_latency, REJECTION_SAMPLE)
         self.endpoints.rebuild()
 
-    def write_off(self, server: Server, attempt: tuple[int, int]) -> None:
+    def write_off(self, server: Server, attempt: AttemptKey) -> None:
         """Take an attempt that is overdue twice out of what is in flight: its answer is most likely lost.
 
         Guards against a network that drops answers: attempts that never come back filled a shrinking limit
--- a/ochreflow/policy/safety_rules.py
+++ b/ochreflow/policy/safety_rules.py
@@ -2,7 +2,7 @@
 
 from .interface import Effect, Scope
 from .slow_start import SlowStart
-from .state_records import NEVER_RAN, OUT, Context, PendingRequest, Server
+from .state_records import IN_FLIGHT, NEVER_RAN, Context, PendingRequest, Server
 
 NO_END = 1 << 62  # ns; later than any time
 
@@ -24,9 +24,11 @@
             return 0
         spec = request.spec
         for other, at in enumerate(request.attempts):
-            if other == number or at.state == NEVER_RAN:
+            if other == number or at.state is NEVER_RAN:
                 continue
-            if spec.effect is Effect.NON_IDEMPOTENT or (at.state == OUT and not self.ctx.settings.hedging):
+            if spec.effect is Effect.NON_IDEMPOTENT or (
+                at.state is IN_FLIGHT and not self.ctx.settings.hedging
+            ):
                 return 0
             apart = at.cell != server.cell if spec.scope is Scope.CELL else at.zone != server.zone
             if spec.effect is Effect.IDEMPOTENT_WITH_KEY and spec.scope is not Scope.ALL and apart:
@@ -38,7 +40,9 @@
         """Until when servers drop a repeat of what may have run, by its first copy but for this one."""
         if request.spec.effect is not Effect.IDEMPOTENT_WITH_KEY:
             return NO_END
-        begun = [one.decided for n, one in enumerate(request.attempts) if n != but and one.state != NEVER_RAN]
+        begun = [
+            one.decided for n, one in enumerate(request.attempts) if n != but and one.state is not NEVER_RAN
+        ]
         return min(begun) + request.spec.window_ns - self.ctx.settings.tick_ns if begun else NO_END
 
     def may_refuse(self, request: PendingRequest) -> bool:
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -1,34 +1,88 @@
-"""What a sidecar remembers: servers, groups of servers, open requests; and what all its parts share."""
+"""The records of the decision module: servers, groups of servers, pending requests, attempts and timers.
+
+Times are integer nanoseconds of the caller's monotonic clock, unless a name says otherwise.
+"""
 
 import heapq
 import random
+from enum import Enum, IntEnum
 from typing import NamedTuple
 
 from .interface import Action, Endpoint, Log, Request, RequestClass, Settings, State, Status
 
 SECOND = 1_000_000_000
-OUT, NEVER_RAN, MAY_HAVE_RUN = range(3)
 UNWRITTEN = frozenset(
     (Status.CONNECT_FAILED, Status.NOT_SENT)
 )  # ends of attempts that cost no server any work
 PROVES_NOT_RUN = UNWRITTEN | {Status.REJECTED}
-OVERDUE, RETRY, POLL = range(3)  # kinds of timers
 MAX_UNSENT_SHARE = 0.45  # of a request's time may pass with nothing sent, while another try is still of use
 
 
+class AttemptState(Enum):
+    """What is known of an attempt's run at its server."""
+
+    IN_FLIGHT = 0
+    NEVER_RAN = 1
+    MAY_HAVE_RUN = 2
+
+
+# Members by themselves: Python 3.11 looks up a member of an enumeration by a call.
+IN_FLIGHT, NEVER_RAN, MAY_HAVE_RUN = AttemptState
+
+
+class TimerKind(IntEnum):
+    """What a timer is for; timers that fall due together ring in this order."""
+
+    OVERDUE = 0  # an attempt is late
+    RETRY = 1  # a backoff is over
+    POLL = 2  # the endpoint list is to be asked for
+
+
+OVERDUE, RETRY, POLL = TimerKind
+
+
+class ScheduledTimer(NamedTuple):
+    """An entry of the timer heap; its fields are in the order in which timers ring."""
+
+    due_ns: int
+    kind: TimerKind
+    request_id: int = 0
+    rechecked: bool = False  # the attempt was overdue before
+    attempt: int = 0
+
+
+class AttemptKey(NamedTuple):
+    """Names an attempt: its request, and its number within that request."""
+
+    request_id: int
+    attempt: int
+
+
+class InFlightAttempt(NamedTuple):
+    """What a server's record holds of an attempt that is in flight."""
+
+    since_ns: int
+    cls: int
+
+
 class Context:
-    """What all parts share: settings, time, chance, the timers, and the actions of this event."""
+    """The settings, the event's time, the random numbers, the timers, and the actions of this event.
+
+    The balancer sets the time and empties the actions before each event.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
+        """Start without a time, timers or actions; the same seed gives the same random numbers."""
         self.settings = settings
         self.random = random.Random(seed)
         self.now = self.log_at = 0
         self.actions: list[Action] = []
-        self.timers: list[tuple[int, int, int, int]] = []
+        self.timers: list[ScheduledTimer] = []
         self.shortest = min(spec.deadline_ns for spec in settings.classes)
 
-    def at(self, due: int, kind: int, ident: int = 0, attempt: int = 0) -> None:
-        heapq.heappush(self.timers, (due, kind, ident, attempt))
+    def schedule(self, timer: ScheduledTimer) -> None:
+        """Add a timer to the heap."""
+        heapq.heappush(self.timers, timer)
 
     def log(self, text: str) -> None:
         """One line a second at most: the report keeps only a few hundred."""
@@ -41,17 +95,20 @@
     """What this sidecar believes of one server."""
 
     def __init__(self, entry: Endpoint, rank: float, now: int) -> None:
+        """Start from an entry of the list; `rank` orders the servers of a subset."""
         self.id = entry.server
         self.rank = rank  # by the own seed: each sidecar samples from others
-        self.in_flight: dict[tuple[int, int], tuple[int, int]] = {}  # (request, attempt) -> (sent, class)
-        self.written_off: set[tuple[int, int]] = set()  # of these, whose answers are not waited for any more
+        self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
+        self.written_off: set[AttemptKey] = set()  # in flight, but their answers are not waited for any more
         self.listed = True
         self.restart(entry, now)
 
     def awaited_count(self) -> int:
+        """Count the attempts in flight whose answers are still waited for."""
         return len(self.in_flight) - len(self.written_off)
 
     def restart(self, entry: Endpoint, now: int) -> None:
+        """Forget what was learned: this is another incarnation of the server."""
         self.zone, self.kind, self.cell = entry.zone, entry.kind, entry.cell
         self.ready = entry.state is State.READY
         self.started = entry.started_ns
@@ -70,9 +127,10 @@
 
 
 class EndpointGroup:
-    """What this sidecar believes of servers that the list describes alike: of one kind, near or far."""
+    """What this sidecar believes of servers that the list describes alike: of one kind, local or remote."""
 
     def __init__(self) -> None:
+        """Start at the mean of all servers."""
         self.relative_latency = 1.0  # smoothed latency, in class means
         self.samples = self.reports = 0
         self.load = 0.0  # mean of what is reported
@@ -88,13 +146,14 @@
     cell: int
     decided: int  # ns: its window runs from here
     sent: int  # ns: the same, or when the body that was still coming was through
-    state: int = OUT
+    state: AttemptState = IN_FLIGHT
 
 
 class PendingRequest:
-    """A request that is owed an answer."""
+    """A request that has no final response yet."""
 
     def __init__(self, request: Request, spec: RequestClass, now: int) -> None:
+        """Take up a request of the class `spec` at `now`."""
         self.id, self.cls, self.tenant, self.spec = request.id, request.cls, request.tenant, spec
         self.deadline = request.deadline_ns
         self.first_send_by = now + int(MAX_UNSENT_SHARE * (self.deadline - now))
@@ -109,8 +168,8 @@
         self.body_discarded = False  # its body can't be brought again
 
     def record_end(self, number: int, status: Status) -> bool:
-        """Take an attempt's one end; False for one that has ended before or was never decided."""
-        if number >= len(self.attempts) or self.attempts[number].state != OUT:
+        """Record the end of an attempt; False for one that has ended before or was never decided."""
+        if number >= len(self.attempts) or self.attempts[number].state is not IN_FLIGHT:
             return False
         state = NEVER_RAN if status in PROVES_NOT_RUN else MAY_HAVE_RUN
         self.attempts[number] = self.attempts[number]._replace(state=state)
@@ -118,8 +177,9 @@
         return True
 
     def any_in_flight(self) -> bool:
-        return any(attempt.state == OUT for attempt in self.attempts)
+        """Whether an attempt may still be answered."""
+        return any(attempt.state is IN_FLIGHT for attempt in self.attempts)
 
     def never_ran(self) -> bool:
-        """Whether each attempt is proven not to have run; one still out may have."""
-        return all(attempt.state == NEVER_RAN for attempt in self.attempts)
+        """Whether each attempt is proven not to have run; one in flight may have."""
+        return all(attempt.state is NEVER_RAN for attempt in self.attempts)
