--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -16,6 +16,7 @@
 from .endpoint_set import EndpointSet
 from .interface import Action, Effect, Event, Outcome, Request, Settings, Status
 from .latency import LatencyEstimates
+from .outcome_recorder import OutcomeRecorder
 from .outlier_detection import (
     MAX_EJECTED_SHARE,
     MAX_EJECTED_SHARE_ON_SILENCE,
@@ -56,7 +57,18 @@
         self.picker = EndpointPicker(ctx, self.latency, self.endpoints, self.safety_rules)
         self.tenant_quotas = TenantQuotas(ctx)
         self.limiter = ConcurrencyLimiter(ctx, self.latency, self.tenant_quotas, self.endpoints)
-        self.outlier_detector = OutlierDetector(ctx, self.limiter, self.picker, self._retry_all_from)
+        self.outlier_detector = OutlierDetector(
+            ctx, self.latency, self.endpoints, self.safety_rules, self._retry_all_from
+        )
+        self.outcome_recorder = OutcomeRecorder(
+            ctx,
+            self.latency,
+            self.endpoints,
+            self.slow_start,
+            self.limiter,
+            self.picker,
+            self.outlier_detector,
+        )
         self.retry_policy = RetryPolicy(ctx, self.latency, self.safety_rules)
         self.pending: dict[int, PendingRequest] = {}
         self.timer_armed = self.timer_token = 0
@@ -138,13 +150,13 @@
         return self.picker.pick(request)
 
     def _on_outcome(self, event: Outcome) -> None:
-        server = self.outlier_detector.record_end(event)
+        server = self.outcome_recorder.record_end(event)
         request = self.pending.get(event.id)
         if request is None:
             return
         if server and request.uploading:
             # It ended before its body was through.
-            self.outlier_detector.learn(server, self.ctx.now, request.cls, event, False)
+            self.outcome_recorder.learn(server, self.ctx.now, request.cls, event, written_off=False)
         elif server and request.streaming and event.status is Status.RESET:
             self.outlier_detector.record_failure(
                 server, 1.0, MAX_EJECTED_SHARE
@@ -169,7 +181,7 @@
         if request is None:
             return
         request.streaming = True  # nothing more may be sent for it
-        self.outlier_detector.record_end(
+        self.outcome_recorder.record_end(
             Outcome(event.id, event.attempt, event.server, Status.OK, event.duration_ns, False)
         )
         self._cancel_others(request, event.attempt)
--- a/ochreflow/policy/latency.py
+++ b/ochreflow/policy/latency.py
@@ -40,7 +40,7 @@
         )
         self.answer_rate_at = self.ctx.now
 
-    def learn_baseline(self, cls: int, duration_ns: int, pressed: bool) -> None:
+    def learn_baseline(self, cls: int, duration_ns: int, *, pressed: bool) -> None:
         if self.sample_counts[cls] < BASELINE_AVERAGED_SAMPLES:
             step = 1.0 / (self.sample_counts[cls] + 1)
         else:
--- a/tests/test_little.py
+++ b/tests/test_little.py
@@ -128,11 +128,11 @@
     now, used = trickle(balancer, now, range(40), lambda server: 40 * MS)
     server = balancer.endpoints.servers[used[-1]]
     before = server.relative_latency
-    balancer.outlier_detector.sample(server, 10.0)  # at once: one of many
+    balancer.outcome_recorder.sample(server, 10.0)  # at once: one of many
     small = server.relative_latency - before
     server.relative_latency = before
     balancer.ctx.now += 20 * SECOND
-    balancer.outlier_detector.sample(server, 10.0)
+    balancer.outcome_recorder.sample(server, 10.0)
     assert server.relative_latency - before > 4 * small
 
 
