--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -1,10 +1,10 @@
 """Every decision of a sidecar. The types it takes and returns are in `ochreflow/policy/interface.py`.
 
-`Balancer` takes events and owns the open requests; each concern has a module that owns what it learns:
+`Balancer` takes events and owns the pending requests; each concern has a module that owns what it learns:
 `endpoint_set`, `latency`, `slow_start`, `safety_rules`, `endpoint_picker`, `concurrency_limiter`,
-`tenant_quota`, `outlier_detection`, `retry_policy`. The ordinary path of a request is `_on_request` ->
-`EndpointPicker.pick` -> `ConcurrencyLimiter.admit` -> `_send` -> `_on_outcome`, and for a failed attempt
-`_plan_repeat` -> `_try`.
+`tenant_quota`, `outlier_detection`, `outcome_recorder`, `retry_policy`. The ordinary path of a request is
+`_on_request` -> `EndpointPicker.pick` -> `ConcurrencyLimiter.admit` -> `_send` -> `_on_outcome`, and for a
+failed attempt `_schedule_retry` -> `_retry`.
 """
 
 import heapq
@@ -41,14 +41,17 @@
 )
 from .tenant_quota import TenantQuotas
 
-RETRY_AFTER_SHARE = (
-    0.5  # of the time left or to the aim, as advice with a refusal: a new try has the other half
-)
-MIN_RETRY_AFTER_JITTER = 0.5  # of it after jitter, lest refused clients come back together
+# Of the time to the deadline or the objective, the Retry-After of a rejection: a retry has the other half.
+RETRY_AFTER_SHARE = 0.5
+MIN_RETRY_AFTER_JITTER = 0.5  # of that after jitter, lest rejected clients come back together
+MAX_TIMER_TOKEN = 0xFFFFFFFF
 
 
 class Balancer:
+    """Decides for one sidecar what is done about each event; holds the pending requests."""
+
     def __init__(self, settings: Settings, seed: int) -> None:
+        """Start without servers or requests; the same seed and events give the same actions."""
         self.ctx = ctx = Context(settings, seed)
         self.latency = LatencyEstimates(ctx)
         self.endpoints = EndpointSet(ctx)
@@ -80,7 +83,7 @@
         self._dispatch(event)
         if ctx.timers and (not self.timer_armed or ctx.timers[0].due_ns < self.timer_armed):
             self.timer_armed = ctx.timers[0].due_ns
-            self.timer_token = (self.timer_token + 1) & 0xFFFFFFFF
+            self.timer_token = (self.timer_token + 1) & MAX_TIMER_TOKEN
             ctx.actions.append(api.SetTimer(max(self.timer_armed - now_ns, 1), self.timer_token))
         return ctx.actions
 
@@ -88,7 +91,7 @@
         """Return what was decided for the latest event before `handle` raised; it is to be done still."""
         return self.ctx.actions
 
-    def _dispatch(self, event: Event) -> None:  # one case for each event
+    def _dispatch(self, event: Event) -> None:  # noqa: C901  # one case for each event of the union
         match event:
             case Request():
                 self._on_request(event)
@@ -167,7 +170,7 @@
         elif not settled:
             return
         elif event.status is Status.ERROR:
-            self._end(request)  # a plain error is an answer: the design does not repeat it
+            self._end(request)  # a plain error is an answer: the design does not retry it
         elif not request.retry_scheduled:
             self._schedule_retry(request)
 
@@ -182,7 +185,7 @@
             return
         request.streaming = True  # nothing more may be sent for it
         self.outcome_recorder.record_end(
-            Outcome(event.id, event.attempt, event.server, Status.OK, event.duration_ns, False)
+            Outcome(event.id, event.attempt, event.server, Status.OK, event.duration_ns, final=False)
         )
         self._cancel_others(request, event.attempt)
 
@@ -226,7 +229,7 @@
 
     def _send(self, request: PendingRequest, server: Server) -> None:
         number = len(request.attempts)
-        self.slow_start.allows(server, request.cls, True)
+        self.slow_start.allows(server, request.cls, consume=True)
         # Both or, where something fails, neither: else its number means another attempt to whoever sends it.
         request.attempts.append(Attempt(server, server.zone, server.cell, self.ctx.now, self.ctx.now))
         # No time-out of its own: an overdue attempt is judged by what its server did meanwhile.
@@ -247,13 +250,13 @@
         self.ctx.schedule(ScheduledTimer(due_ns, OVERDUE, request.id, attempt=number))
 
     def _schedule_retry(self, request: PendingRequest) -> None:
-        """Wait a jittered part of the time left, then repeat; or end the request."""
+        """Retry after a backoff; or end the request."""
         delay = self.retry_policy.delay(request)
         if delay is not None:
             request.retry_scheduled = True
             due_ns = self.ctx.now + max(delay, 1)
             self.ctx.schedule(ScheduledTimer(due_ns, RETRY, request.id))
-        elif not request.any_in_flight():  # an attempt still out may yet answer
+        elif not request.any_in_flight():  # an attempt in flight may yet be answered
             self._end(request)
 
     def _retry(self, request: PendingRequest) -> None:
@@ -264,7 +267,7 @@
             self._schedule_retry(request)
 
     def _end(self, request: PendingRequest) -> None:
-        """Give the final answer."""
+        """Decide on the final response: a rejection, which invites a retry, or a failure."""
         if self.safety_rules.may_refuse(request):
             wait = 0
             if self.ctx.settings.retry_after:
@@ -314,7 +317,7 @@
             self._retry_elsewhere(request, number)
         recheck_at = 2 * self.ctx.now - sent
         if recheck_at < request.deadline:
-            self.ctx.schedule(ScheduledTimer(recheck_at, OVERDUE, request.id, True, number))
+            self.ctx.schedule(ScheduledTimer(recheck_at, OVERDUE, request.id, rechecked=True, attempt=number))
 
     def _retry_all_from(self, server: Server) -> None:
         """What waits at a server that has just been ejected is likely lost: do not wait it out."""
@@ -324,7 +327,7 @@
                 self._retry_elsewhere(request, number)
 
     def _retry_elsewhere(self, request: PendingRequest, number: int) -> None:
-        """Repeat an attempt that its server seems to have lost, where the class and the site allow it."""
+        """Retry an attempt that its server seems to have lost, where the class and the site allow it."""
         unsafe = request.spec.effect is Effect.NON_IDEMPOTENT
         if (
             request.retry_scheduled
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -1,4 +1,9 @@
-"""Admission: an adaptive concurrency limit, by the gradient of latency, on the own requests in flight."""
+"""Admission: an adaptive concurrency limit on the own requests in flight.
+
+The limit follows the gradient of latency, as in Netflix's gradient limiter: it moves a step towards the limit
+times (target latency / seen latency), plus room to queue of the square root of the limit.
+`docs/design/limit.md` has the other limits that were tried.
+"""
 
 import math
 
@@ -8,43 +13,38 @@
 from .state_records import SECOND, Context, PendingRequest, Server
 from .tenant_quota import TenantQuotas
 
-TARGET_OBJECTIVE_SHARE = 0.45  # of the aim: with a mean of half the aim about one answer in eight is late
-TARGET_BASELINES = 1.4  # times the usual latency, where the aim is hardly more than that
+TARGET_OBJECTIVE_SHARE = 0.45  # of the objective: with a mean of half of it about one answer in eight is late
+TARGET_BASELINES = 1.4  # baseline latencies, where the objective is hardly more than that
 REJECTION_PRESSURE = 2.0  # what a rejection counts: short queues are full before latency shows it
 MAX_SAMPLE_PRESSURE = 4.0  # what one attempt counts at most
 PRESSURE_HALF_LIFE = 0.12  # shortest deadlines in which what was seen fades to half
 MIN_PRESSURE_SAMPLES = 10  # ... or the time of so many answers: fewer are noise, which would shed for nothing
 PRIOR_PRESSURE = 0.7  # what nothing seen means: let the limit grow, carefully
 PRIOR_PRESSURE_SAMPLES = 2.0  # attempts
-MAX_TARGET_OBJECTIVE_SHARE = (
-    0.6  # of the aim, however long the usual latency: nothing is learned from collapse
-)
+# Of the objective, however long the baseline latency: nothing is learned from a collapse.
+MAX_TARGET_OBJECTIVE_SHARE = 0.6
 UPDATE_INTERVAL = 0.1  # shortest deadlines between corrections
 UPDATE_STEP = 0.2  # of the way to what a correction finds: the answers of one are noise
 MIN_GRADIENT = 0.5  # of the limit at the least in what it finds: late answers are of an earlier crowd
-PROBING_PRESSURE = (
-    0.5  # pressure below which nothing queues: a limit that binds there is opened in proportion
-)
+# Pressure below which nothing queues: a limit that binds there is opened in proportion.
+PROBING_PRESSURE = 0.5
 MAX_GRADIENT = 4.0  # times the limit at the most in what it finds: others may be opening theirs
 UNTESTED_HEADROOM = 4.0  # times what is in flight and a request for each server, for the first deadline
 SURGE_FACTOR = 2.0  # times what the answers of late would keep in flight at the wanted latency, then
 SURGE_ALLOWANCE = 4.0  # ... and so many requests, for sidecars that rarely send
 IDLE_SERVER_ALLOWANCE = 2.0  # ... and so many for each ready server, all sidecars together
-MIN_LIMIT_PER_SERVER = (
-    0.5  # of a request for each ready server, all sidecars together: enough to notice recovery
-)
+# Requests for each ready server, all sidecars together: enough to notice recovery.
+MIN_LIMIT_PER_SERVER = 0.5
 PEAK_DECAY = 0.95  # for each correction, of the highest number lately in flight
 CLASS_LEVELLING = 4.0  # times the goal's weight of the worst-served class: at a quarter, all are shed alike
-MIN_ADMIT_PROBABILITY = (
-    0.2  # of the requests that find none in flight are let in at the least, to notice recovery
-)
-MIN_CLASS_SHARE = (
-    0.5  # of the limit is open to the work of least worth for its cost, all of it to the dearest
-)
-
-# What a client's later try is still worth.
+# Of the requests that find none in flight so many are admitted at the least, to notice recovery.
+MIN_ADMIT_PROBABILITY = 0.2
+# Of the limit is open to the class of least priority weight for its cost, all of it to the highest.
+MIN_CLASS_SHARE = 0.5
+
+# What a client's retry is still worth.
 PATIENCE_SMOOTHING = 0.01  # of the difference, for each shorter first try: how long clients wait for one try
-SURE_BASELINES = 1.5  # usual latencies before the aim: the answer comes in time
+SURE_BASELINES = 1.5  # baseline latencies before the objective: the answer comes in time
 HOPELESS_BASELINES = 0.5  # ... and it hardly ever does
 
 
@@ -54,9 +54,12 @@
 
 
 class ConcurrencyLimiter:
+    """Admits or rejects requests by a limit on the own requests in flight."""
+
     def __init__(
         self, ctx: Context, latency: LatencyEstimates, tenant_quotas: TenantQuotas, endpoints: EndpointSet
     ) -> None:
+        """Start without a limit, until the first update."""
         self.ctx, self.latency, self.tenant_quotas, self.endpoints = ctx, latency, tenant_quotas, endpoints
         self.client_patience = [0.0] * len(latency.class_mean)  # how long clients wait for one try
         self.pressure = PRIOR_PRESSURE
@@ -70,25 +73,26 @@
         self.class_share = [1.0] * len(latency.class_mean)
 
     def record_answer(self, server: Server, cls: int, duration_ns: int) -> None:
+        """Count an answer, and take its latency into the pressure."""
         self.completed_units += self.target_latency(cls)
         self.record_latency(server, cls, duration_ns)
 
     def scale_down(self, part: float) -> None:
-        """What so many servers carried a part of them can't: do not wait for late answers to learn it."""
+        """Scale the limit down with the servers, without waiting for late answers to show it."""
         self.limit *= part
         self.target_inflight *= part
 
     def expected_value(self, event: Request, request: PendingRequest) -> float:
-        """The part of its worth that a request can still be expected to earn.
+        """Return the part of its priority weight that a request can still be expected to earn.
 
-        Aim and deadline of a class run from the client's first try, and a later try is cut short at that
-        deadline: so a short try tells its age. Guards against letting in what comes too late anyway.
+        Objective and deadline of a class run from the client's first attempt, and a retry is cut short at
+        that deadline: so a short time tells its age.
+        Guards against admitting what is answered too late anyway.
         """
         spec = request.spec
         remaining_ns = event.deadline_ns - self.ctx.now
-        given = (
-            remaining_ns + event.waited_ns
-        )  # by its client: time spent in line here is not a later try's age
+        # By its client: time spent in line here is not a retry's age.
+        given = remaining_ns + event.waited_ns
         baseline = self.latency.baseline[event.cls]
         span = self.client_patience[event.cls]
         if not event.is_retry:
@@ -105,7 +109,7 @@
         return (in_time + (1.0 - in_time) * spec.late_priority_weight) * _likelihood(remaining_ns, baseline)
 
     def admit(self, request: PendingRequest, expected_value: float) -> bool:
-        """Refuse early what would make the requests in flight outgrow what is answered in time.
+        """Reject early what would make the requests in flight outgrow what is answered in time.
 
         Guards against queues in which all is answered too late, and servers that turn slow when crowded.
         """
@@ -129,6 +133,7 @@
         return False
 
     def update(self) -> None:
+        """Move the limit a step along the gradient, and the shares of the classes with it."""
         self.first_update_at = self.first_update_at or self.ctx.now
         passed = max(self.ctx.now - self.updated_at, 1)
         self.updated_at = self.ctx.now
@@ -177,12 +182,12 @@
         self.class_share = [cheap + (1.0 - cheap) * value_density / top for value_density in densities]
 
     def value_density(self, cls: int) -> float:
-        """Worth for the server time it takes."""
+        """Return the priority weight of a class for the server time that it takes."""
         weight = self.ctx.settings.classes[cls].priority_weight
         return weight if self.ctx.settings.weight_by_work else weight / self.latency.baseline[cls]
 
     def target_latency(self, cls: int) -> float:
-        """The latency of a class at which pressure is 1."""
+        """Return the latency of a class, in ns, at which the pressure is 1."""
         aim = self.ctx.settings.classes[cls].objective_ns
         return min(
             max(TARGET_OBJECTIVE_SHARE * aim, TARGET_BASELINES * self.latency.baseline[cls]),
@@ -195,11 +200,13 @@
             self.record_pressure(latency / self.target_latency(cls))
 
     def record_pressure(self, pressure: float) -> None:
+        """Take one sample, 1.0 at the target latency, into the pressure."""
         self.decay()
         self.pressure_sum += min(pressure, MAX_SAMPLE_PRESSURE)
         self.pressure_count += 1.0
 
     def decay(self) -> None:
+        """Let what was seen fade with time towards the prior."""
         samples = MIN_PRESSURE_SAMPLES * SECOND / max(self.latency.answer_rate, 1.0)
         span = min(max(PRESSURE_HALF_LIFE * self.ctx.shortest, samples), self.ctx.shortest)
         decay = 0.5 ** ((self.ctx.now - self.pressure_at) / span)
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -1,7 +1,13 @@
-"""Picking: the lower expected delay of two sampled."""
+"""Picking an endpoint: power of two choices (P2C) with exponentially smoothed (EWMA) latency.
+
+Of two sampled servers the one with the lower (in flight + 1) x smoothed latency is taken, as the design page
+says. With low traffic, where few own answers tell of a server, pairs are sampled by weights that follow each
+group's latency.
+"""
 
 import math
 from collections import defaultdict
+from collections.abc import Collection
 
 from .endpoint_set import EndpointSet
 from .latency import LatencyEstimates
@@ -9,29 +15,30 @@
 from .state_records import SECOND, Context, EndpointGroup, PendingRequest, Server
 
 SMOOTHING = 0.08  # weight of a new sample of one server: work varies far more than servers do
-ESTIMATE_HALF_LIFE_GAPS = (
-    20.0  # estimates halve their distance to the mean in so many usual gaps between answers
-)
+# Estimates halve their distance to the mean in so many usual gaps between answers.
+ESTIMATE_HALF_LIFE_GAPS = 20.0
 STALE_HALF_LIFE = 4.0  # shortest deadlines after which a latency says half as much of the queue others made
 STALE_SHARPNESS = 2.0  # how much better than in proportion to speed: one of two drawn wins by its square
-BIAS_STEP = (
-    0.2  # step of a group's weight for each class mean that an answer differs by: ten answers attempt it
-)
+# Step of a group's weight bias for each class mean that an answer differs by: ten answers turn it.
+BIAS_STEP = 0.2
 BIAS_DECAY = 0.01  # ... of it forgotten with each answer, lest chance walks it away
 MAX_BIAS_EXCESS = 3.0  # class means that one late answer counts at most
 MAX_BIAS = 3.0  # e^3 either way: a group is never shut out, or nothing would tell of its recovery
-BIAS_CROSS_ZONE_WEIGHT = (
-    3.0  # aims of delay for each point of price for a crossing: it is paid where zones are level
-)
+# Objectives of delay for each point of price for a crossing: it is paid where zones are level.
+BIAS_CROSS_ZONE_WEIGHT = 3.0
 LOAD_REPORT_HALF_LIFE = 0.5  # shortest deadlines in which a report comes to say half as much, and is of use
 GROUP_SMOOTHING = 0.1  # of a group's mean latency, after as many answers
-CROSS_ZONE_WEIGHT = 4.0  # aims of delay for each point of price for a crossing
+CROSS_ZONE_WEIGHT = 4.0  # objectives of delay for each point of price for a crossing
+PAIR = 2  # servers that are compared
 
 
 class EndpointPicker:
+    """Chooses the server of an attempt."""
+
     def __init__(
         self, ctx: Context, latency: LatencyEstimates, endpoints: EndpointSet, safety_rules: SafetyRules
     ) -> None:
+        """Start without samples of any server."""
         self.ctx, self.latency, self.endpoints, self.safety_rules = ctx, latency, endpoints, safety_rules
         self.groups: defaultdict[tuple[int, bool], EndpointGroup] = defaultdict(EndpointGroup)
         self.mean_relative_latency = 1.0
@@ -46,6 +53,7 @@
         With low traffic it is drawn about the estimate, the wider the older the estimate is: most of
         what is in flight there is of others. Guards against all of them crowding the faster kind.
         """
+        delay: float
         last_heard_at = server.last_heard_at
         if (
             self.endpoints.low_traffic
@@ -79,7 +87,7 @@
             * SECOND
         )
         mean = self.group(server).relative_latency if self.endpoints.low_traffic else 1.0
-        relative_latency = server.relative_latency if server.samples else mean
+        relative_latency: float = server.relative_latency if server.samples else mean
         relative_latency = mean + (relative_latency - mean) * 0.5 ** (
             (self.ctx.now - server.last_heard_at) / forget
         )
@@ -97,7 +105,7 @@
     def record_load_report(
         self, server: Server, report: tuple[float, ...], relative_latency: float = 0.0
     ) -> None:
-        """Take a load report, and what the answer that it came with took for each request load_columns."""
+        """Take a load report, and what the answer that it came with took for each request in work there."""
         column = self.load_column
         if column is None or len(report) <= column or not 0.0 <= (load := report[column]) < math.inf:
             return
@@ -116,8 +124,10 @@
     def pick(self, request: PendingRequest) -> Server | None:
         """Two sampled of the own zone against two sampled of the others, which pay for the crossing."""
         tried = {attempt.server for attempt in request.attempts}
-        for avoided in (tried, ()) if tried else ((),):
-            best, lowest = None, 0.0
+        rounds: tuple[Collection[Server], ...] = (tried, ()) if tried else ((),)
+        for avoided in rounds:
+            best: Server | None = None
+            lowest = 0.0
             for server, extra in self.candidates(request, avoided):
                 delay = self.delay(server, request.cls) + extra
                 if best is None or delay < lowest:
@@ -129,7 +139,7 @@
                 return server
         return None
 
-    def candidates(self, request: PendingRequest, tried) -> list[tuple[Server, float]]:
+    def candidates(self, request: PendingRequest, tried: Collection[Server]) -> list[tuple[Server, float]]:
         """Candidates, with what is added to their delay for crossing zones."""
         if not self.endpoints.low_traffic:
             cross = self.cross * request.spec.objective_ns
@@ -143,7 +153,7 @@
             fit = [one for one in servers if one not in tried and self.safety_rules.may_send(request, one)]
             if fit:
                 break
-        if len(fit) > 2:
+        if len(fit) > PAIR:
             weights = [self.weight(server) for server in fit]
             first = self.ctx.random.choices(range(len(fit)), weights)[0]
             weights[first] = 0.0
@@ -151,14 +161,16 @@
         return [(server, 0.0) for server in fit]
 
     def weight(self, server: Server) -> float:
+        """Return the weight with which a server is sampled."""
         sampling_weight = self.endpoints.sampling_weight[server.zone != self.ctx.settings.zone]
         return math.exp(self.group(server).weight_bias) * sampling_weight
 
     def group(self, server: Server) -> EndpointGroup:
+        """Return the group of a server: its kind, on its side of the zone's border."""
         return self.groups[(server.kind, server.zone != self.ctx.settings.zone)]
 
     def update_weight_bias(self, server: Server, relative_latency: float) -> None:
-        """Lean towards the groups that answer sooner than the mean, as integral control does.
+        """Favour the groups that answer sooner than the mean, as integral control does.
 
         Guards against a zone with too much traffic, and a slow kind, being overrun in the first seconds.
         """
@@ -175,20 +187,22 @@
         bias = group.weight_bias * (1.0 - BIAS_DECAY) - BIAS_STEP * min(max(excess, -1.0), MAX_BIAS_EXCESS)
         group.weight_bias = min(max(bias, -MAX_BIAS), MAX_BIAS)
 
-    def sample_pair(self, group: list[Server], request: PendingRequest, tried) -> list[Server]:
+    def sample_pair(
+        self, group: list[Server], request: PendingRequest, tried: Collection[Server]
+    ) -> list[Server]:
         """Up to two different servers of the group that may take this request now."""
         found: list[Server] = []
         size = len(group)
         if not size:
             return found
         at = self.ctx.random.randrange(size)
-        step = self.ctx.random.randrange(1, size) if size > 2 else 1
-        for attempt in range(size + 1):
+        step = self.ctx.random.randrange(1, size) if size > PAIR else 1
+        for drawn in range(size + 1):
             # The first two are a uniform pair; the walk over all beyond them only replaces unfit ones.
-            ahead = attempt * step if attempt < 2 else attempt - 1
+            ahead = drawn * step if drawn < PAIR else drawn - 1
             server = group[(at + ahead) % size]
             if server not in found and server not in tried and self.safety_rules.may_send(request, server):
                 found.append(server)
-                if len(found) == 2:
+                if len(found) == PAIR:
                     break
         return found
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -1,35 +1,38 @@
-"""The server list: who may be sampled, what is in flight at them, and when to ask for news of them."""
+"""The endpoint set: deterministic subsetting of the listed servers, and the polls of discovery.
+
+Where each sidecar sends little, it keeps to few servers, ordered by ranks of its own seed, so that it hears
+from each often enough; as in deterministic subsetting of Google's SRE book. Polls back off after a failure,
+with jitter.
+"""
 
 from .interface import ListKind, Membership, State, Watch
 from .state_records import POLL, SECOND, Context, ScheduledTimer, Server
 
-MIN_SUBSET_SIZE = (
-    2  # servers of each side (own zone, others) sampled from at the least: a pick of two needs two
-)
+MIN_SUBSET_SIZE = 2  # servers of each side (own zone, others): a pick of two needs two
 SUBSET_DEADLINES = (
     1.0  # ... or as many as are asked in so many shortest deadlines: each is heard from so often
 )
 REQUEST_RATE_DEADLINES = 5.0  # shortest deadlines over which the own requests are counted
 
-# Asking discovery, as parts of the time within which a sidecar must ask.
+# Polls of discovery, as parts of the polling interval.
 MIN_POLL_SPREAD = 0.05  # the first call is spread over this
-POLL_SPREAD_PER_SIDECAR = (
-    0.007  # ... or over so much for each sidecar, where that is more: one service serves all
-)
+# ... or over so much for each sidecar, where that is more: one service serves all.
+POLL_SPREAD_PER_SIDECAR = 0.007
 MAX_POLL_SPREAD = 0.6  # ... doubling up to this
 MIN_POLL_DELAY = 0.1  # of the span at the least, to leave a failing registry alone
 MIN_STEADY_POLL_DELAY = 0.75  # ... once it grows no more: calls are spread by then, and fewer of them do
 
-LIST_DEADLINE_NS = (
-    6 * SECOND
-)  # by the protocol: what discovery has counts as told then, also after a failed call
-POLL_TIMEOUT_NS = (
-    2 * SECOND
-)  # by the protocol: a call is answered or refused in this; so long a connect is tried
+# By the protocol: what discovery has counts as notified then, also after a failed call.
+LIST_DEADLINE_NS = 6 * SECOND
+# By the protocol: a call is answered or refused in this; so long a connect is tried.
+POLL_TIMEOUT_NS = 2 * SECOND
 
 
 class EndpointSet:
+    """The servers of the list, the subset to sample from, and the polls of discovery."""
+
     def __init__(self, ctx: Context) -> None:
+        """Start without a list."""
         self.ctx = ctx
         self.servers: dict[int, Server] = {}
         self.local: list[Server] = []  # ready and not ejected, in the own zone
@@ -40,16 +43,11 @@
         self.low_traffic = True
         self.ready_count = self.subset_size = 0
         self.sampling_weight = [1.0, 1.0]  # ready servers near and far for each one sampled
-        self.request_rate, self.request_rate_at, self.first_request_at = (
-            0.0,
-            0,
-            0,
-        )  # own requests a second; since the first one
+        self.request_rate = 0.0  # own requests a second
+        self.request_rate_at = self.first_request_at = 0
         self.subscribed = False
         self.poll_at = 0  # 0: no call is due
-        self.poll_spread_ns = (
-            0.0  # over which the latest call after a failure was spread, in ns; 0: none has failed
-        )
+        self.poll_spread_ns = 0.0  # over which the latest poll after a failure was spread; 0: none has failed
         self.poll_started_at = 0  # when the latest call began, as far as is known
 
     def rebuild(self) -> None:
@@ -82,6 +80,7 @@
         return max(MIN_SUBSET_SIZE, int(self.request_rate * SUBSET_DEADLINES * self.ctx.shortest / SECOND))
 
     def count_request(self) -> None:
+        """Count an own request, and size the subset by their rate."""
         if not self.first_request_at:
             self.first_request_at = self.request_rate_at = self.ctx.now
         span = min(
@@ -97,7 +96,7 @@
             self.rebuild()
 
     def apply(self, event: Membership) -> float:
-        """Take a list or changes; return the part of the servers sampled from that is left, at most 1."""
+        """Apply a list or changes; return the part of the servers sampled from that remains, at most 1."""
         if event.kind is ListKind.CACHED:
             self.schedule_poll()  # restarted ones: not all at once
         elif event.kind is ListKind.FAILED:
@@ -141,19 +140,17 @@
         first = settings.polling_interval_ns * max(
             MIN_POLL_SPREAD, POLL_SPREAD_PER_SIDECAR * settings.fleet_size
         )
-        told = (
-            LIST_DEADLINE_NS
-            + settings.drain_grace_ns
-            - POLL_TIMEOUT_NS
-            - hung * (hung <= 2 * POLL_TIMEOUT_NS)
-        )  # longer: was taken
-        span = min(max(first, 2 * self.poll_spread_ns), settings.polling_interval_ns * MAX_POLL_SPREAD, told)
-        least = MIN_STEADY_POLL_DELAY if self.poll_spread_ns >= span else MIN_POLL_DELAY
+        failed_for = hung * (hung <= 2 * POLL_TIMEOUT_NS)  # a longer call was answered meanwhile
+        max_spread = LIST_DEADLINE_NS + settings.drain_grace_ns - POLL_TIMEOUT_NS - failed_for
+        backoff = max(first, 2 * self.poll_spread_ns)
+        span = min(backoff, settings.polling_interval_ns * MAX_POLL_SPREAD, max_spread)
+        min_delay = MIN_STEADY_POLL_DELAY if self.poll_spread_ns >= span else MIN_POLL_DELAY
         self.poll_spread_ns = span
-        self.poll_at = self.ctx.now + int(span * self.ctx.random.uniform(least, 1.0)) + 1
+        self.poll_at = self.ctx.now + int(span * self.ctx.random.uniform(min_delay, 1.0)) + 1
         self.ctx.schedule(ScheduledTimer(self.poll_at, POLL))
 
     def poll(self) -> None:
+        """Ask discovery for the list, if no list or later failure has come since it was planned."""
         if not self.subscribed and 0 < self.poll_at <= self.ctx.now:  # else a later failure has put it off
             self.poll_at, self.poll_started_at = 0, self.ctx.now
-            self.ctx.actions.append(Watch(True))
+            self.ctx.actions.append(Watch(on=True))
--- a/ochreflow/policy/interface.py
+++ b/ochreflow/policy/interface.py
@@ -19,7 +19,7 @@
 
 
 class Scope(IntEnum):
-    """Which servers drop a keyed repeat."""
+    """Which servers drop a retry with the same idempotency key."""
 
     ALL = 0
     ZONE = 1
@@ -40,12 +40,16 @@
 
 
 class State(IntEnum):
+    """The state of an endpoint in the list."""
+
     REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
 class ListKind(IntEnum):
+    """What an endpoint update holds."""
+
     DELTA = 0  # only what changed
     FULL = 1  # complete
     CACHED = 2  # complete, as last held; may be old
@@ -69,6 +73,8 @@
 
 @dataclass(slots=True)
 class Tenant:
+    """A tenant, and what it may request."""
+
     name: str
     share: float
     quota_per_s: float
@@ -76,6 +82,8 @@
 
 @dataclass(slots=True)
 class Settings:
+    """What a balancer is set up with; it does not change."""
+
     classes: list[RequestClass]
     zones: list[str]
     zone: int = 0
@@ -111,6 +119,8 @@
 
 @dataclass(slots=True)
 class Endpoint:
+    """An entry of the endpoint list."""
+
     server: int
     zone: int
     kind: int
@@ -125,7 +135,7 @@
 
 @dataclass(slots=True)
 class Membership:
-    """News of the server list."""
+    """An update of the endpoint list."""
 
     kind: ListKind
     version: int
@@ -134,6 +144,8 @@
 
 @dataclass(slots=True)
 class Request:
+    """A client's request has arrived."""
+
     id: int
     cls: int
     tenant: int
@@ -163,6 +175,8 @@
 
 @dataclass(slots=True)
 class Outcome:
+    """An attempt has ended."""
+
     id: int
     attempt: int
     server: int
@@ -184,11 +198,15 @@
 
 @dataclass(slots=True)
 class RequestCancelled:
+    """The request needs no final response any more: its client has disconnected."""
+
     id: int
 
 
 @dataclass(slots=True)
 class ProbeResult:
+    """A health check has ended."""
+
     server: int
     status: Status
     duration_ns: int
@@ -197,12 +215,16 @@
 
 @dataclass(slots=True)
 class GossipReceived:
+    """A peer has published something."""
+
     sender: int
     data: bytes
 
 
 @dataclass(slots=True)
 class Timer:
+    """A timer that was set has gone off."""
+
     token: int
 
 
@@ -211,6 +233,8 @@
 
 @dataclass(slots=True)
 class Send:
+    """Send an attempt of a request to a server."""
+
     id: int
     server: int
     timeout_ns: int = 0  # 0: until the client gives up
@@ -233,44 +257,60 @@
 
 @dataclass(slots=True)
 class Cancel:
+    """Call off an attempt."""
+
     id: int
     attempt: int
 
 
 @dataclass(slots=True)
 class Probe:
+    """Send a health check to a server."""
+
     server: int
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close the idle connections to a server."""
+
     server: int
 
 
 @dataclass(slots=True)
 class PublishGossip:
+    """Send something to one or all peers."""
+
     data: bytes
     peer: int | None = None  # None: every peer
 
 
 @dataclass(slots=True)
 class Watch:
+    """Subscribe to the endpoint list, or end that."""
+
     on: bool = True
 
 
 @dataclass(slots=True)
 class Fetch:
+    """Fetch the endpoint list once."""
+
     pass
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Set a timer."""
+
     after_ns: int
     token: int
 
 
 @dataclass(slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
--- a/ochreflow/policy/latency.py
+++ b/ochreflow/policy/latency.py
@@ -1,4 +1,4 @@
-"""What answers take: by class, of late and usually; and how many come."""
+"""Latency by class: an exponentially smoothed mean with its deviation, a slow baseline, the answer rate."""
 
 from .state_records import SECOND, Context
 
@@ -6,15 +6,15 @@
 UNKNOWN_LATENCY_SHARE = 0.25  # of the aim, the class yardstick before any answer
 BASELINE_AVERAGED_SAMPLES = 30  # answers of a class that are simply averaged into its usual latency
 BASELINE_DEADLINES = 25.0  # shortest deadlines over which it moves then, slower than any trouble lasts
-BASELINE_DRIFT_UNDER_PRESSURE = (
-    0.1  # ... and this part of that under pressure, lest it never forgives a wrong start
-)
+# ... and this part of that under pressure, lest it never forgives a wrong start.
+BASELINE_DRIFT_UNDER_PRESSURE = 0.1
 
 
 class LatencyEstimates:
     """Estimates of each class, in nanoseconds: the yardstick that servers are held against."""
 
     def __init__(self, ctx: Context) -> None:
+        """Start from a part of each class's latency objective."""
         self.ctx = ctx
         self.class_mean = [spec.objective_ns * UNKNOWN_LATENCY_SHARE for spec in ctx.settings.classes]
         self.deviation = [class_mean / 2 for class_mean in self.class_mean]
@@ -23,6 +23,7 @@
         self.baseline = list(self.class_mean)
 
     def learn(self, cls: int, duration_ns: int) -> None:
+        """Take the latency of an answer into the mean and mean deviation of its class."""
         class_mean = self.class_mean[cls]
         weight = max(CLASS_SMOOTHING, 1.0 / (self.sample_counts[cls] + 1))
         self.sample_counts[cls] += 1
@@ -34,6 +35,7 @@
         self.class_mean[cls] += CLASS_SMOOTHING * max(0.0, duration_ns - self.class_mean[cls])
 
     def count_answer(self) -> None:
+        """Count an answer of an own request."""
         tau = self.ctx.settings.overload_for_ns or self.ctx.shortest
         self.answer_rate = (
             self.answer_rate * max(0.0, 1.0 - (self.ctx.now - self.answer_rate_at) / tau) + SECOND / tau
@@ -41,6 +43,7 @@
         self.answer_rate_at = self.ctx.now
 
     def learn_baseline(self, cls: int, duration_ns: int, *, pressed: bool) -> None:
+        """Take an answer into the baseline of its class, hardly so while servers are under pressure."""
         if self.sample_counts[cls] < BASELINE_AVERAGED_SAMPLES:
             step = 1.0 / (self.sample_counts[cls] + 1)
         else:
@@ -55,4 +58,5 @@
         return self.baseline[cls] / self.mean_baseline()
 
     def mean_baseline(self) -> float:
+        """Return the mean of the classes' baselines, in ns."""
         return sum(self.baseline) / len(self.baseline)
--- a/ochreflow/policy/safety_rules.py
+++ b/ochreflow/policy/safety_rules.py
@@ -1,4 +1,4 @@
-"""What may be done: every send passes `may_send`, its first byte `write_by`, every refusal `may_refuse`."""
+"""Safety rules: every send passes `may_send`, its first byte `write_by`, every refusal `may_refuse`."""
 
 from .interface import Effect, Scope
 from .slow_start import SlowStart
@@ -8,15 +8,18 @@
 
 
 class SafetyRules:
+    """The rules against effects that happen twice, by what each attempt may have done."""
+
     def __init__(self, ctx: Context, slow_start: SlowStart) -> None:
+        """Judge by the settings, and by slow start."""
         self.ctx, self.slow_start = ctx, slow_start
 
     def may_send(self, request: PendingRequest, server: Server) -> bool:
-        """Whether this request may be sent to this server now, by the rules and by pace."""
+        """Whether this request may be sent to this server now, by the rules and by slow start."""
         number = len(request.attempts)
         if number >= self.ctx.settings.max_attempts or not self.write_by(request, server, number):
             return False
-        return self.slow_start.allows(server, request.cls, False)
+        return self.slow_start.allows(server, request.cls, consume=False)
 
     def write_by(self, request: PendingRequest, server: Server, number: int) -> int:
         """Until when the last byte of this attempt may go out, on the clock; 0: it may not begin any more."""
@@ -46,7 +49,7 @@
         return min(begun) + request.spec.window_ns - self.ctx.settings.tick_ns if begun else NO_END
 
     def may_refuse(self, request: PendingRequest) -> bool:
-        """Whether a refusal, which invites the client to try again, does no harm."""
+        """Whether a rejection, which invites the client to retry, does no harm."""
         spec = request.spec
         if spec.effect is Effect.IDEMPOTENT or (
             spec.effect is Effect.IDEMPOTENT_WITH_KEY and spec.scope is Scope.ALL
--- a/ochreflow/policy/settings.py
+++ b/ochreflow/policy/settings.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from typing import Any, TypeVar
 
 from ..errors import OchreflowError
 from . import interface as api
@@ -25,6 +26,11 @@
 }
 
 
+FLAGS: Mapping[object, bool] = {"true": True, "false": False, True: True, False: False}
+
+T = TypeVar("T")
+
+
 class SettingError(OchreflowError, ValueError):
     """A required setting is missing or unreadable; the text names it."""
 
@@ -61,32 +67,37 @@
     def __init__(self, values: Mapping[str, object]) -> None:
         self.values = values
 
-    def _convert(self, key: str, kind, default):
+    def _convert(self, key: str, kind: Callable[[Any], T], default: T | None) -> T:
         raw = self.values.get(key)
         if raw is None:
             if default is None:
-                raise SettingError(f"setting {key} is missing")
+                message = f"setting {key} is missing"
+                raise SettingError(message)
             return default
         try:
             return kind(raw)
         except (ValueError, KeyError, TypeError, OverflowError):
-            raise SettingError(f"setting {key} is unreadable: {raw!r}") from None
+            message = f"setting {key} is unreadable: {raw!r}"
+            raise SettingError(message) from None
 
     def text(self, key: str, default: str | None = None) -> str:
+        """Read a text."""
         return self._convert(key, str, default)
 
-    def whole(self, key: str, default: int | None = None) -> int:
+    def integer(self, key: str, default: int | None = None) -> int:
+        """Read a number and drop its fraction."""
         return self._convert(key, lambda raw: int(_finite(raw)), default)
 
     def number(self, key: str, default: float | None = None) -> float:
+        """Read a finite number."""
         return self._convert(key, _finite, default)
 
-    def flag(self, key: str, default: bool | None = None) -> bool:
-        return self._convert(
-            key, {"true": True, "false": False, True: True, False: False}.__getitem__, default
-        )
+    def flag(self, key: str, *, default: bool | None = None) -> bool:
+        """Read a truth value: true or false, as text or as it is."""
+        return self._convert(key, FLAGS.__getitem__, default)
 
-    def choice(self, key: str, choices: dict, default=None):
+    def choice(self, key: str, choices: Mapping[str, T], default: T | None = None) -> T:
+        """Read one of the words that are the keys of `choices`."""
         return self._convert(key, choices.__getitem__, default)
 
     def names(self, key: str) -> list[str]:
@@ -95,19 +106,20 @@
 
 
 def _request_class(pairs: _Pairs, at: str) -> api.RequestClass:
-    deadline = pairs.whole(at + "deadline-ns")
+    deadline = pairs.integer(at + "deadline-ns")
     if deadline <= 0:
-        raise SettingError(f"setting {at}deadline-ns is unreadable: no time to answer in")
+        message = f"setting {at}deadline-ns is unreadable: no time to answer in"
+        raise SettingError(message)
     return api.RequestClass(
         name=pairs.text(at + "name", ""),
-        objective_ns=pairs.whole(at + "objective-ns", deadline),
+        objective_ns=pairs.integer(at + "objective-ns", deadline),
         deadline_ns=deadline,
         priority_weight=pairs.number(at + "points", 1.0),
         late_priority_weight=pairs.number(at + "late-value", 0.0),
         effect=pairs.choice(at + "repeat", EFFECTS),
         scope=pairs.choice(at + "key-scope", SCOPES, api.Scope.CELL),
-        window_ns=pairs.whole(at + "window-ns", 0),
-        stream=pairs.flag(at + "stream", False),
+        window_ns=pairs.integer(at + "window-ns", 0),
+        stream=pairs.flag(at + "stream", default=False),
     )
 
 
@@ -126,14 +138,15 @@
     pairs = _pairs_of(nested)
     return Transport(
         kinds=pairs.names("kinds"),
-        conn_idle_ns=pairs.whole("ceilings.conn-idle-ns", 60_000_000_000),
-        max_open=pairs.whole("ceilings.max-open", 20_000),
+        conn_idle_ns=pairs.integer("ceilings.conn-idle-ns", 60_000_000_000),
+        max_open=pairs.integer("ceilings.max-open", 20_000),
     )
 
 
 def _pairs_of(nested: object) -> _Pairs:
     if not isinstance(nested, dict):
-        raise SettingError("settings are no object")
+        message = "settings are no object"
+        raise SettingError(message)
     values: dict[str, object] = {}
     _flatten("", nested, values)
     return _Pairs(values)
@@ -152,47 +165,55 @@
         into[at] = value
 
 
-def _read(pairs: _Pairs) -> api.Settings:
-    count = pairs.whole("classes.count")
-    if count < 1:
-        raise SettingError("setting classes.count is unreadable: no class")
-    tenants = [
+def _tenants(pairs: _Pairs) -> list[api.Tenant]:
+    return [
         api.Tenant(
             name=pairs.text(f"accounts.{n}.name", ""),
             share=pairs.number(f"accounts.{n}.share", 0.0),
             quota_per_s=pairs.number(f"accounts.{n}.allowance-per-s", 0.0),
         )
-        for n in range(pairs.whole("accounts.count", 0))
+        for n in range(pairs.integer("accounts.count", 0))
     ]
-    reports = pairs.text("telemetry.how", "silent") != "silent"
+
+
+def _report_columns(pairs: _Pairs) -> tuple[str, ...]:
+    """Read the fields of load reports, in order; none where servers do not report."""
     columns = tuple(canonical_column(name) for name in pairs.names("telemetry.columns"))
+    return columns if pairs.text("telemetry.how", "silent") != "silent" else ()
+
+
+def _read(pairs: _Pairs) -> api.Settings:
+    count = pairs.integer("classes.count")
+    if count < 1:
+        message = "setting classes.count is unreadable: no class"
+        raise SettingError(message)
     return api.Settings(
         classes=[_request_class(pairs, f"classes.{n}.") for n in range(count)],
         zones=pairs.names("dcs"),
-        zone=pairs.whole("my-zone", 0),
-        tenants=tenants,
+        zone=pairs.integer("my-zone", 0),
+        tenants=_tenants(pairs),
         over_quota_weight=pairs.number("over-share-worth", 1.0),
         weight_by_work=pairs.text("worth-by", "request") == "work",
-        index=pairs.whole("index", 0),
-        fleet_size=pairs.whole("fleet-size", 1),
-        tick_ns=pairs.whole("tick-ns", 1_000_000),
+        index=pairs.integer("index", 0),
+        fleet_size=pairs.integer("fleet-size", 1),
+        tick_ns=pairs.integer("tick-ns", 1_000_000),
         polling_required=pairs.text("discovery", "push") == "ask",
-        polling_interval_ns=pairs.whole("rules.must-ask-in-ns", 10_000_000_000),
-        drain_grace_ns=pairs.whole("rules.drain-grace-ns", 0),
-        answer_slack_ns=pairs.whole("rules.answer-slack-ns", 0),
+        polling_interval_ns=pairs.integer("rules.must-ask-in-ns", 10_000_000_000),
+        drain_grace_ns=pairs.integer("rules.drain-grace-ns", 0),
+        answer_slack_ns=pairs.integer("rules.answer-slack-ns", 0),
         start_capacity=pairs.number("rules.start-capacity", 1.0),
-        warm_up_ns=pairs.whole("rules.warm-within-ns", 0),
+        warm_up_ns=pairs.integer("rules.warm-within-ns", 0),
         overload_factor=pairs.number("rules.overload-factor", 3.0),
-        overload_for_ns=pairs.whole("rules.overload-for-ns", 3_000_000_000),
-        max_attempts=pairs.whole("ceilings.send-cap"),
-        hedging=pairs.flag("ceilings.second-copies", False),
-        can_cancel=pairs.flag("ceilings.cancel", False),
-        can_probe=pairs.flag("ceilings.probing", False),
-        can_gossip=pairs.flag("ceilings.peers", False),
-        retry_after=pairs.flag("ceilings.retry-after", False),
-        max_retry_after_ns=pairs.whole("ceilings.max-retry-after-ns", 0),
-        connect_timeout_ns=pairs.whole("ceilings.connect-timeout-ns", 0),
-        report_columns=columns if reports else (),
+        overload_for_ns=pairs.integer("rules.overload-for-ns", 3_000_000_000),
+        max_attempts=pairs.integer("ceilings.send-cap"),
+        hedging=pairs.flag("ceilings.second-copies", default=False),
+        can_cancel=pairs.flag("ceilings.cancel", default=False),
+        can_probe=pairs.flag("ceilings.probing", default=False),
+        can_gossip=pairs.flag("ceilings.peers", default=False),
+        retry_after=pairs.flag("ceilings.retry-after", default=False),
+        max_retry_after_ns=pairs.integer("ceilings.max-retry-after-ns", 0),
+        connect_timeout_ns=pairs.integer("ceilings.connect-timeout-ns", 0),
+        report_columns=_report_columns(pairs),
         weighted=pairs.text("weight-source", "silent") != "silent",
         goal_worst_class=pairs.number("goal.worst-class", 0.0),
         price_cross_zone=pairs.number("prices.cross-zone", 0.0),
--- a/ochreflow/policy/slow_start.py
+++ b/ochreflow/policy/slow_start.py
@@ -1,43 +1,68 @@
-"""The pace to cold servers: how much each sidecar may send while one that has just started warms up."""
+"""Slow start: a token bucket bounds what each sidecar sends to a server that is warming up.
+
+All sidecars together are to send no more than a part of what makes the server fall. The refill rate follows
+the load that warm servers like it carry, and the server's ramp by the settings. `docs/design/pace.md` has
+what was measured.
+"""
 
 from collections import defaultdict
-from typing import Any
+from enum import Enum
+from typing import NamedTuple
 
 from .endpoint_set import EndpointSet
 from .latency import LatencyEstimates
 from .state_records import SECOND, Context, Server
 
-OVERLOAD_SHARE = (
-    0.75  # of what makes a server fall, if the usual load of one were all it can do: times its ramp
-)
+# Of what makes a server fall, if the baseline load of one were all it can do: times its ramp.
+OVERLOAD_SHARE = 0.75
 TOKENS_PER_ANSWER = 1.5  # requests for each one answered, while no warm server has answered to go by
 UNKNOWN_LOAD_CORE_SHARE = 0.5  # of a core's work, times the ramp, whatever is answered elsewhere
-LOAD_UPDATE_INTERVAL = (
-    0.03  # of a warm-up, or of the shortest deadline, between looks at what warm servers carry
-)
-BURST_S = 0.25  # seconds of that pace may come at once
+# Of a warm-up, or of the shortest deadline, between looks at what warm servers carry.
+LOAD_UPDATE_INTERVAL = 0.03
+BURST_S = 0.25  # seconds of the refill rate may be sent at once
+MIN_WARM_SHARE = 0.01  # of a server's capacity, however little the settings say
+
+
+class GroupScope(Enum):
+    """By what the servers of a group are alike."""
+
+    SIDE = 0  # all local or all remote
+    KIND = 1
+    CELL = 2
+
+
+class ServerGroup(NamedTuple):
+    """Names a group of servers that the list describes alike, on one side of the zone's border."""
+
+    remote: bool
+    scope: GroupScope
+    number: int = 0  # of the kind or the cell
 
 
 class SlowStart:
+    """Grants attempts at servers that are warming up."""
+
     def __init__(self, ctx: Context, latency: LatencyEstimates, endpoints: EndpointSet) -> None:
+        """Start without knowing what warm servers carry."""
         self.ctx, self.latency, self.endpoints = ctx, latency, endpoints
-        self.group_loads: dict[Any, float] = {}  # own work a second of each warm server alike; see `tally`
+        # Own work a second of a warm server of each group; of a cell, as a part of its kinds'.
+        self.group_loads: dict[ServerGroup, float] = {}
         self.group_loads_at = 0
 
     def record_answer(self, server: Server, cls: int) -> None:
-        """Each answer tells of the usual load; where nothing else does, of what can be done again."""
+        """Count an answer in the load of its server; where no load is known, it earns tokens."""
         server.completed_work += self.latency.cost(cls)
         self.update_group_loads()
         if server.tokens_updated_at and not self.group_loads:
             server.slow_start_tokens += TOKENS_PER_ANSWER * self.latency.cost(cls)
 
     def update_group_loads(self) -> None:
-        """Learn the usual load of warm servers, of a cell as a part of its kinds'. None warm: it stays."""
+        """Learn the load of warm servers by group, of a cell as a part of its kinds'. None warm: it stays."""
         passed = self.ctx.now - max(self.group_loads_at, self.endpoints.first_request_at)
         if passed < LOAD_UPDATE_INTERVAL * max(self.ctx.shortest, self.ctx.settings.warm_up_ns):
             return
         span = min(self.ctx.now - self.endpoints.first_request_at, self.ctx.settings.warm_up_ns) + 1
-        work_by_group: dict[Any, list[float]] = defaultdict(list)
+        work_by_group: dict[ServerGroup, list[float]] = defaultdict(list)
         for server in self.endpoints.local + self.endpoints.remote:
             if self.warm_share(server) >= 1.0:
                 side, kind, cell = self.groups(server)
@@ -52,38 +77,42 @@
             self.group_loads[group] = known + min(passed / span, 1.0) * (load - known)
         self.group_loads_at = self.ctx.now
 
-    def groups(self, server: Server) -> tuple[Any, ...]:
-        """Those that the list describes like it: of its side of a crossing, and there its kind, its cell."""
+    def groups(self, server: Server) -> tuple[ServerGroup, ServerGroup, ServerGroup]:
+        """Return the groups of a server: its side of the zone's border, and there its kind and its cell."""
         remote = server.zone != self.ctx.settings.zone
-        return (remote,), (remote, "kind", server.kind), (remote, "cell", server.cell)
+        return (
+            ServerGroup(remote, GroupScope.SIDE),
+            ServerGroup(remote, GroupScope.KIND, server.kind),
+            ServerGroup(remote, GroupScope.CELL, server.cell),
+        )
 
     def baseline_load(self, server: Server) -> float:
-        """What others of its kind carry, less where its cell is held down; of its side, if none."""
+        """Return what others of its kind carry, less where its cell carries less; of its side, if none."""
         side, kind, cell = self.groups(server)
         return self.group_loads.get(kind, self.group_loads.get(side, 0.0)) * min(
             self.group_loads.get(cell, 1.0), 1.0
         )
 
     def drain_tokens(self, server: Server) -> None:
-        """What it turns away pushes it over too."""
+        """Empty the bucket of a server that rejected an attempt: that pushes it over too."""
         if server.tokens_updated_at:
             server.slow_start_tokens = min(server.slow_start_tokens, 0.0)
 
     def give_back(self, server: Server, cls: int, sent: int) -> None:
-        """No connection came up for an attempt decided at `sent` ns: it has cost this start nothing."""
+        """Return the tokens of an attempt decided at `sent` ns that no connection came up for."""
         if server.tokens_updated_at and sent >= server.start_learned_at:
             server.slow_start_tokens += self.latency.cost(cls)
 
     def warm_share(self, server: Server) -> float:
-        """The least part of its capacity that a server has by now, by the settings."""
+        """Return the least part of its capacity that a server has by now, by the settings."""
         start, warm = self.ctx.settings.start_capacity, self.ctx.settings.warm_up_ns
         age = max(self.ctx.now - server.started, 0)
         if not server.started or age >= warm:
             return 1.0
-        return max(start + (1.0 - start) * age / warm, 0.01)
+        return max(start + (1.0 - start) * age / warm, MIN_WARM_SHARE)
 
-    def allows(self, server: Server, cls: int, consume: bool) -> bool:
-        """Pace to a cold server: in the mean, all sidecars together send no more than its ramp allows."""
+    def allows(self, server: Server, cls: int, *, consume: bool) -> bool:
+        """Whether an attempt may go to a server now; `consume` takes its cost from the bucket."""
         warm_share = self.warm_share(server)
         if warm_share >= 1.0:
             return True
@@ -91,13 +120,13 @@
         alone = (
             UNKNOWN_LOAD_CORE_SHARE * SECOND / (self.latency.mean_baseline() * self.ctx.settings.fleet_size)
         )
-        pace = warm_share * max(
+        refill_rate = warm_share * max(
             OVERLOAD_SHARE * self.ctx.settings.overload_factor * self.baseline_load(server), alone
         )
         if server in self.endpoints.outside_subset:  # left to those who sample it
-            pace /= max(self.endpoints.sampling_weight[server.zone != self.ctx.settings.zone], 1.0)
-        limit = max(1.0, pace * BURST_S)
-        earned = pace * (self.ctx.now - (server.tokens_updated_at or server.start_learned_at)) / SECOND
+            refill_rate /= max(self.endpoints.sampling_weight[server.zone != self.ctx.settings.zone], 1.0)
+        limit = max(1.0, refill_rate * BURST_S)
+        earned = refill_rate * (self.ctx.now - (server.tokens_updated_at or server.start_learned_at)) / SECOND
         server.slow_start_tokens, server.tokens_updated_at = (
             min(limit, server.slow_start_tokens + earned),
             self.ctx.now,
--- a/ochreflow/policy/tenant_quota.py
+++ b/ochreflow/policy/tenant_quota.py
@@ -1,4 +1,4 @@
-"""Fairness: what a tenant asks beyond its share is the first to be shed."""
+"""Tenant quotas: in overload, what tenants request beyond theirs is shed first. Peers gossip their rates."""
 
 import struct
 
@@ -7,15 +7,17 @@
 
 QUOTA_UPDATE_INTERVAL = 0.5  # shortest deadlines between judgements: bursts rise within seconds
 REQUEST_RATE_SMOOTHING = 0.5  # weight of the latest such span
-QUOTA_TOLERANCE = (
-    1.3  # times the middle tenant's use of its share, where peers are not heard, is within share
-)
+# Times the median tenant's use of its quota is within quota, where not all peers are heard.
+QUOTA_TOLERANCE = 1.3
 PEER_RATE_LIFETIME = 6.0  # such spans until a peer's word no longer counts
 RATE_STEPS_PER_S = 64  # steps of a request a second in the peers' message
 
 
 class TenantQuotas:
+    """Measures how much of each tenant's traffic is over its quota."""
+
     def __init__(self, ctx: Context) -> None:
+        """Start without traffic."""
         self.ctx = ctx
         tenants = len(ctx.settings.tenants)
         self.counts = [0.0] * tenants  # first tries since the shares were judged
@@ -46,6 +48,7 @@
         self.judge()
 
     def judge(self) -> None:
+        """Work out the part of each tenant's traffic that is over its quota."""
         tenants = self.ctx.settings.tenants
         fresh = self.ctx.now - PEER_RATE_LIFETIME * QUOTA_UPDATE_INTERVAL * self.ctx.shortest
         peers = [rates for when, rates in self.peer_rates.values() if when >= fresh]
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -216,11 +216,11 @@
     balancer = stage.engine.balancer
     allows = balancer.slow_start.allows
 
-    def fail_to_take(server, cls, take):
-        if take:
+    def fail_to_take(server, cls, *, consume):
+        if consume:
             monkeypatch.setattr(balancer.slow_start, "allows", allows)
             raise RuntimeError("injected")
-        return allows(server, cls, take)
+        return allows(server, cls, consume=consume)
 
     monkeypatch.setattr(balancer.slow_start, "allows", fail_to_take)
     call = stage.ask()
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -21,7 +21,7 @@
     server = restarted(balancer, now)
     pace = balancer.slow_start
     sent = balancer.ctx.now = now + 10 * MS
-    pace.allows(server, 0, True)
+    pace.allows(server, 0, consume=True)
     taken = server.slow_start_tokens
     balancer.ctx.now += 200 * MS
     pace.give_back(server, 0, sent)
@@ -29,7 +29,7 @@
     # Its pace was another life's: the new one owes nothing for it.
     server = restarted(balancer, now + SECOND)
     balancer.ctx.now += SECOND
-    pace.allows(server, 0, False)
+    pace.allows(server, 0, consume=False)
     fresh = server.slow_start_tokens
     pace.give_back(server, 0, sent)
     assert server.slow_start_tokens == fresh
@@ -41,7 +41,7 @@
     started, sent, told = now, now + 100 * MS, now + SECOND
     balancer.handle(told, Membership(ListKind.DELTA, 2, [endpoint(1, started=started)]))
     server = balancer.endpoints.servers[1]
-    pace.allows(server, 0, False)
+    pace.allows(server, 0, consume=False)
     fresh = server.slow_start_tokens
     pace.give_back(server, 0, sent)
     assert server.slow_start_tokens == fresh
@@ -52,7 +52,7 @@
 def test_a_warm_server_is_given_nothing_back():
     balancer, now = make(entries=[endpoint(1), endpoint(2)])
     server = balancer.endpoints.servers[1]
-    balancer.slow_start.allows(server, 0, True)
+    balancer.slow_start.allows(server, 0, consume=True)
     balancer.slow_start.give_back(server, 0, now)
     assert server.slow_start_tokens == 0.0
 
@@ -67,7 +67,7 @@
     balancer, now = make(entries=[endpoint(1), endpoint(2)], fleet_size=30)
     now, _ = serve(balancer, now, range(100), 50 * MS)
     server = restarted(balancer, now)
-    balancer.slow_start.allows(server, 0, True)
+    balancer.slow_start.allows(server, 0, consume=True)
     taken = server.slow_start_tokens
     balancer.slow_start.record_answer(server, 0)
     assert server.slow_start_tokens == taken
@@ -176,8 +176,8 @@
         for tick in range(300):
             balancer.ctx.now = now + tick * 10 * MS
             budget += 2.5 * 20 * pace.warm_share(server) / 100
-            if pace.allows(server, 0, False):
-                pace.allows(server, 0, True)
+            if pace.allows(server, 0, consume=False):
+                pace.allows(server, 0, consume=True)
                 sent += 1
     assert 0.65 * budget < sent < 0.85 * budget
 
@@ -196,8 +196,8 @@
         for tick in range(500):
             balancer.ctx.now = now + tick * 10 * MS
             budget += 2 * 2.5 * 2 * pace.warm_share(server) / 100
-            if pace.allows(server, 0, False):
-                pace.allows(server, 0, True)
+            if pace.allows(server, 0, consume=False):
+                pace.allows(server, 0, consume=True)
                 sent += 1
     assert budget > 150
     assert 0.65 * budget < sent < 0.85 * budget
@@ -212,9 +212,9 @@
     balancer.endpoints.rebuild()
     assert not balancer.endpoints.local and balancer.endpoints.outside_subset
     balancer.ctx.now = now + 9 * SECOND
-    balancer.slow_start.allows(server, 0, False)
+    balancer.slow_start.allows(server, 0, consume=False)
     balancer.ctx.now += SECOND // 2
-    assert balancer.slow_start.allows(server, 0, False)
+    assert balancer.slow_start.allows(server, 0, consume=False)
 
 
 def test_a_cold_server_that_turns_away_gets_nothing_until_more_is_earned():
@@ -222,11 +222,11 @@
     now = carry(balancer, now, {1: 10, 2: 10})
     server, pace = restarted(balancer, now), balancer.slow_start
     balancer.ctx.now = now + 2 * SECOND
-    assert pace.allows(server, 0, False)
+    assert pace.allows(server, 0, consume=False)
     pace.drain_tokens(server)
-    assert not pace.allows(server, 0, False)
+    assert not pace.allows(server, 0, consume=False)
     balancer.ctx.now += 2 * SECOND
-    assert pace.allows(server, 0, False)
+    assert pace.allows(server, 0, consume=False)
 
 
 def test_a_kind_never_met_warm_is_paced_by_all():
@@ -244,14 +244,14 @@
     now = carry(balancer, now, {1: 1, 2: 1})
     server = restarted(balancer, now)
     balancer.ctx.now = now + 4 * SECOND
-    assert balancer.slow_start.allows(server, 0, False)
+    assert balancer.slow_start.allows(server, 0, consume=False)
 
 
 def test_a_sidecar_that_knows_no_warm_server_earns_by_answers():
     balancer, now = make(entries=[endpoint(9, started=START)], fleet_size=30)
     server = balancer.endpoints.servers[9]
     balancer.ctx.now = now
-    balancer.slow_start.allows(server, 0, True)
+    balancer.slow_start.allows(server, 0, consume=True)
     taken = server.slow_start_tokens
     balancer.slow_start.record_answer(server, 0)
     assert server.slow_start_tokens > taken + 1.0
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -212,7 +212,7 @@
 
 def broken_send_gate(monkeypatch):
     def only_list_and_pace(self, request, server):
-        return server.listed and server.ready and self.slow_start.allows(server, request.cls, False)
+        return server.listed and server.ready and self.slow_start.allows(server, request.cls, consume=False)
 
     monkeypatch.setattr(SafetyRules, "may_send", only_list_and_pace)
 
@@ -243,7 +243,7 @@
 
 
 def broken_pace(monkeypatch):
-    monkeypatch.setattr(SlowStart, "allows", lambda self, server, cls, take: True)
+    monkeypatch.setattr(SlowStart, "allows", lambda self, server, cls, *, consume: True)
     monkeypatch.setattr(EndpointPicker, "slowness", lambda self, server: 1e-3 if server.started else 1.0)
 
 
