--- a/ochreflow/cli/duplicates.py
+++ b/ochreflow/cli/duplicates.py
@@ -40,14 +40,14 @@
     `duplicate`; 1: one did, and its events are printed.
     """
     from ..lab.duplicates.fleet import FleetError
-    from ..lab.duplicates.plan import Crossing
+    from ..lab.duplicates.plan import FaultGroup
     from ..lab.duplicates.search import HERE, Search, SearchError, search
 
     if not math.isfinite(seconds):
         message = f"--seconds: {seconds} is no length"
         raise click.UsageError(message)
-    crossings = frozenset(crossing for crossing in Crossing if crossing.value not in without)
+    fault_groups = frozenset(group for group in FaultGroup if group.value not in without)
     try:
-        return search(Search(seed, runs, seconds, jobs, build or HERE, crossings, keep))
+        return search(Search(seed, runs, seconds, jobs, build or HERE, fault_groups, keep))
     except (SearchError, FleetError) as error:
         raise click.UsageError(str(error)) from None
--- a/ochreflow/lab/duplicates/client.py
+++ b/ochreflow/lab/duplicates/client.py
@@ -16,7 +16,7 @@
 from ..platform_config import HOST
 from .classes import Effect
 from .events import Answered, Closed, Left, SendingEnded, Written
-from .plan import Ask
+from .plan import ClientRequest
 from .record import Record
 
 PATIENCE = 0.8  # seconds for which a client waits beyond its deadline
@@ -81,14 +81,14 @@
         assert self.transport is not None
         self.transport.write_eof()
 
-    def leave(self, manner: str) -> None:
+    def leave(self, disconnect_mode: str) -> None:
         """Go away as the plan says."""
         self.closed = self.left = True
         assert self.transport is not None
-        if manner == "half_close":
+        if disconnect_mode == "half_close":
             self.transport.write_eof()
             return
-        if manner == "reset":
+        if disconnect_mode == "reset":
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.transport.abort()
@@ -106,45 +106,45 @@
         self.idle: dict[int, list[ClientConnection]] = defaultdict(list)
         self.connections = 0
 
-    async def ask(self, ask: Ask) -> None:
+    async def send(self, request: ClientRequest) -> None:
         """Play one request to its end; once more where a kept connection ended as if it had not been read."""
         fresh = False
         while True:
             try:
                 async with asyncio.timeout(CONNECT_WITHIN):
-                    connection = await self._connection(ask.sidecar, fresh)
+                    connection = await self._connection(request.sidecar, fresh)
             except TimeoutError:
                 return
             reused = connection.used
-            ended = await self._send(ask, connection)
+            ended = await self._send(request, connection)
             if fresh or not reused or ended is not Ended.UNREAD:
                 return
             fresh = True
 
-    async def _send(self, ask: Ask, connection: ClientConnection) -> Ended:
+    async def _send(self, request: ClientRequest, connection: ClientConnection) -> Ended:
         """Send it on a connection, and wait for what comes."""
         loop = asyncio.get_running_loop()
         connection.heard = connection.wrote_all = False
         code = connection.code = loop.create_future()
         leaving = None
-        if ask.leaves is not None:
-            leaving = loop.call_later(ask.leaves, self._leave, ask, connection)
+        if request.disconnects_after is not None:
+            leaving = loop.call_later(request.disconnects_after, self._leave, request, connection)
         try:
-            async with asyncio.timeout(ask.deadline + PATIENCE):
-                await self._write(ask, connection)
+            async with asyncio.timeout(request.deadline + PATIENCE):
+                await self._write(request, connection)
                 answered = await code
-            self.record.add(ask.id, Answered(self.record.now(), answered))
+            self.record.add(request.id, Answered(self.record.now(), answered))
             if not connection.closed:
-                self.idle[ask.sidecar].append(connection)
+                self.idle[request.sidecar].append(connection)
             return Ended.ANSWERED
         except ConnectionResetError:
             if connection.left:
                 return Ended.CUT
-            killed = self.killed_at(ask.sidecar) >= connection.opened
-            self.record.add(ask.id, Closed(self.record.now(), connection.heard, killed))
+            killed = self.killed_at(request.sidecar) >= connection.opened
+            self.record.add(request.id, Closed(self.record.now(), connection.heard, killed))
             return Ended.CUT if killed or connection.heard else Ended.UNREAD
         except TimeoutError:
-            self.record.add(ask.id, Left(self.record.now(), "waited long enough"))
+            self.record.add(request.id, Left(self.record.now(), "waited long enough"))
             return Ended.CUT
         finally:
             if leaving is not None:
@@ -153,14 +153,14 @@
             if connection.closed or code.cancelled() or not code.done():
                 connection.abort()
 
-    def _leave(self, ask: Ask, connection: ClientConnection) -> None:
+    def _leave(self, request: ClientRequest, connection: ClientConnection) -> None:
         if connection.code is None or connection.code.done() or connection.closed:
             return
-        if ask.manner != "end_sending":
-            self.record.add(ask.id, Left(self.record.now(), ask.manner))
-            connection.leave(ask.manner)
+        if request.disconnect_mode != "end_sending":
+            self.record.add(request.id, Left(self.record.now(), request.disconnect_mode))
+            connection.leave(request.disconnect_mode)
         elif connection.wrote_all:
-            self.record.add(ask.id, SendingEnded(self.record.now()))
+            self.record.add(request.id, SendingEnded(self.record.now()))
             connection.end_sending()
 
     async def _connection(self, sidecar: int, fresh: bool) -> ClientConnection:
@@ -180,13 +180,15 @@
         self.connections += 1
         return ClientConnection(self.connections, self.record.now())
 
-    async def _write(self, ask: Ask, connection: ClientConnection) -> None:
+    async def _write(self, request: ClientRequest, connection: ClientConnection) -> None:
         transport = connection.transport
         assert transport is not None
-        written = Written(self.record.now(), ask.sidecar, ask.cls.name, ask.size, connection.number)
-        self.record.add(ask.id, written)
-        data = message(ask)
-        step = -(-len(data) // ask.pieces)
+        written = Written(
+            self.record.now(), request.sidecar, request.cls.name, request.size, connection.number
+        )
+        self.record.add(request.id, written)
+        data = message(request)
+        step = -(-len(data) // request.pieces)
         for begin in range(0, len(data), step):
             if begin:
                 await asyncio.sleep(PIECE_PAUSE)
@@ -201,24 +203,24 @@
                 connection.abort()
 
 
-def message(ask: Ask) -> bytes:
+def message(request: ClientRequest) -> bytes:
     """The request as it goes over the wire."""
-    safe = ask.cls.effect is Effect.SAFE
+    safe = request.cls.effect is Effect.SAFE
     head = [
-        f"{'GET' if safe else 'POST'} /{ask.cls.name}/part HTTP/1.1",
+        f"{'GET' if safe else 'POST'} /{request.cls.name}/part HTTP/1.1",
         f"Host: {HOST}",
-        f"X-Request-Id: {ask.id}",
-        f"X-Deadline: {round(ask.deadline * 1000)}m",
+        f"X-Request-Id: {request.id}",
+        f"X-Deadline: {round(request.deadline * 1000)}m",
     ]
-    if ask.last:
+    if request.last:
         head.append("Connection: close")
-    if ask.cls.effect is Effect.KEYED:
-        head.append(f"Idempotency-Key: key-of-{ask.id}")
-    body = b"x" * ask.size
-    if ask.chunked:
+    if request.cls.effect is Effect.KEYED:
+        head.append(f"Idempotency-Key: key-of-{request.id}")
+    body = b"x" * request.size
+    if request.chunked:
         head.append("Transfer-Encoding: chunked")
         body = b"%x\r\n%s\r\n" % (len(body), body) if body else b""
         body += b"0\r\n\r\n"
     elif not safe:
-        head.append(f"Content-Length: {ask.size}")
+        head.append(f"Content-Length: {request.size}")
     return "\r\n".join([*head, "", ""]).encode() + body
--- a/ochreflow/lab/duplicates/events.py
+++ b/ochreflow/lab/duplicates/events.py
@@ -99,10 +99,10 @@
 class Left(Event):
     """The client closed its connection, or its sending on it."""
 
-    manner: str
+    disconnect_mode: str
 
     def __str__(self) -> str:
-        return f"client left: {self.manner}"
+        return f"client left: {self.disconnect_mode}"
 
 
 @dataclass(frozen=True, slots=True)
--- a/ochreflow/lab/duplicates/judge.py
+++ b/ochreflow/lab/duplicates/judge.py
@@ -52,7 +52,7 @@
 """The places in which a server stood between two times, by the server's number."""
 
 
-def judge(cls: RequestClass, events: Sequence[Event], places: Places, second_copies: bool) -> list[Break]:
+def judge(cls: RequestClass, events: Sequence[Event], places: Places, hedging: bool) -> list[Break]:
     """All breaks of the rule in the events of one request."""
     events = sorted(events, key=lambda event: event.at)
     copies = sorted((event for event in events if isinstance(event, Copy)), key=lambda copy: copy.began)
@@ -61,7 +61,7 @@
     for number, later in enumerate(copies):
         earlier = [copy for copy in copies[:number] if turned_away.get(copy.attempt, later.at) >= later.at]
         found += _repeat(cls, earlier, later, places)
-    if not second_copies:
+    if not hedging:
         found += _overlaps(copies, events)
     if not cls.refusable:
         found += _invitations(copies, turned_away, events)
--- a/ochreflow/lab/duplicates/pipelining.py
+++ b/ochreflow/lab/duplicates/pipelining.py
@@ -55,16 +55,18 @@
 
 async def play_pair(pair: PipelinedPair, address: tuple[str, int], record: Record) -> None:
     """Play a pair to its end."""
-    asks = (pair.lookup, pair.order)
-    connection = PairConnection(record, tuple(ask.id for ask in asks))
+    requests = (pair.lookup, pair.order)
+    connection = PairConnection(record, tuple(request.id for request in requests))
     try:
         async with asyncio.timeout(CONNECT_WITHIN):
             transport = await _connect(connection, address)
     except OSError:  # also a time-out
         return
-    for ask in asks:
-        record.add(ask.id, Written(record.now(), ask.sidecar, ask.cls.name, ask.size, NO_CONNECTION))
-    transport.write(b"".join(message(ask) for ask in asks))
+    for request in requests:
+        record.add(
+            request.id, Written(record.now(), request.sidecar, request.cls.name, request.size, NO_CONNECTION)
+        )
+    transport.write(b"".join(message(request) for request in requests))
     await asyncio.sleep(pair.line_after)
     if not transport.is_closing():
         transport.write(EMPTY_LINE)
@@ -72,7 +74,7 @@
     if not transport.is_closing():
         transport.resume_reading()
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(sum(ask.deadline for ask in asks) + PATIENCE):
+        async with asyncio.timeout(sum(request.deadline for request in requests) + PATIENCE):
             await connection.over
     _record_missing(connection, record)
     transport.abort()
--- a/ochreflow/lab/duplicates/play.py
+++ b/ochreflow/lab/duplicates/play.py
@@ -17,7 +17,7 @@
 from .fleet import Fleet
 from .judge import Break, Place, judge
 from .pipelining import play_pair
-from .plan import Ask, Burst, PipelinedPair, Plan, ServerChange, ServerStep, SidecarStep
+from .plan import Burst, ClientRequest, PipelinedPair, Plan, ServerChange, ServerStep, SidecarStep
 from .record import Record
 from .server import Server, Shared
 
@@ -78,9 +78,11 @@
     def __init__(self, plan: Plan, folder: Path, program: Path, with_debug_lines: bool) -> None:
         self.plan = plan
         self.record = Record()
-        pairs = (ask for pair in plan.pairs for ask in (pair.lookup, pair.order))
-        self.asks = {ask.id: ask for ask in (*plan.asks, *pairs)}
-        shared = Shared(plan, self.record, lambda number: self.fleet.frozen(number), self._move, self.asks)
+        pairs = (request for pair in plan.pairs for request in (pair.lookup, pair.order))
+        self.requests = {request.id: request for request in (*plan.requests, *pairs)}
+        shared = Shared(
+            plan, self.record, lambda number: self.fleet.frozen(number), self._move, self.requests
+        )
         self.servers = [Server(number, given, shared) for number, given in enumerate(plan.servers)]
         self.fleet = Fleet(plan, folder, program, self.record, self.servers, with_debug_lines)
         self.clients = Clients(self.record, lambda number: self.fleet.addresses[number], self.fleet.killed_at)
@@ -106,11 +108,11 @@
     async def _play_all(self) -> None:
         plan = self.plan
         parts = [
-            *(self._ask(ask) for ask in plan.asks),
+            *(self._play_request(request) for request in plan.requests),
             *(self._server_step(step) for step in plan.server_steps),
             *(self._sidecar_step(step) for step in plan.sidecar_steps),
             *(self._burst(burst) for burst in plan.bursts),
-            *(self._pair(pair) for pair in plan.pairs),
+            *(self._play_pair(pair) for pair in plan.pairs),
         ]
         tasks = [asyncio.ensure_future(part) for part in parts]
         done, unfinished = await asyncio.wait(tasks, timeout=plan.seconds + FINISH_WITHIN)
@@ -123,9 +125,9 @@
     async def _until(self, at: float) -> None:
         await asyncio.sleep(max(self.begin + at - self.record.now(), 0.0))
 
-    async def _ask(self, ask: Ask) -> None:
-        await self._until(ask.at)
-        await self.clients.ask(ask)
+    async def _play_request(self, request: ClientRequest) -> None:
+        await self._until(request.at)
+        await self.clients.send(request)
 
     async def _burst(self, burst: Burst) -> None:
         await self._until(burst.at)
@@ -134,13 +136,13 @@
             f"{self.plan.seed % 65536:04x}{round(burst.at * 1e6):08x}{number:04x}"
             for number in range(burst.count)
         )
-        asks = [
-            Ask(burst.at, name, burst.sidecar, lookup, 0, False, lookup.deadline, 1, None, "")
+        requests = [
+            ClientRequest(burst.at, name, burst.sidecar, lookup, 0, False, lookup.deadline, 1, None, "")
             for name in names
         ]
-        await asyncio.gather(*(self.quick.ask(ask) for ask in asks))
+        await asyncio.gather(*(self.quick.send(request) for request in requests))
 
-    async def _pair(self, pair: PipelinedPair) -> None:
+    async def _play_pair(self, pair: PipelinedPair) -> None:
         await self._until(pair.at)
         await play_pair(pair, self.fleet.addresses[pair.lookup.sidecar], self.record)
 
@@ -153,7 +155,7 @@
         server = self.servers[step.server]
         self.record.trouble(f"server {step.server}: {step.change.value}, {step.seconds:g} s")
         if step.change is ServerChange.MOVE:
-            self._move(step.server, step.joins)
+            self._move(step.server, step.group_offset)
         elif step.change is ServerChange.DRAIN:
             self.fleet.list(server, "DRAINING")
             await asyncio.sleep(step.seconds)
@@ -181,16 +183,16 @@
 
     def _result(self) -> Result:
         result = Result(self.plan.seed, crashed=self.fleet.crashed)
-        for ident, ask in self.asks.items():
+        for ident, request in self.requests.items():
             events = self.record.requests.get(ident)
             if not events:
                 continue
             result.requests += 1
             result.copies += sum(isinstance(event, Copy) for event in events)
-            if ask.cls.effect is Effect.UNSAFE:
+            if request.cls.effect is Effect.UNSAFE:
                 self._count(result, events)
-            if breaks := judge(ask.cls, events, self._places, self.plan.second_copies):
-                result.failures.append(Failure(ident, ask.cls, breaks, self.record.story(ident)))
+            if breaks := judge(request.cls, events, self._places, self.plan.hedging):
+                result.failures.append(Failure(ident, request.cls, breaks, self.record.story(ident)))
         result.failures.sort(key=lambda failure: failure.breaks[0].at)
         return result
 
--- a/ochreflow/lab/duplicates/search.py
+++ b/ochreflow/lab/duplicates/search.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from .plan import Crossing, draw
+from .plan import FaultGroup, draw
 from .play import Failure, Result, play
 
 PACKAGE_START = Path("ochreflow") / "__main__.py"
@@ -28,7 +28,7 @@
     seconds: float = 5.0
     jobs: int = 1
     program: Path = HERE
-    crossings: frozenset[Crossing] = frozenset(Crossing)
+    fault_groups: frozenset[FaultGroup] = frozenset(FaultGroup)
     keep: Path | None = None
 
     def check(self) -> None:
@@ -91,7 +91,7 @@
 
 def _one(wanted: Search, seed: int) -> Result:
     keep = wanted.keep / f"seed-{seed}" if wanted.keep is not None else None
-    return play(draw(seed, wanted.seconds, wanted.crossings), wanted.program.resolve(), keep)
+    return play(draw(seed, wanted.seconds, wanted.fault_groups), wanted.program.resolve(), keep)
 
 
 def line(result: Result) -> str:
--- a/ochreflow/lab/duplicates/server.py
+++ b/ochreflow/lab/duplicates/server.py
@@ -15,7 +15,7 @@
 from .attempts import LOOP_LAG, READ_MOST, SIP, AttemptReader
 from .events import AttemptEnded, Copy, NotRun, ServerAction
 from .judge import Place
-from .plan import Act, Ask, Plan, ServerPlan, Treatment
+from .plan import ClientRequest, Ending, Plan, ServerPlan, Treatment
 from .record import Record
 
 BACKLOG = 128
@@ -34,23 +34,23 @@
 
 
 ANSWERS = {
-    Act.SERVE: _answer(200),
-    Act.FAIL: _answer(500),
-    Act.TURN_AWAY: _answer(503, "X-Not-Run: 1"),
-    Act.BUSY: _answer(503),
-    Act.CONTRADICT: _answer(503, "X-Not-Run: 1", "X-Not-Run: 0"),
-    Act.CONTRADICT_LAST: _answer(503, "X-Not-Run: 0", "X-Not-Run: 1"),
-    Act.INTERIM_PROOF: b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + _answer(503),
-    Act.TRAILER_PROOF: (
+    Ending.SERVE: _answer(200),
+    Ending.FAIL: _answer(500),
+    Ending.REJECT: _answer(503, "X-Not-Run: 1"),
+    Ending.UNAVAILABLE: _answer(503),
+    Ending.REJECT_THEN_DENY: _answer(503, "X-Not-Run: 1", "X-Not-Run: 0"),
+    Ending.DENY_THEN_REJECT: _answer(503, "X-Not-Run: 0", "X-Not-Run: 1"),
+    Ending.REJECT_IN_INTERIM: b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + _answer(503),
+    Ending.REJECT_IN_TRAILER: (
         b"HTTP/1.1 503 X\r\nTransfer-Encoding: chunked\r\nTrailer: X-Not-Run\r\n\r\n"
         b"6\r\nserved\r\n0\r\nX-Not-Run: 1\r\n\r\n"
     ),
-    Act.WRONG_CODE: _answer(500, "X-Not-Run: 1"),
+    Ending.REJECT_WITH_500: _answer(500, "X-Not-Run: 1"),
 }
 ENDINGS = {
-    Act.GARBAGE: GARBAGE,
-    Act.CUT_HEAD: b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Le",
-    Act.HALF_CLOSE: b"",
+    Ending.GARBAGE: GARBAGE,
+    Ending.TRUNCATED_HEAD: b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Le",
+    Ending.HALF_CLOSE: b"",
 }
 
 Freezer = Callable[[int], AbstractAsyncContextManager[None]]
@@ -78,7 +78,7 @@
     record: Record
     freeze: Freezer
     move: Mover
-    asks: dict[str, Ask]
+    requests: dict[str, ClientRequest]
     attempts: Attempts = field(default_factory=Attempts)
 
 
@@ -221,14 +221,14 @@
             if not await self.reader.read(SIP):
                 return False
         self.ident = self.reader.ident
-        ask = self.shared.asks.get(self.ident)
-        if ask is None:
+        request = self.shared.requests.get(self.ident)
+        if request is None:
             return await self._serve_plainly()
         self.attempt = self.shared.attempts.number(self.ident)
         self._tell("head read")
         self._look()
         try:
-            return await self._treat(ask, self.shared.plan.treatment(ask, self.attempt))
+            return await self._treat(request, self.shared.plan.treatment(request, self.attempt))
         finally:
             self._end()
 
@@ -237,24 +237,24 @@
         while not self.reader.whole:
             if not await self.reader.read():
                 return False
-        await asyncio.get_running_loop().sock_sendall(self.sock, ANSWERS[Act.SERVE])
+        await asyncio.get_running_loop().sock_sendall(self.sock, ANSWERS[Ending.SERVE])
         return True
 
-    async def _treat(self, ask: Ask, treatment: Treatment) -> bool:
-        wanted = int(ask.size * treatment.read_first) if treatment.early else -1
+    async def _treat(self, request: ClientRequest, treatment: Treatment) -> bool:
+        wanted = int(request.size * treatment.read_share) if treatment.early else -1
         if not await self._read_until(wanted):
             return False
-        if treatment.joins is not None:
+        if treatment.group_offset is not None:
             self._tell("moves to another group")
-            self.shared.move(self.server.number, treatment.joins)
-        if not await self._work(treatment.work):
+            self.shared.move(self.server.number, treatment.group_offset)
+        if not await self._work(treatment.delay):
             return False
-        if treatment.frozen is None:
-            go_on = await self._act(treatment)
+        if treatment.freeze_for is None:
+            go_on = await self._end_attempt(treatment)
         else:
-            async with self.shared.freeze(ask.sidecar):
-                go_on = await self._act(treatment)
-                await asyncio.sleep(treatment.frozen)
+            async with self.shared.freeze(request.sidecar):
+                go_on = await self._end_attempt(treatment)
+                await asyncio.sleep(treatment.freeze_for)
         if not go_on:
             return False
         return await self._after(treatment)
@@ -277,56 +277,56 @@
         except TimeoutError:
             return True
 
-    async def _act(self, treatment: Treatment) -> bool:
+    async def _end_attempt(self, treatment: Treatment) -> bool:
         """Do what the plan says; False if the connection is gone by it."""
-        if treatment.drained:
+        if treatment.drain_first:
             await self._drain()
-        act = treatment.act
+        ending = treatment.ending
         when = "whole" if self.reader.whole else f"{self.reader.size} bytes of the body read"
-        frozen = ", its sidecar frozen" if treatment.frozen is not None else ""
-        self._tell(f"{act.value} ({when}{frozen})")
-        if act is Act.RESET:
+        frozen = ", its sidecar frozen" if treatment.freeze_for is not None else ""
+        self._tell(f"{ending.value} ({when}{frozen})")
+        if ending is Ending.RESET:
             self.server._reset(self.sock)
             return False
-        if act in ANSWERS:
-            await self._answer(act)
-        elif act in ENDINGS:
-            if ENDINGS[act]:
-                await asyncio.get_running_loop().sock_sendall(self.sock, ENDINGS[act])
-            if act is not Act.GARBAGE:
+        if ending in ANSWERS:
+            await self._answer(ending)
+        elif ending in ENDINGS:
+            if ENDINGS[ending]:
+                await asyncio.get_running_loop().sock_sendall(self.sock, ENDINGS[ending])
+            if ending is not Ending.GARBAGE:
                 self.sock.shutdown(socket.SHUT_WR)
         return True
 
-    async def _answer(self, act: Act) -> None:
-        if act is Act.TURN_AWAY:
+    async def _answer(self, ending: Ending) -> None:
+        if ending is Ending.REJECT:
             self.record.add(self.ident, NotRun(self.record.now(), self.attempt))
         self._end()
-        long = self.shared.asks[self.ident].answer_size if act is Act.SERVE else 0
-        answer = _answer(200, body=b"x" * long) if long else ANSWERS[act]
+        long = self.shared.requests[self.ident].answer_size if ending is Ending.SERVE else 0
+        answer = _answer(200, body=b"x" * long) if long else ANSWERS[ending]
         await asyncio.get_running_loop().sock_sendall(self.sock, answer)
 
     async def _after(self, treatment: Treatment) -> bool:
         """Read all that still comes; True if another request may follow."""
-        act = treatment.act
-        if treatment.second is not None and act in ANSWERS:
-            await self._answer_again(treatment.second, treatment.second_act or act)
+        ending = treatment.ending
+        if treatment.second_answer_after is not None and ending in ANSWERS:
+            await self._answer_again(treatment.second_answer_after, treatment.second_ending or ending)
         if not self.reader.whole:
-            await asyncio.sleep(treatment.read_on)
+            await asyncio.sleep(treatment.resume_reading_after)
             if not await self._read_until(-1):
                 return False
-        if act in ANSWERS:
+        if ending in ANSWERS:
             return True
         while await self._read():
             pass
         return False
 
-    async def _answer_again(self, after: float, act: Act) -> None:
+    async def _answer_again(self, after: float, ending: Ending) -> None:
         answered = self.record.now()
         await asyncio.sleep(after)
         if self.record.now() - answered > SECOND_WITHIN:
             return
-        self._tell(f"a second answer: {act.value}")
-        await asyncio.get_running_loop().sock_sendall(self.sock, ANSWERS[act])
+        self._tell(f"a second answer: {ending.value}")
+        await asyncio.get_running_loop().sock_sendall(self.sock, ANSWERS[ending])
 
     # Reading
 
--- a/tests/test_duplicate_search.py
+++ b/tests/test_duplicate_search.py
@@ -13,10 +13,10 @@
 from ochreflow.lab.duplicates.events import Answered, AttemptEnded, Closed, Copy, Left, NotRun, Written
 from ochreflow.lab.duplicates.judge import Kind, Place, judge
 from ochreflow.lab.duplicates.plan import (
-    RUSH_COUNT,
-    Act,
-    Ask,
-    Crossing,
+    REQUESTS_PER_SURGE,
+    ClientRequest,
+    Ending,
+    FaultGroup,
     PipelinedPair,
     ServerPlan,
     SidecarChange,
@@ -227,44 +227,51 @@
 
 
 def test_the_same_seed_draws_the_same_plan_and_treatments():
-    one, other = (draw(7, 5.0, frozenset(Crossing)) for _ in range(2))
+    one, other = (draw(7, 5.0, frozenset(FaultGroup)) for _ in range(2))
     assert one == other
-    assert one != draw(8, 5.0, frozenset(Crossing))
-    forwards = [one.treatment(ask, 0) for ask in one.asks]
-    backwards = [other.treatment(ask, 0) for ask in reversed(other.asks)]
+    assert one != draw(8, 5.0, frozenset(FaultGroup))
+    forwards = [one.treatment(request, 0) for request in one.requests]
+    backwards = [other.treatment(request, 0) for request in reversed(other.requests)]
     assert forwards == backwards[::-1]
 
 
 def test_plans_leave_out_what_they_are_told_to():
     plan = draw(7, 5.0, frozenset())
     assert not plan.server_steps and not plan.sidecar_steps and not plan.bursts and not plan.pairs
-    treatments = [plan.treatment(ask, 0) for ask in plan.asks]
-    assert not any(one.early or one.second is not None or one.frozen is not None for one in treatments)
-    assert not any(one.joins is not None for one in treatments)
-    assert not any(ask.leaves is not None for ask in plan.asks)
+    treatments = [plan.treatment(request, 0) for request in plan.requests]
+    assert not any(
+        one.early or one.second_answer_after is not None or one.freeze_for is not None for one in treatments
+    )
+    assert not any(one.group_offset is not None for one in treatments)
+    assert not any(request.disconnects_after is not None for request in plan.requests)
 
 
 def test_plans_draw_every_fault_and_every_class():
-    plans = [draw(seed, 5.0, frozenset(Crossing)) for seed in range(20)]
-    acts = {plan.treatment(ask, 0).act for plan in plans for ask in plan.asks}
-    assert acts == set(Act)
-    assert {ask.cls.scope for plan in plans for ask in plan.asks} == set(Scope)
-    assert {ask.cls.effect for plan in plans for ask in plan.asks} == set(Effect)
-    manners = {ask.manner for plan in plans for ask in plan.asks if ask.leaves is not None}
+    plans = [draw(seed, 5.0, frozenset(FaultGroup)) for seed in range(20)]
+    endings = {plan.treatment(request, 0).ending for plan in plans for request in plan.requests}
+    assert endings == set(Ending)
+    assert {request.cls.scope for plan in plans for request in plan.requests} == set(Scope)
+    assert {request.cls.effect for plan in plans for request in plan.requests} == set(Effect)
+    manners = {
+        request.disconnect_mode
+        for plan in plans
+        for request in plan.requests
+        if request.disconnects_after is not None
+    }
     assert manners == {"close", "reset", "half_close", "end_sending"}
 
 
 def test_rushes_are_a_part_of_the_bursts():
-    plan = draw(7, 5.0, frozenset(Crossing))
-    without = draw(7, 5.0, frozenset(Crossing) - {Crossing.BURSTS})
-    rushed = set(plan.asks) - set(without.asks)
-    assert len(rushed) == 5 * RUSH_COUNT
-    assert {ask.cls.effect for ask in rushed} == {Effect.UNSAFE}
-    assert all(ask in plan.asks for ask in without.asks)
+    plan = draw(7, 5.0, frozenset(FaultGroup))
+    without = draw(7, 5.0, frozenset(FaultGroup) - {FaultGroup.BURSTS})
+    rushed = set(plan.requests) - set(without.requests)
+    assert len(rushed) == 5 * REQUESTS_PER_SURGE
+    assert {request.cls.effect for request in rushed} == {Effect.UNSAFE}
+    assert all(request in plan.requests for request in without.requests)
 
 
 def test_pairs_are_drawn_at_sidecars_that_never_end_only():
-    plans = [draw(seed, 5.0, frozenset(Crossing)) for seed in range(20)]
+    plans = [draw(seed, 5.0, frozenset(FaultGroup)) for seed in range(20)]
     ends = (SidecarChange.TERM, SidecarChange.KILL)
     for plan in plans:
         ending = {step.sidecar for step in plan.sidecar_steps if step.change in ends}
@@ -273,10 +280,15 @@
 
 
 def test_servers_move_while_they_have_attempts_of_which_the_group_matters():
-    plans = [draw(seed, 5.0, frozenset(Crossing)) for seed in range(20)]
-    moved = [(plan, ask) for plan in plans for ask in plan.asks if plan.treatment(ask, 0).joins is not None]
-    assert {ask.cls.scope for _, ask in moved} == {Scope.ZONE, Scope.CELL}
-    assert all(0 < plan.treatment(ask, 0).joins < len(plan.servers) for plan, ask in moved)
+    plans = [draw(seed, 5.0, frozenset(FaultGroup)) for seed in range(20)]
+    moved = [
+        (plan, request)
+        for plan in plans
+        for request in plan.requests
+        if plan.treatment(request, 0).group_offset is not None
+    ]
+    assert {request.cls.scope for _, request in moved} == {Scope.ZONE, Scope.CELL}
+    assert all(0 < plan.treatment(request, 0).group_offset < len(plan.servers) for plan, request in moved)
 
 
 # The command
@@ -367,68 +379,81 @@
 UNREAD = ServerPlan(zone=0, cell=0, receive_buffer=4096, segment=1460)
 
 
-def fixed_plan(size, treatment, servers, leaves=None, manner=""):
+def fixed_plan(size, treatment, servers, disconnects_after=None, disconnect_mode=""):
     """Eight orders, whose first attempts are treated alike."""
     plan = draw(1, 2.0, frozenset())
     order = replace(plan.classes[1], deadline=1.5)
-    asks = tuple(
-        Ask(0.1 + number * 0.1, f"{number + 1:016x}", number % 2, order, size, False, 1.5, 1, leaves, manner)
+    requests = tuple(
+        ClientRequest(
+            0.1 + number * 0.1,
+            f"{number + 1:016x}",
+            number % 2,
+            order,
+            size,
+            False,
+            1.5,
+            1,
+            disconnects_after,
+            disconnect_mode,
+        )
         for number in range(8)
     )
     classes = (plan.classes[0], order, *plan.classes[2:])
     return replace(
         plan,
         sidecars=2,
-        second_copies=False,
-        attempts_most=3,
+        hedging=False,
+        max_attempts=3,
         connect_timeout=0.25,
         classes=classes,
         servers=servers,
-        asks=asks,
+        requests=requests,
         fixed=(treatment,),
     )
 
 
-def partly_written(act):
+def partly_written(ending):
     """Requests that a server ends while they are partly written, in a turn in which the rest could go out."""
-    treatment = Treatment(act, early=True, work=0.02, frozen=0.0, drained=True)
+    treatment = Treatment(ending, early=True, delay=0.02, freeze_for=0.0, drain_first=True)
     return fixed_plan(PARTLY, treatment, (UNREAD,) * 4)
 
 
 @pytest.mark.xdist_group("real-time")
-@pytest.mark.parametrize("act", [Act.HALF_CLOSE, Act.GARBAGE])
-def test_what_is_partly_written_when_its_server_ends_is_not_sent_again(act):
-    result = play(partly_written(act), ROOT)
+@pytest.mark.parametrize("ending", [Ending.HALF_CLOSE, Ending.GARBAGE])
+def test_what_is_partly_written_when_its_server_ends_is_not_sent_again(ending):
+    result = play(partly_written(ending), ROOT)
     assert [searching.story(failure) for failure in result.failures] == []
     assert result.crashed == []
-    assert result.copies >= len(partly_written(act).asks)  # the rest did come, or nothing was tried
+    assert result.copies >= len(partly_written(ending).requests)  # the rest did come, or nothing was tried
 
 
 PLAIN = ServerPlan(zone=0, cell=0, receive_buffer=0, segment=0)
 
 
-def pipelined(ask, number, lookups):
+def pipelined(request, number, lookups):
     """A pair whose empty line crosses the close behind its last answer."""
-    lookup = replace(ask, id=f"{100 + number:016x}", cls=lookups, answer_size=30_000)
-    order = replace(ask, id=f"{200 + number:016x}", last=True)
-    return PipelinedPair(ask.at, lookup, order, line_after=0.8, reads_after=0.9)
+    lookup = replace(request, id=f"{100 + number:016x}", cls=lookups, answer_size=30_000)
+    order = replace(request, id=f"{200 + number:016x}", last=True)
+    return PipelinedPair(request.at, lookup, order, line_after=0.8, reads_after=0.9)
 
 
 @pytest.mark.xdist_group("real-time")
 def test_clients_that_end_their_sending_or_read_late_are_played_and_answered():
-    treatment = Treatment(Act.SERVE, work=0.3)
+    treatment = Treatment(Ending.SERVE, delay=0.3)
     alone = fixed_plan(0, treatment, (PLAIN,) * 4)
-    pairs = tuple(pipelined(ask, number, alone.classes[0]) for number, ask in enumerate(alone.asks))
-    ending = fixed_plan(200, treatment, (PLAIN,) * 4, leaves=0.1, manner="end_sending")
+    pairs = tuple(
+        pipelined(request, number, alone.classes[0]) for number, request in enumerate(alone.requests)
+    )
+    ending = fixed_plan(200, treatment, (PLAIN,) * 4, disconnects_after=0.1, disconnect_mode="end_sending")
     result = play(replace(ending, pairs=pairs), ROOT)
     assert [searching.story(failure) for failure in result.failures] == []
-    assert result.copies == len(ending.asks) + 2 * len(pairs)
-    assert result.unrepeatable == {502: len(ending.asks), 200: len(pairs)}
+    assert result.copies == len(ending.requests) + 2 * len(pairs)
+    assert result.unrepeatable == {502: len(ending.requests), 200: len(pairs)}
 
 
 @pytest.mark.xdist_group("real-time")
 def test_no_drawn_run_breaks_the_rule():
-    plans = [draw(seed, 2.5, frozenset(Crossing)) for seed in (2, 10)]
+    plans = [draw(seed, 2.5, frozenset(FaultGroup)) for seed in (2, 10)]
     with ProcessPoolExecutor(len(plans)) as pool:
         results = list(pool.map(play, plans, [ROOT] * len(plans)))
     for result in results:
