--- a/ochreflow/cli/duplicates.py
+++ b/ochreflow/cli/duplicates.py
@@ -41,13 +41,13 @@
     """
     from ..lab.duplicates.fleet import FleetError
     from ..lab.duplicates.plan import FaultGroup
-    from ..lab.duplicates.search import HERE, Search, SearchError, search
+    from ..lab.duplicates.search import CHECKOUT, SearchError, SearchOptions, search
 
     if not math.isfinite(seconds):
         message = f"--seconds: {seconds} is no length"
         raise click.UsageError(message)
     fault_groups = frozenset(group for group in FaultGroup if group.value not in without)
     try:
-        return search(Search(seed, runs, seconds, jobs, build or HERE, fault_groups, keep))
+        return search(SearchOptions(seed, runs, seconds, jobs, build or CHECKOUT, fault_groups, keep))
     except (SearchError, FleetError) as error:
         raise click.UsageError(str(error)) from None
--- a/ochreflow/lab/duplicates/attempts.py
+++ b/ochreflow/lab/duplicates/attempts.py
@@ -8,42 +8,42 @@
 
 import httptools
 
-READ_MOST = 16 * 1024
-SIP = 1024  # bytes read at a time where the rest is to stay with the sender
-LOOP_LAG = 0.02  # seconds that may pass from the arrival of bytes until a waiting reader sees them
+MAX_READ_BYTES = 16 * 1024
+SMALL_READ_BYTES = 1024  # bytes read at a time where the rest is to stay with the sender
+MAX_LOOP_LAG_S = 0.02  # seconds that may pass from the arrival of bytes until a waiting reader sees them
 
 
 class AttemptReader:
     """Reads one request from a connection, and knows when its last byte came."""
 
-    def __init__(self, sock: socket.socket, now: Callable[[], float], empty_at: float) -> None:
+    def __init__(self, sock: socket.socket, now: Callable[[], float], last_empty_at: float) -> None:
         self.sock = sock
         self.now = now
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
         self.headers: dict[str, str] = {}
-        self.has_head = False
-        self.whole = False
-        self.size = 0  # of the body, as far as it has come
-        self.began = -1.0  # when its first byte was read
-        self.empty_at = empty_at  # what was read last came no sooner
+        self.head_complete = False
+        self.complete = False
+        self.body_bytes = 0  # of the body, as far as it has come
+        self.began_at = -1.0  # when its first byte was read
+        self.last_empty_at = last_empty_at  # what was read last came no sooner
 
-    async def read(self, most: int = READ_MOST) -> bool:
+    async def read(self, max_bytes: int = MAX_READ_BYTES) -> bool:
         """Take what comes next; False once the peer has ended or reset the connection."""
         try:
             try:
-                data = self.sock.recv(most)
+                data = self.sock.recv(max_bytes)
             except BlockingIOError:
-                data = await asyncio.get_running_loop().sock_recv(self.sock, most)
-                self.empty_at = self.now() - LOOP_LAG
+                data = await asyncio.get_running_loop().sock_recv(self.sock, max_bytes)
+                self.last_empty_at = self.now() - MAX_LOOP_LAG_S
         except OSError:
             return False
         return self._feed(data)
 
-    def read_held(self) -> bool:
+    def read_buffered(self) -> bool:
         """Take what the system holds; False if that is nothing."""
         try:
-            data = self.sock.recv(READ_MOST)
+            data = self.sock.recv(MAX_READ_BYTES)
         except OSError:
             return False
         return self._feed(data)
@@ -51,8 +51,8 @@
     def _feed(self, data: bytes) -> bool:
         if not data:
             return False
-        if self.began < 0.0:
-            self.began = self.now()
+        if self.began_at < 0.0:
+            self.began_at = self.now()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -60,7 +60,7 @@
         return True
 
     @property
-    def ident(self) -> str:
+    def request_id(self) -> str:
         return self.headers.get("x-request-id", "")
 
     # The parser's calls
@@ -72,10 +72,10 @@
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        self.has_head = True
+        self.head_complete = True
 
     def on_body(self, data: bytes) -> None:
-        self.size += len(data)
+        self.body_bytes += len(data)
 
     def on_message_complete(self) -> None:
-        self.whole = True
+        self.complete = True
--- a/ochreflow/lab/duplicates/client.py
+++ b/ochreflow/lab/duplicates/client.py
@@ -15,23 +15,23 @@
 
 from ..platform_config import HOST
 from .classes import Effect
-from .events import Answered, Closed, Left, SendingEnded, Written
+from .events import ClientDisconnected, ClientHalfClosed, ConnectionClosed, RequestSent, ResponseReceived
 from .plan import ClientRequest
-from .record import Record
+from .recorder import EventRecorder
 
-PATIENCE = 0.8  # seconds for which a client waits beyond its deadline
-CONNECT_WITHIN = 6.0  # seconds: a sidecar may take so long to end and come back
-CONNECT_AGAIN = 0.05  # seconds until a client tries again where nobody listens
-PIECE_PAUSE = 0.005  # seconds between the pieces of a request that is written slowly
+RESPONSE_GRACE_S = 0.8  # seconds for which a client waits beyond its deadline
+CONNECT_TIMEOUT_S = 6.0  # seconds: a sidecar may take so long to end and come back
+CONNECT_RETRY_DELAY_S = 0.05  # seconds until a client tries again where nobody listens
+PIECE_DELAY_S = 0.005  # seconds between the pieces of a request that is written slowly
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class Ended(Enum):
+class ExchangeResult(Enum):
     """How a request ended for its client on one connection."""
 
     ANSWERED = auto()
-    UNREAD = auto()  # closed without a byte of an answer: if it was a kept one, perhaps not read
-    CUT = auto()
+    CLOSED_UNANSWERED = auto()  # closed without a byte of an answer: if it was a kept one, perhaps not read
+    ABANDONED = auto()
 
 
 class ClientConnection(asyncio.Protocol):
@@ -42,48 +42,48 @@
         self.opened = opened  # when it was asked for
         self.transport: asyncio.Transport | None = None
         self.used = False  # an answer has come on it
-        self.code: asyncio.Future[int] | None = None  # of the request that is out
-        self.heard = False  # bytes of its answer have come
+        self.status: asyncio.Future[int] | None = None  # of the request that is out
+        self.answer_begun = False  # bytes of its answer have come
         self.closed = False
-        self.wrote_all = False  # of the request that is out
-        self.left = False  # by the client itself
+        self.request_written = False  # of the request that is out
+        self.left_by_client = False  # by the client itself
         self.parser = httptools.HttpResponseParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        self.heard = True
+        self.answer_begun = True
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
 
     def on_message_complete(self) -> None:
-        if self.code is not None and not self.code.done():
+        if self.status is not None and not self.status.done():
             self.used = True
             self.closed = self.closed or not self.parser.should_keep_alive()
-            self.code.set_result(self.parser.get_status_code())
+            self.status.set_result(self.parser.get_status_code())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        if self.code is not None and not self.code.done():
-            self.code.set_exception(ConnectionResetError())
+        if self.status is not None and not self.status.done():
+            self.status.set_exception(ConnectionResetError())
 
     def abort(self) -> None:
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
 
-    def end_sending(self) -> None:
+    def half_close(self) -> None:
         """Send nothing more, also no further request, and wait for the answer."""
         self.closed = True
         assert self.transport is not None
         self.transport.write_eof()
 
-    def leave(self, disconnect_mode: str) -> None:
+    def disconnect(self, disconnect_mode: str) -> None:
         """Go away as the plan says."""
-        self.closed = self.left = True
+        self.closed = self.left_by_client = True
         assert self.transport is not None
         if disconnect_mode == "half_close":
             self.transport.write_eof()
@@ -98,9 +98,12 @@
     """The clients of all sidecars."""
 
     def __init__(
-        self, record: Record, address: Callable[[int], tuple[str, int]], killed_at: Callable[[int], float]
+        self,
+        recorder: EventRecorder,
+        address: Callable[[int], tuple[str, int]],
+        killed_at: Callable[[int], float],
     ) -> None:
-        self.record = record
+        self.recorder = recorder
         self.address = address
         self.killed_at = killed_at  # connections to a sidecar that were opened before ended with it
         self.idle: dict[int, list[ClientConnection]] = defaultdict(list)
@@ -111,57 +114,65 @@
         fresh = False
         while True:
             try:
-                async with asyncio.timeout(CONNECT_WITHIN):
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     connection = await self._connection(request.sidecar, fresh)
             except TimeoutError:
                 return
             reused = connection.used
-            ended = await self._send(request, connection)
-            if fresh or not reused or ended is not Ended.UNREAD:
+            result = await self._send(request, connection)
+            if fresh or not reused or result is not ExchangeResult.CLOSED_UNANSWERED:
                 return
             fresh = True
 
-    async def _send(self, request: ClientRequest, connection: ClientConnection) -> Ended:
+    async def _send(self, request: ClientRequest, connection: ClientConnection) -> ExchangeResult:
         """Send it on a connection, and wait for what comes."""
         loop = asyncio.get_running_loop()
-        connection.heard = connection.wrote_all = False
-        code = connection.code = loop.create_future()
-        leaving = None
+        connection.answer_begun = connection.request_written = False
+        status = connection.status = loop.create_future()
+        disconnect_timer = None
         if request.disconnects_after is not None:
-            leaving = loop.call_later(request.disconnects_after, self._leave, request, connection)
+            disconnect_timer = loop.call_later(
+                request.disconnects_after, self._disconnect, request, connection
+            )
         try:
-            async with asyncio.timeout(request.deadline + PATIENCE):
+            async with asyncio.timeout(request.deadline + RESPONSE_GRACE_S):
                 await self._write(request, connection)
-                answered = await code
-            self.record.add(request.id, Answered(self.record.now(), answered))
+                answered = await status
+            self.recorder.add(request.id, ResponseReceived(self.recorder.now(), answered))
             if not connection.closed:
                 self.idle[request.sidecar].append(connection)
-            return Ended.ANSWERED
+            return ExchangeResult.ANSWERED
         except ConnectionResetError:
-            if connection.left:
-                return Ended.CUT
+            if connection.left_by_client:
+                return ExchangeResult.ABANDONED
             killed = self.killed_at(request.sidecar) >= connection.opened
-            self.record.add(request.id, Closed(self.record.now(), connection.heard, killed))
-            return Ended.CUT if killed or connection.heard else Ended.UNREAD
+            self.recorder.add(
+                request.id, ConnectionClosed(self.recorder.now(), connection.answer_begun, killed)
+            )
+            return (
+                ExchangeResult.ABANDONED
+                if killed or connection.answer_begun
+                else ExchangeResult.CLOSED_UNANSWERED
+            )
         except TimeoutError:
-            self.record.add(request.id, Left(self.record.now(), "waited long enough"))
-            return Ended.CUT
+            self.recorder.add(request.id, ClientDisconnected(self.recorder.now(), "waited long enough"))
+            return ExchangeResult.ABANDONED
         finally:
-            if leaving is not None:
-                leaving.cancel()
-            connection.code = None
-            if connection.closed or code.cancelled() or not code.done():
+            if disconnect_timer is not None:
+                disconnect_timer.cancel()
+            connection.status = None
+            if connection.closed or status.cancelled() or not status.done():
                 connection.abort()
 
-    def _leave(self, request: ClientRequest, connection: ClientConnection) -> None:
-        if connection.code is None or connection.code.done() or connection.closed:
+    def _disconnect(self, request: ClientRequest, connection: ClientConnection) -> None:
+        if connection.status is None or connection.status.done() or connection.closed:
             return
         if request.disconnect_mode != "end_sending":
-            self.record.add(request.id, Left(self.record.now(), request.disconnect_mode))
-            connection.leave(request.disconnect_mode)
-        elif connection.wrote_all:
-            self.record.add(request.id, SendingEnded(self.record.now()))
-            connection.end_sending()
+            self.recorder.add(request.id, ClientDisconnected(self.recorder.now(), request.disconnect_mode))
+            connection.disconnect(request.disconnect_mode)
+        elif connection.request_written:
+            self.recorder.add(request.id, ClientHalfClosed(self.recorder.now()))
+            connection.half_close()
 
     async def _connection(self, sidecar: int, fresh: bool) -> ClientConnection:
         idle = self.idle[sidecar]
@@ -172,30 +183,30 @@
         loop = asyncio.get_running_loop()
         while True:
             with contextlib.suppress(OSError):
-                _, connection = await loop.create_connection(self._new, *self.address(sidecar))
+                _, connection = await loop.create_connection(self._new_connection, *self.address(sidecar))
                 return connection
-            await asyncio.sleep(CONNECT_AGAIN)
+            await asyncio.sleep(CONNECT_RETRY_DELAY_S)
 
-    def _new(self) -> ClientConnection:
+    def _new_connection(self) -> ClientConnection:
         self.connections += 1
-        return ClientConnection(self.connections, self.record.now())
+        return ClientConnection(self.connections, self.recorder.now())
 
     async def _write(self, request: ClientRequest, connection: ClientConnection) -> None:
         transport = connection.transport
         assert transport is not None
-        written = Written(
-            self.record.now(), request.sidecar, request.cls.name, request.size, connection.number
+        written = RequestSent(
+            self.recorder.now(), request.sidecar, request.cls.name, request.size, connection.number
         )
-        self.record.add(request.id, written)
-        data = message(request)
+        self.recorder.add(request.id, written)
+        data = request_bytes(request)
         step = -(-len(data) // request.pieces)
         for begin in range(0, len(data), step):
             if begin:
-                await asyncio.sleep(PIECE_PAUSE)
+                await asyncio.sleep(PIECE_DELAY_S)
             if connection.closed:
                 return
             transport.write(data[begin : begin + step])
-        connection.wrote_all = True
+        connection.request_written = True
 
     def close(self) -> None:
         for idle in self.idle.values():
@@ -203,7 +214,7 @@
                 connection.abort()
 
 
-def message(request: ClientRequest) -> bytes:
+def request_bytes(request: ClientRequest) -> bytes:
     """The request as it goes over the wire."""
     safe = request.cls.effect is Effect.SAFE
     head = [
--- a/ochreflow/lab/duplicates/events.py
+++ b/ochreflow/lab/duplicates/events.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written(Event):
+class RequestSent(Event):
     """The client began to write the request."""
 
     sidecar: int
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Copy(Event):
+class CopyReceived(Event):
     """A server read the last byte of an attempt: a whole copy of the request has reached it."""
 
     attempt: int
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NotRun(Event):
+class AttemptRejected(Event):
     """The server answered 503 or 504 with `X-Not-Run: 1`, and did not run the attempt."""
 
     attempt: int
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered(Event):
+class ResponseReceived(Event):
     """The client has the whole final answer."""
 
     code: int
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Closed(Event):
+class ConnectionClosed(Event):
     """The sidecar's side ended the client's connection before the answer was whole."""
 
     answer_begun: bool
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left(Event):
+class ClientDisconnected(Event):
     """The client closed its connection, or its sending on it."""
 
     disconnect_mode: str
@@ -106,7 +106,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendingEnded(Event):
+class ClientHalfClosed(Event):
     """The client ended its sending after the whole request, and waits for the answer; never judged."""
 
     def __str__(self) -> str:
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble(Event):
+class ProcessEvent(Event):
     """Something that happened to a sidecar or a server as a whole; told to readers, never judged."""
 
     text: str
--- a/ochreflow/lab/duplicates/fleet.py
+++ b/ochreflow/lab/duplicates/fleet.py
@@ -19,14 +19,14 @@
 from ..platform_config import HOST, NODE_TYPE, NS_PER_MS, RESOURCE_LIMITS, ZONES
 from ..process_environment import START_TIMEOUT_S
 from .plan import Plan, SidecarChange
-from .record import Record
+from .recorder import EventRecorder
 from .server import Server
 
 LISTENS = " listens at "
-KILL_AFTER_DEADLINE = 0.7  # seconds after SIGTERM and the longest deadline
-SECOND = 1_000_000_000
+KILL_DELAY_S = 0.7  # seconds after SIGTERM and the longest deadline
+NS_PER_S = 1_000_000_000
 DEBUG_LINES = '[log]\nlevel = "debug"\nper_second = 10000\n'
-STOPS_WITHIN = 0.003  # seconds until a process that gets SIGSTOP runs no more
+SIGSTOP_DELAY_S = 0.003  # seconds until a process that gets SIGSTOP runs no more
 
 
 class FleetError(Exception):
@@ -39,20 +39,20 @@
     def __init__(
         self,
         plan: Plan,
-        folder: Path,
+        run_dir: Path,
         program: Path,
-        record: Record,
+        recorder: EventRecorder,
         servers: list[Server],
         with_debug_lines: bool = False,
     ) -> None:
-        self.options = self._debug_options(folder) if with_debug_lines else ()
+        self.options = self._debug_options(run_dir) if with_debug_lines else ()
         self.plan = plan
-        self.folder = folder.absolute()
+        self.run_dir = run_dir.absolute()
         self.program = program
-        self.record = record
+        self.recorder = recorder
         self.servers = servers
-        self.ledger = EventLog(self.folder / "directory.jsonl")
-        self.directory = FakeDirectory(self.ledger, asyncio.get_running_loop())
+        self.event_log = EventLog(self.run_dir / "directory.jsonl")
+        self.directory = FakeDirectory(self.event_log, asyncio.get_running_loop())
         self.directory_address = ""
         self.processes: dict[int, asyncio.subprocess.Process] = {}
         self.addresses: dict[int, tuple[str, int]] = {}
@@ -63,9 +63,9 @@
         self.crashed: list[str] = []
 
     @staticmethod
-    def _debug_options(folder: Path) -> tuple[str, ...]:
+    def _debug_options(run_dir: Path) -> tuple[str, ...]:
         """The command line of a sidecar that logs each attempt and verdict."""
-        path = (folder / "debug.toml").absolute()
+        path = (run_dir / "debug.toml").absolute()
         path.write_text(DEBUG_LINES)
         return ("--config", str(path))
 
@@ -77,15 +77,15 @@
         listening = await loop.create_server(self.directory.service.connection, HOST, 0)
         self.directory_address = f"{HOST}:{listening.sockets[0].getsockname()[1]}"
         for server in self.servers:
-            self.list(server)
+            self.publish(server)
         await asyncio.gather(*(self.start_sidecar(number) for number in range(self.plan.sidecars)))
 
-    def list(self, server: Server, status: str = "SERVING", since_ms: int = 0) -> None:
+    def publish(self, server: Server, status: str = "SERVING", since_ms: int = 0) -> None:
         """Tell the directory how a server stands."""
         self.directory.put(self._entry(server, status, since_ms))
 
     def _entry(self, server: Server, status: str = "SERVING", since_ms: int = 0) -> dict[str, object]:
-        place = server.places[-1]
+        place = server.placements[-1]
         return {
             "name": f"server-{server.number}",
             "address": f"{HOST}:{server.port}",
@@ -102,7 +102,7 @@
     async def start_sidecar(self, number: int) -> None:
         """Start one, at the address where it listened before."""
         self.starts += 1
-        log = self.folder / f"sidecar-{number}-{self.starts}.log"
+        log = self.run_dir / f"sidecar-{number}-{self.starts}.log"
         path = self.configure(number)
         with log.open("wb") as file:
             process = await asyncio.create_subprocess_exec(
@@ -116,28 +116,28 @@
                 env={**os.environ, "GW_CONFIG": str(path), "PYTHONPATH": str(self.program)},
             )
         self.processes[number] = process
-        said = await self._listening(number, process, log)
-        host, _, port = said.split(LISTENS)[1].split()[0].rpartition(":")
+        output = await self._wait_until_listening(number, process, log)
+        host, _, port = output.split(LISTENS)[1].split()[0].rpartition(":")
         self.addresses[number] = (host, int(port))
         self.ending.discard(number)
 
     @staticmethod
-    async def _listening(number: int, process: asyncio.subprocess.Process, log: Path) -> str:
+    async def _wait_until_listening(number: int, process: asyncio.subprocess.Process, log: Path) -> str:
         """Wait until a sidecar listens; what it has said."""
         try:
             async with asyncio.timeout(START_TIMEOUT_S):
-                while LISTENS not in (said := log.read_text(errors="replace")):
+                while LISTENS not in (output := log.read_text(errors="replace")):
                     if process.returncode is not None:
-                        last = (said.strip().splitlines() or ["it said nothing"])[-1]
+                        last = (output.strip().splitlines() or ["it said nothing"])[-1]
                         raise FleetError(f"sidecar {number} did not start: {last}")
                     await asyncio.sleep(0.01)
         except TimeoutError:
             raise FleetError(f"sidecar {number} did not listen within {START_TIMEOUT_S:g} s") from None
-        return said
+        return output
 
     def configure(self, number: int) -> Path:
         """Write the configuration of a sidecar."""
-        path = self.folder / f"sidecar-{number}.json"
+        path = self.run_dir / f"sidecar-{number}.json"
         path.write_text(json.dumps(self._configuration(number)))
         return path
 
@@ -175,9 +175,9 @@
             "accounts": [],
             "ceilings": {
                 "cancel": True,
-                "conn-idle-ns": 60 * SECOND,
+                "conn-idle-ns": 60 * NS_PER_S,
                 "connect-timeout-ns": round(plan.connect_timeout * 1000) * NS_PER_MS,
-                "max-retry-after-ns": 2 * SECOND,
+                "max-retry-after-ns": 2 * NS_PER_S,
                 "retry-after": True,
                 "second-copies": plan.hedging,
                 "send-cap": plan.max_attempts,
@@ -190,12 +190,12 @@
             "discovery": "ask",
             "fleet-size": plan.sidecars,
             "rules": {
-                "must-ask-in-ns": 10 * SECOND,
+                "must-ask-in-ns": 10 * NS_PER_S,
                 "drain-grace-ns": 500 * NS_PER_MS,
                 "start-capacity": 0.9,
-                "warm-within-ns": SECOND,
+                "warm-within-ns": NS_PER_S,
                 "overload-factor": 50.0,
-                "overload-for-ns": 3 * SECOND,
+                "overload-for-ns": 3 * NS_PER_S,
             },
             "tick-ns": 5 * NS_PER_MS,
         }
@@ -206,7 +206,7 @@
         self.freezes[number] += 1
         self._signal(number, signal.SIGSTOP)
         try:
-            await asyncio.sleep(STOPS_WITHIN)
+            await asyncio.sleep(SIGSTOP_DELAY_S)
             yield
         finally:
             self.freezes[number] -= 1
@@ -219,13 +219,13 @@
             with suppress(ProcessLookupError):
                 process.send_signal(which)
 
-    async def change(self, number: int, change: SidecarChange, seconds: float) -> None:
+    async def apply_change(self, number: int, change: SidecarChange, seconds: float) -> None:
         """Do something to a sidecar; one that ends is started again."""
         if change is SidecarChange.FREEZE:
             async with self.frozen(number):
                 await asyncio.sleep(seconds)
             return
-        self.record.trouble(f"sidecar {number} gets {change.value}")
+        self.recorder.record_process_event(f"sidecar {number} gets {change.value}")
         if change is SidecarChange.HUP:
             self.configure(number)
             self._signal(number, signal.SIGHUP)
@@ -238,19 +238,19 @@
             self._signal(number, signal.SIGTERM)
             longest = max(cls.deadline for cls in self.plan.classes)
             try:
-                await asyncio.wait_for(process.wait(), longest + KILL_AFTER_DEADLINE)
-                self.record.trouble(f"sidecar {number} has ended")
+                await asyncio.wait_for(process.wait(), longest + KILL_DELAY_S)
+                self.recorder.record_process_event(f"sidecar {number} has ended")
             except TimeoutError:
                 await self._kill(number)
         await self.start_sidecar(number)
-        self.record.trouble(f"sidecar {number} is back")
+        self.recorder.record_process_event(f"sidecar {number} is back")
 
     async def _kill(self, number: int) -> None:
         self.killed[number] = math.inf  # until it is over: what is still connected to it is cut
         self._signal(number, signal.SIGKILL)
         await self.processes[number].wait()
-        self.killed[number] = self.record.now()
-        self.record.trouble(f"sidecar {number} was killed")
+        self.killed[number] = self.recorder.now()
+        self.recorder.record_process_event(f"sidecar {number} was killed")
 
     def killed_at(self, number: int) -> float:
         """Until when connections to a sidecar were to a process that was then killed."""
@@ -265,8 +265,8 @@
         for process in self.processes.values():
             await process.wait()
         self.directory.close()
-        self.ledger.close()
+        self.event_log.close()
 
     def restarted(self, server: Server) -> None:
         """Tell the directory of a server that has just started anew."""
-        self.list(server, since_ms=int(time() * 1000))
+        self.publish(server, since_ms=int(time() * 1000))
--- a/ochreflow/lab/duplicates/pipelining.py
+++ b/ochreflow/lab/duplicates/pipelining.py
@@ -8,12 +8,12 @@
 
 import httptools
 
-from .client import CONNECT_WITHIN, PATIENCE, message
-from .events import Answered, Closed, Left, Written
+from .client import CONNECT_TIMEOUT_S, RESPONSE_GRACE_S, request_bytes
+from .events import ClientDisconnected, ConnectionClosed, RequestSent, ResponseReceived
 from .plan import PipelinedPair
-from .record import Record
+from .recorder import EventRecorder
 
-RECEIVE_BUFFER = 4096  # bytes
+RECEIVE_BUFFER_BYTES = 4096  # bytes
 EMPTY_LINE = b"\r\n"  # behind a request; a server ignores it (RFC 9112, 2.2)
 NO_CONNECTION = 0  # such a connection has no number: it is not used again
 
@@ -21,52 +21,55 @@
 class PairConnection(asyncio.Protocol):
     """A connection that reads nothing until it is told to, and then the answers in their order."""
 
-    def __init__(self, record: Record, idents: tuple[str, ...]) -> None:
-        self.record = record
-        self.unanswered = list(idents)
-        self.begun = False  # a part of the next answer has come
-        self.over = asyncio.get_running_loop().create_future()
+    def __init__(self, recorder: EventRecorder, request_ids: tuple[str, ...]) -> None:
+        self.recorder = recorder
+        self.unanswered = list(request_ids)
+        self.answer_begun = False  # a part of the next answer has come
+        self.finished = asyncio.get_running_loop().create_future()
         self.parser = httptools.HttpResponseParser(self)
 
     def data_received(self, data: bytes) -> None:
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self._end()
+            self._finish()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._end()
+        self._finish()
 
-    def _end(self) -> None:
-        if not self.over.done():
-            self.over.set_result(None)
+    def _finish(self) -> None:
+        if not self.finished.done():
+            self.finished.set_result(None)
 
     # The parser's calls
 
     def on_message_begin(self) -> None:
-        self.begun = True
+        self.answer_begun = True
 
     def on_message_complete(self) -> None:
-        self.begun = False
-        self.record.add(self.unanswered.pop(0), Answered(self.record.now(), self.parser.get_status_code()))
+        self.answer_begun = False
+        self.recorder.add(
+            self.unanswered.pop(0), ResponseReceived(self.recorder.now(), self.parser.get_status_code())
+        )
         if not self.unanswered:
-            self._end()
+            self._finish()
 
 
-async def play_pair(pair: PipelinedPair, address: tuple[str, int], record: Record) -> None:
+async def play_pair(pair: PipelinedPair, address: tuple[str, int], recorder: EventRecorder) -> None:
     """Play a pair to its end."""
     requests = (pair.lookup, pair.order)
-    connection = PairConnection(record, tuple(request.id for request in requests))
+    connection = PairConnection(recorder, tuple(request.id for request in requests))
     try:
-        async with asyncio.timeout(CONNECT_WITHIN):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             transport = await _connect(connection, address)
     except OSError:  # also a time-out
         return
     for request in requests:
-        record.add(
-            request.id, Written(record.now(), request.sidecar, request.cls.name, request.size, NO_CONNECTION)
+        recorder.add(
+            request.id,
+            RequestSent(recorder.now(), request.sidecar, request.cls.name, request.size, NO_CONNECTION),
         )
-    transport.write(b"".join(message(request) for request in requests))
+    transport.write(b"".join(request_bytes(request) for request in requests))
     await asyncio.sleep(pair.line_after)
     if not transport.is_closing():
         transport.write(EMPTY_LINE)
@@ -74,9 +77,9 @@
     if not transport.is_closing():
         transport.resume_reading()
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(sum(request.deadline for request in requests) + PATIENCE):
-            await connection.over
-    _record_missing(connection, record)
+        async with asyncio.timeout(sum(request.deadline for request in requests) + RESPONSE_GRACE_S):
+            await connection.finished
+    _record_missing(connection, recorder)
     transport.abort()
 
 
@@ -84,7 +87,7 @@
     loop = asyncio.get_running_loop()
     sock = socket.socket()
     sock.setblocking(False)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     try:
         await loop.sock_connect(sock, address)
     except BaseException:
@@ -95,12 +98,12 @@
     return transport
 
 
-def _record_missing(connection: PairConnection, record: Record) -> None:
+def _record_missing(connection: PairConnection, recorder: EventRecorder) -> None:
     """Say how the requests ended that have no answer."""
-    begun = connection.begun
-    for ident in connection.unanswered:
-        if connection.over.done():
-            record.add(ident, Closed(record.now(), begun, killed=False))
+    answer_begun = connection.answer_begun
+    for request_id in connection.unanswered:
+        if connection.finished.done():
+            recorder.add(request_id, ConnectionClosed(recorder.now(), answer_begun, killed=False))
         else:
-            record.add(ident, Left(record.now(), "waited long enough"))
-        begun = False
+            recorder.add(request_id, ClientDisconnected(recorder.now(), "waited long enough"))
+        answer_begun = False
--- a/ochreflow/lab/duplicates/plan.py
+++ b/ochreflow/lab/duplicates/plan.py
@@ -298,8 +298,8 @@
     at, sidecar = rng.uniform(0.2, seconds), rng.randrange(sidecars)
     for _ in range(REQUESTS_PER_SURGE):
         at += rng.expovariate(SURGE_REQUESTS_PER_SECOND)
-        ident = f"{rng.getrandbits(64):016x}"
-        yield ClientRequest(at, ident, sidecar, cls, 0, False, cls.deadline, 1, None, "")
+        request_id = f"{rng.getrandbits(64):016x}"
+        yield ClientRequest(at, request_id, sidecar, cls, 0, False, cls.deadline, 1, None, "")
 
 
 def _draw_server_steps(rng: random.Random, seconds: float, servers: int) -> tuple[ServerStep, ...]:
@@ -365,8 +365,10 @@
     at = rng.uniform(0.2, seconds)
 
     def request(cls: RequestClass, answer_size: int, last: bool) -> ClientRequest:
-        ident = f"{rng.getrandbits(64):016x}"
-        return ClientRequest(at, ident, sidecar, cls, 0, False, cls.deadline, 1, None, "", answer_size, last)
+        request_id = f"{rng.getrandbits(64):016x}"
+        return ClientRequest(
+            at, request_id, sidecar, cls, 0, False, cls.deadline, 1, None, "", answer_size, last
+        )
 
     lookup = request(classes[0], rng.choice(LONG_ANSWERS_BYTES), last=False)
     order = request(classes[1], 0, last=rng.random() < 0.5)
--- a/ochreflow/lab/duplicates/play.py
+++ b/ochreflow/lab/duplicates/play.py
@@ -13,30 +13,30 @@
 
 from .classes import Effect, RequestClass
 from .client import Clients
-from .events import Answered, Copy, Event, NotRun
+from .events import AttemptRejected, CopyReceived, Event, ResponseReceived
 from .fleet import Fleet
-from .judge import Break, Place, judge
+from .judge import Placement, Violation, find_violations
 from .pipelining import play_pair
 from .plan import Burst, ClientRequest, PipelinedPair, Plan, ServerChange, ServerStep, SidecarStep
-from .record import Record
-from .server import Server, Shared
+from .recorder import EventRecorder
+from .server import RunContext, Server
 
-CERTAIN = (200, 429, 503)  # answers that say whether the request ran
-FINISH_WITHIN = 10.0  # seconds for which the last requests and restarts are waited for
+CONCLUSIVE_CODES = (200, 429, 503)  # answers that say whether the request ran
+FINISH_TIMEOUT_S = 10.0  # seconds for which the last requests and restarts are waited for
 
 
 @dataclass(slots=True)
 class Failure:
     """A request that broke the rule, and all that is known of it."""
 
-    ident: str
+    request_id: str
     cls: RequestClass
-    breaks: list[Break]
-    story: list[Event]
+    violations: list[Violation]
+    timeline: list[Event]
 
 
 @dataclass(slots=True)
-class Result:
+class RunResult:
     """What a run came to."""
 
     seed: int
@@ -44,66 +44,72 @@
     crashed: list[str] = field(default_factory=list)
     requests: int = 0
     copies: int = 0
-    unrepeatable: Counter[int] = field(default_factory=Counter)  # answers by code, of unsafe requests
-    needless: int = 0  # unsafe requests answered as failed, none of whose copies may have run
+    unsafe_answers: Counter[int] = field(default_factory=Counter)  # answers by code, of unsafe requests
+    needless_failures: int = 0  # unsafe requests answered as failed, none of whose copies may have run
 
     @property
     def broken(self) -> bool:
         return bool(self.failures or self.crashed)
 
     @property
-    def unproved(self) -> int:
+    def unproven(self) -> int:
         """Unsafe requests whose answer says neither that they ran nor that they did not."""
-        return sum(count for code, count in self.unrepeatable.items() if code not in CERTAIN)
+        return sum(count for code, count in self.unsafe_answers.items() if code not in CONCLUSIVE_CODES)
 
 
-def play(plan: Plan, program: Path, keep: Path | None = None) -> Result:
+def play(plan: Plan, program: Path, keep: Path | None = None) -> RunResult:
     """Play a plan with the program of a checkout; logs, with a line for each attempt, are kept in `keep`."""
-    folder = keep or Path(tempfile.mkdtemp(prefix="ochreflow-duplicates-"))
-    folder.mkdir(parents=True, exist_ok=True)
+    run_dir = keep or Path(tempfile.mkdtemp(prefix="ochreflow-duplicates-"))
+    run_dir.mkdir(parents=True, exist_ok=True)
     try:
-        return uvloop.run(_play(plan, folder, program, keep is not None))
+        return uvloop.run(_play(plan, run_dir, program, keep is not None))
     finally:
         if keep is None:
-            shutil.rmtree(folder, ignore_errors=True)
+            shutil.rmtree(run_dir, ignore_errors=True)
 
 
-async def _play(plan: Plan, folder: Path, program: Path, with_debug_lines: bool) -> Result:
-    return await Run(plan, folder, program, with_debug_lines).play()
+async def _play(plan: Plan, run_dir: Path, program: Path, with_debug_lines: bool) -> RunResult:
+    return await Run(plan, run_dir, program, with_debug_lines).play()
 
 
 class Run:
     """Owns all that takes part in one run."""
 
-    def __init__(self, plan: Plan, folder: Path, program: Path, with_debug_lines: bool) -> None:
+    def __init__(self, plan: Plan, run_dir: Path, program: Path, with_debug_lines: bool) -> None:
         self.plan = plan
-        self.record = Record()
+        self.recorder = EventRecorder()
         pairs = (request for pair in plan.pairs for request in (pair.lookup, pair.order))
         self.requests = {request.id: request for request in (*plan.requests, *pairs)}
-        shared = Shared(
-            plan, self.record, lambda number: self.fleet.frozen(number), self._move, self.requests
+        context = RunContext(
+            plan, self.recorder, lambda number: self.fleet.frozen(number), self._move, self.requests
         )
-        self.servers = [Server(number, given, shared) for number, given in enumerate(plan.servers)]
-        self.fleet = Fleet(plan, folder, program, self.record, self.servers, with_debug_lines)
-        self.clients = Clients(self.record, lambda number: self.fleet.addresses[number], self.fleet.killed_at)
-        self.quick = Clients(Record(), lambda number: self.fleet.addresses[number], self.fleet.killed_at)
-        self.begin = 0.0
+        self.servers = [
+            Server(number, server_plan, context) for number, server_plan in enumerate(plan.servers)
+        ]
+        self.fleet = Fleet(plan, run_dir, program, self.recorder, self.servers, with_debug_lines)
+        self.clients = Clients(
+            self.recorder, lambda number: self.fleet.addresses[number], self.fleet.killed_at
+        )
+        self.burst_clients = Clients(
+            EventRecorder(), lambda number: self.fleet.addresses[number], self.fleet.killed_at
+        )
+        self.started_at = 0.0
 
-    async def play(self) -> Result:
+    async def play(self) -> RunResult:
         """Play it, and judge it."""
         try:
             for server in self.servers:
                 await server.start()
             await self.fleet.start()
-            self.begin = self.record.now()
+            self.started_at = self.recorder.now()
             await self._play_all()
         finally:
             await self.fleet.stop()
             self.clients.close()
-            self.quick.close()
+            self.burst_clients.close()
             for server in self.servers:
                 server.stop()
-        return self._result()
+        return self._judge_run()
 
     async def _play_all(self) -> None:
         plan = self.plan
@@ -115,22 +121,22 @@
             *(self._play_pair(pair) for pair in plan.pairs),
         ]
         tasks = [asyncio.ensure_future(part) for part in parts]
-        done, unfinished = await asyncio.wait(tasks, timeout=plan.seconds + FINISH_WITHIN)
+        done, unfinished = await asyncio.wait(tasks, timeout=plan.seconds + FINISH_TIMEOUT_S)
         for task in unfinished:
             task.cancel()
         await asyncio.gather(*unfinished, return_exceptions=True)
         for task in done:
             task.result()  # a fault of the search itself ends it
 
-    async def _until(self, at: float) -> None:
-        await asyncio.sleep(max(self.begin + at - self.record.now(), 0.0))
+    async def _wait_until(self, at: float) -> None:
+        await asyncio.sleep(max(self.started_at + at - self.recorder.now(), 0.0))
 
     async def _play_request(self, request: ClientRequest) -> None:
-        await self._until(request.at)
+        await self._wait_until(request.at)
         await self.clients.send(request)
 
     async def _burst(self, burst: Burst) -> None:
-        await self._until(burst.at)
+        await self._wait_until(burst.at)
         lookup = self.plan.classes[0]
         names = (
             f"{self.plan.seed % 65536:04x}{round(burst.at * 1e6):08x}{number:04x}"
@@ -140,68 +146,70 @@
             ClientRequest(burst.at, name, burst.sidecar, lookup, 0, False, lookup.deadline, 1, None, "")
             for name in names
         ]
-        await asyncio.gather(*(self.quick.send(request) for request in requests))
+        await asyncio.gather(*(self.burst_clients.send(request) for request in requests))
 
     async def _play_pair(self, pair: PipelinedPair) -> None:
-        await self._until(pair.at)
-        await play_pair(pair, self.fleet.addresses[pair.lookup.sidecar], self.record)
+        await self._wait_until(pair.at)
+        await play_pair(pair, self.fleet.addresses[pair.lookup.sidecar], self.recorder)
 
     async def _sidecar_step(self, step: SidecarStep) -> None:
-        await self._until(step.at)
-        await self.fleet.change(step.sidecar, step.change, step.seconds)
+        await self._wait_until(step.at)
+        await self.fleet.apply_change(step.sidecar, step.change, step.seconds)
 
     async def _server_step(self, step: ServerStep) -> None:
-        await self._until(step.at)
+        await self._wait_until(step.at)
         server = self.servers[step.server]
-        self.record.trouble(f"server {step.server}: {step.change.value}, {step.seconds:g} s")
+        self.recorder.record_process_event(f"server {step.server}: {step.change.value}, {step.seconds:g} s")
         if step.change is ServerChange.MOVE:
             self._move(step.server, step.group_offset)
         elif step.change is ServerChange.DRAIN:
-            self.fleet.list(server, "DRAINING")
+            self.fleet.publish(server, "DRAINING")
             await asyncio.sleep(step.seconds)
-            self.fleet.list(server)
+            self.fleet.publish(server)
         elif step.change is ServerChange.RESTART:
             server.stop()
             await asyncio.sleep(step.seconds)
             await server.start()
             self.fleet.restarted(server)
         else:
-            server.accept_nothing()
+            server.pause_accepting()
             await asyncio.sleep(step.seconds)
-            server.accept()
+            server.resume_accepting()
 
     def _move(self, number: int, further: int) -> None:
         """Move a server to the group of the one so many numbers further, and tell the directory."""
-        place = self.servers[(number + further) % len(self.servers)].places[-1]
-        self.servers[number].move(place.zone, place.cell)
-        self.fleet.list(self.servers[number])
+        placement = self.servers[(number + further) % len(self.servers)].placements[-1]
+        self.servers[number].move(placement.zone, placement.cell)
+        self.fleet.publish(self.servers[number])
 
     # The end
 
-    def _places(self, server: int, begin: float, end: float) -> list[Place]:
-        return self.servers[server].stood(begin, end)
+    def _placements(self, server: int, begin: float, end: float) -> list[Placement]:
+        return self.servers[server].placements_between(begin, end)
 
-    def _result(self) -> Result:
-        result = Result(self.plan.seed, crashed=self.fleet.crashed)
-        for ident, request in self.requests.items():
-            events = self.record.requests.get(ident)
+    def _judge_run(self) -> RunResult:
+        result = RunResult(self.plan.seed, crashed=self.fleet.crashed)
+        for request_id, request in self.requests.items():
+            events = self.recorder.requests.get(request_id)
             if not events:
                 continue
             result.requests += 1
-            result.copies += sum(isinstance(event, Copy) for event in events)
+            result.copies += sum(isinstance(event, CopyReceived) for event in events)
             if request.cls.effect is Effect.UNSAFE:
                 self._count(result, events)
-            if breaks := judge(request.cls, events, self._places, self.plan.hedging):
-                result.failures.append(Failure(ident, request.cls, breaks, self.record.story(ident)))
-        result.failures.sort(key=lambda failure: failure.breaks[0].at)
+            if violations := find_violations(request.cls, events, self._placements, self.plan.hedging):
+                result.failures.append(
+                    Failure(request_id, request.cls, violations, self.recorder.timeline(request_id))
+                )
+        result.failures.sort(key=lambda failure: failure.violations[0].at)
         return result
 
     @staticmethod
-    def _count(result: Result, events: list[Event]) -> None:
-        copies = {event.attempt for event in events if isinstance(event, Copy)}
-        turned_away = {event.attempt for event in events if isinstance(event, NotRun)}
+    def _count(result: RunResult, events: list[Event]) -> None:
+        copies = {event.attempt for event in events if isinstance(event, CopyReceived)}
+        rejected_at = {event.attempt for event in events if isinstance(event, AttemptRejected)}
         for event in events:
-            if isinstance(event, Answered):
-                result.unrepeatable[event.code] += 1
-                if event.code not in CERTAIN and not copies - turned_away:
-                    result.needless += 1
+            if isinstance(event, ResponseReceived):
+                result.unsafe_answers[event.code] += 1
+                if event.code not in CONCLUSIVE_CODES and not copies - rejected_at:
+                    result.needless_failures += 1
--- a/ochreflow/lab/duplicates/search.py
+++ b/ochreflow/lab/duplicates/search.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 
 from .plan import FaultGroup, draw
-from .play import Failure, Result, play
+from .play import Failure, RunResult, play
 
 PACKAGE_START = Path("ochreflow") / "__main__.py"
-HERE = Path(__file__).resolve().parents[3]
-SHOWN = 3  # broken requests that are named under the line of a run
+CHECKOUT = Path(__file__).resolve().parents[3]
+MAX_LISTED_FAILURES = 3  # broken requests that are named under the line of a run
 
 
 class SearchError(Exception):
@@ -20,14 +20,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Search:
+class SearchOptions:
     """What to search. `program` is a checkout whose sidecar is played."""
 
     seed: int = 1
     runs: int = 1
     seconds: float = 5.0
     jobs: int = 1
-    program: Path = HERE
+    program: Path = CHECKOUT
     fault_groups: frozenset[FaultGroup] = frozenset(FaultGroup)
     keep: Path | None = None
 
@@ -48,81 +48,81 @@
     requests: int = 0
     copies: int = 0
     answers: int = 0  # to unsafe requests
-    unproved: int = 0
-    needless: int = 0
+    unproven: int = 0
+    needless_failures: int = 0
 
-    def add(self, result: Result) -> None:
+    def add(self, result: RunResult) -> None:
         self.runs += 1
         self.requests += result.requests
         self.copies += result.copies
-        self.answers += sum(result.unrepeatable.values())
-        self.unproved += result.unproved
-        self.needless += result.needless
+        self.answers += sum(result.unsafe_answers.values())
+        self.unproven += result.unproven
+        self.needless_failures += result.needless_failures
         if result.broken:
             self.broken.append(result.seed)
 
 
-def search(wanted: Search) -> int:
+def search(options: SearchOptions) -> int:
     """Play all runs, and print what they come to; 0 if none broke the rule, 1 if one did."""
-    wanted.check()
+    options.check()
     totals = Totals()
-    for result in _results(wanted):
+    for result in _run_results(options):
         totals.add(result)
-        print(line(result), flush=True)
-        for failure in result.failures[:SHOWN]:
-            print(f"      {named(failure)}", flush=True)
+        print(format_result(result), flush=True)
+        for failure in result.failures[:MAX_LISTED_FAILURES]:
+            print(f"      {format_failure(failure)}", flush=True)
         if result.failures:
-            print(story(result.failures[0]), flush=True)
-    print(summary(totals))
+            print(format_timeline(result.failures[0]), flush=True)
+    print(format_totals(totals))
     return 1 if totals.broken else 0
 
 
-def _results(wanted: Search) -> Iterator[Result]:
+def _run_results(options: SearchOptions) -> Iterator[RunResult]:
     """Each run's result as it is there."""
-    seeds = range(wanted.seed, wanted.seed + wanted.runs)
-    if wanted.jobs == 1:
-        yield from (_one(wanted, seed) for seed in seeds)
+    seeds = range(options.seed, options.seed + options.runs)
+    if options.jobs == 1:
+        yield from (_play_seed(options, seed) for seed in seeds)
         return
-    with ProcessPoolExecutor(wanted.jobs) as pool:
-        runs = [pool.submit(_one, wanted, seed) for seed in seeds]
+    with ProcessPoolExecutor(options.jobs) as pool:
+        runs = [pool.submit(_play_seed, options, seed) for seed in seeds]
         for run in as_completed(runs):
             yield run.result()
 
 
-def _one(wanted: Search, seed: int) -> Result:
-    keep = wanted.keep / f"seed-{seed}" if wanted.keep is not None else None
-    return play(draw(seed, wanted.seconds, wanted.fault_groups), wanted.program.resolve(), keep)
+def _play_seed(options: SearchOptions, seed: int) -> RunResult:
+    keep = options.keep / f"seed-{seed}" if options.keep is not None else None
+    return play(draw(seed, options.seconds, options.fault_groups), options.program.resolve(), keep)
 
 
-def line(result: Result) -> str:
+def format_result(result: RunResult) -> str:
     """What a person is shown of a run."""
-    verdict = "broken" if result.broken else "kept"
-    codes = ", ".join(f"{code}: {count}" for code, count in sorted(result.unrepeatable.items()))
+    outcome = "broken" if result.broken else "kept"
+    codes = ", ".join(f"{code}: {count}" for code, count in sorted(result.unsafe_answers.items()))
     text = (
-        f"seed {result.seed:<5} {verdict:<6} {len(result.failures)} of {result.requests} requests broke it,"
-        f" {result.copies} copies; unsafe {{{codes}}}, {result.needless} of them failed needlessly"
+        f"seed {result.seed:<5} {outcome:<6} {len(result.failures)} of {result.requests} requests broke it,"
+        f" {result.copies} copies; unsafe {{{codes}}}, {result.needless_failures} of them failed needlessly"
     )
     return "\n".join([text, *(f"      {crash}" for crash in result.crashed)])
 
 
-def named(failure: Failure) -> str:
+def format_failure(failure: Failure) -> str:
     """A request that broke the rule, and how."""
-    first = failure.breaks[0]
-    return f"{failure.ident} {failure.cls.name}: {first.kind.value} at {first.at:.4f} s, {first.text}"
+    first = failure.violations[0]
+    return f"{failure.request_id} {failure.cls.name}: {first.kind.value} at {first.at:.4f} s, {first.text}"
 
 
-def story(failure: Failure) -> str:
+def format_timeline(failure: Failure) -> str:
     """The events of a request in order."""
-    events = "\n".join(f"      {event.at:9.4f}  {event}" for event in failure.story)
-    return f"      Events of {failure.ident} ({failure.cls}):\n{events}"
+    events = "\n".join(f"      {event.at:9.4f}  {event}" for event in failure.timeline)
+    return f"      Events of {failure.request_id} ({failure.cls}):\n{events}"
 
 
-def summary(totals: Totals) -> str:
+def format_totals(totals: Totals) -> str:
     """The sums of all runs."""
     answers = max(totals.answers, 1)
     seeds = f": {', '.join(map(str, sorted(totals.broken)))}" if totals.broken else ""
     return (
         f"{len(totals.broken)} of {totals.runs} runs broke the rule{seeds}\n"
         f"{totals.requests} requests, {totals.copies} copies; of {totals.answers} answers to unsafe requests"
-        f" {totals.unproved / answers:.3f} may have run, {totals.needless / answers:.4f} needlessly"
+        f" {totals.unproven / answers:.3f} may have run, {totals.needless_failures / answers:.4f} needlessly"
     )
--- a/tests/test_duplicate_search.py
+++ b/tests/test_duplicate_search.py
@@ -10,8 +10,16 @@
 from ochreflow.cli.main import main
 from ochreflow.lab.duplicates import search as searching
 from ochreflow.lab.duplicates.classes import Effect, RequestClass, Scope
-from ochreflow.lab.duplicates.events import Answered, AttemptEnded, Closed, Copy, Left, NotRun, Written
-from ochreflow.lab.duplicates.judge import Kind, Place, judge
+from ochreflow.lab.duplicates.events import (
+    AttemptEnded,
+    AttemptRejected,
+    ClientDisconnected,
+    ConnectionClosed,
+    CopyReceived,
+    RequestSent,
+    ResponseReceived,
+)
+from ochreflow.lab.duplicates.judge import Placement, ViolationKind, find_violations
 from ochreflow.lab.duplicates.plan import (
     REQUESTS_PER_SURGE,
     ClientRequest,
@@ -29,10 +37,10 @@
 UNSAFE = RequestClass("order", Effect.UNSAFE, 1.0)
 SAFE = RequestClass("lookup", Effect.SAFE, 1.0)
 PLACES = {  # server: zone, cell; servers 1 and 2 share a cell, 1 to 3 a zone
-    1: Place(-1e9, 0, 0),
-    2: Place(-1e9, 0, 0),
-    3: Place(-1e9, 0, 1),
-    4: Place(-1e9, 1, 2),
+    1: Placement(-1e9, 0, 0),
+    2: Placement(-1e9, 0, 0),
+    3: Placement(-1e9, 0, 1),
+    4: Placement(-1e9, 1, 2),
 }
 
 
@@ -42,7 +50,7 @@
 
 def copy(at, attempt=0, server=1, began=None, not_before=None):
     began = at if began is None else began
-    return Copy(at, attempt, server, began, at if not_before is None else not_before, 100)
+    return CopyReceived(at, attempt, server, began, at if not_before is None else not_before, 100)
 
 
 def kinds(cls, *events, hedging=True, places=None):
@@ -51,47 +59,55 @@
         ends = [stay.since for stay in stays[1:]] + [1e9]
         return [stay for stay, until in zip(stays, ends, strict=True) if stay.since <= end and until >= begin]
 
-    return [one.kind for one in judge(cls, events, stood, hedging)]
+    return [one.kind for one in find_violations(cls, events, stood, hedging)]
 
 
 # The judge: second copies
 
 
 def test_one_copy_and_its_answer_keep_the_rule():
-    assert kinds(UNSAFE, copy(1.0), Answered(1.1, 200)) == []
+    assert kinds(UNSAFE, copy(1.0), ResponseReceived(1.1, 200)) == []
 
 
 def test_a_second_copy_of_an_unsafe_request_breaks_it():
-    assert kinds(UNSAFE, copy(1.0), copy(1.2, 1, 2), Answered(1.3, 200)) == [Kind.SECOND_COPY]
+    assert kinds(UNSAFE, copy(1.0), copy(1.2, 1, 2), ResponseReceived(1.3, 200)) == [
+        ViolationKind.SECOND_COPY
+    ]
 
 
 def test_a_copy_that_becomes_whole_after_the_repeat_began_breaks_it():
     late = copy(1.5, 0, 1, began=1.0)
-    assert kinds(UNSAFE, late, copy(1.2, 1, 2), Answered(1.3, 200)) == [Kind.SECOND_COPY]
+    assert kinds(UNSAFE, late, copy(1.2, 1, 2), ResponseReceived(1.3, 200)) == [ViolationKind.SECOND_COPY]
 
 
 def test_a_copy_that_was_turned_away_before_may_be_repeated():
-    events = (copy(1.0), NotRun(1.1, 0), copy(1.2, 1, 2), Answered(1.3, 200))
+    events = (copy(1.0), AttemptRejected(1.1, 0), copy(1.2, 1, 2), ResponseReceived(1.3, 200))
     assert kinds(UNSAFE, *events) == []
 
 
 def test_a_copy_that_is_turned_away_only_after_the_repeat_may_not():
-    events = (copy(1.0), copy(1.2, 1, 2), NotRun(1.25, 0), Answered(1.3, 200))
-    assert kinds(UNSAFE, *events) == [Kind.SECOND_COPY]
+    events = (copy(1.0), copy(1.2, 1, 2), AttemptRejected(1.25, 0), ResponseReceived(1.3, 200))
+    assert kinds(UNSAFE, *events) == [ViolationKind.SECOND_COPY]
 
 
 def test_an_attempt_turned_away_in_part_counts_for_nothing_when_the_rest_of_it_comes():
     rest = copy(1.5, 0, 1, began=1.0)
-    assert kinds(UNSAFE, NotRun(1.1, 0), copy(1.2, 1, 2), rest, Answered(1.3, 200)) == []
+    assert kinds(UNSAFE, AttemptRejected(1.1, 0), copy(1.2, 1, 2), rest, ResponseReceived(1.3, 200)) == []
 
 
 def test_all_earlier_copies_must_have_been_turned_away():
-    events = (copy(1.0), NotRun(1.1, 0), copy(1.2, 1, 2), copy(1.4, 2, 3), Answered(1.5, 200))
-    assert kinds(UNSAFE, *events) == [Kind.SECOND_COPY]
+    events = (
+        copy(1.0),
+        AttemptRejected(1.1, 0),
+        copy(1.2, 1, 2),
+        copy(1.4, 2, 3),
+        ResponseReceived(1.5, 200),
+    )
+    assert kinds(UNSAFE, *events) == [ViolationKind.SECOND_COPY]
 
 
 def test_a_safe_request_may_be_repeated_and_refused():
-    assert kinds(SAFE, copy(1.0), copy(1.2, 1, 4), Answered(1.3, 503)) == []
+    assert kinds(SAFE, copy(1.0), copy(1.2, 1, 4), ResponseReceived(1.3, 503)) == []
 
 
 @pytest.mark.parametrize(
@@ -106,44 +122,44 @@
     ],
 )
 def test_a_keyed_request_may_be_repeated_in_its_group_only(scope, server, broken):
-    found = kinds(keyed(scope), copy(1.0), copy(1.2, 1, server), Answered(1.3, 200))
-    assert found == ([Kind.OUTSIDE_GROUP] if broken else [])
+    found = kinds(keyed(scope), copy(1.0), copy(1.2, 1, server), ResponseReceived(1.3, 200))
+    assert found == ([ViolationKind.OUTSIDE_GROUP] if broken else [])
 
 
 def test_either_group_of_a_server_that_moved_between_the_copies_will_do():
-    moved = {3: [PLACES[3], Place(1.1, 0, 0)]}
+    moved = {3: [PLACES[3], Placement(1.1, 0, 0)]}
     assert kinds(keyed(Scope.CELL), copy(1.0), copy(1.2, 1, 3), places=moved) == []
 
 
 @pytest.mark.parametrize(("scope", "joined", "kept"), [(Scope.CELL, 3, 2), (Scope.ZONE, 4, 3)])
 def test_a_later_move_of_the_first_copys_server_does_not_change_its_group(scope, joined, kept):
     place = PLACES[joined]
-    moved = {1: [PLACES[1], Place(1.1, place.zone, place.cell)]}
+    moved = {1: [PLACES[1], Placement(1.1, place.zone, place.cell)]}
     to_new_group = kinds(keyed(scope), copy(1.0), copy(1.2, 1, joined), places=moved)
-    assert to_new_group == [Kind.OUTSIDE_GROUP]
+    assert to_new_group == [ViolationKind.OUTSIDE_GROUP]
     assert kinds(keyed(scope), copy(1.0), copy(1.2, 1, kept), places=moved) == []
 
 
 @pytest.mark.parametrize(("at", "broken"), [(1.9, False), (2.3, True)])
 def test_a_server_belongs_to_its_old_group_until_sidecars_surely_know_of_the_move(at, broken):
-    moved = {2: [PLACES[2], Place(0.2, 0, 1)]}
+    moved = {2: [PLACES[2], Placement(0.2, 0, 1)]}
     found = kinds(keyed(Scope.CELL, 10.0), copy(0.1), copy(at, 1, 2), places=moved)
-    assert found == ([Kind.OUTSIDE_GROUP] if broken else [])
+    assert found == ([ViolationKind.OUTSIDE_GROUP] if broken else [])
 
 
 def test_a_copy_that_waited_unread_may_have_been_sent_before_a_move():
-    moved = {2: [PLACES[2], Place(0.2, 0, 1)]}
+    moved = {2: [PLACES[2], Placement(0.2, 0, 1)]}
     assert kinds(keyed(Scope.CELL, 10.0), copy(0.1), copy(2.9, 1, 2, not_before=1.9), places=moved) == []
 
 
 @pytest.mark.parametrize(("apart", "broken"), [(0.9, False), (1.04, False), (1.06, True)])
 def test_a_keyed_request_may_be_repeated_in_its_window_and_the_slack_only(apart, broken):
     found = kinds(keyed(Scope.ALL), copy(1.0), copy(1.0 + apart, 1, 2))
-    assert found == ([Kind.OUTSIDE_WINDOW] if broken else [])
+    assert found == ([ViolationKind.OUTSIDE_WINDOW] if broken else [])
 
 
 def test_the_window_begins_with_the_first_byte_of_the_first_copy():
-    assert kinds(keyed(Scope.ALL), copy(1.5, began=1.0), copy(2.1, 1, 2)) == [Kind.OUTSIDE_WINDOW]
+    assert kinds(keyed(Scope.ALL), copy(1.5, began=1.0), copy(2.1, 1, 2)) == [ViolationKind.OUTSIDE_WINDOW]
 
 
 def test_a_copy_that_is_read_late_counts_as_of_when_it_may_have_come():
@@ -151,13 +167,13 @@
 
 
 def test_a_copy_that_was_turned_away_begins_no_window():
-    events = (copy(1.0), NotRun(1.1, 0), copy(2.5, 1, 4), Answered(2.6, 200))
+    events = (copy(1.0), AttemptRejected(1.1, 0), copy(2.5, 1, 4), ResponseReceived(2.6, 200))
     assert kinds(keyed(Scope.CELL), *events) == []
 
 
 def test_a_second_copy_while_one_is_out_breaks_it_where_the_settings_forbid_that():
     both = (copy(1.0), copy(1.2, 1, 2), AttemptEnded(1.4, 0))
-    assert kinds(SAFE, *both, hedging=False) == [Kind.OVERLAP]
+    assert kinds(SAFE, *both, hedging=False) == [ViolationKind.CONCURRENT_COPY]
     assert kinds(SAFE, *both, hedging=True) == []
 
 
@@ -181,45 +197,59 @@
 @pytest.mark.parametrize("code", [429, 503])
 @pytest.mark.parametrize("cls", [UNSAFE, keyed(Scope.ZONE), keyed(Scope.CELL)])
 def test_a_refusal_of_what_may_have_run_breaks_it(cls, code):
-    assert kinds(cls, copy(1.0), Answered(1.3, code)) == [Kind.REFUSED]
+    assert kinds(cls, copy(1.0), ResponseReceived(1.3, code)) == [ViolationKind.REJECTED]
 
 
 def test_a_refusal_of_what_becomes_whole_later_breaks_it():
-    assert kinds(UNSAFE, Answered(1.3, 503), copy(1.5, began=1.0)) == [Kind.REFUSED]
+    assert kinds(UNSAFE, ResponseReceived(1.3, 503), copy(1.5, began=1.0)) == [ViolationKind.REJECTED]
 
 
 def test_a_refusal_breaks_nothing_where_no_copy_came_or_all_were_turned_away():
-    assert kinds(UNSAFE, Answered(1.3, 503)) == []
-    assert kinds(UNSAFE, copy(1.0), NotRun(1.1, 0), Answered(1.3, 503)) == []
-    assert kinds(keyed(Scope.ALL), copy(1.0), Answered(1.3, 503)) == []
+    assert kinds(UNSAFE, ResponseReceived(1.3, 503)) == []
+    assert kinds(UNSAFE, copy(1.0), AttemptRejected(1.1, 0), ResponseReceived(1.3, 503)) == []
+    assert kinds(keyed(Scope.ALL), copy(1.0), ResponseReceived(1.3, 503)) == []
 
 
 def test_a_proof_that_comes_after_the_refusal_is_too_late():
-    assert kinds(UNSAFE, copy(1.0), Answered(1.3, 503), NotRun(1.4, 0)) == [Kind.REFUSED]
+    assert kinds(UNSAFE, copy(1.0), ResponseReceived(1.3, 503), AttemptRejected(1.4, 0)) == [
+        ViolationKind.REJECTED
+    ]
 
 
 @pytest.mark.parametrize("code", [200, 409, 500, 502, 504])
 def test_an_answer_that_invites_to_nothing_keeps_the_rule(code):
-    assert kinds(UNSAFE, copy(1.0), Answered(1.3, code)) == []
+    assert kinds(UNSAFE, copy(1.0), ResponseReceived(1.3, code)) == []
 
 
 def test_a_silent_close_of_what_may_have_run_breaks_it():
-    assert kinds(UNSAFE, copy(1.0), Closed(1.3, answer_begun=False, killed=False)) == [Kind.SILENT_CLOSE]
+    assert kinds(UNSAFE, copy(1.0), ConnectionClosed(1.3, answer_begun=False, killed=False)) == [
+        ViolationKind.SILENT_CLOSE
+    ]
 
 
-@pytest.mark.parametrize("closed", [Closed(1.3, True, False), Closed(1.3, False, True)])
+@pytest.mark.parametrize("closed", [ConnectionClosed(1.3, True, False), ConnectionClosed(1.3, False, True)])
 def test_a_close_in_an_answer_or_of_a_killed_sidecar_is_excused(closed):
     assert kinds(UNSAFE, copy(1.0), closed) == []
 
 
 def test_a_close_that_crossed_a_request_is_not_held_against_what_is_sent_once_more():
-    closed, again = Closed(1.3, answer_begun=False, killed=False), Written(1.4, 0, "order", 100, 2)
-    assert kinds(UNSAFE, closed, again, copy(1.5), Answered(1.6, 200)) == []
-    assert kinds(UNSAFE, copy(1.2), closed, again, Answered(1.6, 409)) == [Kind.SILENT_CLOSE]
+    closed, resent = (
+        ConnectionClosed(1.3, answer_begun=False, killed=False),
+        RequestSent(1.4, 0, "order", 100, 2),
+    )
+    assert kinds(UNSAFE, closed, resent, copy(1.5), ResponseReceived(1.6, 200)) == []
+    assert kinds(UNSAFE, copy(1.2), closed, resent, ResponseReceived(1.6, 409)) == [
+        ViolationKind.SILENT_CLOSE
+    ]
 
 
 def test_nothing_is_an_invitation_to_a_client_that_has_left():
-    events = (copy(1.0), Left(1.1, "close"), Closed(1.2, False, False), Answered(1.3, 503))
+    events = (
+        copy(1.0),
+        ClientDisconnected(1.1, "close"),
+        ConnectionClosed(1.2, False, False),
+        ResponseReceived(1.3, 503),
+    )
     assert kinds(UNSAFE, *events) == []
 
 
@@ -422,7 +452,7 @@
 @pytest.mark.parametrize("ending", [Ending.HALF_CLOSE, Ending.GARBAGE])
 def test_what_is_partly_written_when_its_server_ends_is_not_sent_again(ending):
     result = play(partly_written(ending), ROOT)
-    assert [searching.story(failure) for failure in result.failures] == []
+    assert [searching.format_timeline(failure) for failure in result.failures] == []
     assert result.crashed == []
     assert result.copies >= len(partly_written(ending).requests)  # the rest did come, or nothing was tried
 
@@ -446,9 +476,9 @@
     )
     ending = fixed_plan(200, treatment, (PLAIN,) * 4, disconnects_after=0.1, disconnect_mode="end_sending")
     result = play(replace(ending, pairs=pairs), ROOT)
-    assert [searching.story(failure) for failure in result.failures] == []
+    assert [searching.format_timeline(failure) for failure in result.failures] == []
     assert result.copies == len(ending.requests) + 2 * len(pairs)
-    assert result.unrepeatable == {502: len(ending.requests), 200: len(pairs)}
+    assert result.unsafe_answers == {502: len(ending.requests), 200: len(pairs)}
 
 
 @pytest.mark.xdist_group("real-time")
@@ -457,6 +487,6 @@
     with ProcessPoolExecutor(len(plans)) as pool:
         results = list(pool.map(play, plans, [ROOT] * len(plans)))
     for result in results:
-        assert [searching.story(failure) for failure in result.failures] == []
+        assert [searching.format_timeline(failure) for failure in result.failures] == []
         assert result.crashed == []
         assert result.requests > 100
