--- a/ochreflow/lab/duplicates/classes.py
+++ b/ochreflow/lab/duplicates/classes.py
@@ -7,15 +7,15 @@
 
 
 class Effect(Enum):
-    """Whether a request may be repeated; the values are the settings' words."""
+    """Whether a request may be retried; the values are the settings' words."""
 
-    SAFE = "pure"
-    KEYED = "token"
-    UNSAFE = "side_effect"
+    IDEMPOTENT = "pure"
+    IDEMPOTENT_WITH_KEY = "token"
+    NON_IDEMPOTENT = "side_effect"
 
 
 class Scope(Enum):
-    """The servers that drop a repeat of a keyed request which one of them has seen."""
+    """The servers that drop a retry of a request whose idempotency key one of them has seen."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,9 +30,13 @@
     effect: Effect
     deadline: float
     scope: Scope = Scope.ALL
-    window: float = 0.0  # in which repeats of a keyed request are dropped, from its first attempt
+    window: float = (
+        0.0  # from the first attempt on, in which retries with the same idempotency key are dropped
+    )
 
     @property
-    def refusable(self) -> bool:
-        """Whether a refusal is harmless even when an attempt may have run."""
-        return self.effect is Effect.SAFE or (self.effect is Effect.KEYED and self.scope is Scope.ALL)
+    def rejectable(self) -> bool:
+        """Whether a rejection does no harm even when an attempt may have run."""
+        return self.effect is Effect.IDEMPOTENT or (
+            self.effect is Effect.IDEMPOTENT_WITH_KEY and self.scope is Scope.ALL
+        )
--- a/ochreflow/lab/duplicates/client.py
+++ b/ochreflow/lab/duplicates/client.py
@@ -216,7 +216,7 @@
 
 def request_bytes(request: ClientRequest) -> bytes:
     """The request as it goes over the wire."""
-    safe = request.cls.effect is Effect.SAFE
+    safe = request.cls.effect is Effect.IDEMPOTENT
     head = [
         f"{'GET' if safe else 'POST'} /{request.cls.name}/part HTTP/1.1",
         f"Host: {HOST}",
@@ -225,7 +225,7 @@
     ]
     if request.last:
         head.append("Connection: close")
-    if request.cls.effect is Effect.KEYED:
+    if request.cls.effect is Effect.IDEMPOTENT_WITH_KEY:
         head.append(f"Idempotency-Key: key-of-{request.id}")
     body = b"x" * request.size
     if request.chunked:
--- a/ochreflow/lab/duplicates/judge.py
+++ b/ochreflow/lab/duplicates/judge.py
@@ -76,7 +76,7 @@
         found += _repeat_violations(cls, earlier, later, placements)
     if not hedging:
         found += _concurrent_copies(copies, events)
-    if not cls.refusable:
+    if not cls.rejectable:
         found += _harmful_invitations(copies, rejected_at, events)
     return sorted(found, key=lambda one: one.at)
 
@@ -85,10 +85,10 @@
     cls: RequestClass, earlier: list[CopyReceived], later: CopyReceived, placements: PlacementLookup
 ) -> list[Violation]:
     """Whether a copy could begin after those that may have run, or may yet when their last byte comes."""
-    if not earlier or cls.effect is Effect.SAFE:
+    if not earlier or cls.effect is Effect.IDEMPOTENT:
         return []
     at = max(later.at, earlier[0].at)
-    if cls.effect is Effect.UNSAFE:
+    if cls.effect is Effect.NON_IDEMPOTENT:
         text = f"copy {later.attempt} beside copy {earlier[0].attempt}, which may have run"
         return [Violation(at, ViolationKind.SECOND_COPY, text)]
     found = [
--- a/ochreflow/lab/duplicates/plan.py
+++ b/ochreflow/lab/duplicates/plan.py
@@ -251,11 +251,11 @@
         return rng.choice(WINDOWS_S)
 
     return (
-        RequestClass("lookup", Effect.SAFE, deadline()),
-        RequestClass("order", Effect.UNSAFE, deadline()),
-        RequestClass("hold-all", Effect.KEYED, deadline(), Scope.ALL, window()),
-        RequestClass("hold-zone", Effect.KEYED, deadline(), Scope.ZONE, window()),
-        RequestClass("hold-cell", Effect.KEYED, deadline(), Scope.CELL, window()),
+        RequestClass("lookup", Effect.IDEMPOTENT, deadline()),
+        RequestClass("order", Effect.NON_IDEMPOTENT, deadline()),
+        RequestClass("hold-all", Effect.IDEMPOTENT_WITH_KEY, deadline(), Scope.ALL, window()),
+        RequestClass("hold-zone", Effect.IDEMPOTENT_WITH_KEY, deadline(), Scope.ZONE, window()),
+        RequestClass("hold-cell", Effect.IDEMPOTENT_WITH_KEY, deadline(), Scope.CELL, window()),
     )
 
 
@@ -271,7 +271,7 @@
     at = 0.0
     while (at := at + rng.expovariate(REQUESTS_PER_SECOND)) < seconds:
         cls = rng.choices(classes, CLASS_WEIGHTS)[0]
-        safe = cls.effect is Effect.SAFE
+        safe = cls.effect is Effect.IDEMPOTENT
         longest = rng.choice((EARLY_DISCONNECT_S, cls.deadline))
         disconnects_after = rng.uniform(0.0, longest) if rng.random() < DISCONNECT_SHARE else None
         requests.append(
--- a/ochreflow/lab/duplicates/play.py
+++ b/ochreflow/lab/duplicates/play.py
@@ -195,7 +195,7 @@
                 continue
             result.requests += 1
             result.copies += sum(isinstance(event, CopyReceived) for event in events)
-            if request.cls.effect is Effect.UNSAFE:
+            if request.cls.effect is Effect.NON_IDEMPOTENT:
                 self._count(result, events)
             if violations := find_violations(request.cls, events, self._placements, self.plan.hedging):
                 result.failures.append(
--- a/ochreflow/lab/duplicates/search.py
+++ b/ochreflow/lab/duplicates/search.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
+from .classes import Effect, RequestClass
 from .plan import FaultGroup, draw
 from .play import Failure, RunResult, play
 
@@ -14,6 +15,12 @@
 CHECKOUT = Path(__file__).resolve().parents[3]
 MAX_LISTED_FAILURES = 3  # broken requests that are named under the line of a run
 
+PRINTED_EFFECTS = {
+    Effect.IDEMPOTENT: "SAFE",
+    Effect.IDEMPOTENT_WITH_KEY: "KEYED",
+    Effect.NON_IDEMPOTENT: "UNSAFE",
+}
+
 
 class SearchError(Exception):
     """What was asked can't be played; the text says why in one line."""
@@ -114,7 +121,15 @@
 def format_timeline(failure: Failure) -> str:
     """The events of a request in order."""
     events = "\n".join(f"      {event.at:9.4f}  {event}" for event in failure.timeline)
-    return f"      Events of {failure.request_id} ({failure.cls}):\n{events}"
+    return f"      Events of {failure.request_id} ({format_class(failure.cls)}):\n{events}"
+
+
+def format_class(cls: RequestClass) -> str:
+    """A request class in the form that reports have had from the first, with the words of that time."""
+    return (
+        f"RequestClass(name={cls.name!r}, effect=<Effect.{PRINTED_EFFECTS[cls.effect]}: {cls.effect.value!r}>,"
+        f" deadline={cls.deadline!r}, scope={cls.scope!r}, window={cls.window!r})"
+    )
 
 
 def format_totals(totals: Totals) -> str:
--- a/tests/test_duplicate_search.py
+++ b/tests/test_duplicate_search.py
@@ -34,8 +34,8 @@
 from ochreflow.lab.duplicates.play import play
 
 ROOT = Path(__file__).resolve().parents[1]
-UNSAFE = RequestClass("order", Effect.UNSAFE, 1.0)
-SAFE = RequestClass("lookup", Effect.SAFE, 1.0)
+UNSAFE = RequestClass("order", Effect.NON_IDEMPOTENT, 1.0)
+SAFE = RequestClass("lookup", Effect.IDEMPOTENT, 1.0)
 PLACES = {  # server: zone, cell; servers 1 and 2 share a cell, 1 to 3 a zone
     1: Placement(-1e9, 0, 0),
     2: Placement(-1e9, 0, 0),
@@ -45,7 +45,7 @@
 
 
 def keyed(scope, window=1.0):
-    return RequestClass("hold", Effect.KEYED, 2.0, scope, window)
+    return RequestClass("hold", Effect.IDEMPOTENT_WITH_KEY, 2.0, scope, window)
 
 
 def copy(at, attempt=0, server=1, began=None, not_before=None):
@@ -296,7 +296,7 @@
     without = draw(7, 5.0, frozenset(FaultGroup) - {FaultGroup.BURSTS})
     rushed = set(plan.requests) - set(without.requests)
     assert len(rushed) == 5 * REQUESTS_PER_SURGE
-    assert {request.cls.effect for request in rushed} == {Effect.UNSAFE}
+    assert {request.cls.effect for request in rushed} == {Effect.NON_IDEMPOTENT}
     assert all(request in plan.requests for request in without.requests)
 
 
