--- a/ochreflow/cli/duplicates.py
+++ b/ochreflow/cli/duplicates.py
@@ -39,8 +39,8 @@
     Sidecars are played on loopback under faults drawn from the seed. Exit code 0: no request broke rule
     `duplicate`; 1: one did, and its events are printed.
     """
+    from ..lab.duplicates.fault_groups import FaultGroup
     from ..lab.duplicates.fleet import FleetError
-    from ..lab.duplicates.plan import FaultGroup
     from ..lab.duplicates.search import CHECKOUT, SearchError, SearchOptions, search
 
     if not math.isfinite(seconds):
--- a/ochreflow/lab/duplicates/classes.py
+++ b/ochreflow/lab/duplicates/classes.py
@@ -30,9 +30,7 @@
     effect: Effect
     deadline: float
     scope: Scope = Scope.ALL
-    window: float = (
-        0.0  # from the first attempt on, in which retries with the same idempotency key are dropped
-    )
+    window: float = 0.0  # from the first attempt on: retries with its idempotency key are dropped
 
     @property
     def rejectable(self) -> bool:
--- a/ochreflow/lab/duplicates/client.py
+++ b/ochreflow/lab/duplicates/client.py
@@ -16,7 +16,7 @@
 from ..platform_config import HOST
 from .classes import Effect
 from .events import ClientDisconnected, ClientHalfClosed, ConnectionClosed, RequestSent, ResponseReceived
-from .plan import ClientRequest
+from .plan import ClientRequest, DisconnectMode
 from .recorder import EventRecorder
 
 RESPONSE_GRACE_S = 0.8  # seconds for which a client waits beyond its deadline
@@ -81,14 +81,14 @@
         assert self.transport is not None
         self.transport.write_eof()
 
-    def disconnect(self, disconnect_mode: str) -> None:
+    def disconnect(self, disconnect_mode: DisconnectMode) -> None:
         """Go away as the plan says."""
         self.closed = self.left_by_client = True
         assert self.transport is not None
-        if disconnect_mode == "half_close":
+        if disconnect_mode is DisconnectMode.HALF_CLOSE:
             self.transport.write_eof()
             return
-        if disconnect_mode == "reset":
+        if disconnect_mode is DisconnectMode.RESET:
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.transport.abort()
@@ -165,11 +165,13 @@
                 connection.abort()
 
     def _disconnect(self, request: ClientRequest, connection: ClientConnection) -> None:
-        if connection.status is None or connection.status.done() or connection.closed:
+        """Leave as the plan says, if the answer is still waited for."""
+        mode = request.disconnect_mode
+        if mode is None or connection.status is None or connection.status.done() or connection.closed:
             return
-        if request.disconnect_mode != "end_sending":
-            self.recorder.add(request.id, ClientDisconnected(self.recorder.now(), request.disconnect_mode))
-            connection.disconnect(request.disconnect_mode)
+        if mode is not DisconnectMode.END_SENDING:
+            self.recorder.add(request.id, ClientDisconnected(self.recorder.now(), mode.value))
+            connection.disconnect(mode)
         elif connection.request_written:
             self.recorder.add(request.id, ClientHalfClosed(self.recorder.now()))
             connection.half_close()
--- a/ochreflow/lab/duplicates/play.py
+++ b/ochreflow/lab/duplicates/play.py
@@ -143,7 +143,7 @@
             for number in range(burst.count)
         )
         requests = [
-            ClientRequest(burst.at, name, burst.sidecar, lookup, 0, False, lookup.deadline, 1, None, "")
+            ClientRequest(burst.at, name, burst.sidecar, lookup, 0, False, lookup.deadline, 1, None, None)
             for name in names
         ]
         await asyncio.gather(*(self.burst_clients.send(request) for request in requests))
--- a/ochreflow/lab/duplicates/search.py
+++ b/ochreflow/lab/duplicates/search.py
@@ -8,7 +8,8 @@
 from pathlib import Path
 
 from .classes import Effect, RequestClass
-from .plan import FaultGroup, draw
+from .drawing import draw
+from .fault_groups import FaultGroup
 from .play import Failure, RunResult, play
 
 PACKAGE_START = Path("ochreflow") / "__main__.py"
@@ -127,7 +128,8 @@
 def format_class(cls: RequestClass) -> str:
     """A request class in the form that reports have had from the first, with the words of that time."""
     return (
-        f"RequestClass(name={cls.name!r}, effect=<Effect.{PRINTED_EFFECTS[cls.effect]}: {cls.effect.value!r}>,"
+        f"RequestClass(name={cls.name!r},"
+        f" effect=<Effect.{PRINTED_EFFECTS[cls.effect]}: {cls.effect.value!r}>,"
         f" deadline={cls.deadline!r}, scope={cls.scope!r}, window={cls.window!r})"
     )
 
--- a/ochreflow/lab/duplicates/server.py
+++ b/ochreflow/lab/duplicates/server.py
@@ -15,8 +15,9 @@
 from .attempts import MAX_LOOP_LAG_S, MAX_READ_BYTES, SMALL_READ_BYTES, AttemptReader
 from .events import AttemptEnded, AttemptRejected, CopyReceived, ServerAction
 from .judge import Placement
-from .plan import ClientRequest, Ending, Plan, ServerPlan, Treatment
+from .plan import ClientRequest, Plan, ServerPlan
 from .recorder import EventRecorder
+from .treatment import Ending, Treatment
 
 BACKLOG = 128
 LISTEN_RETRY_DELAY_S = 0.05  # seconds
--- a/tests/test_duplicate_search.py
+++ b/tests/test_duplicate_search.py
@@ -10,6 +10,7 @@
 from ochreflow.cli.main import main
 from ochreflow.lab.duplicates import search as searching
 from ochreflow.lab.duplicates.classes import Effect, RequestClass, Scope
+from ochreflow.lab.duplicates.drawing import REQUESTS_PER_SURGE, draw
 from ochreflow.lab.duplicates.events import (
     AttemptEnded,
     AttemptRejected,
@@ -19,19 +20,17 @@
     RequestSent,
     ResponseReceived,
 )
+from ochreflow.lab.duplicates.fault_groups import FaultGroup
 from ochreflow.lab.duplicates.judge import Placement, ViolationKind, find_violations
 from ochreflow.lab.duplicates.plan import (
-    REQUESTS_PER_SURGE,
     ClientRequest,
-    Ending,
-    FaultGroup,
+    DisconnectMode,
     PipelinedPair,
     ServerPlan,
     SidecarChange,
-    Treatment,
-    draw,
 )
 from ochreflow.lab.duplicates.play import play
+from ochreflow.lab.duplicates.treatment import Ending, Treatment
 
 ROOT = Path(__file__).resolve().parents[1]
 UNSAFE = RequestClass("order", Effect.NON_IDEMPOTENT, 1.0)
@@ -282,13 +281,13 @@
     assert endings == set(Ending)
     assert {request.cls.scope for plan in plans for request in plan.requests} == set(Scope)
     assert {request.cls.effect for plan in plans for request in plan.requests} == set(Effect)
-    manners = {
+    modes = {
         request.disconnect_mode
         for plan in plans
         for request in plan.requests
         if request.disconnects_after is not None
     }
-    assert manners == {"close", "reset", "half_close", "end_sending"}
+    assert modes == set(DisconnectMode)
 
 
 def test_rushes_are_a_part_of_the_bursts():
@@ -409,7 +408,7 @@
 UNREAD = ServerPlan(zone=0, cell=0, receive_buffer=4096, segment=1460)
 
 
-def fixed_plan(size, treatment, servers, disconnects_after=None, disconnect_mode=""):
+def fixed_plan(size, treatment, servers, disconnects_after=None, disconnect_mode=None):
     """Eight orders, whose first attempts are treated alike."""
     plan = draw(1, 2.0, frozenset())
     order = replace(plan.classes[1], deadline=1.5)
@@ -474,7 +473,9 @@
     pairs = tuple(
         pipelined(request, number, alone.classes[0]) for number, request in enumerate(alone.requests)
     )
-    ending = fixed_plan(200, treatment, (PLAIN,) * 4, disconnects_after=0.1, disconnect_mode="end_sending")
+    ending = fixed_plan(
+        200, treatment, (PLAIN,) * 4, disconnects_after=0.1, disconnect_mode=DisconnectMode.END_SENDING
+    )
     result = play(replace(ending, pairs=pairs), ROOT)
     assert [searching.format_timeline(failure) for failure in result.failures] == []
     assert result.copies == len(ending.requests) + 2 * len(pairs)
