--- a/ochreflow/cli/lab.py
+++ b/ochreflow/cli/lab.py
@@ -140,7 +140,7 @@
     if unknown := [name for name in fleets if name not in known]:
         message = f"{unknown[0]}: no such fleet; there are {', '.join(known)}"
         raise click.UsageError(message)
-    plan = SlowStartPlan(list(fleets), seeds, jobs, program, slow_while_cold=slow, unequal=unequal)
+    plan = SlowStartPlan(list(fleets), seeds, jobs, program, slow_while_warming_up=slow, unequal=unequal)
     return run(plan)
 
 
--- a/ochreflow/lab/builds.py
+++ b/ochreflow/lab/builds.py
@@ -23,27 +23,27 @@
     """A build that can't be had; the text says why in one line."""
 
 
-def make(build: str, folder: Path) -> Path:
-    """Put a build's package into `folder`; the folder."""
+def make(build: str, target_dir: Path) -> Path:
+    """Put a build's package into `target_dir`; return that directory."""
     revision, *changes = build.split(",")
-    folder.mkdir(parents=True)
+    target_dir.mkdir(parents=True)
     if revision == ".":
-        shutil.copytree(HERE, folder / PACKAGE, ignore=shutil.ignore_patterns("__pycache__"))
+        shutil.copytree(HERE, target_dir / PACKAGE, ignore=shutil.ignore_patterns("__pycache__"))
     else:
-        _export(revision, folder)
+        _export(revision, target_dir)
     for change in changes:
-        _change(folder / PACKAGE, change)
-    return folder
+        _change(target_dir / PACKAGE, change)
+    return target_dir
 
 
-def _export(revision: str, folder: Path) -> None:
+def _export(revision: str, target_dir: Path) -> None:
     archive = subprocess.run(
         ["git", "archive", "--format=tar", revision, PACKAGE], cwd=HERE.parent, capture_output=True
     )
     if archive.returncode:
         message = f"{revision}: {archive.stderr.decode().strip().splitlines()[-1]}"
         raise BuildError(message)
-    subprocess.run(["tar", "-x", "-C", str(folder)], input=archive.stdout, check=True)
+    subprocess.run(["tar", "-x", "-C", str(target_dir)], input=archive.stdout, check=True)
 
 
 def _change(package: Path, change: str) -> None:
--- a/ochreflow/lab/compare.py
+++ b/ochreflow/lab/compare.py
@@ -18,11 +18,11 @@
 
 def compare(play: Player, builds: tuple[str, str], plan: RunPlan, html: str | None = None) -> int:
     """Play both builds and show the difference; 1 if a rule was broken by either, 3 if runs were void."""
-    folder = Path(tempfile.mkdtemp(prefix="builds-"))
+    builds_dir = Path(tempfile.mkdtemp(prefix="builds-"))
     try:
         labels = builds if builds[0] != builds[1] else (f"{builds[0]} (A)", f"{builds[1]} (B)")
         scenarios = plan.scenarios()
-        programs = {label: make(builds[n], folder / str(n)) for n, label in enumerate(labels)}
+        programs = {label: make(builds[n], builds_dir / str(n)) for n, label in enumerate(labels)}
         jobs = [
             Job(name, scenario, seed, label, program)
             for seed in range(1, plan.seeds + 1)
@@ -36,7 +36,7 @@
             if plan.out is not None:
                 append_result(plan.out, {key: value for key, value in result.items() if key != "series"})
     finally:
-        shutil.rmtree(folder, ignore_errors=True)
+        shutil.rmtree(builds_dir, ignore_errors=True)
     return _show(found, labels, html)
 
 
--- a/ochreflow/lab/demo.py
+++ b/ochreflow/lab/demo.py
@@ -24,14 +24,14 @@
     show_progress: bool = False,
 ) -> RunResult:
     """Play it with a build of the program; its logs and event logs stay in `keep`, or nowhere."""
-    folder = Path(keep or tempfile.mkdtemp(prefix="ochreflow-lab-"))
-    folder.mkdir(parents=True, exist_ok=True)
+    run_dir = Path(keep or tempfile.mkdtemp(prefix="ochreflow-lab-"))
+    run_dir.mkdir(parents=True, exist_ok=True)
     try:
-        runner = ScenarioRunner(scenario, folder, seed, program)
+        runner = ScenarioRunner(scenario, run_dir, seed, program)
         return uvloop.run(runner.run(print_progress) if show_progress else runner.run())
     finally:
         if keep is None:
-            shutil.rmtree(folder, ignore_errors=True)
+            shutil.rmtree(run_dir, ignore_errors=True)
 
 
 def main(duration_s: float, seed: int, keep: str | None) -> int:
@@ -39,4 +39,4 @@
     scenario = msgspec.structs.replace(read_scenario("demo"), duration_s=duration_s)
     result = play(scenario, seed, keep=keep, show_progress=True)
     print(run_text(result))
-    return result.verdict
+    return result.outcome
--- a/ochreflow/lab/differences.py
+++ b/ochreflow/lab/differences.py
@@ -34,7 +34,7 @@
     more_is_better: bool = True
 
     @property
-    def verdict(self) -> str:
+    def conclusion(self) -> str:
         """Better, worse, or no difference shown: the interval has both signs, or the pairs are few."""
         if self.pairs < MIN_PAIRS or self.low <= 0.0 <= self.high:
             return "no difference shown"
@@ -106,6 +106,6 @@
     for one in found:
         rows.append(
             f"{one.scenario:<16} {one.measure:<17} {one.pairs:>5} {one.before:>8.4f} {one.after:>8.4f}  "
-            f"{one.low:+.4f} to {one.high:+.4f}  {one.verdict}"
+            f"{one.low:+.4f} to {one.high:+.4f}  {one.conclusion}"
         )
     return "\n".join(rows)
--- a/ochreflow/lab/fake_server.py
+++ b/ochreflow/lab/fake_server.py
@@ -69,11 +69,11 @@
 
 
 async def open_server(
-    kind: str, folder: Path, options: dict[str, Any], dedup_group: DeduplicationGroup
+    kind: str, log_dir: Path, options: dict[str, Any], dedup_group: DeduplicationGroup
 ) -> FakeServer:
-    """Start a fake server; it records into `folder`/NAME.jsonl."""
+    """Start a fake server; it records into `log_dir`/NAME.jsonl."""
     name, seed, port = options["name"], options.pop("seed", 0), options.pop("port", 0)
-    event_log = EventLog(folder / f"{name}.jsonl")
+    event_log = EventLog(log_dir / f"{name}.jsonl")
     handler = make_handler(kind, options, seed, event_log, dedup_group)
     server = await asyncio.get_running_loop().create_server(
         handler.service.connection, HOST, port, backlog=LISTEN_BACKLOG, reuse_address=True
@@ -81,11 +81,11 @@
     return FakeServer(handler, event_log, server)
 
 
-async def serve(kind: str, folder: Path, wanted: list[dict[str, Any]]) -> None:
+async def serve(kind: str, log_dir: Path, server_options: list[dict[str, Any]]) -> None:
     """Start the servers, print their addresses, and serve until SIGTERM or until the parent has ended."""
     loop = asyncio.get_running_loop()
     dedup_group = DeduplicationGroup()
-    servers = [await open_server(kind, folder, options, dedup_group) for options in wanted]
+    servers = [await open_server(kind, log_dir, options, dedup_group) for options in server_options]
     for server in servers:
         if isinstance(server.handler, FakeNode):
             server.handler.on_end_order = server.end
@@ -104,5 +104,5 @@
 
 
 if __name__ == "__main__":
-    kind, folder, wanted = sys.argv[1:]
-    uvloop.run(serve(kind, Path(folder), json.loads(wanted)))
+    kind, log_dir, server_options = sys.argv[1:]
+    uvloop.run(serve(kind, Path(log_dir), json.loads(server_options)))
--- a/ochreflow/lab/html_report.py
+++ b/ochreflow/lab/html_report.py
@@ -56,7 +56,7 @@
     head = "<tr><th>scenario<th>measure<th>pairs<th>A<th>B<th>B - A, 95 %<th>verdict"
     rows = [
         f"<tr><td>{html.escape(one.scenario)}<td>{one.measure}<td>{one.pairs}<td>{one.before:.4f}"
-        f"<td>{one.after:.4f}<td>{one.low:+.4f} to {one.high:+.4f}<td class={one.verdict}>{one.verdict}"
+        f"<td>{one.after:.4f}<td>{one.low:+.4f} to {one.high:+.4f}<td class={one.conclusion}>{one.conclusion}"
         for one in compared
     ]
     return f"<table>{head}{''.join(rows)}</table>"
--- a/ochreflow/lab/judge.py
+++ b/ochreflow/lab/judge.py
@@ -70,9 +70,9 @@
             else:
                 responses[event["id"]].append(event)
     _judge_responses(report, requests, responses, _downtimes(run.runner))
-    _judge_repeats(report, run.nodes, set(non_idempotent))
+    _judge_duplicate_executions(report, run.nodes, set(non_idempotent))
     _judge_drains(report, run.nodes, _readiness(run.directory))
-    _judge_cold_nodes(report, run.nodes)
+    _judge_collapses(report, run.nodes)
     _judge_bodies(report, responses, run.nodes)
     _judge_resources(report, run.runner, resource_limits or {})
     return report
@@ -132,7 +132,9 @@
             logical[first_id] = response["took"]
 
 
-def _judge_repeats(report: Report, nodes: dict[str, list[Event]], non_idempotent: set[str]) -> None:
+def _judge_duplicate_executions(
+    report: Report, nodes: dict[str, list[Event]], non_idempotent: set[str]
+) -> None:
     """Work that must not run twice is accepted once; counts what reached nodes, too."""
     accepted: dict[str, list[str]] = defaultdict(list)
     for name, events in nodes.items():
@@ -182,7 +184,7 @@
                 report.findings.append(Finding("drains kept", text))
 
 
-def _judge_cold_nodes(report: Report, nodes: dict[str, list[Event]]) -> None:
+def _judge_collapses(report: Report, nodes: dict[str, list[Event]]) -> None:
     """No node collapses while it warms up."""
     for name, events in nodes.items():
         for event in events:
--- a/ochreflow/lab/load_generator.py
+++ b/ochreflow/lab/load_generator.py
@@ -104,8 +104,8 @@
             abandoned = abandon_after_s and isinstance(error, TimeoutError)
             outcome = ClientOutcome.ABANDONED if abandoned else ClientOutcome.UNANSWERED
         self.outcomes[outcome] += 1
-        took_s = loop.time() - due
-        result = {"code": status, "body": body.decode("latin-1"), "took": took_s, "sent": sent_ns}
+        latency_s = loop.time() - due
+        result = {"code": status, "body": body.decode("latin-1"), "took": latency_s, "sent": sent_ns}
         self.event_log.record(EventKind.RESPONSE, id=request_id, cls=class_name, outcome=outcome, **result)
         return retry_after_s if outcome is ClientOutcome.REJECTED else None
 
--- a/ochreflow/lab/node_model.py
+++ b/ochreflow/lab/node_model.py
@@ -45,7 +45,7 @@
         """Begin with no key."""
         self.first_seen: OrderedDict[str, float] = OrderedDict()
 
-    def is_repeat(self, idempotency_key: str, now: float, window_s: float) -> bool:
+    def is_duplicate(self, idempotency_key: str, now: float, window_s: float) -> bool:
         """Return whether this key came within the window; if not, it counts as met now."""
         while self.first_seen and next(iter(self.first_seen.values())) < now - window_s:
             self.first_seen.popitem(last=False)
@@ -98,7 +98,7 @@
             self.actions.append(CloseConnection(number))
         elif self.draining or len(self.queue) >= profile.queue_capacity:
             self._reject(number, request)
-        elif request.idempotency_key is not None and self.dedup_group.is_repeat(
+        elif request.idempotency_key is not None and self.dedup_group.is_duplicate(
             request.idempotency_key, now, profile.deduplication_window_s
         ):
             self._record(EventKind.DEDUPLICATED, request)
--- a/ochreflow/lab/process_environment.py
+++ b/ochreflow/lab/process_environment.py
@@ -39,11 +39,11 @@
     """Owns the processes of one run. `program` is the folder that the sidecar's package is taken from."""
 
     def __init__(
-        self, scenario: Scenario, folder: Path, seed: int, event_log: EventLog, program: Path | None = None
+        self, scenario: Scenario, run_dir: Path, seed: int, event_log: EventLog, program: Path | None = None
     ) -> None:
-        """Start nothing yet; logs and configurations go into `folder`."""
+        """Start nothing yet; logs and configurations go into `run_dir`."""
         self.scenario = scenario
-        self.folder = folder
+        self.run_dir = run_dir
         self.seed = seed
         self.event_log = event_log
         self.program = program
@@ -54,18 +54,18 @@
         self.entries: dict[str, dict[str, Any]] = {}  # as the directory has them
         self.upgrades = any(step.action is StepAction.UPGRADE_SIDECAR for step in scenario.steps)
         self.sockets: dict[int, socket.socket] = {}  # that sidecars listen on, where one may take over
-        self.shared_folder = tempfile.mkdtemp(prefix="lab-") if self.upgrades else ""
+        self.shared_dir = tempfile.mkdtemp(prefix="lab-") if self.upgrades else ""
         self.sidecar_options: tuple[str, ...] = ()  # more of the sidecars' command line
         self.expected_ends: set[str] = set()  # processes that were ended on purpose
         self.crashes: list[str] = []
-        self.ejections = EjectionReader(folder, event_log)
+        self.ejections = EjectionReader(run_dir, event_log)
 
     # Processes
 
     async def start_process(self, name: str, *command: str, **environment: str) -> asyncio.subprocess.Process:
-        """Start a Python process; its standard error goes to `folder`/NAME.log."""
+        """Start a Python process; its standard error goes to `run_dir`/NAME.log."""
         self.ejections.forget(name)
-        with (self.folder / f"{name}.log").open("wb") as log:
+        with (self.run_dir / f"{name}.log").open("wb") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 *command,
@@ -103,24 +103,24 @@
                 await self.end(name, kill=False)
         for listening in self.sockets.values():
             listening.close()
-        if self.shared_folder:
-            shutil.rmtree(self.shared_folder, ignore_errors=True)
+        if self.shared_dir:
+            shutil.rmtree(self.shared_dir, ignore_errors=True)
 
     # Nodes
 
-    async def start_servers(self, kind: str, wanted: list[dict[str, Any]]) -> list[str]:
+    async def start_servers(self, kind: str, server_options: list[dict[str, Any]]) -> list[str]:
         """Start fake servers in one process; return their addresses."""
-        name = wanted[0]["name"]
-        command = ("-m", "ochreflow.lab.fake_server", kind, str(self.folder), json.dumps(wanted))
+        name = server_options[0]["name"]
+        command = ("-m", "ochreflow.lab.fake_server", kind, str(self.run_dir), json.dumps(server_options))
         process = await self.start_process(name, *command)
         self.expected_ends.discard(name)
         assert process.stdout is not None
         addresses = []
-        for options in wanted:
+        for options in server_options:
             self.process_of[options["name"]] = name
             line = await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT_S)
             if not line:
-                message = f"{options['name']} did not start: see {self.folder / name}.log"
+                message = f"{options['name']} did not start: see {self.run_dir / name}.log"
                 raise StartError(message)
             self.addresses[options["name"]] = line.decode().strip()
             addresses.append(self.addresses[options["name"]])
@@ -134,17 +134,18 @@
             numbers[start : start + fleet.group_size]
             for start in range(0, fleet.node_count, fleet.group_size)
         ]
-        wanted = (
-            [self._node_options(number, cold=fleet.starts_cold) for number in group] for group in groups
+        server_options = (
+            [self._node_options(number, warming_up=fleet.starts_warming_up) for number in group]
+            for group in groups
         )
-        await asyncio.gather(*(self.start_servers("nodes", options) for options in wanted))
-        since_ms = int(time() * MS_PER_S) if fleet.starts_cold else 0
+        await asyncio.gather(*(self.start_servers("nodes", options) for options in server_options))
+        since_ms = int(time() * MS_PER_S) if fleet.starts_warming_up else 0
         self.initial_entries = [self._entry(number, since_ms) for number in numbers]
         self.entries = {entry["name"]: entry for entry in self.initial_entries}
 
     async def start_node(self, number: int, address: str = "") -> dict[str, Any]:
         """Start a cold node, at an address that was used before if one is given; return its entry."""
-        options = self._node_options(number, cold=True, port=_port(address))
+        options = self._node_options(number, warming_up=True, port=_port(address))
         await self.start_servers("nodes", [options])
         return self._entry(number, int(time() * MS_PER_S))
 
@@ -168,9 +169,9 @@
         """Send a control order to a fake server."""
         await send_order(address, order)
 
-    def _node_options(self, number: int, *, cold: bool, port: int = 0) -> dict[str, Any]:
+    def _node_options(self, number: int, *, warming_up: bool, port: int = 0) -> dict[str, Any]:
         seed = self.seed * 1000 + number
-        profile = node_profile(self.scenario, f"node-{number}", cold=cold)
+        profile = node_profile(self.scenario, f"node-{number}", warming_up=warming_up)
         return {**profile, "seed": seed, "port": port}
 
     def _entry(self, number: int, since_ms: int) -> dict[str, Any]:
@@ -225,17 +226,17 @@
     async def start_sidecar(self, number: int) -> str:
         """Start a sidecar; return the address where clients connect, the same after a restart."""
         name = f"sidecar-{number}"
-        path = self.folder / f"{name}.json"
+        path = self.run_dir / f"{name}.json"
         self.write_config(number, self.addresses.get(name, f"{HOST}:0"))
         inherited = {}
         if self.upgrades:
             listening = self.sockets.get(number) or socket.create_server((HOST, 0), backlog=LISTEN_BACKLOG)
             self.sockets[number] = listening
-            inherited = {"GW_FD": str(listening.fileno()), "TMPDIR": self.shared_folder}
+            inherited = {"GW_FD": str(listening.fileno()), "TMPDIR": self.shared_dir}
         process = await self.start_process(
             name, "-m", "ochreflow", *self.sidecar_options, GW_CONFIG=str(path), **inherited
         )
-        log = self.folder / f"{name}.log"
+        log = self.run_dir / f"{name}.log"
         async with asyncio.timeout(START_TIMEOUT_S):
             while LISTENS_MESSAGE not in log.read_text():
                 if process.returncode is not None:
@@ -251,7 +252,7 @@
         """Write the configuration of a sidecar."""
         directory = self.addresses["directory"]
         config = platform_config(self.scenario, number, listen, directory, self.initial_entries)
-        (self.folder / f"sidecar-{number}.json").write_text(json.dumps(config))
+        (self.run_dir / f"sidecar-{number}.json").write_text(json.dumps(config))
 
     async def restart_sidecar(self, number: int, *, kill: bool) -> None:
         """End a sidecar and start it again."""
--- a/ochreflow/lab/run_result.py
+++ b/ochreflow/lab/run_result.py
@@ -11,7 +11,7 @@
 MAX_SEND_DELAY_S = 0.25  # a later send means that the clients were the bottleneck
 
 
-class Verdict(IntEnum):
+class RunOutcome(IntEnum):
     """What a run says of the rules; the values are exit codes."""
 
     KEPT = 0
@@ -35,8 +35,8 @@
         return self.max_send_delay_s > MAX_SEND_DELAY_S
 
     @property
-    def verdict(self) -> Verdict:
+    def outcome(self) -> RunOutcome:
         """Void before broken before kept."""
         if self.void:
-            return Verdict.VOID
-        return Verdict.BROKEN if self.report.findings or self.crashes else Verdict.KEPT
+            return RunOutcome.VOID
+        return RunOutcome.BROKEN if self.report.findings or self.crashes else RunOutcome.KEPT
--- a/ochreflow/lab/runs.py
+++ b/ochreflow/lab/runs.py
@@ -76,7 +76,7 @@
         "scenario": job.name,
         "seed": job.seed,
         "build": job.build,
-        "verdict": run.verdict.name.lower(),
+        "verdict": run.outcome.name.lower(),
         "worth": round(weighted_goodput(job.scenario, classes), 4),
         "classes": classes,
         "findings": [f"{finding.rule}: {finding.text}" for finding in report.findings] + run.crashes,
@@ -96,7 +96,7 @@
     return {
         **{str(word): counts[word] for word in COUNTED},
         "wanted": len(logical),
-        "in_time": sum(took_s is not None and took_s <= objective_s for took_s in logical.values()),
+        "in_time": sum(latency_s is not None and latency_s <= objective_s for latency_s in logical.values()),
         "p50": round(latency.percentile(0.5), 4),
         "p99": round(latency.percentile(0.99), 4),
         "attempts": report.attempts[name],
@@ -109,9 +109,9 @@
     A logical request counts once, however many attempts it took, and its time runs from the first one.
     """
     weights = {name: scenario.request_classes[name].priority_weight for name in classes}
-    wanted = sum(weights[name] * counts["wanted"] for name, counts in classes.items())
+    total_weight = sum(weights[name] * counts["wanted"] for name, counts in classes.items())
     in_time = sum(weights[name] * counts["in_time"] for name, counts in classes.items())
-    return in_time / wanted if wanted else 0.0
+    return in_time / total_weight if total_weight else 0.0
 
 
 def line(result: dict[str, Any]) -> str:
--- a/ochreflow/lab/scenario.py
+++ b/ochreflow/lab/scenario.py
@@ -61,7 +61,7 @@
         "key_cache_size": "keys",
         "max_connections": "connections",
         "group_size": "pod",
-        "starts_cold": "cold",
+        "starts_warming_up": "cold",
         "local_nodes": "near",
     },
 ):
@@ -80,7 +80,7 @@
     key_cache_size: PositiveCount = 64
     max_connections: Count = 0
     group_size: PositiveCount = 1  # nodes that drop each other's repeats
-    starts_cold: bool = False
+    starts_warming_up: bool = False
     local_nodes: Count = 0  # nodes in the sidecars' own zone; 0: every second one
 
 
@@ -281,13 +281,13 @@
     return ClientLoad(request_classes, rate_per_s, load.key_count, partial(rate_factor, scenario), profile)
 
 
-def node_profile(scenario: Scenario, name: str, *, cold: bool) -> dict[str, Any]:
+def node_profile(scenario: Scenario, name: str, *, warming_up: bool) -> dict[str, Any]:
     """Return the fields of the `NodeProfile` of a node; a warm one needs no time to warm up."""
     fields = msgspec.structs.asdict(scenario.fleet)
-    for other in ("node_count", "group_size", "local_nodes", "starts_cold"):
+    for other in ("node_count", "group_size", "local_nodes", "starts_warming_up"):
         del fields[other]
     mean_work_s = {class_name: spec.mean_work_s for class_name, spec in scenario.request_classes.items()}
-    warm_up_s = fields["warm_up_s"] if cold else 0.0
+    warm_up_s = fields["warm_up_s"] if warming_up else 0.0
     return {**fields, "name": name, "mean_work_s": mean_work_s, "warm_up_s": warm_up_s}
 
 
--- a/ochreflow/lab/scenario_runner.py
+++ b/ochreflow/lab/scenario_runner.py
@@ -35,19 +35,19 @@
 class ScenarioRunner:
     """Plays one scenario; the sidecar's package is taken from the folder `program`, if one is given."""
 
-    def __init__(self, scenario: Scenario, folder: Path, seed: int, program: Path | None = None) -> None:
-        """Start nothing yet; event logs and process logs go into `folder`."""
+    def __init__(self, scenario: Scenario, run_dir: Path, seed: int, program: Path | None = None) -> None:
+        """Start nothing yet; event logs and process logs go into `run_dir`."""
         self.scenario = scenario
-        self.folder = folder
+        self.run_dir = run_dir
         self.seed = seed
-        self.event_log = EventLog(folder / "stage.jsonl")
+        self.event_log = EventLog(run_dir / "stage.jsonl")
         self.environment = self.make_environment(program)
         self.loads: list[LoadGenerator] = []
         self.latest_step = "all is well"
 
     def make_environment(self, program: Path | None) -> ProcessEnvironment:
         """Make what owns the parts of the run."""
-        return ProcessEnvironment(self.scenario, self.folder, self.seed, self.event_log, program)
+        return ProcessEnvironment(self.scenario, self.run_dir, self.seed, self.event_log, program)
 
     async def run(
         self, on_tick: Callable[[float, ScenarioRunner], None] = lambda _elapsed_s, _runner: None
@@ -76,7 +76,7 @@
     def _load(self, number: int, address: str) -> LoadGenerator:
         """Make the clients of one sidecar."""
         host, _, port = address.rpartition(":")
-        event_log = EventLog(self.folder / f"clients-{number}.jsonl")
+        event_log = EventLog(self.run_dir / f"clients-{number}.jsonl")
         seed = self.seed * 100 + number
         return LoadGenerator((host, int(port)), client_load(self.scenario), seed, event_log)
 
@@ -149,14 +149,14 @@
 
     def _result(self) -> RunResult:
         """Read the event logs and judge them."""
-        paths = {path.stem: path for path in self.folder.glob("*.jsonl")}
+        paths = {path.stem: path for path in self.run_dir.glob("*.jsonl")}
         nodes = {name: list(read_events(path)) for name, path in paths.items() if name.startswith("node")}
         clients = [list(read_events(path)) for name, path in paths.items() if name.startswith("clients")]
         directories = [path for name, path in paths.items() if name.startswith("directory")]
         notified = sorted(
             (event for path in directories for event in read_events(path)), key=lambda event: event["at"]
         )
-        runner = list(read_events(self.folder / "stage.jsonl"))
+        runner = list(read_events(self.run_dir / "stage.jsonl"))
         run = RunEvents(clients, nodes, notified, runner)
         report = judge(run, self.scenario.non_idempotent, RESOURCE_LIMITS)
         max_send_delay_s = max(load.max_send_delay_s for load in self.loads)
--- a/ochreflow/lab/series.py
+++ b/ochreflow/lab/series.py
@@ -19,7 +19,7 @@
     ClientOutcome.ABANDONED,
 )
 PERCENTILES = (("p50", 0.5), ("p90", 0.9), ("p99", 0.99))
-LEFT_NODE = (EventKind.COMPLETED, EventKind.FAILED, EventKind.DISCARDED)
+FINISHED = (EventKind.COMPLETED, EventKind.FAILED, EventKind.DISCARDED)
 
 StepOf = Callable[[int], int]  # the step of a time in nanoseconds
 
@@ -54,7 +54,7 @@
 
 
 def _add_clients(made: Series, clients: list[list[Event]], step_of: StepOf, count: int) -> None:
-    took_s: list[list[float]] = [[] for _ in range(count)]
+    latencies_s: list[list[float]] = [[] for _ in range(count)]
     for events in clients:
         for event in events:
             step = step_of(event["at"])
@@ -63,9 +63,9 @@
             elif event["outcome"] in made.outcomes:
                 made.outcomes[event["outcome"]][step] += 1
                 if event["outcome"] == ClientOutcome.SERVED:
-                    took_s[step].append(event["took"])
+                    latencies_s[step].append(event["took"])
     for name, part in PERCENTILES:
-        made.latency_s[name] = [percentile(values, part) for values in took_s]
+        made.latency_s[name] = [percentile(values, part) for values in latencies_s]
 
 
 def _add_runner(made: Series, runner_events: list[Event], started_at: int) -> None:
@@ -96,7 +96,7 @@
     for event in events:
         if event["what"] == EventKind.ACCEPTED:
             changes[step_of(event["at"])] += 1
-        elif event["what"] in LEFT_NODE:
+        elif event["what"] in FINISHED:
             changes[step_of(event["at"])] -= 1
     current, row = 0, []
     for step in range(count):
--- a/ochreflow/lab/sidecar_log.py
+++ b/ochreflow/lab/sidecar_log.py
@@ -16,9 +16,9 @@
 class EjectionReader:
     """Reads the sidecars' logs as they grow, and records which nodes they eject."""
 
-    def __init__(self, folder: Path, event_log: EventLog) -> None:
-        """Read `folder`/NAME.log for each sidecar."""
-        self.folder = folder
+    def __init__(self, log_dir: Path, event_log: EventLog) -> None:
+        """Read `log_dir`/NAME.log for each sidecar."""
+        self.log_dir = log_dir
         self.event_log = event_log
         self.offsets: dict[str, int] = {}  # bytes of each log that were read
         self.nodes: dict[tuple[str, str], str] = {}  # the node that a sidecar knows by a number
@@ -29,7 +29,7 @@
 
     def read(self, name: str) -> None:
         """Record the ejections that a sidecar has logged since the last call."""
-        with (self.folder / f"{name}.log").open("rb") as file:
+        with (self.log_dir / f"{name}.log").open("rb") as file:
             file.seek(self.offsets.get(name, 0))
             data = file.read()
         complete = data[: data.rfind(b"\n") + 1]
--- a/ochreflow/simulation/capacity_oracle.py
+++ b/ochreflow/simulation/capacity_oracle.py
@@ -66,7 +66,7 @@
 def cores_by_node(scenario: Scenario, now_s: float) -> dict[int, float]:
     """Return the nodes that are there at a time of the run, and the warm cores that each is worth."""
     fleet = scenario.fleet
-    initial_s = 0.0 if fleet.starts_cold else LONG_AGO_S
+    initial_s = 0.0 if fleet.starts_warming_up else LONG_AGO_S
     started_s: dict[int, float] = dict.fromkeys(range(1, fleet.node_count + 1), initial_s)
     slowdown: dict[int, float] = {}
     for step in sorted(scenario.steps, key=lambda step: step.at):
--- a/ochreflow/simulation/limit_scenarios.py
+++ b/ochreflow/simulation/limit_scenarios.py
@@ -35,7 +35,7 @@
     return {"at": at, "do": do, "nodes": list(nodes), "much": much}
 
 
-def _load_ramp(steps: int) -> list[dict[str, float]]:
+def _rising_load(steps: int) -> list[dict[str, float]]:
     """Return bursts up to three times the base rate and back, within the middle half of the run."""
     width = 0.5 / steps
     peak = steps / 2
@@ -61,7 +61,7 @@
         ),
         0.6,
     ),
-    "ramp": (_scenario("up to three times the usual and back", load={"bursts": _load_ramp(20)}), 0.75),
+    "ramp": (_scenario("up to three times the usual and back", load={"bursts": _rising_load(20)}), 0.75),
     "three of eight": (
         _scenario(
             "three of eight are gone and cold ones come for them",
--- a/ochreflow/simulation/limit_trace.py
+++ b/ochreflow/simulation/limit_trace.py
@@ -134,5 +134,5 @@
     )
 
 
-def _less(whole: list[int], part: list[int]) -> list[int]:
-    return [one - other for one, other in zip(whole, part, strict=True)]
+def _less(total: list[int], part: list[int]) -> list[int]:
+    return [one - other for one, other in zip(total, part, strict=True)]
--- a/ochreflow/simulation/policy_loader.py
+++ b/ochreflow/simulation/policy_loader.py
@@ -37,11 +37,11 @@
     settings: ModuleType
 
 
-def load_policy(folder: Path | None) -> PolicyModules:
-    """Load `folder`/ochreflow/policy, or this package's own; PolicyNotFoundError if there is none."""
+def load_policy(build_dir: Path | None) -> PolicyModules:
+    """Load `build_dir`/ochreflow/policy, or this package's own; PolicyNotFoundError if there is none."""
     package = "ochreflow"
-    if folder is not None:
-        place = (folder / "ochreflow").resolve()
+    if build_dir is not None:
+        place = (build_dir / "ochreflow").resolve()
         if not (place / "policy" / "__init__.py").exists():
             message = f"{place / 'policy'}: no decision module there"
             raise PolicyNotFoundError(message)
@@ -55,7 +55,7 @@
     _add_earlier_names(interface)
     renamed = importlib.util.find_spec(f"{name}.balancer") is not None
     balancer = importlib.import_module(f"{name}.{'balancer' if renamed else 'logic'}")
-    if folder is not None:
+    if build_dir is not None:
         balancer.Balancer.__getattr__ = _earlier_part  # asked only for parts that this build does not have
     return PolicyModules(interface, balancer, importlib.import_module(f"{name}.settings"))
 
--- a/ochreflow/simulation/simulation.py
+++ b/ochreflow/simulation/simulation.py
@@ -38,7 +38,7 @@
 SIDECAR_START_S = 0.5  # that a sidecar takes to start again
 RUN_ON_S = 1.0  # beyond the last deadline
 TICK_INTERVAL_S = 0.5  # of simulated time
-COLD_SEED_OFFSET = 100_000
+WARMING_UP_SEED_OFFSET = 100_000
 RESTART_SEED_STEP = 10_000
 DIGEST_BYTES = 16
 
@@ -77,15 +77,15 @@
 
     # Nodes and sidecars
 
-    def start_node(self, number: int, *, cold: bool) -> dict[str, Any]:
+    def start_node(self, number: int, *, warming_up: bool) -> dict[str, Any]:
         """Start a node; return its entry for the directory."""
         name = f"node-{number}"
-        profile = NodeProfile(**node_profile(self.scenario, name, cold=cold))
-        seed = self.seed * 1000 + number + (COLD_SEED_OFFSET if cold else 0)
-        since_ms = self.clock.now // NS_PER_MS if cold else 0
+        profile = NodeProfile(**node_profile(self.scenario, name, warming_up=warming_up))
+        seed = self.seed * 1000 + number + (WARMING_UP_SEED_OFFSET if warming_up else 0)
+        since_ms = self.clock.now // NS_PER_MS if warming_up else 0
         entry = directory_entry(self.scenario, number, name, since_ms)
         # A node that is started again has forgotten its idempotency keys, as its process has.
-        started_later = cold and not self.scenario.fleet.starts_cold
+        started_later = warming_up and not self.scenario.fleet.starts_warming_up
         group = DeduplicationGroup()
         if not started_later:
             group = self.dedup_groups.setdefault(entry["group"], group)
@@ -139,8 +139,8 @@
                 log.record(EventKind.RESPONSE, id=request_id, outcome=extra, code=0, body="")
                 return
             answered = True
-            took_s = (self.clock.now - due) / NS_PER_S
-            result = {"outcome": outcome, "body": body, "took": took_s}
+            latency_s = (self.clock.now - due) / NS_PER_S
+            result = {"outcome": outcome, "body": body, "took": latency_s}
             log.record(EventKind.RESPONSE, id=request_id, cls=class_name, **result)
             if outcome is ClientOutcome.REJECTED and attempt + 1 < self.scenario.load.max_attempts:
                 self.clock.after(retry_after_s, self._attempt, request, number, attempt + 1, due)
@@ -205,13 +205,13 @@
         elif action in STATUS_AFTER:
             directory.put({"name": name, "status": STATUS_AFTER[action]})
         elif action is StepAction.ADD:
-            directory.put(self.start_node(number, cold=True))
+            directory.put(self.start_node(number, warming_up=True))
         else:  # REMOVE, VANISH, RESTART, REPLACE
             directory.nodes[name].kill()
             if action in (StepAction.REMOVE, StepAction.REPLACE):
                 directory.put({"name": name, "status": "DELETED"})
             if action in (StepAction.RESTART, StepAction.REPLACE):
-                directory.put(self.start_node(replacement, cold=True))
+                directory.put(self.start_node(replacement, warming_up=True))
 
     # The run
 
@@ -219,7 +219,7 @@
         """Play it to its end, and judge it; `on_tick` is called every half second of simulated time."""
         scenario = self.scenario
         for number in range(1, scenario.fleet.node_count + 1):
-            entry = self.start_node(number, cold=scenario.fleet.starts_cold)
+            entry = self.start_node(number, warming_up=scenario.fleet.starts_warming_up)
             self.directory.entries[entry["name"]] = entry
         self.run_log.record(EventKind.RUN_STARTED)
         for number in range(1, scenario.sidecar_count + 1):
--- a/ochreflow/simulation/slow_start_metrics.py
+++ b/ochreflow/simulation/slow_start_metrics.py
@@ -23,7 +23,7 @@
     budget: float  # N, there
     slack_present: float  # the same with N = factor x capacity x ramp at its end x its whole length
     of_capacity: float  # answered by the cold servers in the judged time, against what warm ones could
-    of_ramp: float  # ... and against what their ramp allowed
+    of_slow_start_ramp: float  # ... and against what their ramp allowed
     served: float  # part of all requests in the judged time that was answered within the objective
 
 
@@ -35,18 +35,18 @@
     budget: float
 
 
-def ramp(age_s: float) -> float:
+def slow_start_ramp(age_s: float) -> float:
     """Return the part of its capacity that a server has so long after its start."""
     return min(START_CAPACITY + (1.0 - START_CAPACITY) * age_s / WARM_UP_S, 1.0)
 
 
-def ramp_integral(age_s: float) -> float:
+def slow_start_ramp_integral(age_s: float) -> float:
     """Return the integral of the ramp from the start on, in seconds of a warm server."""
-    cold_s = min(max(age_s, 0.0), WARM_UP_S)
+    warming_up_s = min(max(age_s, 0.0), WARM_UP_S)
     return (
-        START_CAPACITY * cold_s
-        + (1.0 - START_CAPACITY) * cold_s * cold_s / (2.0 * WARM_UP_S)
-        + max(age_s - cold_s, 0.0)
+        START_CAPACITY * warming_up_s
+        + (1.0 - START_CAPACITY) * warming_up_s * warming_up_s / (2.0 * WARM_UP_S)
+        + max(age_s - warming_up_s, 0.0)
     )
 
 
@@ -65,8 +65,10 @@
     for number, sent_s in enumerate(sends):
         if sent_s < WARM_UP_S:
             count = _sends_in_window(sends, number)
-            ramp_s = ramp_integral(sent_s) - ramp_integral(sent_s - OVERLOAD_WINDOW_S)
-            budget = OVERLOAD_FACTOR * capacity_per_s * ramp_s
+            allowed_s = slow_start_ramp_integral(sent_s) - slow_start_ramp_integral(
+                sent_s - OVERLOAD_WINDOW_S
+            )
+            budget = OVERLOAD_FACTOR * capacity_per_s * allowed_s
             found.append(Window(slack(count, budget), count, budget))
     return [max(found)] if found else []
 
@@ -77,7 +79,7 @@
         (
             slack(
                 _sends_in_window(sends, number),
-                OVERLOAD_FACTOR * capacity_per_s * ramp(sent_s) * OVERLOAD_WINDOW_S,
+                OVERLOAD_FACTOR * capacity_per_s * slow_start_ramp(sent_s) * OVERLOAD_WINDOW_S,
             )
             for number, sent_s in enumerate(sends)
             if sent_s < WARM_UP_S
--- a/ochreflow/simulation/slow_start_run.py
+++ b/ochreflow/simulation/slow_start_run.py
@@ -21,8 +21,8 @@
     START_CAPACITY,
     WARM_UP_S,
     SlowStartMetrics,
-    ramp_integral,
     slack_at_present_capacity,
+    slow_start_ramp_integral,
     worst_window,
 )
 from .slow_start_server import MEAN_WORK_S, Server
@@ -49,8 +49,8 @@
 
     sidecars: int
     servers: int
-    cold_share: float  # of the servers that are replaced at once
-    slow_while_cold: bool = False  # cold servers work at their ramp's speed, not as warm ones
+    replaced_share: float  # of the servers that are replaced at once
+    slow_while_warming_up: bool = False  # cold servers work at their ramp's speed, not as warm ones
     unequal: bool = False  # two kinds of servers, and a slow cell
 
 
@@ -117,14 +117,14 @@
             return
         if server.started_s is not None:
             server.sends.append(now_s - server.started_s)
-        took_s = server.accept(now_s, fleet.random.expovariate(1.0 / MEAN_WORK_S))
+        service_s = server.accept(now_s, fleet.random.expovariate(1.0 / MEAN_WORK_S))
         remaining_s = self.deadlines[request] - ATTEMPT_MARGIN_S - now_s
-        if took_s is None:
+        if service_s is None:
             self._end_after(REJECTION_S, request, attempt, number, status.REJECTED)
-        elif took_s > remaining_s:
+        elif service_s > remaining_s:
             self._end_after(remaining_s, request, attempt, number, status.TIMEOUT)
         else:
-            self._end_after(took_s, request, attempt, number, status.OK)
+            self._end_after(service_s, request, attempt, number, status.OK)
 
     def _end_after(self, seconds: float, request: int, attempt: int, number: int, status: Any) -> None:
         clock = self.fleet.clock
@@ -150,11 +150,11 @@
         self.case = case
         self.policy = policy
         self.clock = Clock()
-        self.random = random.Random(f"{case.sidecars} {case.servers} {case.cold_share} {seed}")
+        self.random = random.Random(f"{case.sidecars} {case.servers} {case.replaced_share} {seed}")
         self.servers = {
             number: Server(capacity_per_s=self._capacity_per_s(number)) for number in range(case.servers)
         }
-        self.replaced = range(max(1, round(case.cold_share * case.servers)))
+        self.replaced = range(max(1, round(case.replaced_share * case.servers)))
         self.requests = self.served = 0
         self._start_sidecars()
         self.clock.after(BEFORE_S, self._replace)
@@ -198,34 +198,38 @@
     def _replace(self) -> None:
         """Remove the servers that are replaced, and start the cold ones."""
         self.replaced_at = self.clock.now
-        self.first_cold = len(self.servers)
+        self.first_new = len(self.servers)
         for number in self.replaced:
             self.servers[number].removed = True
-            self.servers[self.first_cold + number] = Server(
-                self.clock.seconds, self.case.slow_while_cold, capacity_per_s=self._capacity_per_s(number)
+            self.servers[self.first_new + number] = Server(
+                self.clock.seconds,
+                self.case.slow_while_warming_up,
+                capacity_per_s=self._capacity_per_s(number),
             )
 
     def _notify(self, sidecar: SlowStartSidecar) -> None:
         api = self.policy.interface
         changed = [self._endpoint(number, api.State.REMOVED) for number in self.replaced]
         changed += [
-            self._endpoint(self.first_cold + number, api.State.READY, self.replaced_at)
+            self._endpoint(self.first_new + number, api.State.READY, self.replaced_at)
             for number in self.replaced
         ]
         sidecar.post(api.Membership(api.ListKind.DELTA, 2, changed))
 
     def metrics(self) -> SlowStartMetrics:
         """Return the result."""
-        cold = [self.servers[self.first_cold + number] for number in self.replaced]
+        new_servers = [self.servers[self.first_new + number] for number in self.replaced]
         windows = [
             (window, number)
-            for number, server in enumerate(cold)
+            for number, server in enumerate(new_servers)
             for window in worst_window(server.sends, server.capacity_per_s)
         ]
         worst = max(windows)[0] if windows else None
-        answered = sum(server.answered for server in cold) / sum(server.capacity_per_s for server in cold)
+        answered = sum(server.answered for server in new_servers) / sum(
+            server.capacity_per_s for server in new_servers
+        )
         slack_present = max(
-            (slack_at_present_capacity(server.sends, server.capacity_per_s) for server in cold),
+            (slack_at_present_capacity(server.sends, server.capacity_per_s) for server in new_servers),
             default=NO_SENDS_SLACK,
         )
         return SlowStartMetrics(
@@ -234,7 +238,7 @@
             worst.budget if worst else 0.0,
             slack_present,
             answered / AFTER_S,
-            answered / ramp_integral(AFTER_S),
+            answered / slow_start_ramp_integral(AFTER_S),
             self.served / self.requests,
         )
 
--- a/tests/simulated_environment.py
+++ b/tests/simulated_environment.py
@@ -67,18 +67,18 @@
 class InLoopEnvironment(ProcessEnvironment):
     """Owns the parts of one run, by the names that the processes would have."""
 
-    def __init__(self, scenario, folder, seed, event_log):
-        super().__init__(scenario, folder, seed, event_log)
+    def __init__(self, scenario, run_dir, seed, event_log):
+        super().__init__(scenario, run_dir, seed, event_log)
         self.servers = {}  # by the name of the process in which they would run
         self.sidecars = {}
 
-    async def start_servers(self, kind, wanted):
-        process, dedup_group, addresses = wanted[0]["name"], DeduplicationGroup(), []
+    async def start_servers(self, kind, server_options):
+        process, dedup_group, addresses = server_options[0]["name"], DeduplicationGroup(), []
         self.servers[process] = []
-        for one in wanted:
+        for one in server_options:
             options = dict(one)
             name, seed, port = options["name"], options.pop("seed", 0), options.pop("port", 0)
-            event_log = EventLog(self.folder / f"{name}.jsonl")
+            event_log = EventLog(self.run_dir / f"{name}.jsonl")
             handler = make_handler(kind, options, seed, event_log, dedup_group)
             server = InLoopServer(handler, event_log)
             handler.on_end_order = server.end
@@ -91,7 +91,7 @@
     async def start_sidecar(self, number):
         name = f"sidecar-{number}"
         self.write_config(number, f"{HOST}:0")
-        made = Sidecar(asyncio.get_running_loop(), read_config(str(self.folder / f"{name}.json")))
+        made = Sidecar(asyncio.get_running_loop(), read_config(str(self.run_dir / f"{name}.json")))
         server = await asyncio.get_running_loop().create_server(made.http.connection, HOST, 0)
         made.http.listen(server)
         made.engine.lifecycle.serve()
@@ -150,4 +150,4 @@
     """Plays a scenario with all who take part in one loop."""
 
     def make_environment(self, program):
-        return InLoopEnvironment(self.scenario, self.folder, self.seed, self.event_log)
+        return InLoopEnvironment(self.scenario, self.run_dir, self.seed, self.event_log)
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -41,7 +41,7 @@
     found = [result("A", seed, 0.1 * seed) for seed in range(len(by))]
     found += [result("B", seed, 0.1 * seed + more) for seed, more in enumerate(by)]
     one = worths(found)["s"]
-    assert one.verdict == verdict and one.pairs == len(by)
+    assert one.conclusion == verdict and one.pairs == len(by)
     assert one.low <= sum(by) / len(by) <= one.high
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -119,7 +119,7 @@
     runs = [Simulation(given, 4, load_policy(None)) for _ in range(2)]
     played = [run.run() for run in runs]
     assert played[0].digest == played[1].digest
-    assert played[0].verdict == 0, played[0].report.findings[:3]
+    assert played[0].outcome == 0, played[0].report.findings[:3]
     events = {what: event_log.events for what, event_log in runs[0].event_logs.items()}
     assert all(event["at"] >= START_NS for event in events["clients-1"])
     assert seen(events)
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -5,8 +5,8 @@
 from test_operator_file import command
 
 from ochreflow.policy.interface import ListKind, Membership
-from ochreflow.simulation.slow_start_metrics import ramp_integral, slack, worst_window
-from ochreflow.simulation.slow_start_report import COLD_SHARES
+from ochreflow.simulation.slow_start_metrics import slack, slow_start_ramp_integral, worst_window
+from ochreflow.simulation.slow_start_report import REPLACED_SHARES
 from ochreflow.simulation.slow_start_run import SlowStartCase, play
 
 
@@ -259,42 +259,45 @@
 
 def test_ten_cold_servers_bear_the_sum_of_what_thirty_sidecars_send():
     """With the pace before, the first of these came to 0.74 of what is put down to chance."""
-    found = [play(SlowStartCase(30, 10, COLD_SHARES["all"]), seed) for seed in (1, 4)]
+    found = [play(SlowStartCase(30, 10, REPLACED_SHARES["all"]), seed) for seed in (1, 4)]
     assert max(one.slack for one in found) <= 0.4, found
-    assert sum(one.of_ramp for one in found) > 0.5 * len(found)  # it isn't kept by sending nothing
+    assert sum(one.of_slow_start_ramp for one in found) > 0.5 * len(found)  # it isn't kept by sending nothing
 
 
 @pytest.mark.parametrize("slow", [False, True])
 def test_one_cold_server_among_few_sidecars_is_put_to_use(slow):
     """Of what it can do: a slow one can do its ramp, and the pick rightly leaves it some of that."""
-    found = [play(SlowStartCase(5, 10, COLD_SHARES["one"], slow_while_cold=slow), seed) for seed in (1, 2, 3)]
+    found = [
+        play(SlowStartCase(5, 10, REPLACED_SHARES["one"], slow_while_warming_up=slow), seed)
+        for seed in (1, 2, 3)
+    ]
     assert max(one.slack for one in found) <= 0.4, found
-    used = [one.of_ramp if slow else one.of_capacity for one in found]
+    used = [one.of_slow_start_ramp if slow else one.of_capacity for one in found]
     assert sum(used) > 0.35 * len(found)
 
 
 def test_a_fleet_that_goes_as_a_whole_is_put_to_use_again():
     """Before, its pace fell with what it answered: 0.587 were served in the mean of 20 seeds."""
-    found = [play(SlowStartCase(5, 10, COLD_SHARES["all"]), seed) for seed in (1, 2, 3)]
+    found = [play(SlowStartCase(5, 10, REPLACED_SHARES["all"]), seed) for seed in (1, 2, 3)]
     assert max(one.slack for one in found) <= 0.4, found
     assert sum(one.served for one in found) > 0.7 * len(found), found
 
 
 def test_one_cold_server_of_sixty_is_put_to_use():
-    found = [play(SlowStartCase(30, 60, COLD_SHARES["one"]), seed) for seed in (1, 2)]
+    found = [play(SlowStartCase(30, 60, REPLACED_SHARES["one"]), seed) for seed in (1, 2)]
     assert max(one.slack for one in found) <= 0.4, found
     assert sum(one.of_capacity for one in found) > 0.4 * len(found), found
 
 
 def test_weak_servers_bear_it_where_the_list_tells_kinds_and_cells_apart():
-    found = [play(SlowStartCase(30, 10, COLD_SHARES["all"], unequal=True), seed) for seed in (1, 2, 3)]
+    found = [play(SlowStartCase(30, 10, REPLACED_SHARES["all"], unequal=True), seed) for seed in (1, 2, 3)]
     assert max(one.slack for one in found) < 1.0, found
-    assert sum(one.of_ramp for one in found) > 0.6 * len(found), found
+    assert sum(one.of_slow_start_ramp for one in found) > 0.6 * len(found), found
 
 
 def test_windows_are_held_against_what_the_ramp_allowed_in_them():
-    assert ramp_integral(12.0) == pytest.approx(12.0 * (0.15 + 1.0) / 2)
-    assert ramp_integral(16.0) - ramp_integral(12.0) == pytest.approx(4.0)
+    assert slow_start_ramp_integral(12.0) == pytest.approx(12.0 * (0.15 + 1.0) / 2)
+    assert slow_start_ramp_integral(16.0) - slow_start_ramp_integral(12.0) == pytest.approx(4.0)
     even = [number / 100 for number in range(1, 1100)]  # a hundred a second: five times a warm one
     worst = worst_window(even)[0]
     assert 0 < worst.sends <= 301  # no more than its three seconds hold
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize("name", scenario_names())
 def test_the_library_keeps_every_rule(name):
     played = simulate(read_scenario(name), 3)
-    assert played.verdict == 0, played.report.findings[:3]
+    assert played.outcome == 0, played.report.findings[:3]
     took = [took for logical in played.report.logical_requests.values() for took in logical.values()]
     assert sum(time is not None for time in took) > 0.8 * len(took) > 500
 
@@ -31,7 +31,7 @@
 def test_a_sabotaged_module_is_convicted(rule, tmp_path):
     file, old, new, made = SABOTAGE[rule]
     for seed in range(1, 9):  # what chance decides needs some seeds; a good module breaks nothing in any
-        assert simulate(made, seed).verdict == 0
+        assert simulate(made, seed).outcome == 0
     program = sabotaged(tmp_path, file, old, new)
     found = {
         finding.rule for seed in range(1, 9) for finding in simulate(made, seed, program).report.findings
@@ -42,7 +42,7 @@
 def test_what_is_lost_while_a_sidecar_is_killed_is_counted_and_excused():
     played = simulate(read_scenario("kill-loop"), 1)
     lost = sum(counts["lost"] for counts in played.report.by_class.values())
-    assert lost > 10 and played.verdict == 0
+    assert lost > 10 and played.outcome == 0
 
 
 def test_the_margins_are_those_of_the_engine():
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -21,7 +21,7 @@
 def test_a_fleet_that_is_cold_as_a_whole_is_put_to_work_at_once(sidecars, cores):
     """With no answer there was no pace, and with no pace no answer, until the fleet was warm by its clock."""
     played = simulate(cold(sidecars, cores, 65.0 * cores), 1)
-    assert played.verdict == 0
+    assert played.outcome == 0
     took = [time for logical in played.report.logical_requests.values() for time in logical.values()]
     assert sum(time is not None for time in took) > 0.9 * len(took)
 
