--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -14,38 +14,41 @@
 from pathlib import Path
 from time import perf_counter
 
+import checkout  # noqa: F401 - it puts this checkout on the import path
+
 from ochreflow.admission.connection_admission import ConnectionAdmission
 from ochreflow.admission.limits import Limits
 
-PAGE = os.sysconf("SC_PAGE_SIZE") // 1024
-GAP = 0.001  # seconds between connections: a thousand a second
+PAGE_KIB = os.sysconf("SC_PAGE_SIZE") // 1024
+CONNECTION_INTERVAL_S = 0.001  # a thousand connections a second
 
 
-def resident() -> int:
-    """KiB of this process in memory."""
-    return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE
+def resident_kib() -> int:
+    """Read the resident memory of this process, in KiB."""
+    return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_KIB
 
 
 def main() -> None:
+    """Connect the addresses, and print the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--addresses", type=int, default=10_000_000)
-    many = parser.parse_args().addresses
+    count = parser.parse_args().addresses
     admission: ConnectionAdmission[int] = ConnectionAdmission(Limits(), lambda: 1000)
-    figures: dict[str, float] = {"addresses": many, "before_kib": resident()}
+    figures: dict[str, float] = {"addresses": count, "before_kib": resident_kib()}
     began = perf_counter()
-    let_in = 0
-    for number in range(many):
-        now = number * GAP
+    admitted = 0
+    for number in range(count):
+        now = number * CONNECTION_INTERVAL_S
         address = f"{10 + (number >> 24)}.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}"
         if admission.admit(now, number, address) is None:
-            let_in += 1
+            admitted += 1
             if number % 10 == 0:
                 admission.request_completed(now, number)
             admission.connection_closed(number)
-        if number == many // 10:
-            figures["after_a_tenth_kib"] = resident()
-    figures |= {"after_kib": resident(), "let_in": let_in, "remembered": len(admission.absent)}
-    print(json.dumps({**figures, "us_for_each": round((perf_counter() - began) / many * 1e6, 2)}))
+        if number == count // 10:
+            figures["after_a_tenth_kib"] = resident_kib()
+    figures |= {"after_kib": resident_kib(), "let_in": admitted, "remembered": len(admission.absent)}
+    print(json.dumps({**figures, "us_for_each": round((perf_counter() - began) / count * 1e6, 2)}))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/benchmarks/checkout.py
@@ -0,0 +1,10 @@
+"""Puts this checkout first on the import path, so that a benchmark measures it, installed or not."""
+
+from __future__ import annotations
+
+import sys
+from pathlib import Path
+
+ROOT = Path(__file__).resolve().parent.parent
+
+sys.path.insert(0, str(ROOT))
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,10 +1,10 @@
-"""A flood of sockets against a real sidecar, with the gate and without: do its usual clients notice?
+"""A flood of sockets against a real sidecar, with admission and without: do its usual clients notice?
 
     python benchmarks/flood.py [--sockets 2000]
 
 Plays a steady load from one address through a fake server node, while sockets from 250 other addresses of
 loopback connect and say nothing or half a head, each anew as soon as it is refused. Prints one JSON object:
-the share answered in the wanted time and the p99, without a flood, and with it with the gate off and on.
+the share answered within the target time and the p99, without a flood, and with it with admission off and on.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
 import tempfile
 from pathlib import Path
 
+import checkout  # noqa: F401 - it puts this checkout on the import path
 import msgspec
 import uvloop
 
@@ -26,46 +27,51 @@
 from ochreflow.lab.sidecar_log import resource_usage
 
 HOST = "127.0.0.1"
-SECONDS = 8.0
+LOAD_S = 8.0
 ADDRESSES = 250
-HALF = b"POST /assign/flags HTTP/1.1\r\nHost: x\r\nX-Req"
-GATE = "[admission]\non = true\n"
+HALF_HEAD = b"POST /assign/flags HTTP/1.1\r\nHost: x\r\nX-Req"
+ADMISSION_ON = "[admission]\non = true\n"  # of the operator's file
+RECONNECT_DELAY_S = 0.2
+WATCH_INTERVAL_S = 0.1
 
 
 class Flood:
-    """So many sockets, each connected again as soon as it has ended."""
+    """Sockets to one port, each connected again after it has ended."""
 
     def __init__(self, port: int, sockets: int) -> None:
+        """Prepare a flood of `sockets` sockets to `port`; nothing connects before `run`."""
         self.port = port
         self.sockets = sockets
         self.connects = 0
 
     async def run(self) -> None:
+        """Connect all within a second, and again until cancelled."""
         await asyncio.gather(*(self._one(number) for number in range(self.sockets)))
 
     async def _one(self, number: int) -> None:
         loop = asyncio.get_running_loop()
         await asyncio.sleep(number / self.sockets)  # all within a second
         while True:
-            with contextlib.suppress(OSError), socket.socket() as made:
-                made.setblocking(False)
-                made.bind((f"127.{1 + number % ADDRESSES}.{number % 7}.1", 0))
-                await loop.sock_connect(made, (HOST, self.port))
+            with contextlib.suppress(OSError), socket.socket() as sock:
+                sock.settimeout(0.0)
+                sock.bind((f"127.{1 + number % ADDRESSES}.{number % 7}.1", 0))
+                await loop.sock_connect(sock, (HOST, self.port))
                 self.connects += 1
                 if number % 2:
-                    await loop.sock_sendall(made, HALF)
-                while await loop.sock_recv(made, 4096):
+                    await loop.sock_sendall(sock, HALF_HEAD)
+                while await loop.sock_recv(sock, 4096):
                     pass
-            await asyncio.sleep(0.2)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
 
-async def play(scenario: Scenario, folder: Path, sockets: int, gated: bool) -> dict[str, object]:
-    runner = ScenarioRunner(scenario, folder, 1)
+async def play(scenario: Scenario, directory: Path, sockets: int, *, admission: bool) -> dict[str, object]:
+    """Run the scenario beside a flood of `sockets` sockets; the figures of its clients and of the sidecar."""
+    runner = ScenarioRunner(scenario, directory, 1)
     flood: asyncio.Task[None] | None = None
-    if gated:
-        (folder / "operator.toml").write_text(GATE)
-        runner.environment.sidecar_options = ("--config", str(folder / "operator.toml"))
-    most: dict[str, float] = {}
+    if admission:
+        (directory / "operator.toml").write_text(ADMISSION_ON)
+        runner.environment.sidecar_options = ("--config", str(directory / "operator.toml"))
+    peak: dict[str, float] = {}
 
     async def watch() -> None:
         """Start the flood with the load, and look at what the sidecar holds."""
@@ -73,13 +79,13 @@
         while "sidecar-1" not in runner.environment.addresses or not runner.loads:
             await asyncio.sleep(0.05)
         await asyncio.sleep(1.0)  # the usual clients have been there before
-        made = Flood(int(runner.environment.addresses["sidecar-1"].rpartition(":")[2]), sockets)
-        flood = asyncio.create_task(made.run())
+        started = Flood(int(runner.environment.addresses["sidecar-1"].rpartition(":")[2]), sockets)
+        flood = asyncio.create_task(started.run())
         while True:
             for name, value in resource_usage(runner.environment.processes["sidecar-1"].pid).items():
-                most[name] = max(most.get(name, 0.0), value)
-            most["connects"] = made.connects
-            await asyncio.sleep(0.1)
+                peak[name] = max(peak.get(name, 0.0), value)
+            peak["connects"] = started.connects
+            await asyncio.sleep(WATCH_INTERVAL_S)
 
     watching = asyncio.create_task(watch())
     result = await runner.run()
@@ -98,23 +104,24 @@
         "p99_ms": round(p99 * 1000),
         "unanswered": sum(counts["lost"] for counts in result.report.by_class.values()),
         "crashed": result.crashes,
-        **most,
+        **peak,
     }
 
 
 def main() -> None:
+    """Run the three cases, and print the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sockets", type=int, default=2000)
     given = parser.parse_args()
-    scenario = msgspec.structs.replace(read_scenario("quiet"), duration_s=SECONDS)
+    scenario = msgspec.structs.replace(read_scenario("quiet"), duration_s=LOAD_S)
     result: dict[str, object] = {"descriptors": RESOURCE_LIMITS["sockets"], "sockets": given.sockets}
-    for name, sockets, gated in (
+    for name, sockets, admission in (
         ("no flood", 0, False),
         ("flood, gate off", given.sockets, False),
         ("flood, gate on", given.sockets, True),
     ):
-        with tempfile.TemporaryDirectory() as folder:
-            result[name] = uvloop.run(play(scenario, Path(folder), sockets, gated))
+        with tempfile.TemporaryDirectory() as directory:
+            result[name] = uvloop.run(play(scenario, Path(directory), sockets, admission=admission))
     print(json.dumps(result, indent=1))
 
 
--- a/benchmarks/lab_capacity.py
+++ b/benchmarks/lab_capacity.py
@@ -12,6 +12,7 @@
 import json
 import multiprocessing
 import tempfile
+from multiprocessing.connection import Connection
 from pathlib import Path
 
 import uvloop
@@ -23,20 +24,20 @@
 from ochreflow.lab.load_generator import LoadGenerator
 from ochreflow.lab.node_messages import NodeProfile
 
-SECONDS = 3.0
+LOAD_S = 3.0
 CONNECTIONS = 8
-RATES = (500, 1000, 2000, 3000, 4000, 6000, 8000)
-LATE = 0.05  # seconds by which a send may be late
+RATES = (500, 1000, 2000, 3000, 4000, 6000, 8000)  # requests a second
+MAX_SEND_DELAY_S = 0.05  # by which a send may be late
 
 
-def fake_node(pipe, folder: str) -> None:
-    """The lab's node as it is, with work that takes no time."""
+def fake_node(pipe: Connection, directory: str) -> None:
+    """Serve as the lab's node with work that takes no time, for ever; its port goes into the pipe."""
     pin(CORES["node"])
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
         profile = NodeProfile("node", cores=64, mean_work_s={"assign": 0.0})
-        made = FakeNode(profile, EventLog(Path(folder) / "node.jsonl"), 1, loop)
+        made = FakeNode(profile, EventLog(Path(directory) / "node.jsonl"), 1, loop)
         server = await loop.create_server(made.service.connection, HOST, 0)
         pipe.send(server.sockets[0].getsockname()[1])
         await asyncio.Event().wait()
@@ -44,32 +45,33 @@
     uvloop.run(serve())
 
 
-def offered(port: int, rate: int, folder: str) -> dict[str, float]:
-    """One open-loop run against a node that answers at once."""
-    event_log = EventLog(Path(folder) / f"clients-{rate}.jsonl")
+def offered(port: int, rate: int, directory: str) -> dict[str, float]:
+    """Make one open-loop run against a node that answers at once; its figures."""
+    event_log = EventLog(Path(directory) / f"clients-{rate}.jsonl")
     classes = [RequestClass("assign", 1.0, Idempotency.NON_IDEMPOTENT, 2.0)]
-    made = LoadGenerator((HOST, port), ClientLoad(classes, rate, 800), 1, event_log)
-    uvloop.run(made.run(SECONDS))
+    generator = LoadGenerator((HOST, port), ClientLoad(classes, rate, 800), 1, event_log)
+    uvloop.run(generator.run(LOAD_S))
     event_log.close()
     return {
         "rate": rate,
-        "served": made.outcomes["served"],
-        "latest_send_ms": round(made.max_send_delay_s * 1000, 1),
+        "served": generator.outcomes["served"],
+        "latest_send_ms": round(generator.max_send_delay_s * 1000, 1),
     }
 
 
 def main() -> None:
+    """Measure the node and the clients, and print the figures."""
     pin(CORES["load"])
     pipe, far = multiprocessing.Pipe()
-    with tempfile.TemporaryDirectory() as folder:
-        multiprocessing.Process(target=fake_node, args=(far, folder), daemon=True).start()
-        answered = uvloop.run(load(pipe.recv(), CONNECTIONS, SECONDS))
+    with tempfile.TemporaryDirectory() as directory:
+        multiprocessing.Process(target=fake_node, args=(far, directory), daemon=True).start()
+        answered = uvloop.run(load(pipe.recv(), CONNECTIONS, LOAD_S))
         multiprocessing.Process(target=node, args=(far,), daemon=True).start()
         port = pipe.recv()
-        runs = [offered(port, rate, folder) for rate in RATES]
-    in_time = [run["rate"] for run in runs if run["latest_send_ms"] <= LATE * 1000]
+        runs = [offered(port, rate, directory) for rate in RATES]
+    in_time = [run["rate"] for run in runs if run["latest_send_ms"] <= MAX_SEND_DELAY_S * 1000]
     result = {
-        "node_per_second": round(len(answered) / SECONDS),
+        "node_per_second": round(len(answered) / LOAD_S),
         "clients_in_time_up_to": max(in_time, default=0),
         "clients": runs,
     }
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -20,33 +20,34 @@
 import subprocess
 import sys
 import tempfile
+from http import HTTPStatus
+from multiprocessing.connection import Connection
 from pathlib import Path
 from time import perf_counter
 
 import uvloop
+from checkout import ROOT
 
-ROOT = Path(__file__).resolve().parent.parent
-sys.path.insert(0, str(ROOT))
-
-from ochreflow.lab.client_connection import ClientConnection  # noqa: E402
-from ochreflow.lab.http_server import HttpRequest, HttpService  # noqa: E402
-from ochreflow.lab.platform_config import platform_config  # noqa: E402
-from ochreflow.lab.scenario import read_scenario  # noqa: E402
-from ochreflow.lab.series import percentile  # noqa: E402
+from ochreflow.lab.client_connection import ClientConnection
+from ochreflow.lab.http_server import HttpRequest, HttpService
+from ochreflow.lab.platform_config import platform_config
+from ochreflow.lab.scenario import read_scenario
+from ochreflow.lab.series import percentile
 
 HOST = "127.0.0.1"
 CONNECTIONS = 6  # fills a core, and stays under the module's limit on what is open at first
-NAMES = 4  # under which the sidecar knows the one node: its limit on what is open goes by servers
-ONE_BY_ONE = 3000  # requests for the time that is added
+NODE_NAMES = 4  # under which the sidecar knows the one node: its limit on what is open goes by servers
+LATENCY_REQUESTS = 3000  # one at a time, for the latency that the sidecar adds
 CORES = {"node": 0, "sidecar": 1, "load": 2}
 
 
 def pin(core: int) -> None:
+    """Bind this process to a core; the numbers wrap round at the number of cores."""
     os.sched_setaffinity(0, {core % (os.cpu_count() or 1)})
 
 
-def node(pipe) -> None:
-    """A node that answers at once."""
+def node(pipe: Connection) -> None:
+    """Serve as a node that answers at once, for ever; its port goes into the pipe."""
     pin(CORES["node"])
 
     async def serve() -> None:
@@ -64,17 +65,18 @@
 class Build:
     """One build of the sidecar as a process."""
 
-    def __init__(self, folder: Path, node_port: int) -> None:
-        packages = [path.parent.name for path in folder.glob("*/__main__.py")]
+    def __init__(self, directory: Path, node_port: int) -> None:
+        """Start the build of a checkout; it knows a node at the port. SystemExit if it does not start."""
+        packages = [path.parent.name for path in directory.glob("*/__main__.py")]
         package = next(name for name in packages if name in ("ochreflow", "dykefold"))
         entry = {"address": f"{HOST}:{node_port}", "zone": "amman", "type": "gen3", "group": 1}
         entry.update(status="SERVING", weight=1.0, since_ms=0)
-        listed = [{**entry, "name": f"node-{number}"} for number in range(NAMES)]
-        path = folder / ".bench-config.json"
-        path.write_text(json.dumps(config(f"{HOST}:9", listed)))
+        endpoints = [{**entry, "name": f"node-{number}"} for number in range(NODE_NAMES)]
+        path = directory / ".bench-config.json"
+        path.write_text(json.dumps(config(f"{HOST}:9", endpoints)))
         self.process = subprocess.Popen(
             [sys.executable, "-m", package],
-            cwd=folder,
+            cwd=directory,
             env={**os.environ, "GW_CONFIG": str(path)},
             stderr=subprocess.PIPE,
             text=True,
@@ -85,66 +87,71 @@
         while not self.port:
             line = self.process.stderr.readline()
             if not line:
-                raise SystemExit(f"the build in {folder.name} did not start")
+                message = f"the build in {directory.name} did not start"
+                raise SystemExit(message)
             if match := re.search(r" listens at [\d.]+:(\d+)", line):
                 self.port = int(match[1])
         path.unlink()
 
-    def resident(self) -> float:
-        """Resident memory in MB."""
+    def resident_mb(self) -> float:
+        """Read its resident memory, in MB."""
         text = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(re.search(r"VmRSS:\s+(\d+)", text)[1]) / 1024
 
 
-def config(directory: str, listed: list[dict]) -> dict:
-    return platform_config(read_scenario("quiet"), 1, f"{HOST}:0", directory, listed)
+def config(discovery: str, endpoints: list[dict]) -> dict:
+    """Make the platform's configuration of a sidecar that knows the endpoints from a discovery address."""
+    return platform_config(read_scenario("quiet"), 1, f"{HOST}:0", discovery, endpoints)
 
 
 def request() -> bytes:
+    """Make a request with an id of its own."""
     ident = f"{random.getrandbits(64):016x}"
     head = f"POST /assign/flags HTTP/1.1\r\nHost: nodes\r\nX-Request-Id: {ident}\r\nX-Key: user-1\r\n"
     return f"{head}X-Deadline: 2000m\r\nContent-Length: 4\r\n\r\nbody".encode()
 
 
-async def load(port: int, connections: int, seconds: float = 1e9, most: int = 10**9) -> list[float]:
-    """Keep so many requests open; the latency of each answer."""
+async def load(port: int, connections: int, seconds: float = 1e9, max_requests: int = 10**9) -> list[float]:
+    """Keep a request open on each connection; the latency of each answer, in seconds."""
     loop = asyncio.get_running_loop()
-    took: list[float] = []
+    latencies: list[float] = []
     end = perf_counter() + seconds
 
     async def one() -> None:
         _, client = await loop.create_connection(ClientConnection, HOST, port)
-        while perf_counter() < end and len(took) < most:
+        while perf_counter() < end and len(latencies) < max_requests:
             done = loop.create_future()
             begin = perf_counter()
             client.send(request(), done)
             code, _ = await done
-            if code != 200:
-                raise SystemExit(f"an answer was {code}: {client.body.decode()}")
-            took.append(perf_counter() - begin)
+            if code != HTTPStatus.OK:
+                message = f"an answer was {code}: {client.body.decode()}"
+                raise SystemExit(message)
+            latencies.append(perf_counter() - begin)
         client.close()
 
     await asyncio.gather(*(one() for _ in range(connections)))
-    return took
+    return latencies
 
 
-def measure(places: dict[str, int], rounds: int, seconds: float) -> dict[str, dict[str, float]]:
-    rates: dict[str, list[float]] = {name: [] for name in places}
-    times: dict[str, list[float]] = {name: [] for name in places}
+def measure(ports: dict[str, int], rounds: int, seconds: float) -> dict[str, dict[str, float]]:
+    """Load what listens at each port in turn, in an order drawn for each round; the figures by name."""
+    rates: dict[str, list[float]] = {name: [] for name in ports}
+    times: dict[str, list[float]] = {name: [] for name in ports}
     for number in range(rounds + 1):
-        order = list(places)
+        order = list(ports)
         random.shuffle(order)
         for name in order:
-            answered = uvloop.run(load(places[name], CONNECTIONS, seconds))
-            alone = uvloop.run(load(places[name], 1, most=ONE_BY_ONE // rounds))
+            answered = uvloop.run(load(ports[name], CONNECTIONS, seconds))
+            alone = uvloop.run(load(ports[name], 1, max_requests=LATENCY_REQUESTS // rounds))
             if number:  # the first round warms up
                 rates[name].append(len(answered) / seconds)
                 times[name] += alone
     direct = rates["direct"]
     result: dict[str, dict[str, float]] = {}
-    for name in places:
+    for name in ports:
         ratio = statistics.median(rate / base for rate, base in zip(rates[name], direct, strict=True))
-        if name == "after" and "before" in places:
+        if name == "after" and "before" in ports:
             pairs = zip(rates["after"], rates["before"], strict=True)
             result["after to before"] = {"ratio": round(statistics.median(a / b for a, b in pairs), 4)}
         result[name] = {"per_second": round(statistics.median(rates[name])), "ratio": round(ratio, 4)}
@@ -155,6 +162,7 @@
 
 
 def main() -> None:
+    """Start the node and the builds, measure, and print the figures."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--before", help="a git revision to compare with")
     parser.add_argument("--rounds", type=int, default=8)
@@ -165,21 +173,21 @@
     multiprocessing.Process(target=node, args=(far,), daemon=True).start()
     node_port = pipe.recv()
     with tempfile.TemporaryDirectory() as temporary:
-        folders = {"after": ROOT}
+        checkouts = {"after": ROOT}
         if given.before:
-            folders["before"] = Path(temporary) / "before"
-            add = ["git", "worktree", "add", "-q", "--detach", str(folders["before"]), given.before]
+            checkouts["before"] = Path(temporary) / "before"
+            add = ["git", "worktree", "add", "-q", "--detach", str(checkouts["before"]), given.before]
             subprocess.run(add, cwd=ROOT, check=True)
-        builds = {name: Build(folder, node_port) for name, folder in folders.items()}
+        builds = {name: Build(checkout, node_port) for name, checkout in checkouts.items()}
         try:
-            idle = {name: round(build.resident(), 2) for name, build in builds.items()}
-            places = {"direct": node_port, **{name: build.port for name, build in builds.items()}}
-            result = measure(places, given.rounds, given.seconds)
+            idle = {name: round(build.resident_mb(), 2) for name, build in builds.items()}
+            ports = {"direct": node_port, **{name: build.port for name, build in builds.items()}}
+            result = measure(ports, given.rounds, given.seconds)
         finally:
             for build in builds.values():
                 build.process.kill()
             if given.before:
-                remove = ["git", "worktree", "remove", "--force", str(folders["before"])]
+                remove = ["git", "worktree", "remove", "--force", str(checkouts["before"])]
                 subprocess.run(remove, cwd=ROOT, check=True)
     print(json.dumps({"rates": result, "idle_mb": idle}, indent=1))
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -6,7 +6,7 @@
 (/proc/PID/schedstat): after each slice it is held until what it used is that share of the time since the
 slice began, so that none is saved up. The sidecar is a copy as the build leaves it, with its bytecode; its
 directory is up, or nobody listens at its address. Starts come one after another. Prints one JSON object;
-how far it is goes to standard error. Exit code 1 if a start was not ready within LONGEST.
+how far it is goes to standard error. Exit code 1 if a start was not ready within MAX_START_S.
 """
 
 from __future__ import annotations
@@ -34,18 +34,19 @@
 from time import perf_counter
 
 import uvloop
-from overhead import HOST, ROOT, config
+from checkout import ROOT
+from overhead import HOST, config
 
 from ochreflow.lab.event_log import EventLog
 from ochreflow.lab.fake_directory import FakeDirectory
 
-WANTED = (10.0, 6.0)  # seconds within which nine in ten starts are to be ready, the second on a short day
-LONGEST = 60.0  # seconds that a start may take here
+TARGETS_S = (10.0, 6.0)  # within which nine in ten starts are to be ready, the second on a short day
+MAX_START_S = 60.0  # that a start may take here
 SHARES = "1 1/2 1/5 1/10 1/20 1/32"
-DOWN_AT = Fraction(1, 10)  # the share at which it is also measured without a directory
+SHARE_WITHOUT_DIRECTORY = Fraction(1, 10)  # the share at which it is also measured without a directory
 READY = b"GET /-/ready HTTP/1.1\r\nHost: sidecar\r\n\r\n"
 LIBRARY = ctypes.CDLL(None)  # loaded here, so that a start does not pay for it
-DIE_WITH_PARENT = 1  # PR_SET_PDEATHSIG
+PR_SET_PDEATHSIG = 1  # of prctl: the signal that a process gets when its parent dies
 
 MARKS = """
 import time
@@ -74,13 +75,14 @@
 class Discovery:
     """The lab's directory in a thread, with so many servers, all at one socket that nobody reads."""
 
-    def __init__(self, servers: int, folder: Path) -> None:
+    def __init__(self, servers: int, directory: Path) -> None:
+        """Start it, and return once it listens; its event log goes below `directory`."""
         self.nodes = socket.create_server((HOST, 0), backlog=512)
         address = f"{HOST}:{self.nodes.getsockname()[1]}"
         entry = {"address": address, "zone": "amman", "type": "gen3", "status": "SERVING", "weight": 1.0}
         names = ({"name": f"node-{number}", "group": 1 + number // 4} for number in range(servers))
         self.listed = [{**entry, "since_ms": 0, **name} for name in names]
-        self.event_log = EventLog(folder / "directory.jsonl")
+        self.event_log = EventLog(directory / "directory.jsonl")
         self.address = ""
         up = threading.Event()
         threading.Thread(target=lambda: uvloop.run(self._serve(up)), daemon=True).start()
@@ -97,25 +99,25 @@
         await asyncio.Event().wait()
 
     @property
-    def told(self) -> bool:
+    def watched(self) -> bool:
         """Whether a sidecar has its list, and waits for changes."""
         return any(not watch.request.disconnected for watch in list(self.directory.watches))
 
 
-def nobody() -> str:
-    """An address at which nobody listens."""
+def unused_address() -> str:
+    """Find an address at which nobody listens."""
     with socket.create_server((HOST, 0)) as sock:
         return f"{HOST}:{sock.getsockname()[1]}"
 
 
 @contextlib.contextmanager
-def started(folder: Path, path: Path, *command: str, **pipes: int) -> Iterator[subprocess.Popen[bytes]]:
-    """A process of the sidecar's copy, which is gone at the end of this, whatever happens."""
+def started(directory: Path, path: Path, *command: str, **pipes: int) -> Iterator[subprocess.Popen[bytes]]:
+    """Start a process of the sidecar's copy; it is gone at the end of this, whatever happens."""
     process = subprocess.Popen(
         [sys.executable, *command],
-        cwd=folder,
+        cwd=directory,
         env={**os.environ, "GW_CONFIG": str(path)},
-        preexec_fn=lambda: LIBRARY.prctl(DIE_WITH_PARENT, signal.SIGKILL),
+        preexec_fn=lambda: LIBRARY.prctl(PR_SET_PDEATHSIG, signal.SIGKILL),
         **pipes,
     )
     try:
@@ -127,20 +129,23 @@
 
 @dataclass
 class Start:
-    real: float  # seconds from its start to its first "ready"
+    """The times of one start, in seconds."""
+
+    real: float  # from its start to its first "ready"; infinite if it was not ready in MAX_START_S
     used: float  # of processor time in them
     waited: float  # ... in which it could have run, and had no core
     listed: float | None = None  # of processor time from then on, until it had the first list
 
 
-class Watched:
+class ThrottledProcess:
     """A process that runs at a share of a core, until it is ready and beyond."""
 
-    def __init__(self, process: subprocess.Popen[bytes], share: Fraction, begun: float, part: float) -> None:
+    def __init__(self, process: subprocess.Popen[bytes], share: Fraction, slice_s: float) -> None:
+        """Take over a process whose log is a pipe; it runs for slices of `slice_s` seconds."""
         assert process.stderr is not None
         self.process = process
         self.share = float(share)
-        self.slice = part
+        self.slice_s = slice_s
         self.log = process.stderr.fileno()
         os.set_blocking(self.log, False)
         self.text = b""
@@ -148,40 +153,42 @@
         self.ready_at = 0.0
 
     def times(self) -> tuple[float, float]:
-        """Its processor time, and how long it waited for a core. It has one thread."""
+        """Read its processor time, and how long it waited for a core, in seconds. It has one thread."""
         used, waited, _ = Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
         return int(used) / 1e9, int(waited) / 1e9
 
     def look(self, seconds: float) -> None:
-        """Take what it says for so long: where it listens, then whether it is ready."""
+        """Read its log for so many seconds: where it listens, then whether it is ready."""
         end = perf_counter() + seconds
-        while not self.ready_at and (left := end - perf_counter()) > 0.0:
+        while not self.ready_at and (remaining := end - perf_counter()) > 0.0:
             files = [self.log] if self.probe is None else [self.log, self.probe]
-            got, _, _ = select.select(files, [], [], left)
+            got, _, _ = select.select(files, [], [], remaining)
             if self.probe is not None and self.probe in got:
                 if not self.probe.recv(4096).startswith(b"HTTP/1.1 200"):
-                    raise SystemExit("its first answer was not that it is ready")
+                    message = "its first answer was not that it is ready"
+                    raise SystemExit(message)
                 self.ready_at = perf_counter()
                 self.probe.close()
             elif self.log in got:
                 self._read()
-        if (left := end - perf_counter()) > 0.0:
-            select.select([], [], [], left)
+        if (remaining := end - perf_counter()) > 0.0:
+            select.select([], [], [], remaining)
 
     def _read(self) -> None:
-        said = os.read(self.log, 65536)
-        if not said:
-            raise SystemExit(f"it did not start: {self.text.decode()}")
-        self.text += said
+        data = os.read(self.log, 65536)
+        if not data:
+            message = f"it did not start: {self.text.decode()}"
+            raise SystemExit(message)
+        self.text += data
         if self.probe is None and (match := re.search(rb" listens at [\d.]+:(\d+)\n", self.text)):
             self.probe = socket.create_connection((HOST, int(match[1])))
             self.probe.sendall(READY)
 
-    def turn(self) -> None:
+    def run_slice(self) -> None:
         """Let it run for a slice, and hold it until that is no more than its share."""
         begin, (before, _) = perf_counter(), self.times()
         self.process.send_signal(signal.SIGCONT)
-        self.look(self.slice)
+        self.look(self.slice_s)
         if self.share >= 1.0:
             return
         self.process.send_signal(signal.SIGSTOP)
@@ -189,58 +196,62 @@
         self.hold(begin, self.times()[0] - before)
 
     def hold(self, begin: float, used: float) -> None:
-        if (left := begin + used / self.share - perf_counter()) > 0.0:
-            self.look(left)
+        """Leave it stopped until `used` seconds of processor time are its share of the time since `begin`."""
+        if (remaining := begin + used / self.share - perf_counter()) > 0.0:
+            self.look(remaining)
 
 
-def start(folder: Path, path: Path, share: Fraction, part: float, discovery: Discovery | None) -> Start:
+def start(directory: Path, path: Path, share: Fraction, slice_s: float, discovery: Discovery | None) -> Start:
+    """Start the sidecar once at a share of a core; with a discovery until it has the first list too."""
     begun = perf_counter()
-    with started(folder, path, "-m", "ochreflow", stderr=subprocess.PIPE) as process:
-        watched = Watched(process, share, begun, part)
+    with started(directory, path, "-m", "ochreflow", stderr=subprocess.PIPE) as process:
+        throttled = ThrottledProcess(process, share, slice_s)
         if share < 1:  # what it ran already counts
             process.send_signal(signal.SIGSTOP)
             os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WEXITED | os.WNOWAIT)
-            watched.hold(begun, watched.times()[0])
-        while not watched.ready_at:
-            if perf_counter() - begun > LONGEST:
-                return Start(float("inf"), *watched.times())
-            watched.turn()
-        used, waited = watched.times()
-        made = Start(watched.ready_at - begun, used, waited)
-        while discovery is not None and not discovery.told:
-            if perf_counter() - begun > LONGEST:
+            throttled.hold(begun, throttled.times()[0])
+        while not throttled.ready_at:
+            if perf_counter() - begun > MAX_START_S:
+                return Start(float("inf"), *throttled.times())
+            throttled.run_slice()
+        used, waited = throttled.times()
+        made = Start(throttled.ready_at - begun, used, waited)
+        while discovery is not None and not discovery.watched:
+            if perf_counter() - begun > MAX_START_S:
                 return made
-            watched.turn()
+            throttled.run_slice()
         if discovery is not None:
-            made.listed = watched.times()[0] - used
-    end = perf_counter() + LONGEST
-    while discovery is not None and discovery.told:  # or the next one's watch is taken for this one's
+            made.listed = throttled.times()[0] - used
+    end = perf_counter() + MAX_START_S
+    while discovery is not None and discovery.watched:  # or the next one's watch is taken for this one's
         if perf_counter() > end:
-            raise SystemExit("the directory still holds the watch of a process that is gone")
-        select.select([], [], [], part)
+            message = "the directory still holds the watch of a process that is gone"
+            raise SystemExit(message)
+        select.select([], [], [], slice_s)
     return made
 
 
-def parts(folder: Path, path: Path) -> list[float]:
-    """Seconds of processor time that each of PARTS takes."""
-    with started(folder, path, "-c", MARKS, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL) as process:
-        out, _ = process.communicate(timeout=LONGEST)
+def measure_parts(directory: Path, path: Path) -> list[float]:
+    """Measure the processor time of each of PARTS, in seconds."""
+    with started(directory, path, "-c", MARKS, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL) as process:
+        out, _ = process.communicate(timeout=MAX_START_S)
     marks = [float(mark) for mark in out.split()]
     return [after - before for before, after in zip([0.0, *marks], marks, strict=False)]
 
 
 def spread(values: list[float], unit: float = 1.0, digits: int = 3) -> list[float]:
-    """The least, the median and the most."""
+    """Round the least, the median and the most of the values, in `unit` parts of one."""
     return [round(value * unit, digits) for value in (min(values), statistics.median(values), max(values))]
 
 
-def row(share: Fraction, up: bool, made: list[Start]) -> dict[str, object]:
+def row(share: Fraction, *, directory_up: bool, made: list[Start]) -> dict[str, object]:
+    """Sum up the starts of one kind."""
     listed = [one.listed for one in made if one.listed is not None]
     return {
         "share": str(share),
-        "directory": "up" if up else "down",
+        "directory": "up" if directory_up else "down",
         "starts": len(made),
-        **{f"ready within {most:g} s": sum(one.real <= most for one in made) for most in WANTED},
+        **{f"ready within {target:g} s": sum(one.real <= target for one in made) for target in TARGETS_S},
         "real_s": spread([one.real for one in made]),
         "processor_ms": spread([one.used for one in made], 1e3, 1),
         "real_by_share_to_processor": spread([one.real * float(share) / one.used for one in made]),
@@ -249,14 +260,14 @@
     }
 
 
-def built(folder: Path) -> None:
-    """A copy of the program, with the bytecode that the build leaves."""
-    shutil.copytree(ROOT / "ochreflow", folder / "ochreflow", ignore=shutil.ignore_patterns("__pycache__"))
-    subprocess.run([sys.executable, "-m", "compileall", "-q", "ochreflow"], cwd=folder, check=True)
+def copy_program(directory: Path) -> None:
+    """Copy the program, with the bytecode that the build leaves."""
+    shutil.copytree(ROOT / "ochreflow", directory / "ochreflow", ignore=shutil.ignore_patterns("__pycache__"))
+    subprocess.run([sys.executable, "-m", "compileall", "-q", "ochreflow"], cwd=directory, check=True)
 
 
-def part(text: str) -> Fraction:
-    """A share of a core. ValueError, which the parser tells: it is no number above 0 and at most 1."""
+def parse_share(text: str) -> Fraction:
+    """Read a share of a core. ValueError, which the parser tells: it is no number above 0 and at most 1."""
     top, _, bottom = text.partition("/")
     if not int(bottom or 1) or not 0 < (share := Fraction(int(top), int(bottom or 1))) <= 1:
         raise ValueError
@@ -264,9 +275,12 @@
 
 
 def main() -> int:
+    """Measure all kinds of starts, and print the figures; 1 if a start was not ready in MAX_START_S."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--starts", type=int, default=5, help="of each kind")
-    parser.add_argument("--shares", type=part, nargs="+", default=[Fraction(one) for one in SHARES.split()])
+    parser.add_argument(
+        "--shares", type=parse_share, nargs="+", default=[Fraction(one) for one in SHARES.split()]
+    )
     parser.add_argument("--servers", type=int, default=200)
     parser.add_argument("--slice", type=float, default=2.0, help="milliseconds that it runs at a time")
     given = parser.parse_args()
@@ -275,32 +289,36 @@
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     rows = []
     with tempfile.TemporaryDirectory() as temporary:
-        folder = Path(temporary)
-        built(folder)
-        discovery = Discovery(given.servers, folder)
-        paths = {up: folder / f"config-{'up' if up else 'down'}.json" for up in (True, False)}
+        directory = Path(temporary)
+        copy_program(directory)
+        discovery = Discovery(given.servers, directory)
+        paths = {up: directory / f"config-{'up' if up else 'down'}.json" for up in (True, False)}
         for up, path in paths.items():
-            path.write_text(json.dumps(config(discovery.address if up else nobody(), discovery.listed)))
-        parts(folder, paths[True])  # the first start after the copy is not like the others
-        gone_into = [parts(folder, paths[True]) for _ in range(given.starts)]
+            path.write_text(
+                json.dumps(config(discovery.address if up else unused_address(), discovery.listed))
+            )
+        measure_parts(directory, paths[True])  # the first start after the copy is not like the others
+        part_times = [measure_parts(directory, paths[True]) for _ in range(given.starts)]
         for share in given.shares:
-            for up in (True, False) if share == DOWN_AT else (True,):
+            for up in (True, False) if share == SHARE_WITHOUT_DIRECTORY else (True,):
                 made = []
                 for number in range(given.starts):
-                    made.append(start(folder, paths[up], share, given.slice / 1e3, discovery if up else None))
+                    made.append(
+                        start(directory, paths[up], share, given.slice / 1e3, discovery if up else None)
+                    )
                     head = f"share {share}, directory {'up' if up else 'down'}, {number + 1}/{given.starts}"
                     print(f"{head}: ready after {made[-1].real:.3f} s", file=sys.stderr, flush=True)
                 rows.append((share, up, made))
-    names = zip(PARTS, zip(*gone_into, strict=True), strict=True)
+    names = zip(PARTS, zip(*part_times, strict=True), strict=True)
     result = {
         "of": "least, median, most",
-        "starts": [row(*one) for one in rows],
+        "starts": [row(share, directory_up=up, made=made) for share, up, made in rows],
         "parts_ms": {name: spread(list(values), 1e3, 1) for name, values in names},
     }
     print(
         re.sub(r"\[\s+([\d.]+),\s+([\d.]+),\s+([\d.]+)\s+\]", r"[\1, \2, \3]", json.dumps(result, indent=1))
     )
-    return int(any(one.real > LONGEST for _, _, made in rows for one in made))
+    return int(any(one.real > MAX_START_S for _, _, made in rows for one in made))
 
 
 if __name__ == "__main__":
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -20,44 +20,56 @@
 import subprocess
 import sys
 import tempfile
+from http import HTTPStatus
 from pathlib import Path
 
 import uvloop
-from overhead import HOST, NAMES, ROOT, config, node, request
+from checkout import ROOT
+from overhead import HOST, NODE_NAMES, config, node, request
 
 from ochreflow.lab.client_connection import ClientConnection
 
 CLIENTS = 4
-SECONDS_BEFORE = 1.0  # of load on the first alone, and on the second alone
+ALONE_S = 1.0  # of load on the first alone, and on the second alone
+LOG_TIMEOUT_S = 10
+EXIT_TIMEOUT_S = 10
+LOG_POLL_INTERVAL_S = 0.01
 
 
 class Process:
-    def __init__(self, folder: Path, port: int, listening: socket.socket, shared: str) -> None:
-        entry = {"address": f"{HOST}:{port}", "zone": "amman", "type": "gen3", "group": 1}
+    """One build of the sidecar, started on a listening socket that others may share."""
+
+    def __init__(self, checkout: Path, node_port: int, listening: socket.socket, shared: str) -> None:
+        """Start the build of a checkout; it knows a node at the port, and finds the others in `shared`."""
+        entry = {"address": f"{HOST}:{node_port}", "zone": "amman", "type": "gen3", "group": 1}
         entry.update(status="SERVING", weight=1.0, since_ms=0)
-        listed = [{**entry, "name": f"node-{number}"} for number in range(NAMES)]
-        packages = [path.parent.name for path in folder.glob("*/__main__.py")]
+        endpoints = [{**entry, "name": f"node-{number}"} for number in range(NODE_NAMES)]
+        packages = [path.parent.name for path in checkout.glob("*/__main__.py")]
         package = next(name for name in packages if name in ("ochreflow", "dykefold"))
-        path = Path(shared) / f"{package}-{folder.name}.json"
-        path.write_text(json.dumps(config(f"{HOST}:9", listed)))
-        self.log = Path(shared) / f"{package}-{folder.name}.log"
+        path = Path(shared) / f"{package}-{checkout.name}.json"
+        path.write_text(json.dumps(config(f"{HOST}:9", endpoints)))
+        self.log = Path(shared) / f"{package}-{checkout.name}.log"
         fd = str(listening.fileno())
         self.process = subprocess.Popen(
             [sys.executable, "-m", package],
-            cwd=folder,
+            cwd=checkout,
             env={**os.environ, "GW_CONFIG": str(path), "GW_FD": fd, "TMPDIR": shared},
             stderr=self.log.open("wb"),
             pass_fds=[listening.fileno()],
         )
 
-    async def said(self, text: str) -> None:
-        async with asyncio.timeout(10):
+    async def wait_for_log(self, text: str) -> None:
+        """Wait until its log has the text; TimeoutError after LOG_TIMEOUT_S."""
+        async with asyncio.timeout(LOG_TIMEOUT_S):
             while text not in self.log.read_text():
-                await asyncio.sleep(0.01)
+                await asyncio.sleep(LOG_POLL_INTERVAL_S)
 
 
 async def load(port: int, counts: dict[str, int], ending: asyncio.Event) -> None:
-    """One request after another. A close that crosses an unread request is met with a new connection."""
+    """Send one request after another, and count how each ends.
+
+    A close that crosses an unread request is met with a new connection.
+    """
     loop = asyncio.get_running_loop()
     client = None
     while not ending.is_set():
@@ -71,7 +83,7 @@
         client.send(request(), done)
         try:
             code, _ = await done
-            counts["served" if code == 200 else "other answers"] += 1
+            counts["served" if code == HTTPStatus.OK else "other answers"] += 1
         except OSError:
             counts["crossed"] += 1
             client = None
@@ -80,24 +92,25 @@
 
 
 async def play(first: Path, second: Path, node_port: int) -> dict[str, int | bool]:
+    """Start one build, then the other on the same socket, and end the first; counts of what clients got."""
     counts = dict.fromkeys(("served", "other answers", "crossed", "refused connections"), 0)
     with socket.create_server((HOST, 0), backlog=512) as listening, tempfile.TemporaryDirectory() as shared:
         port = listening.getsockname()[1]
         old = Process(first, node_port, listening, shared)
         new = None
         try:
-            await old.said(" listens at ")
+            await old.wait_for_log(" listens at ")
             ending = asyncio.Event()
             clients = [asyncio.create_task(load(port, counts, ending)) for _ in range(CLIENTS)]
-            await asyncio.sleep(SECONDS_BEFORE)
+            await asyncio.sleep(ALONE_S)
             new = Process(second, node_port, listening, shared)
-            await new.said(" listens at ")
-            await old.said(" serves beside this one")
-            await new.said(" serves beside this one")
+            await new.wait_for_log(" listens at ")
+            await old.wait_for_log(" serves beside this one")
+            await new.wait_for_log(" serves beside this one")
             old.process.send_signal(signal.SIGTERM)
-            code = await asyncio.to_thread(old.process.wait, 10)
-            await new.said(" is gone")
-            await asyncio.sleep(SECONDS_BEFORE)
+            code = await asyncio.to_thread(old.process.wait, EXIT_TIMEOUT_S)
+            await new.wait_for_log(" is gone")
+            await asyncio.sleep(ALONE_S)
             ending.set()
             await asyncio.gather(*clients)
             return {**counts, "exit code of the first": code, "both alive saw each other": True}
@@ -110,6 +123,7 @@
 
 
 def main() -> int:
+    """Try both directions, and print the counts; 1 if one of them lost something."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--before", required=True, help="a git revision")
     given = parser.parse_args()
--- a/benchmarks/worse_builds.py
+++ b/benchmarks/worse_builds.py
@@ -1,4 +1,4 @@
-"""Ranks deliberately worse builds by the lab, in simulated time: does the ruler see what is worse?
+"""Ranks deliberately worse builds by the lab, in simulated time: does the lab see what is worse?
 
     python benchmarks/worse_builds.py [--seeds 8] [--jobs 8] [--into FOLDER]
 
@@ -14,6 +14,8 @@
 from collections import defaultdict
 from pathlib import Path
 
+import checkout  # noqa: F401 - it puts this checkout on the import path
+
 from ochreflow.lab.builds import make
 from ochreflow.lab.differences import interval
 from ochreflow.lab.runs import Job, play_jobs
@@ -37,22 +39,24 @@
 }
 
 
-def built(folder: Path) -> dict[str, Path]:
-    """Make all builds; their folders."""
-    made = {}
+def make_builds(directory: Path) -> dict[str, Path]:
+    """Make all builds below a directory; the path of each by its name."""
+    paths = {}
     for name, change in WORSE.items():
-        made[name] = make(".", folder / name.replace(" ", "-"))
+        paths[name] = make(".", directory / name.replace(" ", "-"))
         if change is None:
             continue
         file, old, new = change
-        text = (made[name] / POLICY / file).read_text()
+        text = (paths[name] / POLICY / file).read_text()
         if text.count(old) != 1:
-            raise SystemExit(f"{name}: {old!r} is there {text.count(old)} times")
-        (made[name] / POLICY / file).write_text(text.replace(old, new))
-    return made
+            message = f"{name}: {old!r} is there {text.count(old)} times"
+            raise SystemExit(message)
+        (paths[name] / POLICY / file).write_text(text.replace(old, new))
+    return paths
 
 
-def ranked(builds: dict[str, Path], seeds: int, jobs: int) -> dict[str, object]:
+def rank(builds: dict[str, Path], seeds: int, jobs: int) -> dict[str, object]:
+    """Run all scenarios with each build and seed; the figures of each build by its name."""
     scenarios = {name: read_scenario(name) for name in scenario_names()}
     work = [
         Job(name, scenario, seed, build, program)
@@ -65,34 +69,35 @@
     for result in play_jobs(simulate, work, jobs):
         worth[result["build"]][result["scenario"], result["seed"]] = result["worth"]
         broken[result["build"]] += result["verdict"] == "broken"
-    told: dict[str, object] = {}
-    known = worth["as it is"]
+    ranking: dict[str, object] = {}
+    reference = worth["as it is"]
     for build, found in worth.items():
-        less = [found[key] - known[key] for key in sorted(known)]
+        differences = [found[key] - reference[key] for key in sorted(reference)]
         by_scenario = {
             name: round(sum(found[name, seed] for seed in range(1, seeds + 1)) / seeds, 4)
             for name in scenarios
         }
-        told[build] = {
+        ranking[build] = {
             "worth": round(sum(found.values()) / len(found), 4),
-            "difference": [round(value, 4) for value in interval(less)],
+            "difference": [round(value, 4) for value in interval(differences)],
             "runs that broke a rule": broken[build],
             "scenarios": by_scenario,
         }
-    return told
+    return ranking
 
 
 def main() -> None:
+    """Make the builds, and rank them unless they are only to be made."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=8)
     parser.add_argument("--jobs", type=int, default=8)
     parser.add_argument("--into", type=Path)
     given = parser.parse_args()
     if given.into is not None:
-        built(given.into)
+        make_builds(given.into)
         return
-    with tempfile.TemporaryDirectory() as folder:
-        print(json.dumps(ranked(built(Path(folder)), given.seeds, given.jobs), indent=1))
+    with tempfile.TemporaryDirectory() as directory:
+        print(json.dumps(rank(make_builds(Path(directory)), given.seeds, given.jobs), indent=1))
 
 
 if __name__ == "__main__":
