--- a/ochreflow/app/overlap.py
+++ b/ochreflow/app/overlap.py
@@ -93,11 +93,11 @@
         """Count what the others hold, each once."""
         holds = {link.pid: link.holds for link in self.links if link.pid is not None}
         descriptors, clients, memory = (sum(parts) for parts in zip((0, 0, 0), *holds.values(), strict=True))
-        self.usage.of_others(len(holds), descriptors, clients, memory)
+        self.usage.set_others(len(holds), descriptors, clients, memory)
 
     def _tell(self) -> None:
         """Say what is held, when that has changed."""
-        own = self.usage.own()
+        own = self.usage.own_usage()
         if own != self.told and self.links:
             self.told = own
             for link in list(self.links):
@@ -132,7 +132,7 @@
         self.transport = transport  # type: ignore[assignment]
         self.overlap.links[self] = None
         overlap = self.overlap
-        own = {"list": overlap.listed(), "known": overlap.known(), "holds": overlap.usage.own()}
+        own = {"list": overlap.listed(), "known": overlap.known(), "holds": overlap.usage.own_usage()}
         self.write({"pid": overlap.pid, **own})
 
     def data_received(self, data: bytes) -> None:
--- a/ochreflow/app/reload.py
+++ b/ochreflow/app/reload.py
@@ -162,7 +162,7 @@
             clients.admission.limits = limits
             return
         admission: ConnectionAdmission[Client] = ConnectionAdmission(
-            limits, lambda: clients.descriptors.clients
+            limits, lambda: clients.descriptors.max_clients
         )
         clients.admission = admission
         self.management.routes[b"/admission"] = (b"GET", lambda: (200, format_status(admission, monotonic())))
--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -39,7 +39,7 @@
     ) -> None:
         usage = usage or Usage(Descriptors(config.sockets), Memory(config.memory))
         usage.descriptors.system_limit = system_limit
-        usage.descriptors.look()
+        usage.descriptors.apply_system_limit()
         settings, known = config.settings, known or config.known
         self.names = config.names
         self.engine = Engine(loop, settings, config.transport.max_open, config.seed, usage, config.names)
--- a/ochreflow/core/body.py
+++ b/ochreflow/core/body.py
@@ -1,4 +1,4 @@
-"""A request's body: held while it may be needed again, or flowing through once it is too long for that."""
+"""A request's body: buffered while another attempt may need it, or streamed once it is too long for that."""
 
 from __future__ import annotations
 
@@ -7,82 +7,91 @@
 
 from .limits import Memory
 
-HOLD_MOST = 64 * 1024  # held whole up to here, so that another attempt can bring it again
+MAX_BUFFERED_BYTES = 64 * 1024  # a body up to this size is buffered whole, so that a retry can send it again
 
 
-class Sink(Protocol):
-    """Where a flowing body goes: the connection that the one attempt is made on."""
+class BodySink(Protocol):
+    """Where a streamed body goes: the connection of the one attempt that it can be sent with."""
 
-    def body_part(self, data: bytes) -> None: ...
+    def body_part(self, data: bytes) -> None:
+        """Write the next bytes of the body."""
+        ...
 
-    def body_end(self) -> None: ...
+    def body_end(self) -> None:
+        """Write what ends the body: all of it has come."""
+        ...
 
 
 class Body:
-    """Three ways on: held until it is complete, flowing into a sink, or dropped as it comes."""
+    """A body is buffered until it is complete, streamed into a sink, or discarded as it comes."""
 
     def __init__(self, memory: Memory, length: int | None) -> None:
+        """Begin an empty body of `length` bytes as its headers state it; None: it comes in chunks."""
         self.memory = memory
-        self.length = length  # as stated; None: in chunks
-        self.held = bytearray()
-        self.size = 0  # of all that has come
+        self.length = length
+        self.buffered = bytearray()
+        self.size = 0  # bytes that have come so far, buffered or not
         self.complete = False
-        self.spent = False  # not held whole any more: no further attempt could bring it
-        self.dropping = False
-        self.sink: Sink | None = None
-        self.blocked = False  # the sink takes no more at present
-        self.changed: Callable[[], None] | None = None  # called when `stopped` may have changed
-        self.on_spent: Callable[[], None] | None = None
+        self.discarded = False  # not buffered whole any more: no further attempt could send it
+        self.discarding = False
+        self.sink: BodySink | None = None
+        self.blocked = False  # the sink takes no more bytes at present
+        # Called when `reading_paused` may have changed.
+        self.on_reading_change: Callable[[], None] | None = None
+        self.on_discarded: Callable[[], None] | None = None
 
     @property
-    def stopped(self) -> bool:
-        """Whether no more should be read of it for now."""
-        if self.dropping or self.complete:
+    def reading_paused(self) -> bool:
+        """Whether no more of it should be read from the client for now."""
+        if self.discarding or self.complete:
             return False
-        return self.blocked if self.sink is not None else len(self.held) > HOLD_MOST
+        return self.blocked if self.sink is not None else len(self.buffered) > MAX_BUFFERED_BYTES
 
     def add(self, data: bytes) -> bool:
-        """Take the next piece; False if there is no room to hold it."""
+        """Accept the next bytes; False if there is no memory to buffer them."""
         self.size += len(data)
-        if self.dropping:
+        if self.discarding:
             return True
         if self.sink is not None:
             self.sink.body_part(data)
             return True
         if not self.memory.reserve(len(data)):
             return False
-        self.held += data
+        self.buffered += data
         return True
 
     def end(self) -> None:
+        """Note that its last byte has come."""
         self.complete = True
         if self.sink is not None:
             self.sink.body_end()
 
-    def flow(self, sink: Sink) -> None:
-        """What was held has been written to this sink, and all the rest goes there."""
+    def stream_to(self, sink: BodySink) -> None:
+        """Stream into `sink` from here on; the sink has written what was buffered."""
         self.sink = sink
-        self._let_go()
-        if not self.spent:
-            self.spent = True
-            if self.on_spent is not None:
-                self.on_spent()
-
-    def block(self, blocked: bool) -> None:
+        self._release_buffer()
+        if not self.discarded:
+            self.discarded = True
+            if self.on_discarded is not None:
+                self.on_discarded()
+
+    def set_blocked(self, *, blocked: bool) -> None:
+        """Note whether the sink takes more bytes at present."""
         self.blocked = blocked
-        if self.changed is not None:
-            self.changed()
+        if self.on_reading_change is not None:
+            self.on_reading_change()
 
-    def drop(self) -> None:
-        """Nobody needs it any more: what is held goes, what still comes is read and thrown away."""
-        self.dropping = True
-        self.spent = True
+    def discard(self) -> None:
+        """Release what is buffered; what still comes is read and thrown away."""
+        self.discarding = True
+        self.discarded = True
         self.sink = None
-        self._let_go()
-        changed, self.changed, self.on_spent = self.changed, None, None  # else they refer to each other
-        if changed is not None:
-            changed()
-
-    def _let_go(self) -> None:
-        self.memory.release(len(self.held))
-        self.held = bytearray()
+        self._release_buffer()
+        # Cleared, since body and connection would keep each other alive.
+        on_reading_change, self.on_reading_change, self.on_discarded = self.on_reading_change, None, None
+        if on_reading_change is not None:
+            on_reading_change()
+
+    def _release_buffer(self) -> None:
+        self.memory.release(len(self.buffered))
+        self.buffered = bytearray()
--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -325,7 +325,7 @@
             return
         pending.uploading = not request.body.complete
         if pending.uploading:
-            request.body.on_spent = partial(self.dispatch, api.BodyDiscarded(pending.id))
+            request.body.on_discarded = partial(self.dispatch, api.BodyDiscarded(pending.id))
         else:
             self._start_watchdog(pending)
         self.dispatch(
@@ -495,7 +495,7 @@
         self.attempts[pending.id, attempt.number] = attempt
         request = pending.request
         wait = self.remaining_time_ns(pending, attempt)
-        if pending.attempts > self.settings.max_attempts or wait <= 0 or request.body.spent:
+        if pending.attempts > self.settings.max_attempts or wait <= 0 or request.body.discarded:
             self.end_attempt(pending, attempt, Status.NOT_SENT, None, ())
             return
         timeout = wait / SECOND if request.body.complete else None
@@ -536,7 +536,7 @@
             request.body.complete and now >= request.deadline_ns - ATTEMPT_MARGIN_NS
         ):
             return 0.0
-        if request.body.spent:  # another attempt has taken it, and the module may not know
+        if request.body.discarded:  # another attempt has taken it, and the module may not know
             return 0.0
         if pending.response_sink.gone(request):
             return 0.0
--- a/ochreflow/core/limits.py
+++ b/ochreflow/core/limits.py
@@ -1,111 +1,130 @@
-"""What this sidecar may hold: descriptors and the memory of messages, both as the configuration says.
+"""What this sidecar may use: descriptors and the memory of messages, both as the configuration says.
 
-Where several processes are one sidecar for a while, each counts what the others hold as well.
+Where several processes are one sidecar for a while, during a hot restart, each counts what all of them use.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import NamedTuple
 
-MB = 1024 * 1024
+MB = 1024 * 1024  # bytes
 
 
 class Descriptors:
-    """The sockets that this sidecar may hold, on both sides together."""
+    """The sockets that this sidecar may have open, to clients and to servers together."""
 
-    RESERVE = 50  # for the loop, listening, discovery, peers and operators' calls, which take 30, and for
-    # bursts of clients
-    LEAST = 8
+    # For the event loop, listening sockets, discovery, gossip and operators' requests, which take 30, and for
+    # bursts of clients.
+    RESERVE = 50
+    MIN_LIMIT = 8
 
     def __init__(self, limit: int) -> None:
+        """Allow `limit` descriptors in all, the reserve included."""
         self.total = limit
-        self.held = 0
-        self.connected = 0  # of these, clients
-        self.others = 0  # processes of this sidecar beside this one
-        self.others_held = 0
+        self.in_use = 0
+        self.connected = 0  # of these, clients' connections
+        self.others = 0  # other processes of this sidecar
+        self.others_in_use = 0
         self.others_connected = 0
-        self.waiting: list[Callable[[], bool]] = []  # each lets a connection go that waits, if it has one
-        self.system_limit: Callable[[], int | None] = lambda: None  # what the system gives at present
+        # Each closes one of its connections that is idle, and returns False if it has none.
+        self.evictors: list[Callable[[], bool]] = []
+        self.system_limit: Callable[[], int | None] = lambda: None  # what the system allows; None: no limit
 
-    def make_room(self) -> bool:
-        """Have a waiting connection go: it gives way before anything that is owed an answer does."""
-        return any(give_way() for give_way in self.waiting)
+    def evict_idle_connection(self) -> bool:
+        """Close one idle connection; False if there is none: those that owe a response are kept."""
+        return any(evict() for evict in self.evictors)
 
-    def cap(self, most: int) -> None:
-        """Count with no more than the system gives this process, whatever the configuration says.
+    def lower_to(self, max_descriptors: int) -> None:
+        """Count with no more than the system allows this process, whatever the configuration says.
 
         Guards what the reserve is for: clients that take the last descriptor of the process keep
         operators, discovery and attempts out, since a connection is then ended as soon as it is accepted.
         """
-        self.total = min(self.total, most)
+        self.total = min(self.total, max_descriptors)
 
-    def look(self) -> None:
+    def apply_system_limit(self) -> None:
         """Count by the system's limit as it is now: it may be lowered while the process runs."""
-        if (most := self.system_limit()) is not None:
-            self.cap(most)
+        if (system_limit := self.system_limit()) is not None:
+            self.lower_to(system_limit)
 
     @property
     def limit(self) -> int:
-        """What all processes together may hold."""
-        return max(self.total - self.RESERVE * (1 + self.others), self.LEAST)
+        """What all processes of the sidecar together may use."""
+        return max(self.total - self.RESERVE * (1 + self.others), self.MIN_LIMIT)
 
     @property
-    def clients(self) -> int:
-        """What clients may hold of this process.
+    def max_clients(self) -> int:
+        """How many clients may be connected to this process.
 
-        Clients need a third for requests. What they may hold beyond that must leave enough to attempts,
-        or silent clients keep every request from its server. Clients move over to a new process sooner
-        than the old one's word of it comes, so it has a third in any case.
+        Clients need a third of the limit for requests. What they may have beyond that must leave enough to
+        attempts, or silent clients keep every request from its server. Clients move over to a new process
+        before the old one's report of it comes, so it has a third in any case.
         """
         return max(self.limit // 2 - self.others_connected, self.limit // 3)
 
     @property
     def full(self) -> bool:
-        return self.held + self.others_held >= self.limit
+        """Whether no further descriptor may be used."""
+        return self.in_use + self.others_in_use >= self.limit
 
 
 class Memory:
-    """The memory of all messages that are held, requests and answers."""
+    """The memory of all messages that are buffered, requests and responses."""
 
-    PROGRAM = 20 * MB  # what the program takes without any
-    PART = 0.3  # of the rest: a message is held up to twice, and freed memory is in pieces
-    LEAST = MB
-    MOST = 48 * MB
+    PROGRAM_BYTES = 20 * MB  # what the program takes without any message
+    MESSAGE_SHARE = 0.3  # of the rest: a message is in memory up to twice, and freed memory is in pieces
+    MIN_BYTES = MB
+    MAX_BYTES = 48 * MB
 
     def __init__(self, limit: int) -> None:
+        """Allow the sidecar `limit` bytes in all, the program included."""
         self.limit = limit
-        self.held = 0
-        self.others = 0
-        self.others_held = 0
+        self.reserved_bytes = 0
+        self.others = 0  # other processes of this sidecar
+        self.others_reserved_bytes = 0
 
     @property
-    def most(self) -> int:
-        """What all processes together may hold."""
-        rest = self.limit - self.PROGRAM * (1 + self.others)
-        return int(min(max(rest * self.PART, self.LEAST), self.MOST))
+    def max_bytes(self) -> int:
+        """What all processes of the sidecar together may reserve for messages."""
+        rest = self.limit - self.PROGRAM_BYTES * (1 + self.others)
+        return int(min(max(rest * self.MESSAGE_SHARE, self.MIN_BYTES), self.MAX_BYTES))
 
     def reserve(self, size: int) -> bool:
-        if self.held + self.others_held + size > self.most:
+        """Reserve `size` bytes; False, and nothing is reserved, if that is more than is left."""
+        if self.reserved_bytes + self.others_reserved_bytes + size > self.max_bytes:
             return False
-        self.held += size
+        self.reserved_bytes += size
         return True
 
     def release(self, size: int) -> None:
-        self.held -= size
+        """Give back `size` bytes that were reserved."""
+        self.reserved_bytes -= size
+
+
+class ProcessUsage(NamedTuple):
+    """What one process uses; a process tells it to the others as a list of these three."""
+
+    descriptors: int
+    connected: int  # of the descriptors, clients' connections
+    reserved_bytes: int  # of messages
 
 
 class Usage:
-    """What is held here and by the other processes of this sidecar."""
+    """What is used here and by the other processes of this sidecar."""
 
     def __init__(self, descriptors: Descriptors, memory: Memory) -> None:
+        """Count in these two."""
         self.descriptors = descriptors
         self.memory = memory
 
-    def own(self) -> tuple[int, int, int]:
-        return self.descriptors.held, self.descriptors.connected, self.memory.held
+    def own_usage(self) -> ProcessUsage:
+        """What this process uses at present."""
+        return ProcessUsage(self.descriptors.in_use, self.descriptors.connected, self.memory.reserved_bytes)
 
-    def of_others(self, processes: int, held: int, connected: int, memory: int) -> None:
+    def set_others(self, processes: int, descriptors: int, connected: int, memory: int) -> None:
+        """Note how many other processes there are, and what they use together, as in `ProcessUsage`."""
         self.descriptors.others = self.memory.others = processes
-        self.descriptors.others_held = held
+        self.descriptors.others_in_use = descriptors
         self.descriptors.others_connected = connected
-        self.memory.others_held = memory
+        self.memory.others_reserved_bytes = memory
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -107,7 +107,7 @@
         self.idle: dict[Client, float] = {}
         self.lingering: dict[Client, None] = {}
         self.let_in: set[Client] = set()  # by the connection admission, and not added yet
-        descriptors.waiting.append(self.give_way)
+        descriptors.evictors.append(self.give_way)
 
     def admit(self, client: Client, host: str) -> bool:
         """Whether the connection admission, if there is one, lets in a connection from this address."""
@@ -131,10 +131,10 @@
             return
         self.let_in.discard(client)
         self.all[client] = None
-        self.descriptors.held += 1
+        self.descriptors.in_use += 1
         self.descriptors.connected += 1
         self.waited[client] = self.heard[client] = monotonic()
-        if len(self.all) > self.descriptors.clients:
+        if len(self.all) > self.descriptors.max_clients:
             other = self._one_to_leave(client)
             self._forget(other)
             other.close()
@@ -143,7 +143,7 @@
         self._forget(client)
         if client in self.all:
             del self.all[client]
-            self.descriptors.held -= 1
+            self.descriptors.in_use -= 1
             self.descriptors.connected -= 1
         if self.admission is not None:
             self.admission.connection_closed(client)
@@ -212,7 +212,7 @@
         if self.heard[owing[0]] <= now - STALE:
             return owing[0]
         mute = [client for client in owing if not client.size and not client.asked]
-        if len(mute) > self.descriptors.clients * FEW:
+        if len(mute) > self.descriptors.max_clients * FEW:
             return mute[0]
         quiet = next((client for client in self.idle if client.quiet), None)
         if quiet is not None:
@@ -271,10 +271,10 @@
         Guards operators, discovery and requests: a new connection takes the place of one client, so clients
         that are over their share stay over it, and with no descriptor left every new connection is ended.
         """
-        self.descriptors.look()
+        self.descriptors.apply_system_limit()
         if self.descriptors.total < self.total:
-            self._let_go(min(max(len(self.all) - self.descriptors.clients, 0), CUT_MOST))
-            if len(self.all) <= self.descriptors.clients:
+            self._let_go(min(max(len(self.all) - self.descriptors.max_clients, 0), CUT_MOST))
+            if len(self.all) <= self.descriptors.max_clients:
                 self.total = self.descriptors.total
 
     def sweep(self) -> None:
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from ..core.body import HOLD_MOST, Body
+from ..core.body import MAX_BUFFERED_BYTES, Body
 from ..core.engine import SECOND, Engine, FrontendBinding
 from ..core.ports import FinalResponse, IncomingRequest, Pause, Reason
 from ..core.stats import Disposition
@@ -319,7 +319,7 @@
             *(item.body for item in (request, *self.waiting) if isinstance(item, HttpRequest)),
         ):
             if body is not None:
-                body.drop()
+                body.discard()
         self.waiting.clear()
         self.flowing = self.passing = self.body = None
         # Guards the memory: the two refer to each other, and a day of ever new connections would leave
@@ -380,7 +380,7 @@
             self._reject(400, "Content-Length is no number")
             return
         self.body = Body(self.engine.memory, None if chunked else stated)
-        self.body.changed = self._update_reading
+        self.body.on_reading_change = self._update_reading
         self.head_ended = True
         self.looked_at = 0
         if self.header_size + len(self.target) > HEADERS_MOST:
@@ -404,7 +404,7 @@
             self._reject(413, "the body is too large")
         elif not self.body.add(data):
             self._reject(503, "too much is held")
-        elif self.flowing is None and len(self.body.held) > HOLD_MOST:
+        elif self.flowing is None and len(self.body.buffered) > MAX_BUFFERED_BYTES:
             self._take_up()  # too long to be held whole: it goes on while it comes
 
     def _hold(self, size: int) -> bool:
@@ -464,7 +464,7 @@
         if not isinstance(item, HttpRequest):
             self._release(self.message_size)
             self.skipping = True
-            self.body.drop()
+            self.body.discard()
         elif not self.body.complete:
             self.flowing = item
 
@@ -472,7 +472,7 @@
         """Read on only while what is read can be taken up: backpressure towards the client."""
         if self.transport is None or self.transport.is_closing() or self.deaf:
             return
-        stop = len(self.waiting) >= WAITING_MOST or (self.body is not None and self.body.stopped)
+        stop = len(self.waiting) >= WAITING_MOST or (self.body is not None and self.body.reading_paused)
         if stop == self.paused:
             return
         self.paused = stop
@@ -498,7 +498,7 @@
         self.begun = False
         request, self.flowing = self.flowing, None
         if self.body is not None:
-            self.body.drop()
+            self.body.discard()
         if request is None and not self.skipping:
             self._release(self.message_size)
             self.waiting.append(RequestError(code, text))
@@ -607,7 +607,7 @@
     def _let_go(self, request: HttpRequest) -> None:
         """Of what was held of a request; what still comes of it is read and thrown away."""
         self._release(request.size)
-        request.body.drop()
+        request.body.discard()
         if request is self.flowing:
             self.flowing = None
             self.skipping = True
@@ -635,7 +635,7 @@
         """Let go of the requests that are not taken up any more."""
         for item in self.waiting:
             if isinstance(item, HttpRequest):
-                item.body.drop()
+                item.body.discard()
         self.waiting.clear()
 
     def _end_sending(self) -> None:
--- a/ochreflow/http/framing.py
+++ b/ochreflow/http/framing.py
@@ -14,7 +14,7 @@
 
 def framed(body: Body) -> bytes:
     """The end of the head, which says how the body is framed, and all that is held of it."""
-    length = len(body.held) if body.complete else body.length
+    length = len(body.buffered) if body.complete else body.length
     if length is not None:
-        return b"Content-Length: %d\r\n\r\n%s" % (length, body.held)
-    return b"Transfer-Encoding: chunked\r\n\r\n" + chunk(body.held)
+        return b"Content-Length: %d\r\n\r\n%s" % (length, body.buffered)
+    return b"Transfer-Encoding: chunked\r\n\r\n" + chunk(body.buffered)
--- a/ochreflow/http/upstream.py
+++ b/ochreflow/http/upstream.py
@@ -168,7 +168,7 @@
         return SendResult.STARTED
 
     def _open(self, target: Target, exchange: Exchange) -> None:
-        if self.descriptors.full and not self.close_oldest() and not self.descriptors.make_room():
+        if self.descriptors.full and not self.close_oldest() and not self.descriptors.evict_idle_connection():
             # The own lack says nothing of the server, which must not be held to have failed.
             self.loop.call_soon(exchange.end, Status.NOT_SENT)
             return
@@ -176,13 +176,13 @@
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         except OSError:  # out of descriptors in spite of the count: room for the repeat, which is due soon
             if not self.close_oldest():
-                self.descriptors.make_room()
+                self.descriptors.evict_idle_connection()
             self.loop.call_soon(exchange.end, Status.NOT_SENT)
             return
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = Connection(self, target, sock)
         self.connections.add(connection)
-        self.descriptors.held += 1
+        self.descriptors.in_use += 1
         target.opening[exchange] = None
         # Not to be cancelled before its first turn: nothing of it would run, nor let the connection go.
         self.loop.create_task(self._connect(target, exchange, connection))
@@ -252,7 +252,7 @@
     def dropped(self, connection: Connection) -> None:
         """Neither count nor use a connection any more: it closes."""
         self.connections.discard(connection)
-        self.descriptors.held -= 1
+        self.descriptors.in_use -= 1
         if connection in connection.target.idle:
             connection.target.idle.remove(connection)
 
--- a/ochreflow/http/upstream_connection.py
+++ b/ochreflow/http/upstream_connection.py
@@ -101,7 +101,7 @@
         """Take no more of a body that is still coming: some of the request waits for the socket."""
         if self.uploading is None:
             return
-        self.uploading.block(True)
+        self.uploading.set_blocked(blocked=True)
         if self.write_stall is None and not self.closed:
             self.write_stall = StallTimer(
                 self.pool.loop, self.stream.unacknowledged, RELAY_STALL_TIMEOUT, self.connection_broken
@@ -111,7 +111,7 @@
         """Go on with the body, or tell that the request is written: nothing waits for the socket any more."""
         self._stop_write_stall()
         if self.uploading is not None:
-            self.uploading.block(False)
+            self.uploading.set_blocked(blocked=False)
         else:
             self._tell_written()
 
@@ -235,11 +235,11 @@
         """Send the rest of a body as it comes."""
         self.uploading = body
         self.chunking = body.length is None
-        body.flow(self)
+        body.stream_to(self)
         if self.stream.unsent:
             self.pause_writing()
         else:
-            body.block(False)
+            body.set_blocked(blocked=False)
 
     def _finish(self) -> None:
         exchange, response = self.exchange, self.response.complete
@@ -290,7 +290,7 @@
         self.pool.dropped(self)
         self._release_response()
         if self.uploading is not None:
-            self.uploading.drop()
+            self.uploading.discard()
         self.stream.close()
         # The response's parser may be at work in this very call, so its references are dropped later.
         self.pool.loop.call_soon(self.response.close)
--- a/ochreflow/http/upstream_transport.py
+++ b/ochreflow/http/upstream_transport.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from ..core.body import HOLD_MOST, Body
+from ..core.body import MAX_BUFFERED_BYTES, Body
 from ..core.ports import Address, AttemptObserver, IncomingRequest, UpstreamAttempt
 from ..policy.interface import State, Status
 from .exchange import Exchange
@@ -44,7 +44,7 @@
         exchange = Exchange(
             head,
             done,
-            HOLD_MOST,
+            MAX_BUFFERED_BYTES,
             watcher.written,
             body,
             watcher,
@@ -67,7 +67,7 @@
             done(status, report)
 
         head = b"GET %s HTTP/1.1\r\nHost: probe\r\n\r\n" % self.probe_path
-        self.upstreams.start(server, Exchange(lambda: head, ended, HOLD_MOST), timeout)
+        self.upstreams.start(server, Exchange(lambda: head, ended, MAX_BUFFERED_BYTES), timeout)
 
     def update(self, server: int, address: Address, since_ms: int, state: State) -> None:
         self.upstreams.update(server, address, since_ms, state)
--- a/tests/duplicate_model.py
+++ b/tests/duplicate_model.py
@@ -222,7 +222,7 @@
         if within < float("inf"):
             self.late = self.upstream_transport.loop.call_later(within, self._too_late)
         if not self.call.body.complete:
-            self.call.body.flow(self)
+            self.call.body.stream_to(self)
         elif not self.upstream_transport.blocked:
             self.finish()
 
@@ -475,7 +475,7 @@
     def leave(self, call):
         self.rule.asked[call.request_id].left = True
         self.clients.gone_calls.add(call.request_id)
-        call.body.drop()
+        call.body.discard()
         self.engine.client_disconnected(call)
 
     def attempt(self, call, number=-1):
--- a/tests/test_accept_throttle.py
+++ b/tests/test_accept_throttle.py
@@ -101,10 +101,10 @@
             clients = sidecar.http.clients
             await until(lambda: len(clients.all) == 3)
             descriptors = clients.descriptors
-            assert descriptors.make_room() and descriptors.make_room()
+            assert descriptors.evict_idle_connection() and descriptors.evict_idle_connection()
             for silent_reader, _ in silent:
                 assert await silent_reader.read() == b""
-            assert not descriptors.make_room()  # the one that is left is owed an answer
+            assert not descriptors.evict_idle_connection()  # the one that is left is owed an answer
             go.set()
             assert (await read_message(reader)).code == 200
             writer.close()
@@ -122,7 +122,7 @@
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             await until(lambda: len(clients.all) == 6)
             descriptors = clients.descriptors
-            descriptors.others_held = descriptors.limit - descriptors.held  # another process has the rest
+            descriptors.others_in_use = descriptors.limit - descriptors.in_use  # another process has the rest
             assert descriptors.full
             writer.write(message("order", "k"))
             got = await read_message(reader)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -202,7 +202,7 @@
         given["limits"]["sockets"] = 200
         async with Sidecar(tmp_path / "c", given) as sidecar:
             clients = sidecar.http.clients
-            capacity = clients.descriptors.clients
+            capacity = clients.descriptors.max_clients
             clients.admission = ConnectionAdmission(
                 Limits(max_new_per_s=1e6, reserved_share=0.3), lambda: capacity
             )
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -12,7 +12,7 @@
 from leaving import BLOCKED, HOW, RULE, Server, connect, end_can_be_read, front_of, leave, leave_unseen
 from net_helpers import HOST, Sidecar, ask, config, entry, message, news, reply, run, until
 
-from ochreflow.core.body import HOLD_MOST
+from ochreflow.core.body import MAX_BUFFERED_BYTES
 from ochreflow.http import connection
 from ochreflow.http.acceptor import Acceptor
 from ochreflow.http.connection import WAITING_MOST
@@ -20,7 +20,7 @@
 
 pytestmark = pytest.mark.xdist_group("real-time")
 
-FLOWING = 2 * HOLD_MOST  # bytes of a body that goes on to its server while it comes
+FLOWING = 2 * MAX_BUFFERED_BYTES  # bytes of a body that goes on to its server while it comes
 PIPELINED = b"".join(message("order", f"more{n}") for n in range(400))  # more than is read while one waits
 
 
@@ -276,7 +276,7 @@
             taken = await server.accept()
             await taken.has(b"held")
             taken.sock.setblocking(True)
-            taken.sock.sendall(reply(200, bytes(HOLD_MOST // 2)))
+            taken.sock.sendall(reply(200, bytes(MAX_BUFFERED_BYTES // 2)))
             await until(lambda: front.lingering)
             assert front.transport.get_write_buffer_size() > 0
             await until(lambda: not sidecar.http.clients.all)
--- a/tests/test_client_left_attempts.py
+++ b/tests/test_client_left_attempts.py
@@ -11,7 +11,7 @@
 from leaving import BLOCKED, HOW, HeldLoop, Server, connect, front_of, leave, leave_unseen
 from net_helpers import Sidecar, ask, config, entry, message, news, run, until
 
-from ochreflow.core.body import HOLD_MOST
+from ochreflow.core.body import MAX_BUFFERED_BYTES
 from ochreflow.policy import interface as api
 
 pytestmark = pytest.mark.xdist_group("real-time")
@@ -45,14 +45,14 @@
             if body == "none":
                 client.sendall(message("order", "gone"))
             else:
-                whole = message("order", "gone", "3000m", bytes(2 * HOLD_MOST))
-                client.sendall(whole[: -HOLD_MOST // 2])
+                whole = message("order", "gone", "3000m", bytes(2 * MAX_BUFFERED_BYTES))
+                client.sendall(whole[: -MAX_BUFFERED_BYTES // 2])
             taken = await server.accept()
             await until(lambda: sidecar.engine.pending_requests)
             front = front_of(sidecar, client)
             if body == "half":
                 await until(lambda: front.paused)
-                client.sendall(whole[-HOLD_MOST // 2 :])
+                client.sendall(whole[-MAX_BUFFERED_BYTES // 2 :])
             held.before_use = lambda: leave_unseen(sidecar, client, how)
             held.go.set()
             await nothing_open(sidecar)
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -254,6 +254,6 @@
     stage = Stage(["safe"])
     call = stage.ask(complete=False)
     upstream_attempt = stage.attempt(call)
-    call.body.flow(upstream_attempt)
+    call.body.stream_to(upstream_attempt)
     upstream_attempt.connect()
     assert not copies(stage, call)
--- a/tests/test_duplicate_machine.py
+++ b/tests/test_duplicate_machine.py
@@ -136,7 +136,7 @@
 
     def _end_body(self, call, breaks):
         if breaks:
-            call.body.drop()
+            call.body.discard()
             self.stage.engine.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
         else:
             self.stage.end_body(call)
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -63,7 +63,10 @@
     def clean(self):
         engine = self.engine
         return not (
-            engine.pending_requests or engine.attempts or engine.balancer.pending or engine.memory.held
+            engine.pending_requests
+            or engine.attempts
+            or engine.balancer.pending
+            or engine.memory.reserved_bytes
         )
 
 
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -79,7 +79,10 @@
             writer.close()
             assert [got.headers["x-request-id"] for got in fake.got] == ["before"]
             await until(lambda: not sidecar.http.clients.all)
-            assert sidecar.engine.memory.held == 0 and not sidecar.engine.descriptors.held - fake.connections
+            assert (
+                sidecar.engine.memory.reserved_bytes == 0
+                and not sidecar.engine.descriptors.in_use - fake.connections
+            )
 
     run(play())
 
@@ -175,8 +178,8 @@
 
 
 def test_bodies_are_bounded_all_together(tmp_path, monkeypatch):
-    monkeypatch.setattr(Memory, "LEAST", 3000)
-    monkeypatch.setattr(Memory, "MOST", 3000)
+    monkeypatch.setattr(Memory, "MIN_BYTES", 3000)
+    monkeypatch.setattr(Memory, "MAX_BYTES", 3000)
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -184,7 +187,7 @@
             assert (await ask(sidecar.port, message("order", "a", "900m", b"x" * 3001))).code == 503
             assert (await ask(sidecar.port, message("order", "b", "900m", b"x" * 1000))).code == 200
             await until(lambda: not sidecar.http.clients.all)
-            assert sidecar.engine.memory.held == 0
+            assert sidecar.engine.memory.reserved_bytes == 0
 
     run(play())
 
@@ -208,7 +211,7 @@
         async with Sidecar(tmp_path / "c", data) as sidecar:
             idle = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(30)]
             assert (await ask(sidecar.port, message("order", "ab"))).code == 200
-            assert sidecar.engine.descriptors.held <= sidecar.engine.descriptors.limit + 2
+            assert sidecar.engine.descriptors.in_use <= sidecar.engine.descriptors.limit + 2
             assert await idle[0][0].read() == b""
             for _, writer in idle:
                 writer.close()
@@ -245,11 +248,13 @@
                 await until(lambda: one.waiting)
             writer.write(message("order", "next")[:20])
             await until(lambda: one in sidecar.http.clients.heard)
-            assert not sidecar.engine.descriptors.make_room()
+            assert not sidecar.engine.descriptors.evict_idle_connection()
             for _ in range(asked):
                 assert len((await read_message(reader)).body) == 60 * 1024
             await until(lambda: not one.serving)
-            assert sidecar.engine.descriptors.make_room()  # a message that has begun is all there is now
+            assert (
+                sidecar.engine.descriptors.evict_idle_connection()
+            )  # a message that has begun is all there is now
             writer.close()
 
     run(play())
@@ -324,9 +329,9 @@
 def test_the_share_of_clients_and_the_memory_follow_the_configuration():
     for sockets in (256, 384, 1024):
         shares = Descriptors(sockets)
-        assert shares.clients > sockets / 3  # what clients hold at most for requests
-        assert shares.limit - shares.clients > sockets / 3
-    assert Memory(32 * MB).most <= 4 * MB and Memory(192 * MB).most == Memory.MOST
+        assert shares.max_clients > sockets / 3  # what clients hold at most for requests
+        assert shares.limit - shares.max_clients > sockets / 3
+    assert Memory(32 * MB).max_bytes <= 4 * MB and Memory(192 * MB).max_bytes == Memory.MAX_BYTES
 
 
 def test_silent_clients_go_first_and_leave_room_for_attempts(tmp_path):
@@ -342,7 +347,7 @@
                     writer.write(message("lookup", f"id{number}-{place}"))
                     assert (await read_message(reader)).code == 200
                 flood = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(60)]
-                await until(lambda: len(sidecar.http.clients.all) == sidecar.engine.descriptors.clients)
+                await until(lambda: len(sidecar.http.clients.all) == sidecar.engine.descriptors.max_clients)
                 for _, writer in flood:
                     writer.close()
                 await until(lambda: len(sidecar.http.clients.all) == len(usual))
@@ -369,7 +374,7 @@
                 if len(crowd) % 2:
                     crowd[-1][1].write(b"GET /loo")
                 await asyncio.sleep(0.005)
-            assert len(crowd) > 4 * sidecar.engine.descriptors.clients
+            assert len(crowd) > 4 * sidecar.engine.descriptors.max_clients
             assert (await read_message(reader)).code == 200
             for _, other in [*crowd, (reader, writer)]:
                 other.close()
@@ -401,7 +406,7 @@
             assert (await read_message(held_reader)).code == 408
             held_writer.close()
             await until(lambda: not sidecar.http.clients.all)
-            assert not sidecar.engine.memory.held and len(fake.got) == 1
+            assert not sidecar.engine.memory.reserved_bytes and len(fake.got) == 1
 
     run(play())
 
@@ -437,7 +442,7 @@
             assert (await read_message(reader)).code == 413
             assert await reader.read() == b""
             writer.close()
-            assert not fake.got and not sidecar.engine.memory.held
+            assert not fake.got and not sidecar.engine.memory.reserved_bytes
 
     run(play())
 
@@ -459,7 +464,7 @@
             go.set()
             assert (await first).body == b"served 1"
             assert (await ask(sidecar.port, message("order", "same", "3000m", b"3"))).code == 409
-            assert len(fake.got) == 1 and not sidecar.engine.memory.held
+            assert len(fake.got) == 1 and not sidecar.engine.memory.reserved_bytes
 
     run(play())
 
--- a/tests/test_net_long_day.py
+++ b/tests/test_net_long_day.py
@@ -32,7 +32,7 @@
             assert (
                 len(module.ctx.timers) <= DAYS_WORTH / 20
             )  # each goes with its deadline, whatever came of it
-            assert module.endpoints.inflight == 0 and engine.memory.held == 0
+            assert module.endpoints.inflight == 0 and engine.memory.reserved_bytes == 0
 
     run(play())
 
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -99,7 +99,7 @@
         assert len(pool.connections) == 1
         go.set()
         await until(lambda: not pool.connections)
-        assert not pool.targets[1].idle and not pool.descriptors.held
+        assert not pool.targets[1].idle and not pool.descriptors.in_use
 
     run(play())
 
@@ -144,7 +144,7 @@
         server, fill = full_listener()
         pool = make(server.getsockname(), connect_timeout=0.1)
         assert await start(pool)[1] == (Status.CONNECT_FAILED, None)
-        assert not pool.connections and not pool.targets[1].opening and not pool.descriptors.held
+        assert not pool.connections and not pool.targets[1].opening and not pool.descriptors.in_use
         for sock in (server, *fill):
             sock.close()
 
@@ -253,8 +253,8 @@
         else:
             exchange.give_up(Status.CANCELLED)
         assert (await end)[0] is Status.CONNECT_FAILED
-        assert pool.descriptors.held == 1
-        await until(lambda: not pool.descriptors.held, "its descriptor is counted back")
+        assert pool.descriptors.in_use == 1
+        await until(lambda: not pool.descriptors.in_use, "its descriptor is counted back")
         assert not pool.connections and not pool.targets[1].opening
         server.setblocking(False)
         with pytest.raises(BlockingIOError):
@@ -290,7 +290,7 @@
         async with asyncio.timeout(WAIT):
             with contextlib.suppress(ConnectionResetError):
                 assert await loop.sock_recv(peer, 1) == b""
-        assert not pool.descriptors.held
+        assert not pool.descriptors.in_use
         peer.close()
         server.close()
 
@@ -341,7 +341,7 @@
         await until(lambda: len(pool.targets[1].idle) == 8)
         waits = [start(pool, 2)[1] for _ in range(8)]
         await until(lambda: len(other.got) == 8)
-        assert not pool.targets[1].idle and pool.descriptors.held == 8
+        assert not pool.targets[1].idle and pool.descriptors.in_use == 8
         assert await start(pool, 2)[1] == (Status.NOT_SENT, None)
         assert not any(end.done() for end in waits)
         pool.close()
@@ -395,7 +395,7 @@
         await closed.wait()
         status, answer = await start(pool)[1]
         assert status is Status.OK and answer.body == b"second"
-        assert not pool.memory.held and len(pool.connections) == 1
+        assert not pool.memory.reserved_bytes and len(pool.connections) == 1
         pool.close()
 
     run(play())
@@ -427,11 +427,11 @@
 
         fake = await Fake(act).start()
         pool = make((HOST, fake.port))
-        pool.memory.others_held = pool.memory.most - 4000
+        pool.memory.others_reserved_bytes = pool.memory.max_bytes - 4000
         assert await start(pool)[1] == (Status.RESET, None)
-        pool.memory.others_held = 0
+        pool.memory.others_reserved_bytes = 0
         assert (await start(pool)[1])[0] is Status.OK
-        assert pool.memory.held == 0
+        assert pool.memory.reserved_bytes == 0
         pool.close()
 
     run(play())
--- a/tests/test_overlap.py
+++ b/tests/test_overlap.py
@@ -37,24 +37,24 @@
     async def play():
         async with process(tmp_path, 1, {"index": 5}) as (old, handed):
             assert handed is None and old.usage.descriptors.limit == 334
-            old.usage.descriptors.held = old.usage.descriptors.connected = 100
-            old.usage.memory.held = MB
+            old.usage.descriptors.in_use = old.usage.descriptors.connected = 100
+            old.usage.memory.reserved_bytes = MB
             async with process(tmp_path, 2, {"index": 5}) as (new, handed):
                 assert handed == {"index": 5}
                 assert old.processes == new.processes == 1
                 limits = new.usage.descriptors
-                assert limits.limit == 284 and limits.others_held == 100 and limits.clients == 94
-                assert new.usage.memory.others_held == MB
-                limits.held = 184
+                assert limits.limit == 284 and limits.others_in_use == 100 and limits.max_clients == 94
+                assert new.usage.memory.others_reserved_bytes == MB
+                limits.in_use = 184
                 assert limits.full
-                await until(lambda: old.usage.descriptors.others_held == 184)
+                await until(lambda: old.usage.descriptors.others_in_use == 184)
                 assert old.usage.descriptors.full
                 async with process(tmp_path, 3) as (third, _):
                     assert third.processes == 2 and third.usage.descriptors.limit == 234
                     await until(lambda: old.processes == new.processes == 2)
                 await until(lambda: old.processes == new.processes == 1)
             await until(lambda: old.processes == 0)
-            assert old.usage.descriptors.limit == 334 and old.usage.descriptors.others_held == 0
+            assert old.usage.descriptors.limit == 334 and old.usage.descriptors.others_in_use == 0
         assert not list(tmp_path.iterdir())
 
     run(play())
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -27,13 +27,13 @@
     until,
 )
 
-from ochreflow.core.body import HOLD_MOST
+from ochreflow.core.body import MAX_BUFFERED_BYTES
 from ochreflow.http import connection
 from ochreflow.http.connection import WAITING_MOST, ClientConnection
 from ochreflow.http.progress import unacknowledged
 from ochreflow.policy.interface import Status
 
-LONG = b"a" * (HOLD_MOST * 3 // 4)  # an answer that is held until it is whole
+LONG = b"a" * (MAX_BUFFERED_BYTES * 3 // 4)  # an answer that is held until it is whole
 NARROW = 4096  # bytes that a client's machine takes before its application reads
 
 
@@ -305,7 +305,7 @@
             if got.headers["x-request-id"] == "first":
                 writer.write(reply(200, LONG))
                 return
-            part = bytes(2 * HOLD_MOST)
+            part = bytes(2 * MAX_BUFFERED_BYTES)
             part = b"%x\r\n%s\r\n" % (len(part), part) if b"chunked" in framing else part
             writer.write(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n" + part)
             await writer.drain()
@@ -334,7 +334,9 @@
     async def play():
         async def answer_in_part(got, reader, writer):
             if got.headers["x-request-id"] == "first":
-                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + bytes(3 * HOLD_MOST))
+                writer.write(
+                    b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + bytes(3 * MAX_BUFFERED_BYTES)
+                )
             await reader.read()
 
         fakes = [await Fake(answer_in_part).start() for _ in range(4)]  # so that one is left to send to
@@ -354,7 +356,7 @@
             client.close()
             await until(lambda: not sidecar.http.clients.all)
             assert [ident for fake in fakes for ident in ids(fake)] == ["first"]
-            assert sidecar.engine.memory.held == 0
+            assert sidecar.engine.memory.reserved_bytes == 0
 
     run(play())
 
@@ -417,7 +419,7 @@
             assert data.count(b"HTTP/1.1 200") == data.count(b"HTTP/1.1 503") == 1
             client.close()
             await until(lambda: not sidecar.http.clients.all)
-            assert sidecar.engine.memory.held == 0
+            assert sidecar.engine.memory.reserved_bytes == 0
             assert b"id" not in server.take_all()
         server.close()
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -438,7 +438,7 @@
                 async with asyncio.timeout(OPERATORS_WITHIN):
                     assert (await read_message(reader)).code == 200
                 writer.close()
-            share = Descriptors(LEAST).clients
+            share = Descriptors(LEAST).max_clients
             await until(lambda: peak > before + share // 2)  # it may not have looked yet
             over.set()
             looking.join()
@@ -472,7 +472,7 @@
         async with process:
             await until(lambda: stage.discovery.fake.got)
             empty = await used(process)
-            share = Descriptors(LEAST).clients
+            share = Descriptors(LEAST).max_clients
 
             def is_full():
                 is_most = not free(process, LEAST) if short else len(crowd.here) == share
@@ -526,10 +526,12 @@
                 owed = asyncio.create_task(ask(process.port, message("order", "f" * 16, "30000m")))
                 await until(lambda: stage.stays.came or stage.drains.came)
                 stage.stays.takes, stage.drains.takes = 0.02, 0.0
-                await until(lambda: taken_in() >= Descriptors(LEAST).clients)
+                await until(lambda: taken_in() >= Descriptors(LEAST).max_clients)
                 assert held(process) > LOWERED
                 resource.prlimit(pid_of(process), resource.RLIMIT_NOFILE, (LOWERED, LOWERED))
-                await until(lambda: taken_in() <= Descriptors(LOWERED).clients, "clients keep what they had")
+                await until(
+                    lambda: taken_in() <= Descriptors(LOWERED).max_clients, "clients keep what they had"
+                )
                 async with Peak(process) as peak:
                     assert await operators_heard(process)
                     asking = Asking(process.port)
@@ -580,7 +582,7 @@
 def test_clients_are_cut_down_to_a_smaller_share_in_steps_and_none_that_is_served(gate):
     clients = Clients(Descriptors(LEAST))
     clients.admission = gate
-    come = [Silent(clients, serving=number % 10 == 0) for number in range(clients.descriptors.clients)]
+    come = [Silent(clients, serving=number % 10 == 0) for number in range(clients.descriptors.max_clients)]
     for one in come:
         clients.add(one)
     clients.sweep()
@@ -590,7 +592,7 @@
     assert len(clients.all) == len(come) - CUT_MOST
     for _ in range(len(come) // CUT_MOST):
         clients.sweep()
-    share = Descriptors(LOWERED).clients
+    share = Descriptors(LOWERED).max_clients
     served, silent = ([one for one in come if one.serving is serving] for serving in (True, False))
     left = share - len(served)
     assert set(clients.all) == {*served, *(silent[:left] if gate else silent[-left:])}
@@ -616,9 +618,12 @@
 
 def test_the_count_goes_by_what_the_system_gives(monkeypatch):
     descriptors = Descriptors(1024)
-    descriptors.cap(LEAST)
-    assert descriptors.limit == Descriptors(LEAST).limit and descriptors.clients == Descriptors(LEAST).clients
-    descriptors.cap(2 * LEAST)
+    descriptors.lower_to(LEAST)
+    assert (
+        descriptors.limit == Descriptors(LEAST).limit
+        and descriptors.max_clients == Descriptors(LEAST).max_clients
+    )
+    descriptors.lower_to(2 * LEAST)
     assert descriptors.total == LEAST
     monkeypatch.setattr(resource, "getrlimit", lambda _: (300, 400))
     assert system_limit() == 300
@@ -635,7 +640,7 @@
             await answer_ok(got, reader, writer)
 
         go = asyncio.Event()
-        share = Descriptors(LEAST).clients
+        share = Descriptors(LEAST).max_clients
         servers = [await Fake(hold).start() for _ in range(share)]
         listed = [entry(f"s{number}", server.address) for number, server in enumerate(servers)]
         discovery = await Discovery(news(1, *listed)).start()
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -23,7 +23,7 @@
 
 from ochreflow.core import body as bodies
 from ochreflow.core import lifecycle
-from ochreflow.core.body import HOLD_MOST, Body
+from ochreflow.core.body import MAX_BUFFERED_BYTES, Body
 from ochreflow.core.limits import MB, Memory
 from ochreflow.http import clients, framing, upstream
 from ochreflow.membership.directory import parse_endpoint_update
@@ -116,7 +116,7 @@
             assert (await ask(sidecar.port, head + b" \r\n\r\n" + rest)).code == 200  # white space is no part
             assert server.bodies == [data, data, data]
             assert sidecar.engine.stats.forwards == 3
-            await until(lambda: sidecar.engine.memory.held == 0)
+            await until(lambda: sidecar.engine.memory.reserved_bytes == 0)
 
     run(play())
 
@@ -139,10 +139,10 @@
             (connection,) = sidecar.upstreams.connections
             assert connection.unwritten
             assert len(connection.stream.unsent) < 2 * MB
-            assert sidecar.engine.memory.held < 2 * HOLD_MOST
+            assert sidecar.engine.memory.reserved_bytes < 2 * MAX_BUFFERED_BYTES
             writer.transport.abort()  # the client gives up: nothing has run
             await until(lambda: not sidecar.engine.pending_requests and not sidecar.engine.attempts)
-            assert sidecar.engine.memory.held == 0 and sidecar.engine.stats.forwards == 0
+            assert sidecar.engine.memory.reserved_bytes == 0 and sidecar.engine.stats.forwards == 0
             writer.close()
         listening.close()
 
@@ -178,7 +178,7 @@
             ended = [event for event in events if isinstance(event, api.Outcome)]
             assert started[0].duration_ns == ended[0].duration_ns and ended[0].final
             await until(lambda: not sidecar.engine.pending_requests)
-            assert sidecar.engine.memory.held == 0
+            assert sidecar.engine.memory.reserved_bytes == 0
 
     run(play())
 
@@ -332,7 +332,7 @@
             await until(lambda: any(c.response_paused for c in sidecar.upstreams.connections))
             (client,) = sidecar.http.clients.all
             assert client.transport.get_write_buffer_size() < MB
-            assert sidecar.engine.memory.held < MB
+            assert sidecar.engine.memory.reserved_bytes < MB
             await until(lambda: not sidecar.http.clients.all)
             sock.close()
             await until(lambda: not sidecar.engine.pending_requests)
@@ -373,7 +373,7 @@
             assert events[0].uploading
             outcome = next(event for event in events if isinstance(event, api.Outcome))
             assert outcome.status is api.Status.CONNECT_FAILED
-            assert sidecar.engine.stats.forwards == 0 and sidecar.engine.memory.held == 0
+            assert sidecar.engine.stats.forwards == 0 and sidecar.engine.memory.reserved_bytes == 0
 
     run(play())
 
@@ -474,7 +474,7 @@
             await waiting.wait()
             writer.transport.abort()
             await until(lambda: not sidecar.engine.pending_requests)
-            assert not sidecar.engine.attempts and sidecar.engine.memory.held == 0
+            assert not sidecar.engine.attempts and sidecar.engine.memory.reserved_bytes == 0
             go.set()
             assert (await ask(sidecar.port, message("order", "stays", "3000m", b"body"))).code == 200
             assert [got.headers["x-request-id"] for got in fake.got] == ["stays"]
@@ -496,12 +496,12 @@
 
     memory = Memory(64 * MB)
     body, sink = Body(memory, None), Sink()
-    assert body.add(bytes(bodies.HOLD_MOST + 1)) and body.stopped
+    assert body.add(bytes(bodies.MAX_BUFFERED_BYTES + 1)) and body.reading_paused
     assert framing.framed(body).startswith(b"Transfer-Encoding: chunked\r\n\r\n10001\r\n")
-    body.flow(sink)
-    assert body.spent and memory.held == 0 and not body.stopped
+    body.stream_to(sink)
+    assert body.discarded and memory.reserved_bytes == 0 and not body.reading_paused
     body.add(b"abc")
     body.end()
     assert sink.parts == [b"abc", b"end"]
-    body.drop()
-    assert body.add(b"more") and memory.held == 0
+    body.discard()
+    assert body.add(b"more") and memory.reserved_bytes == 0
