--- a/ochreflow/app/config.py
+++ b/ochreflow/app/config.py
@@ -53,7 +53,7 @@
         limits = data.get("limits", {})
         return Config(
             name=str(data["name"]),
-            listen=split_address(data["listen"], least_port=0),
+            listen=split_address(data["listen"], min_port=0),
             discovery=split_address(data["discovery"]),
             seed=int(data["seed"], 16),
             sockets=min(int(limits.get("sockets", SOCKETS)), SOCKETS),
@@ -78,4 +78,4 @@
 def _management(data: dict) -> Address | None:
     """The operators' address: two processes may share a configuration, so the environment comes first."""
     text = os.environ.get("GW_MANAGEMENT") or data.get("management")
-    return split_address(text, least_port=0) if text else None
+    return split_address(text, min_port=0) if text else None
--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -95,7 +95,7 @@
 
             peers = Peers(config.settings.index, config.peers, config.peers_all, engine.on_gossip)
             await loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
-            engine.gossip = peers
+            engine.use_gossip(peers)
         await management.listen(options.operators or config.management)
         if admission is not None:
             from ..http.acceptor import Acceptor
--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -7,8 +7,9 @@
 from functools import partial
 from time import monotonic
 
+from ..core.clock import NS_PER_S
 from ..core.endpoints import EndpointUpdate
-from ..core.engine import SECOND, Engine
+from ..core.engine import Engine
 from ..core.limits import Descriptors, Memory, Usage
 from ..http.calls import HttpCalls
 from ..http.frontend import HttpFrontend
@@ -42,13 +43,15 @@
         usage.descriptors.apply_system_limit()
         settings, known = config.settings, known or config.known
         self.names = config.names
-        self.engine = Engine(loop, settings, config.transport.max_open, config.seed, usage, config.names)
+        self.engine = Engine(
+            loop, settings, usage, config.names, max_open=config.transport.max_open, seed=config.seed
+        )
         self.upstreams = Upstreams(
             loop,
             usage.descriptors,
             usage.memory,
-            settings.connect_timeout_ns / SECOND or CONNECT_WITHIN,
-            config.transport.conn_idle_ns / SECOND,
+            settings.connect_timeout_ns / NS_PER_S or CONNECT_WITHIN,
+            config.transport.conn_idle_ns / NS_PER_S,
         )
         self.upstream_transport = HttpUpstreamTransport(self.upstreams, settings.report_columns)
         self.http = HttpFrontend(self.engine, self.upstream_transport)
--- a/ochreflow/app/units.py
+++ b/ochreflow/app/units.py
@@ -60,7 +60,7 @@
         """ValueError where it is no address."""
         if not isinstance(raw, str):
             raise ValueError
-        return cls(split_address(raw, least_port=0))
+        return cls(split_address(raw, min_port=0))
 
     def __str__(self) -> str:
         return f"{self[0]}:{self[1]}"
--- a/ochreflow/cli/common.py
+++ b/ochreflow/cli/common.py
@@ -20,7 +20,7 @@
     from ..core.address import split_address
 
     try:
-        return split_address(text, least_port=0)
+        return split_address(text, min_port=0)
     except ValueError:
         message = f'ADDRESS: found "{text}", wanted an address and a port, such as "127.0.0.1:9100"'
         raise click.UsageError(message) from None
--- /dev/null
+++ b/ochreflow/core/attempt_manager.py
@@ -0,0 +1,330 @@
+"""The attempts of requests: when their first byte may go out, and what becomes of them.
+
+`PendingRequest` and `Attempt` stand here together, since each of them refers to the other.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from dataclasses import dataclass
+from typing import Protocol
+
+from ..policy import interface as api
+from ..policy.interface import Status
+from ..policy.safety_rules import NO_END
+from ..policy.state_records import PROVES_NOT_RUN, UNWRITTEN
+from .clock import NS_PER_MS, NS_PER_S
+from .dispatcher import EventDispatcher
+from .frontend_binding import FrontendBinding
+from .log import log
+from .ports import FinalResponse, IncomingRequest, Reason, ResponseSink, UpstreamAttempt
+from .stats import Disposition, Stats
+
+ATTEMPT_MARGIN_NS = 15 * NS_PER_MS  # the last attempt is given up so long before the client's deadline
+
+
+def format_request_id(request: IncomingRequest) -> str:
+    """Return a request's id as text, for the log."""
+    request_id = request.request_id
+    return request_id.decode("latin-1") if isinstance(request_id, bytes) else str(request_id)
+
+
+@dataclass(slots=True, eq=False)
+class PendingRequest:
+    """A request that has been accepted."""
+
+    id: int
+    request: IncomingRequest
+    response_sink: ResponseSink
+    frontend_binding: FrontendBinding
+    watchdog: asyncio.TimerHandle | None = None
+    attempts: int = 0  # started so far
+    may_have_run: bool = False  # some attempt has ended without a proof that it did not run
+    unanswered: bool = True  # its final response has not been given
+    uploading: bool = False  # the balancer knows that its body is still coming
+    streaming: Attempt | None = None  # the attempt whose response is already on its way to the client
+
+
+class ResponsePath(Protocol):
+    """Where a server's response goes on to the client; see `RequestManager`."""
+
+    def finish(self, pending: PendingRequest, response: FinalResponse) -> None:
+        """Give the one final response."""
+        ...
+
+    def end_response(self, pending: PendingRequest, *, complete: bool) -> None:
+        """End a response that was streamed."""
+        ...
+
+
+class Attempt:
+    """One attempt, from its start to its one end: what the transport reports to. See `AttemptObserver`."""
+
+    __slots__ = (
+        "first_byte_permitted",
+        "fully_written",
+        "manager",
+        "number",
+        "pending",
+        "response_started_ns",
+        "sent_ns",
+        "server",
+        "timeout_ns",
+        "upstream_attempt",
+    )
+
+    def __init__(
+        self, manager: AttemptManager, pending: PendingRequest, server: int, sent_ns: int, timeout_ns: int
+    ) -> None:
+        """Begin the next attempt of `pending` at `sent_ns`; `timeout_ns` as in `api.Send`."""
+        self.manager = manager
+        self.pending = pending
+        self.number = pending.attempts
+        self.server = server
+        self.sent_ns = sent_ns  # for a body that was still coming: when its last byte had been written
+        self.timeout_ns = timeout_ns  # from its start; 0: what its request has left
+        self.response_started_ns = 0  # when its response began to go on to the client
+        self.upstream_attempt: UpstreamAttempt | None = None  # None: being started, or failed to start
+        self.first_byte_permitted = False  # its first byte may have gone out
+        self.fully_written = False  # its last byte has gone out
+
+    @property
+    def has_ended(self) -> bool:
+        """Whether its end has been reported."""
+        return self.manager.in_flight.get((self.pending.id, self.number)) is not self
+
+    @property
+    def may_run(self) -> bool:
+        """Whether its server may have all of it, as far as is known before its end."""
+        if self.upstream_attempt is None:
+            return self.first_byte_permitted
+        return self.fully_written or self.upstream_attempt.may_run
+
+    def write_timeout_s(self) -> float:
+        """See `AttemptObserver.write_timeout_s`."""
+        timeout_s = 0.0 if self.has_ended else self.manager.write_timeout_s(self)
+        self.first_byte_permitted = self.first_byte_permitted or timeout_s > 0.0
+        return timeout_s
+
+    def remaining_time_ns(self) -> int:
+        """See `AttemptObserver.remaining_time_ns`."""
+        return self.manager.remaining_time_ns(self)
+
+    def written(self) -> None:
+        """See `AttemptObserver.written`."""
+        self.fully_written = True
+        self.manager.stats.forwarded()
+        if self.pending.uploading:
+            self.manager.body_uploaded(self)
+
+    def begin(self, head: object, length: int | None) -> bool:
+        """See `AttemptObserver.begin`."""
+        return self.manager.begin_response(self, head, length)
+
+    def part(self, data: bytes) -> None:
+        """See `AttemptObserver.part`."""
+        self.pending.response_sink.part(self.pending.request, data)
+
+    def ended(self, status: Status, answer: object, report: tuple[float, ...]) -> None:
+        """See `AttemptObserver.ended`."""
+        self.manager.end(self, status, answer, report)
+
+
+class AttemptManager:
+    """Owns the attempts that have not ended, also those of requests that have been answered."""
+
+    def __init__(
+        self,
+        response_path: ResponsePath,
+        dispatcher: EventDispatcher,
+        stats: Stats,
+        max_attempts: int,
+    ) -> None:
+        """Allow `max_attempts` for each request; responses go on along `response_path`."""
+        self.response_path = response_path
+        self.dispatcher = dispatcher
+        self.balancer = dispatcher.balancer
+        self.clock = dispatcher.clock
+        self.stats = stats
+        self.fault_log = dispatcher.fault_log
+        self.max_attempts = max_attempts
+        self.in_flight: dict[tuple[int, int], Attempt] = {}  # by pending id and number
+
+    def of_request(self, pending: PendingRequest) -> list[Attempt]:
+        """Return the attempts of a request that have not ended."""
+        numbers = range(pending.attempts)
+        return [self.in_flight[pending.id, n] for n in numbers if (pending.id, n) in self.in_flight]
+
+    def may_have_run(self, pending: PendingRequest) -> bool:
+        """Return whether any server may have run it, by ends and by what is still in flight."""
+        return pending.may_have_run or any(attempt.may_run for attempt in self.of_request(pending))
+
+    # Starting
+
+    def start(self, pending: PendingRequest, server: int, timeout_ns: int) -> None:
+        """Start an attempt at `server`, or end it at once where it can't be sent any more."""
+        attempt = Attempt(self, pending, server, self.clock.now(), timeout_ns)
+        pending.attempts += 1
+        self.in_flight[pending.id, attempt.number] = attempt
+        request = pending.request
+        remaining_ns = self.remaining_time_ns(attempt)
+        if pending.attempts > self.max_attempts or remaining_ns <= 0 or request.body.discarded:
+            self.end(attempt, Status.NOT_SENT, None, ())
+            return
+        timeout_s = remaining_ns / NS_PER_S if request.body.complete else None
+        try:
+            attempt.upstream_attempt = pending.frontend_binding.upstream_transport.start(
+                server, request, timeout_s, attempt
+            )
+        except Exception:
+            self.fault_log.log("an attempt could not be started")
+            if not attempt.first_byte_permitted:
+                self.end(attempt, Status.NOT_SENT, None, ())
+            # Else it may run: its end is still reported by its transport, or by the deadline watchdog.
+
+    def remaining_time_ns(self, attempt: Attempt) -> int:
+        """Return what is left to an attempt now: see `AttemptObserver.remaining_time_ns`.
+
+        Guards a server against work that nobody waits for: computed when the attempt was decided on, it was
+        more than the client still waited once a connection had been made late. The client's time runs from
+        the last byte of its body.
+        """
+        request, now = attempt.pending.request, self.clock.now()
+        if request.body.complete:
+            remaining_ns = request.deadline_ns - ATTEMPT_MARGIN_NS - now
+        else:
+            remaining_ns = request.timeout_ns
+        if attempt.timeout_ns > 0:
+            return min(remaining_ns, attempt.sent_ns + attempt.timeout_ns - now)
+        return remaining_ns
+
+    def write_timeout_s(self, attempt: Attempt) -> float:
+        """Decide whether an attempt's first byte may go out: see `AttemptObserver.write_timeout_s`.
+
+        The rules are judged at this instant and not at that of the decision: connections are made late, and
+        by then a window may be over, a server may drain, the client may have disconnected or run out of time.
+        """
+        pending = attempt.pending
+        request, now = pending.request, self.clock.now()
+        if not pending.unanswered or (
+            request.body.complete and now >= request.deadline_ns - ATTEMPT_MARGIN_NS
+        ):
+            return 0.0
+        if request.body.discarded:  # another attempt has streamed it, and the balancer may not know
+            return 0.0
+        if pending.response_sink.is_disconnected(request):
+            return 0.0
+        try:
+            end_ns = self.balancer.write_by(now, pending.id, attempt.number)
+        except Exception:
+            # Guards the response and the connection of whoever is being served in this turn of the loop.
+            self.fault_log.log("the module failed on a first byte")
+            return 0.0
+        return math.inf if end_ns >= NO_END else max(end_ns - now, 0) / NS_PER_S
+
+    def body_uploaded(self, attempt: Attempt) -> None:
+        """Count an attempt whose body was still coming as begun now: its last byte has been written."""
+        pending = attempt.pending
+        pending.uploading = False
+        attempt.sent_ns = self.clock.now()
+        self.dispatcher.dispatch(api.BodyUploaded(pending.id, pending.request.deadline_ns))
+
+    def set_timeouts(self, pending: PendingRequest) -> None:
+        """Limit attempts that were started without a timeout to what the client's deadline leaves."""
+        remaining_ns = pending.request.deadline_ns - ATTEMPT_MARGIN_NS - self.clock.now()
+        for attempt in self.of_request(pending):
+            if attempt.upstream_attempt is not None and pending.streaming is not attempt:
+                attempt.upstream_attempt.set_timeout(remaining_ns / NS_PER_S)
+
+    # Responses and ends
+
+    def begin_response(self, attempt: Attempt, head: object, length: int | None) -> bool:
+        """Begin to stream a response to the client; from here on it has no deadline, only stall timeouts."""
+        pending = attempt.pending
+        if not pending.unanswered or pending.streaming is not None or attempt.upstream_attempt is None:
+            return False
+        pending.streaming = attempt
+        pending.may_have_run = True
+        if pending.watchdog is not None:
+            pending.watchdog.cancel()
+        attempt.upstream_attempt.clear_timeout()
+        attempt.response_started_ns = self.clock.now()
+        pending.response_sink.begin(pending.request, head, length, attempt.upstream_attempt.pause)
+        duration_ns = attempt.response_started_ns - attempt.sent_ns
+        self.dispatcher.dispatch(api.StreamStarted(pending.id, attempt.number, attempt.server, duration_ns))
+        return True
+
+    def end(self, attempt: Attempt, status: Status, answer: object, report: tuple[float, ...]) -> None:
+        """End an attempt: a successful response goes to the client, the balancer learns of every end."""
+        if attempt.has_ended:
+            return  # only the first end counts, whatever a transport that failed reports later
+        pending = attempt.pending
+        del self.in_flight[pending.id, attempt.number]
+        if attempt.fully_written and status in UNWRITTEN:
+            status = Status.RESET  # `written` was reported before: it may have run
+        if status not in PROVES_NOT_RUN:
+            pending.may_have_run = True
+        if log.debugging:
+            _log_end(attempt, status)
+        if status is Status.OK and pending.unanswered and pending.streaming is None:
+            self.response_path.finish(pending, FinalResponse(Disposition.SUCCEEDED, Reason.ANSWERED, answer))
+        if pending.streaming is attempt and pending.unanswered:
+            self.response_path.end_response(pending, complete=status is Status.OK)
+        duration_ns = (attempt.response_started_ns or self.clock.now()) - attempt.sent_ns
+        final = not pending.unanswered
+        self.dispatcher.dispatch(
+            api.Outcome(pending.id, attempt.number, attempt.server, status, duration_ns, final, report)
+        )
+
+    def give_up(self, attempt: Attempt, status: Status) -> None:
+        """End an attempt within this call, whatever its transport does."""
+        if attempt.upstream_attempt is not None:
+            try:
+                attempt.upstream_attempt.give_up(status)
+            except Exception:
+                self.fault_log.log("an attempt could not be given up")
+        if not attempt.has_ended:  # its transport failed: if it may have begun, it may have run
+            end = status if attempt.first_byte_permitted else Status.NOT_SENT
+            self.end(attempt, end, None, ())
+
+    def cancel(self, pending_id: int, number: int) -> None:
+        """Cancel an attempt, if it is still in flight."""
+        attempt = self.in_flight.get((pending_id, number))
+        if attempt is not None and attempt.upstream_attempt is not None:
+            self.give_up(attempt, Status.CANCELLED)
+
+    def time_out(self, pending: PendingRequest) -> None:
+        """Give up all attempts of a request whose time is over."""
+        for attempt in self.of_request(pending):
+            self.give_up(attempt, Status.TIMEOUT)
+
+    def cancel_unwritten(self, pending: PendingRequest) -> None:
+        """Cancel the attempts of a request that still wait for a connection.
+
+        Guards servers against a request without its body, which is discarded with the final response.
+        """
+        for attempt in self.of_request(pending):
+            if attempt.upstream_attempt is not None and not attempt.upstream_attempt.begun:
+                self.give_up(attempt, Status.CANCELLED)
+
+    def abandon(self, pending: PendingRequest) -> None:
+        """Cancel the attempts of a request whose client or body is gone, unless they may run already."""
+        for attempt in self.of_request(pending):
+            upstream_attempt = attempt.upstream_attempt
+            if upstream_attempt is None:
+                continue
+            # What is written in part is cut off, so that it can't run any more.
+            if not upstream_attempt.may_run or pending.streaming is attempt:
+                self.give_up(attempt, Status.CANCELLED)
+
+
+def _log_end(attempt: Attempt, status: Status) -> None:
+    log.debug(
+        "attempt",
+        frontend=attempt.pending.frontend_binding.label,
+        request=format_request_id(attempt.pending.request),
+        attempt=attempt.number,
+        server=attempt.server,
+        status=status.name.lower(),
+    )
--- a/ochreflow/core/endpoints.py
+++ b/ochreflow/core/endpoints.py
@@ -1,4 +1,4 @@
-"""The servers that are listed at present, and the numbers by which the module knows them."""
+"""The servers that are listed at present, and the numbers by which the balancer knows them."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from .log import log
 from .ports import Address, UpstreamTransport
 
-NAMES_MOST = 256  # zones, and kinds, that are told apart
+MAX_DISTINCT_NAMES = 256  # zones, and kinds, that are told apart
 
 
 @dataclass(slots=True)
 class EndpointRecord:
-    """One entry of a list, with what only carriers need."""
+    """One entry of the endpoint list, with what only transports need."""
 
     name: str
     endpoint: Endpoint
@@ -24,27 +24,30 @@
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """What a source tells: the whole list, or what has changed in it."""
+    """What a source reports: the whole list, or what has changed in it."""
 
     version: int
     complete: bool
     entries: list[EndpointRecord]
 
     def membership(self, kind: ListKind | None = None) -> Membership:
+        """Return the update as the balancer takes it, as of `kind` where that is given."""
         kind = kind or (ListKind.FULL if self.complete else ListKind.DELTA)
         return Membership(kind, self.version, [entry.endpoint for entry in self.entries])
 
 
 class EndpointIds:
-    """The numbers by which the module knows servers, zones and kinds."""
+    """The numbers by which the balancer knows servers, zones and kinds."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
+        """Number the zones and kinds that the configuration names, in their order."""
         self.servers: dict[str, int] = {}
         self.zones = {name: number for number, name in enumerate(zones)}
         self.kinds = {name: number for number, name in enumerate(kinds)}
         self.next_server = 1
 
     def server(self, name: str) -> int:
+        """Return the number of a server, a new one if it has none."""
         number = self.servers.get(name)
         if number is None:
             number = self.servers[name] = self.next_server
@@ -52,42 +55,50 @@
         return number
 
     def zone(self, name: str) -> int:
+        """Return the number of a zone."""
         return _number(self.zones, name)
 
     def kind(self, name: str) -> int:
+        """Return the number of a kind of server."""
         return _number(self.kinds, name)
 
     def keep(self, numbers: set[int]) -> None:
-        """Forget servers that are known nowhere any more."""
+        """Forget all servers but those of these numbers."""
         self.servers = {name: number for name, number in self.servers.items() if number in numbers}
 
 
-def _number(known: dict[str, int], name: str) -> int:
+def _number(numbers: dict[str, int], name: str) -> int:
     # Guards the memory: lists that go on naming new zones or kinds get one number for all of these.
-    return known.setdefault(name, len(known)) if len(known) < NAMES_MOST else known.get(name, len(known))
+    if len(numbers) < MAX_DISTINCT_NAMES:
+        return numbers.setdefault(name, len(numbers))
+    return numbers.get(name, len(numbers))
 
 
 class EndpointTable:
-    """Owns the list as it is known now, and brings its changes to the carriers."""
+    """Owns the list as it is known now, and brings its changes to the transports."""
 
-    def __init__(self, names: EndpointIds, transports: Sequence[UpstreamTransport]) -> None:
-        self.names = names
+    def __init__(self, ids: EndpointIds, transports: Sequence[UpstreamTransport]) -> None:
+        """Begin with an empty list; `transports` may grow later."""
+        self.ids = ids
         self.transports = transports
         self.listed: dict[int, EndpointRecord] = {}
 
     def synchronize(self, upstream_transport: UpstreamTransport) -> None:
-        """Bring a carrier that begins up to date."""
+        """Bring a transport that is added later up to date."""
         for server, entry in self.listed.items():
             upstream_transport.update(server, entry.address, entry.since_ms, entry.endpoint.state)
 
-    def apply(self, news: EndpointUpdate) -> None:
-        """Take news, after the module: what carriers then give up must not go to the same server again."""
-        if news.complete:
-            told = {entry.endpoint.server for entry in news.entries}
-            for server in [server for server in self.listed if server not in told]:
+    def apply(self, update: EndpointUpdate) -> None:
+        """Apply an update that the balancer has had.
+
+        In this order, since attempts that transports give up on it must not be retried at the same server.
+        """
+        if update.complete:
+            named = {entry.endpoint.server for entry in update.entries}
+            for server in [server for server in self.listed if server not in named]:
                 log.info("server_left", server=server, name=self.listed[server].name)
-                self._leave(server, self.listed[server])
-        for entry in news.entries:
+                self._remove(server, self.listed[server])
+        for entry in update.entries:
             self._apply_entry(entry)
 
     def _apply_entry(self, entry: EndpointRecord) -> None:
@@ -106,13 +117,13 @@
             if known.since_ms != entry.since_ms:
                 log.info("server_restarted", name=entry.name, server=server)
         if state is State.REMOVED:
-            self._leave(server, entry)
+            self._remove(server, entry)
             return
         self.listed[server] = entry
         for upstream_transport in self.transports:
             upstream_transport.update(server, entry.address, entry.since_ms, state)
 
-    def _leave(self, server: int, entry: EndpointRecord) -> None:
+    def _remove(self, server: int, entry: EndpointRecord) -> None:
         del self.listed[server]
         for upstream_transport in self.transports:
             upstream_transport.update(server, entry.address, entry.since_ms, State.REMOVED)
--- /dev/null
+++ b/ochreflow/core/frontend_binding.py
@@ -0,0 +1,20 @@
+"""A frontend as the core knows it."""
+
+from __future__ import annotations
+
+from .ports import Frontend, UpstreamTransport
+from .request_ids import RequestIdRegistry
+
+
+class FrontendBinding:
+    """A frontend, the transport that its attempts are sent with, its counts and its request ids."""
+
+    def __init__(
+        self, label: str, frontend: Frontend, upstream_transport: UpstreamTransport, counts: list[int]
+    ) -> None:
+        """Bind a frontend; `label` names it in the figures, `counts` are its responses by disposition."""
+        self.label = label
+        self.frontend = frontend
+        self.upstream_transport = upstream_transport
+        self.counts = counts
+        self.request_ids = RequestIdRegistry()  # an id means a request of this frontend only
--- a/ochreflow/core/lifecycle.py
+++ b/ochreflow/core/lifecycle.py
@@ -1,4 +1,4 @@
-"""The one state of the process: what readiness, accepting, keep-alive and the end follow from."""
+"""The one state of the process: readiness, accepting, keep-alive and the end follow from it."""
 
 from __future__ import annotations
 
@@ -10,26 +10,29 @@
 from .log import log
 from .ports import Frontend
 
-ACCEPT_AFTER_SIGTERM_S = 0.5  # seconds for which new connections still come after SIGTERM
-IDLE_CLOSE_DELAY_S = 1.0  # seconds of a drain in which clients' next answers tell them to leave by themselves
-IDLE_CLOSE_INTERVAL_S = 0.1  # seconds between looks for connections that have become idle since
-KILL_AFTER_DEADLINE_S = 0.7  # seconds after the longest deadline at which the platform kills at the soonest
-MAX_DEADLINE_S = 3.0  # seconds that the platform counts a longer deadline as
-ANNOUNCE_CLOSE_BEFORE_KILL_S = (
-    1.6  # seconds before that at which clients are told to leave, where nobody takes over
-)
-ANSWER_BEFORE_KILL_S = 0.4  # seconds before that at which nothing held goes unanswered any more ...
-STOP_BEFORE_KILL_S = 0.1  # ... and at which clients have had time to read their answers
+ACCEPT_AFTER_SIGTERM_S = 0.5  # new connections still come for so long after SIGTERM
+IDLE_CLOSE_DELAY_S = 1.0  # of a drain: until then, clients' next responses tell them to reconnect elsewhere
+IDLE_CLOSE_INTERVAL_S = 0.1  # between two rounds of closing what has become idle
+KILL_AFTER_DEADLINE_S = 0.7  # after the longest deadline: the platform kills no sooner than then
+MAX_DEADLINE_S = 3.0  # what the platform counts a longer deadline as
+# Before that kill:
+ANNOUNCE_CLOSE_BEFORE_KILL_S = 1.6  # clients are told to reconnect, where no other process takes over
+ANSWER_BEFORE_KILL_S = 0.4  # no request stays unanswered ...
+STOP_BEFORE_KILL_S = 0.1  # ... and clients have had time to read their responses
 
 
 class Phase(Enum):
+    """What the process is about."""
+
     STARTING = "starting"
     SERVING = "serving"
-    DRAINING = "draining"  # emptied by an operator; can be undone
+    DRAINING = "draining"  # by an operator's order; can be undone
     TERMINATING = "terminating"  # the process ends; can't be undone
 
 
 class Lifecycle:
+    """Owns the phase, the timers of a drain and of the end, and the future that ends the process."""
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
@@ -37,19 +40,16 @@
         longest_deadline_s: float,
         answer_pending: Callable[[], None],
     ) -> None:
+        """Begin in the phase of starting; `answer_pending` gives every pending request its final response."""
         self.loop = loop
         self.descriptors = descriptors
         self.frontends: list[Frontend] = []
         self.answer_pending = answer_pending
         self.kill_after_s = min(longest_deadline_s, MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S
         self.phase = Phase.STARTING
-        self.closing_idle_connections = (
-            False  # idle connections are closed, and what still comes is turned away
-        )
-        self.announcing_close = False  # the end is so near that clients do better elsewhere
-        self.final_answers_given = (
-            False  # the end is so near that nothing held goes on, and nothing new begins
-        )
+        self.closing_idle_connections = False  # again and again; during a drain, new requests are rejected
+        self.announcing_close = False  # the end is so near that clients are better served elsewhere
+        self.final_answers_given = False  # the end is so near that no request goes on or begins
         self.accepting = False
         self.stopped: asyncio.Future[None] = loop.create_future()
         self.idle_closer: asyncio.TimerHandle | None = None
@@ -61,25 +61,25 @@
 
     @property
     def responses_announce_close(self) -> bool:
-        """Whether answers tell their clients to come back on another connection."""
+        """Whether responses tell their clients to reconnect."""
         return self.phase is Phase.DRAINING or self.announcing_close
 
     @property
     def rejects_new_requests(self) -> bool:
         """Whether a drain, or the end, is so far on that a new request would hold it up.
 
-        Guards the end against a request that comes when all that was held has just been answered: nobody
-        would look after it any more, and it would end with the process.
+        Guards the end against a request that comes when all others have just been answered: no timer would
+        look after it any more, and it would end with the process.
         """
         return self.final_answers_given or (self.phase is Phase.DRAINING and self.closing_idle_connections)
 
     @property
     def connected(self) -> int:
-        """Clients of all fronts."""
+        """Clients of all frontends."""
         return sum(frontend.connected for frontend in self.frontends)
 
     def serve(self) -> None:
-        """The listening sockets are open."""
+        """Begin to serve: the listening sockets are open."""
         self.accepting = True
         if self.phase is Phase.STARTING:
             self.phase = Phase.SERVING
@@ -87,7 +87,7 @@
     # An operator's drain
 
     def drain(self) -> bool:
-        """Begin to empty the sidecar; False if it is ending anyway."""
+        """Begin to drain; False if the process is ending anyway."""
         if self.phase is Phase.TERMINATING:
             return False
         if self.phase is not Phase.DRAINING:
@@ -97,7 +97,7 @@
         return True
 
     def undrain(self) -> bool:
-        """Go back to work; False if the process is ending."""
+        """Serve again; False if the process is ending."""
         if self.phase is Phase.TERMINATING:
             return False
         if self.phase is Phase.DRAINING:
@@ -107,7 +107,7 @@
         return True
 
     def _close_idle_connections(self) -> None:
-        """Close what stands idle, again and again: a connection may have been busy until now."""
+        """Close what is idle, again and again: a connection may have been busy until now."""
         self.closing_idle_connections = True
         for frontend in self.frontends:
             frontend.close_idle_connections()
@@ -120,13 +120,13 @@
             self.idle_closer.cancel()
             self.idle_closer = None
 
-    # The planned end
+    # Graceful shutdown
 
     def terminate(self) -> None:
-        """Answer what is held and what still comes for a moment, then stop.
+        """Answer the pending requests and what still comes for a moment, then stop.
 
-        Clients whose next sidecar is not back yet have only the connections that they hold: these stay
-        until the time that is left is needed for answers. Where another process listens, they move at once.
+        Clients whose next sidecar is not back yet have only the connections that they keep: these stay open
+        until the time that is left is needed for responses. Where another process listens, they move at once.
         """
         if self.phase is Phase.TERMINATING:
             return
@@ -138,11 +138,12 @@
         if taken_over:
             self.announcing_close = True
         else:
-            self.loop.call_later(
-                max(self.kill_after_s - ANNOUNCE_CLOSE_BEFORE_KILL_S, 0.0), self._announce_close
-            )
-        self.loop.call_later(max(self.kill_after_s - ANSWER_BEFORE_KILL_S, 0.0), self._give_final_answers)
-        self.loop.call_later(max(self.kill_after_s - STOP_BEFORE_KILL_S, 0.0), self._stop)
+            self._before_kill(ANNOUNCE_CLOSE_BEFORE_KILL_S, self._announce_close)
+        self._before_kill(ANSWER_BEFORE_KILL_S, self._give_final_answers)
+        self._before_kill(STOP_BEFORE_KILL_S, self._stop)
+
+    def _before_kill(self, seconds: float, act: Callable[[], None]) -> None:
+        self.loop.call_later(max(self.kill_after_s - seconds, 0.0), act)
 
     def _stop_accepting(self) -> None:
         """Close the own descriptors only: another process may go on listening on the same socket."""
@@ -156,15 +157,16 @@
             self._close_idle_connections()
 
     def _give_final_answers(self) -> None:
-        """Answer what is held; from here on nothing new is taken."""
+        """Answer the pending requests; from here on no new one is accepted."""
         self.final_answers_given = True
         self.answer_pending()
 
     def client_disconnected(self) -> None:
+        """Note that a client's connection has ended."""
         self._stop_if_unused()
 
     def _stop_if_unused(self) -> None:
-        """The end has come when nobody is connected any more: every answer has been flushed."""
+        """Stop once nobody is connected any more: every response has been flushed."""
         if self.phase is Phase.TERMINATING and not self.accepting and not self.connected:
             self._stop()
 
@@ -175,7 +177,7 @@
             self.stopped.set_result(None)
 
     def close(self) -> None:
-        """Nothing is owed or taken any more: the sockets can be closed."""
+        """Answer what is pending and accept nothing more: the sockets can be closed."""
         self._stop_closing_idle_connections()
         self._stop_listening()
         self._give_final_answers()
--- a/ochreflow/core/log.py
+++ b/ochreflow/core/log.py
@@ -48,7 +48,7 @@
 
 
 def text(event: str, fields: dict[str, object]) -> str:
-    """The plain words of an event."""
+    """Return the plain words of an event."""
     words = EVENTS.get(event, event)
     said = words.format_map(fields) if "{" in words else words
     rest = [f"{key}={value}" for key, value in fields.items() if f"{{{key}}}" not in words]
@@ -56,7 +56,7 @@
 
 
 def plain(level: str, event: str, fields: dict[str, object]) -> None:
-    """One line on standard error, with the trace of an exception behind it."""
+    """Write one line on standard error, and the trace of an exception after it."""
     fields = dict(fields)
     trace = fields.pop("trace", "")
     print(f"{level.upper()} ochreflow: {text(event, fields)}", file=sys.stderr, flush=True)
@@ -68,19 +68,21 @@
     """Where all parts write. An event over its bound is counted, and told with the next one let through."""
 
     def __init__(self, sink: Sink = plain, clock: Callable[[], float] = monotonic) -> None:
+        """Write to `sink`; `clock` gives seconds."""
         self.clock = clock
         self.use(sink)
 
-    def use(self, sink: Sink, least: str = "info", per_second: int = PER_SECOND) -> None:
-        """Write to this sink from now on, nothing below the level `least`."""
+    def use(self, sink: Sink, min_level: str = "info", per_second: int = PER_SECOND) -> None:
+        """Write to this sink, nothing below `min_level`, and each event `per_second` times at most."""
         self.sink = sink
-        self.least = LEVELS[least]
-        self.debugging = least == "debug"  # asked for each request: it must cost nothing otherwise
+        self.min_level = LEVELS[min_level]
+        self.debugging = min_level == "debug"  # asked for each request: it must cost nothing otherwise
         self.per_second = per_second
         self.windows: dict[str, list[float]] = {}  # by event: start of its second, written, held back
 
     def write(self, level: str, event: str, fields: dict[str, object]) -> None:
-        if LEVELS[level] < self.least:
+        """Write an event, unless its level is too low or it came too often within this second."""
+        if LEVELS[level] < self.min_level:
             return
         now = self.clock()
         window = self.windows.setdefault(event, [now, 0, 0])
@@ -96,15 +98,19 @@
         self.sink(level, event, fields)
 
     def debug(self, event: str, **fields: object) -> None:
+        """Write an event of level debug."""
         self.write("debug", event, fields)
 
     def info(self, event: str, **fields: object) -> None:
+        """Write an event of level info."""
         self.write("info", event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
+        """Write an event of level warning."""
         self.write("warning", event, fields)
 
     def error(self, event: str, **fields: object) -> None:
+        """Write an event of level error."""
         self.write("error", event, fields)
 
     def exception(self, event: str, **fields: object) -> None:
--- /dev/null
+++ b/ochreflow/core/request_manager.py
@@ -0,0 +1,226 @@
+"""Requests from their acceptance to their one final response."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+from functools import partial
+
+from ..policy import interface as api
+from .attempt_manager import AttemptManager, PendingRequest, format_request_id
+from .clock import NS_PER_MS, NS_PER_S
+from .dispatcher import EventDispatcher
+from .frontend_binding import FrontendBinding
+from .lifecycle import Lifecycle
+from .log import log
+from .ports import FinalResponse, IncomingRequest, Reason, ResponseSink
+from .stats import Disposition, Stats
+
+WATCHDOG_MARGIN_NS = 8 * NS_PER_MS  # a request still unanswered so long before its deadline is answered then
+
+
+@dataclass(frozen=True, slots=True)
+class RequestLimits:
+    """How many requests there may be at a time, and how many attempts of each of them."""
+
+    max_open: int
+    max_attempts: int
+
+
+class RequestManager:
+    """Owns the requests that have no final response yet, and gives that response to each of them."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        lifecycle: Lifecycle,
+        dispatcher: EventDispatcher,
+        stats: Stats,
+        limits: RequestLimits,
+    ) -> None:
+        """Begin without requests; `lifecycle` says whether new ones are rejected."""
+        self.loop = loop
+        self.lifecycle = lifecycle
+        self.dispatcher = dispatcher
+        self.clock = dispatcher.clock
+        self.stats = stats
+        self.max_open = limits.max_open
+        self.attempts = AttemptManager(self, dispatcher, stats, limits.max_attempts)
+        self.pending: dict[int, PendingRequest] = {}
+        self.next_id = 1
+
+    # From frontends
+
+    def accept(
+        self, frontend_binding: FrontendBinding, response_sink: ResponseSink, request: IncomingRequest
+    ) -> None:
+        """Accept a request: it gets one final response, maybe within this call already."""
+        request_ids = frontend_binding.request_ids
+        if self.lifecycle.rejects_new_requests and request.request_id not in request_ids.in_use:
+            response = FinalResponse(Disposition.DECLINED, Reason.DRAINING)
+            self._reject_new(frontend_binding, response_sink, request, response)
+            return
+        # Guards servers against a second copy, here or elsewhere: a request of this id may still run.
+        if not request_ids.claim(request.request_id):
+            response = FinalResponse(Disposition.ABORTED, Reason.DUPLICATE_REQUEST_ID)
+            self._reject_new(frontend_binding, response_sink, request, response)
+            return
+        pending = PendingRequest(self.next_id, request, response_sink, frontend_binding)
+        self.next_id += 1
+        self.pending[pending.id] = pending
+        request.pending_id = pending.id
+        if len(self.pending) > self.max_open:
+            self.finish(pending, FinalResponse(Disposition.DECLINED, Reason.OVERLOADED))
+            return
+        pending.uploading = not request.body.complete
+        if pending.uploading:
+            discarded = api.BodyDiscarded(pending.id)
+            request.body.on_discarded = partial(self.dispatcher.dispatch, discarded)
+        else:
+            self._start_watchdog(pending)
+        self.dispatcher.dispatch(self._request_event(pending))
+
+    def _request_event(self, pending: PendingRequest) -> api.Request:
+        request = pending.request
+        return api.Request(
+            pending.id,
+            request.cls,
+            request.tenant,
+            request.deadline_ns,
+            request.key,
+            request.cost_ns,
+            request.is_retry,
+            request.is_write,
+            pending.uploading,
+            max(self.clock.now() - (request.deadline_ns - request.timeout_ns), 0),
+        )
+
+    def body_ended(self, request: IncomingRequest) -> None:
+        """Note that the last byte of an accepted request has come: its time runs from now."""
+        pending = self.pending.get(request.pending_id)
+        if pending is None:
+            return
+        self._start_watchdog(pending)
+        self.attempts.set_timeouts(pending)
+
+    def body_failed(self, request: IncomingRequest, disposition: Disposition, detail: object = None) -> None:
+        """End an accepted request whose body can't be read to its end; `detail` is for its frontend."""
+        pending = self.pending.get(request.pending_id)
+        if pending is None:
+            return
+        if pending.streaming is None:
+            response = FinalResponse(disposition, Reason.INVALID_BODY, detail=detail)
+            if disposition is Disposition.DECLINED and self.attempts.may_have_run(pending):
+                response = FinalResponse(Disposition.ABORTED, Reason.BALANCER_DECISION)
+            self.finish(pending, response)
+        self.attempts.abandon(pending)
+        self.dispatcher.dispatch(api.RequestCancelled(pending.id))
+
+    def client_disconnected(self, request: IncomingRequest) -> None:
+        """End a request without a response; the balancer may cancel its attempts."""
+        pending = self.pending.get(request.pending_id)
+        if pending is None:
+            return
+        self._mark_answered(pending)
+        if log.debugging:
+            response = FinalResponse(Disposition.ABORTED, Reason.CLIENT_DISCONNECTED)
+            _log_final_response(pending.frontend_binding, request, response)
+        self.attempts.abandon(pending)
+        self.dispatcher.dispatch(api.RequestCancelled(pending.id))
+
+    def record_rejection(self, frontend_binding: FrontendBinding, cls: int, disposition: Disposition) -> None:
+        """Count a response that a frontend gave by itself, to what never became a request."""
+        self.stats.ended(cls, disposition, frontend_binding.counts)
+
+    def _reject_new(
+        self,
+        frontend_binding: FrontendBinding,
+        response_sink: ResponseSink,
+        request: IncomingRequest,
+        response: FinalResponse,
+    ) -> None:
+        """Respond to a request that is not accepted."""
+        self.stats.ended(request.cls, response.disposition, frontend_binding.counts)
+        if log.debugging:
+            _log_final_response(frontend_binding, request, response)
+        response_sink.respond(request, response)
+
+    # The final response
+
+    def reject(self, pending_id: int, retry_after_ns: int) -> None:
+        """Give the balancer's rejection, if there is no final response yet."""
+        pending = self.pending.get(pending_id)
+        if pending is not None:
+            response = FinalResponse(
+                Disposition.DECLINED, Reason.BALANCER_DECISION, retry_after_ns=retry_after_ns
+            )
+            self.finish(pending, response)
+
+    def fail(self, pending_id: int) -> None:
+        """Give the balancer's failure, if there is no final response yet."""
+        pending = self.pending.get(pending_id)
+        if pending is not None:
+            self.finish(pending, FinalResponse(Disposition.ABORTED, Reason.BALANCER_DECISION))
+
+    def finish(self, pending: PendingRequest, response: FinalResponse) -> None:
+        """Give the one final response."""
+        self._mark_answered(pending)
+        self.stats.ended(pending.request.cls, response.disposition, pending.frontend_binding.counts)
+        if log.debugging:
+            _log_final_response(pending.frontend_binding, pending.request, response)
+        pending.response_sink.respond(pending.request, response)
+
+    def end_response(self, pending: PendingRequest, *, complete: bool) -> None:
+        """End the final response that was streamed to the client."""
+        self._mark_answered(pending)
+        disposition = Disposition.SUCCEEDED if complete else Disposition.ABORTED
+        self.stats.ended(pending.request.cls, disposition, pending.frontend_binding.counts)
+        if log.debugging:
+            response = FinalResponse(disposition, Reason.ANSWERED if complete else Reason.TRUNCATED)
+            _log_final_response(pending.frontend_binding, pending.request, response)
+        pending.response_sink.end(pending.request, complete=complete)
+
+    def _mark_answered(self, pending: PendingRequest) -> None:
+        pending.unanswered = False
+        pending.frontend_binding.request_ids.release(pending.request.request_id)
+        self.pending.pop(pending.id, None)
+        if pending.watchdog is not None:
+            pending.watchdog.cancel()
+        self.attempts.cancel_unwritten(pending)
+
+    # The deadline watchdog
+
+    def _start_watchdog(self, pending: PendingRequest) -> None:
+        remaining_ns = max(pending.request.deadline_ns - WATCHDOG_MARGIN_NS - self.clock.now(), 0)
+        pending.watchdog = self.loop.call_later(remaining_ns / NS_PER_S, self._time_out, pending)
+
+    def _time_out(self, pending: PendingRequest) -> None:
+        """Give the final response now, whatever the balancer still plans."""
+        if not pending.unanswered or pending.streaming is not None:
+            return
+        self.attempts.time_out(pending)
+        if pending.unanswered:
+            disposition = Disposition.ABORTED if pending.may_have_run else Disposition.DECLINED
+            self.finish(pending, FinalResponse(disposition, Reason.DEADLINE_EXCEEDED))
+            self.dispatcher.dispatch(api.RequestCancelled(pending.id))
+
+    def answer_all(self) -> None:
+        """Give every pending request its final response now: the process is about to end."""
+        for pending in list(self.pending.values()):
+            try:
+                self._time_out(pending)
+            except Exception:
+                # Guards the responses to all others: they would end with the process and without a response.
+                self.dispatcher.fault_log.log("a request could not be answered")
+
+
+def _log_final_response(
+    frontend_binding: FrontendBinding, request: IncomingRequest, response: FinalResponse
+) -> None:
+    log.debug(
+        "final_response",
+        frontend=frontend_binding.label,
+        request=format_request_id(request),
+        outcome=response.disposition.name.lower(),
+        reason=response.reason.value,
+    )
--- a/ochreflow/core/stats.py
+++ b/ochreflow/core/stats.py
@@ -1,6 +1,6 @@
-"""What operators are told: counters since the process began, and how they are written.
+"""What operators can read: counters since the process began, and their text form.
 
-Nothing here knows of a protocol: a second front counts through the same object.
+Nothing here knows of a protocol: a second frontend counts in the same object.
 """
 
 from __future__ import annotations
@@ -20,38 +20,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """What is true at this moment; each figure is read from its owner when it is asked for."""
+    """Figures of this moment; each is read from its owner when operators query them."""
 
-    outstanding: int  # requests taken and not yet ended
+    outstanding: int  # requests accepted and not yet ended
     discovered: int  # servers in the list
-    ejected: int  # of these, those that the module avoids
+    ejected: int  # of these, ejected by the balancer
 
 
 class Stats:
     """Counters that only grow. Each is raised at one place in the program."""
 
     def __init__(self, classes: Sequence[str]) -> None:
+        """Begin with zeros for these classes of requests."""
         self.classes = list(classes)
         self.results = [[0] * len(Disposition) for _ in self.classes]
-        self.frontends: dict[str, list[int]] = {}  # by label, the same results counted once more
+        self.frontends: dict[str, list[int]] = {}  # by label, the same results once more
         self.forwards = 0
 
     def add_frontend(self, label: str) -> list[int]:
-        """The counts of one front, by disposition: requests of all classes."""
+        """Return the counts of one frontend, by disposition: requests of all classes."""
         return self.frontends.setdefault(label, [0] * len(Disposition))
 
     def ended(self, cls: int, disposition: Disposition, frontend: list[int]) -> None:
-        """The one final answer to a request has been decided."""
+        """Count the one final response to a request."""
         self.results[cls][disposition] += 1
         frontend[disposition] += 1
 
     def forwarded(self) -> None:
-        """The last byte of an attempt has been written."""
+        """Count an attempt whose last byte has been written."""
         self.forwards += 1
 
 
 def render(stats: Stats, gauges: Gauges) -> str:
-    """One `app.` line for each figure; a class that nobody has asked for yet stands there with 0."""
+    """Return one `app.` line for each figure; a class without requests so far has zeros."""
     lines = [
         f"app.results.{name}.{disposition.name.lower()}={counts[disposition]}"
         for name, counts in zip(stats.classes, stats.results, strict=True)
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -13,7 +13,9 @@
 import httptools
 
 from ..core.body import MAX_BUFFERED_BYTES, Body
-from ..core.engine import SECOND, Engine, FrontendBinding
+from ..core.clock import NS_PER_S
+from ..core.engine import Engine
+from ..core.frontend_binding import FrontendBinding
 from ..core.ports import FinalResponse, IncomingRequest, Pause, Reason
 from ..core.stats import Disposition
 from .clients import Clients
@@ -118,7 +120,7 @@
     code, body = WORDED[response.disposition, response.reason]
     headers = b""
     if response.retry_after_ns > 0:
-        headers = b"Retry-After: %.3f\r\n" % (response.retry_after_ns / SECOND)
+        headers = b"Retry-After: %.3f\r\n" % (response.retry_after_ns / NS_PER_S)
     return code, headers, body
 
 
@@ -329,7 +331,7 @@
         if self.transport is not None:
             self.shared.hangups.remove(self.transport)
         if request is not None:
-            self.engine.client_disconnected(request)
+            self.engine.requests.client_disconnected(request)
         self.engine.lifecycle.client_disconnected()
 
     def pause_writing(self) -> None:
@@ -339,7 +341,7 @@
             waiting = partial(unacknowledged, self.transport)
             self.slow = StallTimer(self.engine.loop, waiting, self.clients.times.slow_reader, self.close)
         if self.passing is not None:
-            self.passing.pause(True)
+            self.passing.pause(paused=True)
 
     def resume_writing(self) -> None:
         self.unread = False
@@ -347,7 +349,7 @@
             self.slow.stop()
             self.slow = None
         if self.passing is not None:
-            self.passing.pause(False)
+            self.passing.pause(paused=False)
         self._pump()
         self.clients.place(self)
         if self.engine.lifecycle.closing_idle_connections and self.quiet:
@@ -424,9 +426,9 @@
         request = self.flowing
         if request is not None:
             self.flowing = None
-            request.deadline_ns = self.engine.now() + request.timeout_ns
+            request.deadline_ns = self.engine.clock.now() + request.timeout_ns
             self.body.end()
-            self.engine.body_ended(request)
+            self.engine.requests.body_ended(request)
         elif not self.skipping:
             self.body.end()
             self._take_up()
@@ -447,7 +449,7 @@
                 if self.doubled:
                     raise RequestError(400, "a header came twice")
                 item = self.shared.grammar.read(
-                    self.engine.now(),
+                    self.engine.clock.now(),
                     self.parser.get_method(),
                     self.target,
                     self.headers,
@@ -504,7 +506,7 @@
             self.waiting.append(RequestError(code, text))
         elif request is not None and request is self.current:
             request.keep_alive = False
-            self.engine.body_failed(request, disposition(code), (code, f"{text}\n".encode()))
+            self.engine.requests.body_failed(request, disposition(code), (code, f"{text}\n".encode()))
         elif request is not None and request in self.waiting:
             self._release(request.size)
             self.waiting[self.waiting.index(request)] = RequestError(code, text, request.cls)
@@ -523,14 +525,14 @@
                 item = self.waiting.popleft()
                 if isinstance(item, HttpRequest):
                     self.current = item
-                    self.engine.accept(self.shared.frontend_binding, self, item)
+                    self.engine.requests.accept(self.shared.frontend_binding, self, item)
                 elif isinstance(item, Ready):
                     ok = self.engine.lifecycle.ready
                     text = b"ready\n" if ok else b"not ready\n"
                     self._respond(200 if ok else 503, b"", text, item.keep_alive)
                 else:
                     if item.cls is not None:
-                        self.engine.record_rejection(
+                        self.engine.requests.record_rejection(
                             self.shared.frontend_binding, item.cls, disposition(item.code)
                         )
                     keep_alive = item.keep_alive and not self.deaf
@@ -541,7 +543,7 @@
 
     # What the core owes: see `Owed`
 
-    def gone(self, request: IncomingRequest) -> bool:
+    def is_disconnected(self, request: IncomingRequest) -> bool:
         """Whether its client has left: a request over HTTP/1.1 can't be cancelled but with its connection."""
         return self.current is not request or self.close_if_gone()
 
@@ -578,14 +580,14 @@
         if self.current is request and self.passing is not None:
             self._write(b"%x\r\n%s\r\n" % (len(data), data) if self.passing.chunked else data)
 
-    def end(self, request: IncomingRequest, whole: bool) -> None:
+    def end(self, request: IncomingRequest, *, complete: bool) -> None:
         """The answer has ended; one that is not whole must not look as if it were."""
         current, passing = self.current, self.passing
         if current is not request or current is None or passing is None:
             return
         self.current = self.passing = None
         self._let_go(current)
-        if not whole:
+        if not complete:
             self._break_off()
             return
         if passing.chunked:
--- a/tests/duplicate_model.py
+++ b/tests/duplicate_model.py
@@ -375,7 +375,7 @@
     def respond(self, call, response):
         self.rule.respond(call, response)
 
-    def gone(self, call):
+    def is_disconnected(self, call):
         return call.request_id in self.gone_calls
 
     def begin(self, call, head, length, pause):
@@ -384,8 +384,8 @@
     def part(self, call, data):
         pass
 
-    def end(self, call, whole):
-        self.rule.asked[call.request_id].verdicts.append(whole)
+    def end(self, call, *, complete):
+        self.rule.asked[call.request_id].verdicts.append(complete)
 
     def stop_accepting(self):
         pass
@@ -429,8 +429,10 @@
         self.upstream_transport = SimulatedTransport(self.loop, self.rule)
         self.clients = SimulatedClients(self.rule)
         usage = Usage(Descriptors(1000), Memory(64 * MB))
-        self.engine = Engine(self.loop, self.settings, 1000, seed, usage, EndpointIds(["a", "b"], ["k"]))
-        self.engine.now = lambda: self.loop.now
+        self.engine = Engine(
+            self.loop, self.settings, usage, EndpointIds(["a", "b"], ["k"]), max_open=1000, seed=seed
+        )
+        self.engine.clock.now = lambda: self.loop.now
         self.frontend_binding = self.engine.bind_frontend("simulated", self.clients, self.upstream_transport)
         self.endpoints = {
             number: Endpoint(number, number % 2, 0, number % 3, State.READY)
@@ -450,7 +452,7 @@
             )
             since_ms = known.started_ns // MS
             entries.append(EndpointRecord(f"s{number}", endpoint, ("host", number), since_ms))
-            self.engine.endpoints.names.servers[f"s{number}"] = number
+            self.engine.endpoints.ids.servers[f"s{number}"] = number
             self.rule.groups[number] = {Scope.ZONE: known.zone, Scope.CELL: known.cell}
         self.engine.on_endpoint_update(EndpointUpdate(self.version, True, entries))
 
@@ -464,19 +466,19 @@
         spec = self.settings.classes[cls]
         call = IncomingRequest(name, cls, 0, 0, DEADLINE, self.loop.now + DEADLINE, 0, False, True, body)
         self.rule.asked[name] = Asked(call, spec)
-        self.engine.accept(self.frontend_binding, self.clients, call)
+        self.engine.requests.accept(self.frontend_binding, self.clients, call)
         return call
 
     def end_body(self, call):
         call.deadline_ns = self.loop.now + call.timeout_ns
         call.body.end()
-        self.engine.body_ended(call)
+        self.engine.requests.body_ended(call)
 
     def leave(self, call):
         self.rule.asked[call.request_id].left = True
         self.clients.gone_calls.add(call.request_id)
         call.body.discard()
-        self.engine.client_disconnected(call)
+        self.engine.requests.client_disconnected(call)
 
     def attempt(self, call, number=-1):
         """Its carriage by its place among those of its request that are out."""
--- a/tests/line_frontend.py
+++ b/tests/line_frontend.py
@@ -142,10 +142,10 @@
             body.end()
             timeout_ns = int(wait) * 1_000_000
             request = IncomingRequest(
-                name, cls, 0, 0, timeout_ns, engine.now() + timeout_ns, 0, False, cls > 0, body
+                name, cls, 0, 0, timeout_ns, engine.clock.now() + timeout_ns, 0, False, cls > 0, body
             )
             self.calls.add(request)
-            engine.accept(self.frontend.frontend_binding, self, request)
+            engine.requests.accept(self.frontend.frontend_binding, self, request)
 
     def respond(self, request, response):
         self.calls.discard(request)
@@ -154,13 +154,13 @@
         if self.frontend.closes_on_answer:
             self.transport.abort()
 
-    def gone(self, request):
+    def is_disconnected(self, request):
         return request not in self.calls or self.transport.is_closing()
 
     def connection_lost(self, exc):
         self.frontend.clients.discard(self)
         for request in self.calls:
-            self.frontend.engine.client_disconnected(request)
+            self.frontend.engine.requests.client_disconnected(request)
         self.frontend.engine.lifecycle.client_disconnected()
 
 
--- a/tests/test_answered_at_the_end.py
+++ b/tests/test_answered_at_the_end.py
@@ -110,7 +110,7 @@
                 assert (await ask(sidecar.port, message("order", f"warm{number}"))).code == 200
             sidecar.upstreams.close_idle(stage.names.server("s1"))
             stage.hold()
-            while not sidecar.engine.pending_requests:  # a connection to the other server stands ready
+            while not sidecar.engine.requests.pending:  # a connection to the other server stands ready
                 number += 1
                 asked = asyncio.create_task(ask(sidecar.port, message("order", f"id{number}")))
                 await until(lambda asked=asked: asked.done() or stage.loop.held)
@@ -216,7 +216,7 @@
             elif end == "answered":
                 taken.answer()
             if end != "open":
-                await until(lambda: not sidecar.engine.pending_requests)
+                await until(lambda: not sidecar.engine.requests.pending)
             assert (await ask(sidecar.port, message("order", "same"))).code == 409
             assert server.take_all().count(b"X-Request-Id") == 1
             client.close()
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -59,13 +59,13 @@
             call = front.current
             if where == "behind bytes":
                 client.sendall(PIPELINED)
-            assert not front.gone(call) and not front.transport.is_closing()  # it is there still
+            assert not front.is_disconnected(call) and not front.transport.is_closing()  # it is there still
             leave(client, how)
             end_can_be_read(front)
-            assert front.gone(call) and front.transport.is_closing()
-            assert front.gone(call)  # asked again before the loop has turned, too
-            await until(lambda: not sidecar.engine.pending_requests and not sidecar.http.clients.all)
-            assert front.gone(call)  # ... and by an attempt that comes later still
+            assert front.is_disconnected(call) and front.transport.is_closing()
+            assert front.is_disconnected(call)  # asked again before the loop has turned, too
+            await until(lambda: not sidecar.engine.requests.pending and not sidecar.http.clients.all)
+            assert front.is_disconnected(call)  # ... and by an attempt that comes later still
             client.close()
         server.close()
 
@@ -107,7 +107,7 @@
 
             setattr(looking, name, look_and_leave)
             assert await left
-            await until(lambda: not sidecar.engine.pending_requests)
+            await until(lambda: not sidecar.engine.requests.pending)
             client.close()
             taken.take()
             assert taken.got.count(b"X-Request-Id") == 1
@@ -131,7 +131,7 @@
             leave_unseen(sidecar, client, how)
             if first == "end":
                 taken.answer()
-            await until(lambda: not sidecar.http.clients.all and not sidecar.engine.attempts)
+            await until(lambda: not sidecar.http.clients.all and not sidecar.engine.attempts.in_flight)
             assert b"gone" not in server.take_all()
             client.close()
         server.close()
@@ -189,7 +189,7 @@
             await until(lambda: taken.take() or taken.got.endswith(b"a" * FLOWING))
             client.sendall(b"last")
             leave_unseen(sidecar, client, how)
-            await until(lambda: not sidecar.engine.pending_requests and not sidecar.engine.attempts)
+            await until(lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight)
             await until(lambda: taken.take() or taken.ended)
             assert b"big" in taken.got and b"last" not in taken.got
             assert sidecar.engine.stats.forwards == 0
--- a/tests/test_client_left_attempts.py
+++ b/tests/test_client_left_attempts.py
@@ -18,7 +18,7 @@
 
 
 async def nothing_open(sidecar):
-    await until(lambda: not sidecar.engine.pending_requests and not sidecar.engine.attempts)
+    await until(lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight)
     await until(lambda: not sidecar.http.clients.all)
 
 
@@ -48,7 +48,7 @@
                 whole = message("order", "gone", "3000m", bytes(2 * MAX_BUFFERED_BYTES))
                 client.sendall(whole[: -MAX_BUFFERED_BYTES // 2])
             taken = await server.accept()
-            await until(lambda: sidecar.engine.pending_requests)
+            await until(lambda: sidecar.engine.requests.pending)
             front = front_of(sidecar, client)
             if body == "half":
                 await until(lambda: front.paused)
@@ -107,14 +107,14 @@
             taken = await server.accept()
             await taken.has(b"gone")
             bells = []
-            sidecar.engine.action_handlers[api.SetTimer] = bells.append
+            sidecar.engine.actions.set_timer = bells.append
             taken.answer(503, "X-Not-Run: 1")
             await until(lambda: bells)
             # It waits for its repeat, which will find a connection that stands ready.
-            assert sidecar.engine.pending_requests and not sidecar.engine.attempts
+            assert sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
             leave_unseen(sidecar, client, how)
             for bell in bells:
-                sidecar.engine.dispatch(api.Timer(bell.token))
+                sidecar.engine.dispatcher.dispatch(api.Timer(bell.token))
             await nothing_open(sidecar)
             assert server.take_all().count(b"gone") == 1
             client.close()
@@ -142,7 +142,7 @@
 
             sidecar.engine.balancer.handle = slowly
             client.sendall(message("order", "gone"))
-            await until(lambda: client.fileno() < 0 or sidecar.engine.next_id > 2)
+            await until(lambda: client.fileno() < 0 or sidecar.engine.requests.next_id > 2)
             await nothing_open(sidecar)
             assert b"gone" not in server.take_all()
             client.close()
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -224,7 +224,7 @@
 
     monkeypatch.setattr(balancer.slow_start, "allows", fail_to_take)
     call = stage.ask()
-    held = next(iter(stage.engine.pending_requests.values()))
+    held = next(iter(stage.engine.requests.pending.values()))
     assert held.attempts == len(balancer.pending[held.id].attempts)
     stage.finish()
     assert len(dispositions(stage, call)) == 1
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -116,7 +116,7 @@
         raise RecursionError("injected")
 
     stage.engine.balancer.handle = fail
-    stage.engine.dispatch(RequestCancelled(9999))
+    stage.engine.dispatcher.dispatch(RequestCancelled(9999))
     stage.engine.balancer.handle = handle
     assert len([one for one in stage.upstream_transport.out if one.call is call]) == 1
 
@@ -132,7 +132,7 @@
     upstream_attempt.connect()
     call.body.end()
     assert upstream_attempt.may_run
-    stage.engine.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
+    stage.engine.requests.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
     stage.finish()
     assert dispositions(stage, call) == [Disposition.ABORTED]
 
@@ -140,7 +140,7 @@
 def test_a_body_that_breaks_with_nothing_written_is_refused_as_its_front_says():
     stage = Stage()
     call = stage.ask(complete=False)
-    stage.engine.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
+    stage.engine.requests.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
     stage.finish()
     (response,) = verdicts(stage, call)
     assert (response.disposition, response.reason) == (Disposition.DECLINED, Reason.INVALID_BODY)
@@ -152,7 +152,7 @@
     call = stage.ask(complete=False)
     upstream_attempt = stage.attempt(call)
     upstream_attempt.connect()
-    stage.engine.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
+    stage.engine.requests.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
     call.body.end()
     assert upstream_attempt.over and not upstream_attempt.may_run
     stage.finish()
@@ -203,7 +203,7 @@
     again = stage.ask(name="other")
     again.request_id = call.request_id
     stage.clients.respond = lambda _, response: answers.append(response)
-    stage.engine.accept(stage.frontend_binding, stage.clients, again)
+    stage.engine.requests.accept(stage.frontend_binding, stage.clients, again)
     assert [(one.disposition, one.reason) for one in answers] == [
         (Disposition.ABORTED, Reason.DUPLICATE_REQUEST_ID)
     ]
@@ -211,7 +211,7 @@
 
 def test_a_crowded_sidecar_refuses_before_anything_was_sent():
     stage = Stage()
-    stage.engine.max_open = 0
+    stage.engine.requests.max_open = 0
     call = stage.ask()
     assert dispositions(stage, call) == [Disposition.DECLINED]
     stage.finish()
--- a/tests/test_duplicate_machine.py
+++ b/tests/test_duplicate_machine.py
@@ -70,7 +70,7 @@
     @property
     def held(self):
         """Requests that are owed an answer."""
-        return [call for call in self.calls if call.pending_id in self.stage.engine.pending_requests]
+        return [call for call in self.calls if call.pending_id in self.stage.engine.requests.pending]
 
     def unfinished(self):
         """Of these, the ones whose body is still coming."""
@@ -137,7 +137,7 @@
     def _end_body(self, call, breaks):
         if breaks:
             call.body.discard()
-            self.stage.engine.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
+            self.stage.engine.requests.body_failed(call, Disposition.DECLINED, (503, b"too much is held\n"))
         else:
             self.stage.end_body(call)
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -119,7 +119,9 @@
             )
             writer.close()
             async with asyncio.timeout(SOON):
-                await until(lambda: not sidecar.engine.pending_requests and not sidecar.engine.attempts)
+                await until(
+                    lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
+                )
             (upstream_attempt,) = next(iter(carriages.values()))
             assert upstream_attempt.watcher is None and upstream_attempt.transport.is_closing()
 
@@ -146,7 +148,7 @@
             open_before[1].write(message("order", "again"))
             async with asyncio.timeout(WAIT):
                 got = await read_message(open_before[0])
-            assert got.code == 503 and not sidecar.engine.pending_requests
+            assert got.code == 503 and not sidecar.engine.requests.pending
             assert sidecar.engine.lifecycle.stopped.done() is False  # answered before, not by the end
             open_before[1].close()
         assert len(fake.got) == 1
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -72,8 +72,8 @@
         await until(lambda: self.loop.held, "a connect is held")
 
     def put_forward(self, ns):
-        now = self.engine.now
-        self.engine.now = lambda: now() + ns
+        now = self.engine.clock.now
+        self.engine.clock.now = lambda: now() + ns
 
     def tell(self, *entries):
         """The module alone hears news, as it does before the carrier hears of them."""
@@ -83,7 +83,7 @@
             listed.endpoint.zone, listed.endpoint.cell = zone, cell
             listed.endpoint.state, listed.endpoint.started_ns = state, started
             endpoints.append(listed.endpoint)
-        self.engine.dispatch(Membership(ListKind.DELTA, 2, endpoints))
+        self.engine.dispatcher.dispatch(Membership(ListKind.DELTA, 2, endpoints))
 
 
 @contextlib.asynccontextmanager
@@ -129,7 +129,7 @@
                 got = await read_message(reader)  # nothing may be sent any more, so its client hears at once
             assert got.code == 502
             assert sum(len(server.got) for server in servers) == 1
-            assert not stage.engine.attempts
+            assert not stage.engine.attempts.in_flight
             # The connection is as good as before: it is kept.
             assert sum(len(target.idle) for target in sidecar.upstreams.targets.values()) == 1
 
@@ -156,7 +156,7 @@
         stage, servers = await repeat_is_held(tmp_path, [])
         async with stage.sidecar as sidecar, client(sidecar, message("hold")) as (reader, _):
             await stage.held()
-            (waiting,) = (a.server for a in stage.engine.attempts.values())
+            (waiting,) = (a.server for a in stage.engine.attempts.in_flight.values())
             name = next(
                 e.name for e in stage.engine.endpoints.listed.values() if e.endpoint.server == waiting
             )
@@ -232,7 +232,7 @@
 
             sidecar.upstreams._try_send = put
             stage.loop.open.set()
-            await until(lambda: not stage.engine.pending_requests and not stage.engine.attempts)
+            await until(lambda: not stage.engine.requests.pending and not stage.engine.attempts.in_flight)
             await asyncio.sleep(0)
             assert not server.got
             sock.close()
@@ -279,7 +279,7 @@
             stage.hold()
             async with client(sidecar, message("order")) as (reader, _):
                 await stage.held()
-                (chosen,) = (attempt.server for attempt in stage.engine.attempts.values())
+                (chosen,) = (attempt.server for attempt in stage.engine.attempts.in_flight.values())
                 name = "s0" if stage.names.server("s0") == chosen else "s1"
                 stage.tell((name, 0, 1, State.DRAINING, 0))
                 stage.loop.open.set()
@@ -479,7 +479,11 @@
                 await stage.held()
                 stage.put_forward(900 * MS)
                 stage.loop.open.set()
-                await until(lambda: any(one.upstream_attempt.begun for one in stage.engine.attempts.values()))
+                await until(
+                    lambda: any(
+                        one.upstream_attempt.begun for one in stage.engine.attempts.in_flight.values()
+                    )
+                )
                 writer.write(whole[cut:])
                 assert (await read_message(reader)).code == 200
                 assert told(server.got[0]) == 3000 and server.got[0].body == body
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -63,8 +63,8 @@
     def clean(self):
         engine = self.engine
         return not (
-            engine.pending_requests
-            or engine.attempts
+            engine.requests.pending
+            or engine.attempts.in_flight
             or engine.balancer.pending
             or engine.memory.reserved_bytes
         )
@@ -138,9 +138,9 @@
     async def steps(rig, leaving, staying):
         go = hold_first_bytes(rig, monkeypatch)
         waits = [await Asked(frontend, rig.ports).send("order", f"w{n}") for n in range(8)]
-        await until(lambda: len(rig.engine.attempts) == 8)
+        await until(lambda: len(rig.engine.attempts.in_flight) == 8)
         number = rig.names.server("s0")
-        assert any(attempt.server == number for attempt in rig.engine.attempts.values())
+        assert any(attempt.server == number for attempt in rig.engine.attempts.in_flight.values())
         rig.tell(entry("s0", leaving.address, "DRAINING"), entry("s1", staying.address))
         go.set()
         words = [await asked.answer() for asked in waits]
@@ -205,9 +205,9 @@
     async def steps(rig, fake):
         go = hold_first_bytes(rig, monkeypatch)
         asked = await Asked(frontend, rig.ports).send("order", "ab")
-        await until(lambda: rig.engine.attempts)
+        await until(lambda: rig.engine.attempts.in_flight)
         asked.writer.close()
-        await until(lambda: not rig.engine.pending_requests)
+        await until(lambda: not rig.engine.requests.pending)
         go.set()
         assert await rig.ask(frontend, "order", "cd") == "served"
         assert fake.got == ["cd"]
@@ -226,7 +226,7 @@
         assert fake.got.count("same") == 2
         for asked in held:
             asked.writer.close()
-        await until(lambda: not rig.engine.pending_requests)
+        await until(lambda: not rig.engine.requests.pending)
         assert await rig.ask(frontend, "order", "same") == "failed"  # it has just been
 
     play(tmp_path, lambda name: "silent", steps)
@@ -273,12 +273,12 @@
 
 def test_too_many_at_once_are_refused_with_their_reason(tmp_path, frontend):
     async def steps(rig, fake):
-        rig.engine.max_open = 1
+        rig.engine.requests.max_open = 1
         held = await Asked(frontend, rig.ports).send("order", "held")
         await until(lambda: fake.got)
         reasons = []
-        finish = rig.engine._finish
-        rig.engine._finish = lambda pending, response: (
+        finish = rig.engine.requests.finish
+        rig.engine.requests.finish = lambda pending, response: (
             reasons.append(response.reason),
             finish(pending, response),
         )
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -481,5 +481,5 @@
         parse_endpoint_update(
             news(1, {**entry("s1", f"{HOST}:7", zone=f"z{number}"), "type": f"k{number}"}), known
         )
-    assert len(known.zones) == len(known.kinds) == endpoints.NAMES_MOST
+    assert len(known.zones) == len(known.kinds) == endpoints.MAX_DISTINCT_NAMES
     assert known.zone("a") == 0 and known.kind("std") == 0
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -470,7 +470,7 @@
 
 
 def test_the_ids_that_are_kept_are_bounded(tmp_path, monkeypatch):
-    monkeypatch.setattr(request_ids, "NAMES_MOST", 100)
+    monkeypatch.setattr(request_ids, "MAX_RETAINED_IDS", 100)
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -481,9 +481,9 @@
                 await read_message(reader)
             writer.close()
             assert (
-                len(sidecar.http.frontend_binding.names.used) <= 102
-                and len(sidecar.http.frontend_binding.names.over) <= 102
+                len(sidecar.http.frontend_binding.request_ids.in_use) <= 102
+                and len(sidecar.http.frontend_binding.request_ids.ended) <= 102
             )
-            assert not sidecar.engine.pending_requests and not sidecar.engine.attempts
+            assert not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
 
     run(play())
--- a/tests/test_net_long_day.py
+++ b/tests/test_net_long_day.py
@@ -28,7 +28,7 @@
             assert len(module.endpoints.servers) <= 2 and len(sidecar.upstreams.targets) == 1
             assert len(sidecar.upstreams.connections) <= 2
             assert len(module.picker.groups) <= 4 and len(sidecar.names.zones) <= 256
-            assert not (module.pending or engine.pending_requests or engine.attempts)
+            assert not (module.pending or engine.requests.pending or engine.attempts.in_flight)
             assert (
                 len(module.ctx.timers) <= DAYS_WORTH / 20
             )  # each goes with its deadline, whatever came of it
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -206,7 +206,7 @@
             for number in range(3):
                 assert (await ask(sidecar.port, message("lookup", f"id{number}"))).code == 200
             assert (await lost).code == 503
-            assert not sidecar.engine.pending_requests
+            assert not sidecar.engine.requests.pending
 
     run(play())
 
@@ -240,7 +240,7 @@
             engine = sidecar.engine
             sidecar.upstream_transport._payload = broken
             assert (await ask(sidecar.port, message("order", "ab", "300m"))).code == 503
-            assert not engine.pending_requests and not engine.attempts
+            assert not engine.requests.pending and not engine.attempts.in_flight
             del sidecar.upstream_transport._payload
             assert (await ask(sidecar.port, message("order", "cd"))).code == 200
 
@@ -258,7 +258,11 @@
             await until(lambda: fake.ended == 1, "its attempt is called off")
             engine = sidecar.engine
             await until(
-                lambda: not engine.pending_requests and not engine.attempts and not engine.balancer.pending
+                lambda: (
+                    not engine.requests.pending
+                    and not engine.attempts.in_flight
+                    and not engine.balancer.pending
+                )
             )
             assert not sidecar.http.clients.all
             (server,) = engine.balancer.endpoints.servers.values()
@@ -317,13 +321,13 @@
             engine = sidecar.engine
             (server,) = sidecar.upstreams.targets
             engine.balancer.handle = lambda now, event: heard.append(event) or []
-            engine._act(api.Probe(server))
+            engine.actions.execute(api.Probe(server))
             await until(lambda: heard)
             assert heard[0].status is api.Status.OK and heard[0].report == (7.0, 0.5)
-            engine._act(api.CloseIdle(server))
+            engine.actions.execute(api.CloseIdle(server))
             assert not sidecar.upstreams.connections
             fake.server.close()
-            engine._act(api.Probe(server))
+            engine.actions.execute(api.Probe(server))
             await until(lambda: len(heard) > 1)
             assert heard[1].status is api.Status.CONNECT_FAILED and heard[1].report == ()
 
@@ -337,6 +341,6 @@
         async with Sidecar(tmp_path / "c", config(known)) as sidecar:
             started = sorted(server.started for server in sidecar.engine.balancer.endpoints.servers.values())
             assert started[0] == 0
-            assert 1000 * MS < sidecar.engine.now() - started[1] < 60_000 * MS
+            assert 1000 * MS < sidecar.engine.clock.now() - started[1] < 60_000 * MS
 
     run(play())
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -178,7 +178,7 @@
             await until(lambda: sidecar.http.clients.all)
             front = front_of(sidecar, client)
             engine = sidecar.engine
-            take, complete = engine.accept, front.on_message_complete
+            take, complete = engine.requests.accept, front.on_message_complete
 
             def take_and_close(*args):
                 front.close()
@@ -189,15 +189,19 @@
                 front.close()
 
             if closing == "taken":
-                engine.accept = take_and_close
+                engine.requests.accept = take_and_close
             else:
                 front.on_message_complete = complete_and_close
                 front.parser = HttpRequestParser(front)
             client.sendall(b"".join(message("order", f"id{n}") for n in range(3)))
             await until(
-                lambda: not sidecar.http.clients.all and not engine.pending_requests and not engine.attempts
+                lambda: (
+                    not sidecar.http.clients.all
+                    and not engine.requests.pending
+                    and not engine.attempts.in_flight
+                )
             )
-            engine.accept = take
+            engine.requests.accept = take
             assert (await ask(sidecar.port, message("order", "other"))).code == 200
             assert ids(fake) == ["warm", "other"]
             client.close()
@@ -315,7 +319,7 @@
         async with sidecar_before(tmp_path, fake) as sidecar:
             client = connect_narrow(sidecar.port)
             client.sendall(message("order", "first") + message("order", "second"))
-            await until(lambda: len(fake.got) == 2 and not sidecar.engine.pending_requests)
+            await until(lambda: len(fake.got) == 2 and not sidecar.engine.requests.pending)
             data, _ = await receive(client)
             first, _, rest = data.partition(LONG)
             assert first.startswith(b"HTTP/1.1 200") and rest.startswith(b"HTTP/1.1 200")
@@ -347,7 +351,7 @@
             front.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW)
             client.sendall(message("order", "first") + message("order", "second", "3000m", bytes(1000)))
             await until(lambda: front.unread)
-            (attempt,) = sidecar.engine.attempts.values()
+            (attempt,) = sidecar.engine.attempts.in_flight.values()
             attempt.upstream_attempt.give_up(Status.CANCELLED)
             assert front.unread and not front.current
             data, _ = await receive(client)
@@ -448,10 +452,10 @@
             client.shutdown(socket.SHUT_WR)
             if seen == "asked":
                 end_can_be_read(front)
-                assert front.gone(front.current)
+                assert front.is_disconnected(front.current)
             data, _ = await receive(client)
             assert data.startswith(b"HTTP/1.1 502") and data.count(b"HTTP/1.1") == 1
-            await until(lambda: not sidecar.http.clients.all and not sidecar.engine.pending_requests)
+            await until(lambda: not sidecar.http.clients.all and not sidecar.engine.requests.pending)
             assert server.take_all().count(b"X-Request-Id") == 1
             client.close()
         server.close()
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -50,7 +50,7 @@
 )
 SABOTAGE = {  # the rule: where one line is changed, what it becomes, and a scenario in which it matters
     "one final answer": (
-        "core/engine.py",
+        "core/request_manager.py",
         "        pending.response_sink.respond(pending.request, response)",
         "        response.answer and pending.response_sink.respond(pending.request, response)",
         TROUBLED,
@@ -74,9 +74,9 @@
         COLD,
     ),
     "within its means": (
-        "core/engine.py",
-        "        self.pending_requests[pending.id] = pending\n",
-        "        self.pending_requests[pending.id] = pending\n"
+        "core/request_manager.py",
+        "        self.pending[pending.id] = pending\n",
+        "        self.pending[pending.id] = pending\n"
         "        self.__dict__.setdefault('kept', []).append(b'x' * 1_500_000)\n",
         TROUBLED,
     ),
--- a/tests/test_second_answer.py
+++ b/tests/test_second_answer.py
@@ -373,7 +373,7 @@
         async with Sidecar(tmp_path / "c", data) as sidecar:
             assert (await ask(sidecar.port, message("lookup", "first"))).code == 200
             second = asyncio.create_task(ask(sidecar.port, message(cls, "second")))
-            await until(lambda: sidecar.engine.attempts)
+            await until(lambda: sidecar.engine.attempts.in_flight)
             refuse.set()
             assert (await second).code == 200
         copies = [got for got in server.got if got.headers["x-request-id"] == "second"]
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -4,7 +4,7 @@
 import pytest
 from test_scenarios import COLD, DRAINED, KILLED, SABOTAGE, TROUBLED, sabotaged
 
-from ochreflow.core import engine
+from ochreflow.core import attempt_manager, request_manager
 from ochreflow.lab.scenario import read_scenario, scenario_names
 from ochreflow.simulation import simulated_sidecar
 from ochreflow.simulation.policy_loader import load_policy
@@ -47,8 +47,8 @@
 
 def test_the_margins_are_those_of_the_engine():
     """The simulation may not import it, and keeps its own copy."""
-    assert simulated_sidecar.ATTEMPT_MARGIN_NS == engine.ATTEMPT_MARGIN_NS
-    assert simulated_sidecar.WATCHDOG_MARGIN_NS == engine.WATCHDOG_MARGIN_NS
+    assert simulated_sidecar.ATTEMPT_MARGIN_NS == attempt_manager.ATTEMPT_MARGIN_NS
+    assert simulated_sidecar.WATCHDOG_MARGIN_NS == request_manager.WATCHDOG_MARGIN_NS
 
 
 @pytest.mark.parametrize("made", [TROUBLED, DRAINED, KILLED, COLD])
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -94,7 +94,7 @@
 async def sidecar_before(tmp_path, server, **more):
     async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)), **more)) as sidecar:
         yield sidecar
-        assert not sidecar.engine.pending_requests and not sidecar.engine.attempts
+        assert not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
 
 
 def test_long_bodies_flow_through_in_either_framing(tmp_path):
@@ -141,7 +141,7 @@
             assert len(connection.stream.unsent) < 2 * MB
             assert sidecar.engine.memory.reserved_bytes < 2 * MAX_BUFFERED_BYTES
             writer.transport.abort()  # the client gives up: nothing has run
-            await until(lambda: not sidecar.engine.pending_requests and not sidecar.engine.attempts)
+            await until(lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight)
             assert sidecar.engine.memory.reserved_bytes == 0 and sidecar.engine.stats.forwards == 0
             writer.close()
         listening.close()
@@ -177,7 +177,7 @@
             started = [event for event in events if isinstance(event, api.StreamStarted)]
             ended = [event for event in events if isinstance(event, api.Outcome)]
             assert started[0].duration_ns == ended[0].duration_ns and ended[0].final
-            await until(lambda: not sidecar.engine.pending_requests)
+            await until(lambda: not sidecar.engine.requests.pending)
             assert sidecar.engine.memory.reserved_bytes == 0
 
     run(play())
@@ -307,7 +307,7 @@
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
                 await (reader.readexactly(BIG) if b"Length" in framing else read_chunks(reader))
             writer.close()
-            await until(lambda: not sidecar.engine.pending_requests)
+            await until(lambda: not sidecar.engine.requests.pending)
             assert sidecar.engine.stats.results[2] == [0, 0, 1]
 
     run(play())
@@ -335,7 +335,7 @@
             assert sidecar.engine.memory.reserved_bytes < MB
             await until(lambda: not sidecar.http.clients.all)
             sock.close()
-            await until(lambda: not sidecar.engine.pending_requests)
+            await until(lambda: not sidecar.engine.requests.pending)
 
     run(play())
 
@@ -406,7 +406,7 @@
             whole = message("order", "ab", "3000m", bytes(BIG))
             assert (await ask(sidecar.port, whole[: 256 * 1024])).code == 408
             await until(lambda: server.broken)
-            await until(lambda: not sidecar.engine.pending_requests)
+            await until(lambda: not sidecar.engine.requests.pending)
             assert not server.bodies and sidecar.engine.stats.results[2] == [0, 0, 1]
 
     run(play())
@@ -473,8 +473,8 @@
             writer.write(message("order", "left", "3000m", b"body"))
             await waiting.wait()
             writer.transport.abort()
-            await until(lambda: not sidecar.engine.pending_requests)
-            assert not sidecar.engine.attempts and sidecar.engine.memory.reserved_bytes == 0
+            await until(lambda: not sidecar.engine.requests.pending)
+            assert not sidecar.engine.attempts.in_flight and sidecar.engine.memory.reserved_bytes == 0
             go.set()
             assert (await ask(sidecar.port, message("order", "stays", "3000m", b"body"))).code == 200
             assert [got.headers["x-request-id"] for got in fake.got] == ["stays"]
--- a/tests/test_unwritten.py
+++ b/tests/test_unwritten.py
@@ -124,8 +124,10 @@
 
     async def partly_written(self):
         """The server that has got the first part of the request, and the attempt."""
-        await until(lambda: any(one.upstream_attempt.begun for one in self.engine.attempts.values()))
-        (attempt,) = self.engine.attempts.values()
+        await until(
+            lambda: any(one.upstream_attempt.begun for one in self.engine.attempts.in_flight.values())
+        )
+        (attempt,) = self.engine.attempts.in_flight.values()
         assert not attempt.upstream_attempt.may_run  # the rest waits for room
         server = self.servers[attempt.server - 1]
         await until(lambda: server.accept() or server.connections)
@@ -322,8 +324,10 @@
             if waited:
                 server, attempt = await stage.partly_written()
                 server.read()
-            await until(lambda: any(one.upstream_attempt.may_run for one in stage.engine.attempts.values()))
-            (attempt,) = stage.engine.attempts.values()
+            await until(
+                lambda: any(one.upstream_attempt.may_run for one in stage.engine.attempts.in_flight.values())
+            )
+            (attempt,) = stage.engine.attempts.in_flight.values()
             server = stage.servers[attempt.server - 1]
             server.read()
             assert server.whole_copies() == 1
