--- a/tests/line_frontend.py
+++ b/tests/line_frontend.py
@@ -1,6 +1,6 @@
-"""A second front, of the tests' own: one request a line, `CLASS NAME MILLISECONDS`, one answer a line.
+"""A second frontend, of the tests' own: one request a line, `CLASS NAME MILLISECONDS`, one response a line.
 
-It goes through the same core as HTTP does, over a carrier of its own that makes a connection for each
+It goes through the same core as HTTP does, over a transport of its own that makes a connection for each
 attempt. Servers here speak both protocols, told apart by the first line.
 """
 
@@ -16,23 +16,23 @@
 ENDS = {"ok": Status.OK, "full": Status.REJECTED, "error": Status.ERROR}
 
 
-class LineCarriage(asyncio.Protocol):
-    def __init__(self, upstream_transport, address, request, watcher):
-        self.upstream_transport, self.address, self.request, self.watcher = (
+class LineAttempt(asyncio.Protocol):
+    def __init__(self, upstream_transport, address, request, observer):
+        self.upstream_transport, self.address, self.request, self.observer = (
             upstream_transport,
             address,
             request,
-            watcher,
+            observer,
         )
         self.begun = False
         self.may_run = False
         self.transport = None
         self.timer = None
-        self.task = upstream_transport.loop.create_task(self.go())
+        self.task = upstream_transport.loop.create_task(self.connect())
 
-    async def go(self):
+    async def connect(self):
         await (
-            self.upstream_transport.gate.wait()
+            self.upstream_transport.connecting_allowed.wait()
         )  # open, unless a test holds attempts before their first byte
         try:
             await self.upstream_transport.loop.create_connection(lambda: self, *self.address)
@@ -40,11 +40,11 @@
             self.end(Status.CONNECT_FAILED)
 
     def connection_made(self, transport):
-        if self.watcher is None:
+        if self.observer is None:
             transport.abort()
             return
         self.transport = transport
-        if not self.watcher.write_timeout_s():
+        if not self.observer.write_timeout_s():
             self.end(Status.NOT_SENT)
             return
         self.begun = True
@@ -53,7 +53,7 @@
             return
         transport.write(b"%s\n" % self.request.request_id)
         self.may_run = True
-        self.watcher.written()
+        self.observer.written()
 
     def data_received(self, data):
         word, _, rest = data.decode().strip().partition(" ")
@@ -74,13 +74,13 @@
         self.end(status if self.begun else Status.CONNECT_FAILED)
 
     def end(self, status, answer=None):
-        watcher, self.watcher = self.watcher, None
-        if watcher is None:
+        observer, self.observer = self.observer, None
+        if observer is None:
             return
         self.clear_timeout()
         if self.transport is not None:
             self.transport.abort()
-        watcher.ended(status, answer, ())
+        observer.ended(status, answer, ())
 
 
 class LineTransport:
@@ -89,11 +89,11 @@
         self.addresses = {}
         self.waiting = {}
         self.writes_in_part = False  # for tests that want an attempt whose last byte has not gone out
-        self.gate = asyncio.Event()
-        self.gate.set()
+        self.connecting_allowed = asyncio.Event()
+        self.connecting_allowed.set()
 
-    def start(self, server, request, timeout, watcher):
-        upstream_attempt = LineCarriage(self, self.addresses.get(server, (HOST, 1)), request, watcher)
+    def start(self, server, request, timeout, observer):
+        upstream_attempt = LineAttempt(self, self.addresses.get(server, (HOST, 1)), request, observer)
         self.waiting.setdefault(server, []).append(upstream_attempt)
         if timeout is not None:
             upstream_attempt.set_timeout(timeout)
@@ -116,15 +116,15 @@
         pass
 
     def close(self):
-        for carriages in self.waiting.values():
-            for upstream_attempt in carriages:
+        for attempts in self.waiting.values():
+            for upstream_attempt in attempts:
                 upstream_attempt.task.cancel()
 
 
 class LineClient(asyncio.Protocol):
     def __init__(self, frontend):
         self.frontend = frontend
-        self.calls = set()
+        self.open_requests = set()
         self.buffer = b""
 
     def connection_made(self, transport):
@@ -144,22 +144,22 @@
             request = IncomingRequest(
                 name, cls, 0, 0, timeout_ns, engine.clock.now() + timeout_ns, 0, False, cls > 0, body
             )
-            self.calls.add(request)
+            self.open_requests.add(request)
             engine.requests.accept(self.frontend.frontend_binding, self, request)
 
     def respond(self, request, response):
-        self.calls.discard(request)
+        self.open_requests.discard(request)
         words = ["served", "refused", "failed"][response.disposition]
         self.transport.write(f"{words} {response.reason.value} {response.retry_after_ns}\n".encode())
-        if self.frontend.closes_on_answer:
+        if self.frontend.closes_on_response:
             self.transport.abort()
 
     def is_disconnected(self, request):
-        return request not in self.calls or self.transport.is_closing()
+        return request not in self.open_requests or self.transport.is_closing()
 
     def connection_lost(self, exc):
         self.frontend.clients.discard(self)
-        for request in self.calls:
+        for request in self.open_requests:
             self.frontend.engine.requests.client_disconnected(request)
         self.frontend.engine.lifecycle.client_disconnected()
 
@@ -168,7 +168,7 @@
     def __init__(self, engine, loop):
         self.engine = engine
         self.clients = set()
-        self.closes_on_answer = False
+        self.closes_on_response = False
         self.server = None
         self.upstream_transport = LineTransport(loop)
         self.frontend_binding = engine.bind_frontend("lines", self, self.upstream_transport)
@@ -182,7 +182,7 @@
             self.server.close()
 
     def close_idle_connections(self):
-        for client in [client for client in self.clients if not client.calls]:
+        for client in [client for client in self.clients if not client.open_requests]:
             client.transport.close()
 
     def sweep(self):
@@ -195,7 +195,7 @@
 
 
 @dataclass
-class Both(Fake):
+class DualProtocolServer(Fake):
     """A server that speaks both protocols. `act` names what becomes of each request, by its name."""
 
     async def _serve(self, reader, writer):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -4,7 +4,7 @@
 import socket
 
 import pytest
-from line_frontend import Both, LineClient, LineFrontend
+from line_frontend import DualProtocolServer, LineClient, LineFrontend
 from net_helpers import (
     HOST,
     WAIT,
@@ -101,7 +101,7 @@
 
 def test_what_is_written_in_part_is_cut_when_its_client_leaves_even_where_nothing_may_be_called_off(tmp_path):
     async def play():
-        server = await Both(lambda name: "ok").start()
+        server = await DualProtocolServer(lambda name: "ok").start()
         data = config(news(1, entry("s1", server.address)))
         data["settings"]["ceilings"]["cancel"] = False
         async with Sidecar(tmp_path / "c", data) as sidecar:
@@ -123,7 +123,7 @@
                     lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
                 )
             (upstream_attempt,) = next(iter(carriages.values()))
-            assert upstream_attempt.watcher is None and upstream_attempt.transport.is_closing()
+            assert upstream_attempt.observer is None and upstream_attempt.transport.is_closing()
 
     run(play())
 
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -1,10 +1,10 @@
-"""The rules over both fronts, HTTP and the tests' own lines, from one table: they are the core's."""
+"""The rules over both frontends, HTTP and the tests' own lines, from one table: they are the core's."""
 
 import asyncio
 import time
 
 import pytest
-from line_frontend import Both, LineClient, LineFrontend
+from line_frontend import DualProtocolServer, LineClient, LineFrontend
 from net_helpers import HOST, WAIT, Sidecar, config, entry, message, news, read_message, run, until
 
 from ochreflow.core import lifecycle
@@ -12,13 +12,13 @@
 from ochreflow.membership.directory import parse_endpoint_update
 from ochreflow.policy import interface as api
 
-FRONTS = ["http", "lines"]
+FRONTENDS = ["http", "lines"]
 CODES = {200: "served", 503: "refused", 409: "failed", 502: "failed", 504: "failed"}
-pytestmark = pytest.mark.parametrize("frontend", FRONTS)
+pytestmark = pytest.mark.parametrize("frontend", FRONTENDS)
 
 
-class Asked:
-    """One client of either front, with one request on its way."""
+class SentRequest:
+    """One client of either frontend, with one request on its way."""
 
     def __init__(self, frontend, ports):
         self.frontend = frontend
@@ -44,7 +44,7 @@
 
 
 class Rig(Sidecar):
-    """A sidecar with both fronts open."""
+    """A sidecar with both frontends open."""
 
     async def __aenter__(self):
         await super().__aenter__()
@@ -54,10 +54,10 @@
         self.ports = {"http": self.port, "lines": self.lines.server.sockets[0].getsockname()[1]}
         return self
 
-    async def ask(self, frontend, cls, name, wait=3000):
-        return await (await Asked(frontend, self.ports).send(cls, name, wait)).answer()
+    async def request(self, frontend, cls, name, wait=3000):
+        return await (await SentRequest(frontend, self.ports).send(cls, name, wait)).answer()
 
-    def tell(self, *entries, index=2):
+    def update_endpoints(self, *entries, index=2):
         self.engine.on_endpoint_update(parse_endpoint_update(news(index, *entries), self.names))
 
     def clean(self):
@@ -74,7 +74,7 @@
     """Run steps with so many servers that do what `act` says of a request's name."""
 
     async def playing():
-        fakes = [await Both(act).start() for _ in range(servers)]
+        fakes = [await DualProtocolServer(act).start() for _ in range(servers)]
         known = news(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes)))
         data = config(known)
         data["settings"]["rules"].update(rules)
@@ -110,9 +110,9 @@
         ("order", "error", "failed", 1),
     ],
 )
-def test_one_final_answer_and_no_repeat_beyond_the_class(tmp_path, frontend, cls, what, word, runs):
+def test_one_final_response_and_no_retry_beyond_the_class(tmp_path, frontend, cls, what, word, runs):
     async def steps(rig, one, two):
-        assert await rig.ask(frontend, cls, "ab") == word
+        assert await rig.request(frontend, cls, "ab") == word
         assert len(one.got + two.got) == runs
         counts = rig.engine.stats.frontends
         assert sum(counts[frontend]) == 1 and sum(sum(row) for row in counts.values()) == 1
@@ -120,9 +120,9 @@
     play(tmp_path, first(what), steps, servers=2)
 
 
-def hold_first_bytes(rig, monkeypatch):
-    """Keep every attempt from its first byte until the event is set, at both carriers."""
-    go = rig.lines.upstream_transport.gate
+def delay_first_bytes(rig, monkeypatch):
+    """Keep every attempt from its first byte until the event is set, at both transports."""
+    go = rig.lines.upstream_transport.connecting_allowed
     go.clear()
     connect = rig.upstreams._connect
 
@@ -136,51 +136,51 @@
 
 def test_nothing_new_reaches_a_draining_server_not_even_what_waits(tmp_path, frontend, monkeypatch):
     async def steps(rig, leaving, staying):
-        go = hold_first_bytes(rig, monkeypatch)
-        waits = [await Asked(frontend, rig.ports).send("order", f"w{n}") for n in range(8)]
+        go = delay_first_bytes(rig, monkeypatch)
+        waiting = [await SentRequest(frontend, rig.ports).send("order", f"w{n}") for n in range(8)]
         await until(lambda: len(rig.engine.attempts.in_flight) == 8)
         number = rig.names.server("s0")
         assert any(attempt.server == number for attempt in rig.engine.attempts.in_flight.values())
-        rig.tell(entry("s0", leaving.address, "DRAINING"), entry("s1", staying.address))
+        rig.update_endpoints(entry("s0", leaving.address, "DRAINING"), entry("s1", staying.address))
         go.set()
-        words = [await asked.answer() for asked in waits]
+        words = [await sent.answer() for sent in waiting]
         assert set(words) <= {"served", "refused"} and "served" in words
         for n in range(20):
-            assert await rig.ask(frontend, "order", f"b{n}") == "served"
+            assert await rig.request(frontend, "order", f"b{n}") == "served"
         assert not leaving.got
         assert len(set(staying.got)) == len(staying.got) == words.count("served") + 20
 
     play(tmp_path, lambda name: "ok", steps, servers=2)
 
 
-def test_a_cold_server_gets_little_at_once(tmp_path, frontend):
-    async def steps(rig, cold, warm):
+def test_a_server_that_warms_up_gets_little_at_once(tmp_path, frontend):
+    async def steps(rig, new, warm):
         since = int(time.time() * 1000)
-        rig.tell(entry("s0", cold.address, since_ms=since), entry("s1", warm.address))
-        words = await asyncio.gather(*(rig.ask(frontend, "order", f"id{n}", 500) for n in range(40)))
+        rig.update_endpoints(entry("s0", new.address, since_ms=since), entry("s1", warm.address))
+        words = await asyncio.gather(*(rig.request(frontend, "order", f"id{n}", 500) for n in range(40)))
         assert set(words) <= {"failed", "refused"}
-        assert len(cold.got) <= 1 and len(warm.got) >= 5
+        assert len(new.got) <= 1 and len(warm.got) >= 5
 
     rules = {"start-capacity": 0.15, "warm-within-ns": 60_000_000_000}
     play(tmp_path, lambda name: "silent", steps, 2, rules)  # no answer earns it any more
 
 
 @pytest.mark.parametrize(("what", "word"), [("silent", "failed"), (None, "refused")])
-def test_the_last_guard_answers_in_the_place_of_a_deaf_module(tmp_path, frontend, what, word):
+def test_the_deadline_watchdog_answers_in_place_of_a_balancer_that_fails(tmp_path, frontend, what, word):
     """Failed if it may have run, refused if it never did, once in either case and before its time is up."""
 
     async def steps(rig, fake):
         handle = rig.engine.balancer.handle
-        deaf_to = (api.Request,) if what is None else (api.Outcome, api.Timer)
+        failing_events = (api.Request,) if what is None else (api.Outcome, api.Timer)
 
-        def deaf(now, event):
-            if isinstance(event, deaf_to):
+        def failing(now, event):
+            if isinstance(event, failing_events):
                 rig.engine.balancer.ctx.actions = []
                 raise ZeroDivisionError("of the module")
             return handle(now, event)
 
-        rig.engine.balancer.handle = deaf
-        assert await rig.ask(frontend, "order", "ab", 400) == word
+        rig.engine.balancer.handle = failing
+        assert await rig.request(frontend, "order", "ab", 400) == word
         assert len(fake.got) == (what is not None)
         rig.engine.balancer.pending.clear()
         for server in rig.engine.balancer.endpoints.servers.values():
@@ -191,9 +191,9 @@
 
 def test_a_client_that_leaves_takes_its_attempt_along(tmp_path, frontend):
     async def steps(rig, fake):
-        asked = await Asked(frontend, rig.ports).send("order", "ab")
+        sent = await SentRequest(frontend, rig.ports).send("order", "ab")
         await until(lambda: fake.got)
-        asked.writer.close()
+        sent.writer.close()
         await until(lambda: fake.ended == 1, "its attempt is called off")
 
     play(tmp_path, lambda name: "silent", steps)
@@ -203,31 +203,31 @@
     """It goes between its attempt's connect and its write."""
 
     async def steps(rig, fake):
-        go = hold_first_bytes(rig, monkeypatch)
-        asked = await Asked(frontend, rig.ports).send("order", "ab")
+        go = delay_first_bytes(rig, monkeypatch)
+        sent = await SentRequest(frontend, rig.ports).send("order", "ab")
         await until(lambda: rig.engine.attempts.in_flight)
-        asked.writer.close()
+        sent.writer.close()
         await until(lambda: not rig.engine.requests.pending)
         go.set()
-        assert await rig.ask(frontend, "order", "cd") == "served"
+        assert await rig.request(frontend, "order", "cd") == "served"
         assert fake.got == ["cd"]
 
     play(tmp_path, lambda name: "ok", steps)
 
 
-def test_names_belong_to_their_front(tmp_path, frontend):
-    """The same name at both fronts at once is two requests; twice at one of them is one."""
+def test_request_ids_belong_to_their_frontend(tmp_path, frontend):
+    """The same id at both frontends at once is two requests; twice at one of them is one."""
 
     async def steps(rig, fake):
-        other = next(name for name in FRONTS if name != frontend)
-        held = [await Asked(label, rig.ports).send("order", "same") for label in (frontend, other)]
+        other = next(name for name in FRONTENDS if name != frontend)
+        held = [await SentRequest(label, rig.ports).send("order", "same") for label in (frontend, other)]
         await until(lambda: fake.got.count("same") == 2)
-        assert await rig.ask(frontend, "order", "same") == "failed"
+        assert await rig.request(frontend, "order", "same") == "failed"
         assert fake.got.count("same") == 2
-        for asked in held:
-            asked.writer.close()
+        for sent in held:
+            sent.writer.close()
         await until(lambda: not rig.engine.requests.pending)
-        assert await rig.ask(frontend, "order", "same") == "failed"  # it has just been
+        assert await rig.request(frontend, "order", "same") == "failed"  # it has just been
 
     play(tmp_path, lambda name: "silent", steps)
 
@@ -236,22 +236,22 @@
     monkeypatch.setattr(lifecycle, "IDLE_CLOSE_DELAY_S", 0.0)
 
     async def steps(rig, fake):
-        held = await Asked(frontend, rig.ports).send("order", "held")
+        held = await SentRequest(frontend, rig.ports).send("order", "held")
         await until(lambda: fake.got)
         rig.engine.drain()
         await until(lambda: rig.engine.lifecycle.closing_idle_connections)
-        assert await rig.ask(frontend, "order", "ab") == "refused"
+        assert await rig.request(frontend, "order", "ab") == "refused"
         assert fake.got == ["held"]
         rig.engine.undrain()
-        assert await rig.ask(frontend, "order", "cd") == "served"
+        assert await rig.request(frontend, "order", "cd") == "served"
         held.writer.close()
 
     play(tmp_path, lambda name: "silent" if name == "held" else "ok", steps)
 
 
-def test_a_front_may_close_inside_the_call_that_answers_it(tmp_path, frontend, monkeypatch):
+def test_a_frontend_may_close_inside_the_call_that_responds_to_it(tmp_path, frontend, monkeypatch):
     async def steps(rig, fake):
-        rig.lines.closes_on_answer = True
+        rig.lines.closes_on_response = True
         if frontend == "http":
             connection = type(rig.http.connection())
             respond = connection._respond
@@ -262,10 +262,10 @@
 
             monkeypatch.setattr(connection, "_respond", closing)
         for n in range(5):
-            asked = await Asked(frontend, rig.ports).send("order", f"id{n}")
+            sent = await SentRequest(frontend, rig.ports).send("order", f"id{n}")
             async with asyncio.timeout(WAIT):
-                await asked.reader.read()
-            asked.writer.close()
+                await sent.reader.read()
+            sent.writer.close()
         assert len(fake.got) == 5 and rig.engine.stats.frontends[frontend][0] == 5
 
     play(tmp_path, lambda name: "ok", steps)
@@ -274,7 +274,7 @@
 def test_too_many_at_once_are_refused_with_their_reason(tmp_path, frontend):
     async def steps(rig, fake):
         rig.engine.requests.max_open = 1
-        held = await Asked(frontend, rig.ports).send("order", "held")
+        held = await SentRequest(frontend, rig.ports).send("order", "held")
         await until(lambda: fake.got)
         reasons = []
         finish = rig.engine.requests.finish
@@ -282,7 +282,7 @@
             reasons.append(response.reason),
             finish(pending, response),
         )
-        assert await rig.ask(frontend, "order", "ab") == "refused"
+        assert await rig.request(frontend, "order", "ab") == "refused"
         assert reasons == [Reason.OVERLOADED]
         held.writer.close()
 
