--- a/ochreflow/lab/duplicates/attempts.py
+++ b/ochreflow/lab/duplicates/attempt_reader.py
@@ -1,4 +1,4 @@
-"""One attempt as a server reads it: what has come of it so far, and whether it is whole."""
+"""Reads one attempt from a server's connection: what has come of it so far, and whether it is complete."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 
 MAX_READ_BYTES = 16 * 1024
 SMALL_READ_BYTES = 1024  # bytes read at a time where the rest is to stay with the sender
-MAX_LOOP_LAG_S = 0.02  # seconds that may pass from the arrival of bytes until a waiting reader sees them
+MAX_LOOP_LAG_S = 0.02  # that may pass from the arrival of bytes until a waiting reader sees them
 
 
 class AttemptReader:
     """Reads one request from a connection, and knows when its last byte came."""
 
     def __init__(self, sock: socket.socket, now: Callable[[], float], last_empty_at: float) -> None:
+        """Take the run's clock, and the time at which nothing of this attempt had come."""
         self.sock = sock
         self.now = now
         self.parser = httptools.HttpRequestParser(self)
@@ -61,21 +62,27 @@
 
     @property
     def request_id(self) -> str:
+        """The value of X-Request-Id; empty if there is none."""
         return self.headers.get("x-request-id", "")
 
-    # The parser's calls
+    # Called by the parser
 
     def on_url(self, url: bytes) -> None:
+        """Take a part of the target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
+        """Note that the head is complete."""
         self.head_complete = True
 
     def on_body(self, data: bytes) -> None:
+        """Count a part of the body."""
         self.body_bytes += len(data)
 
     def on_message_complete(self) -> None:
+        """Note that the request is complete."""
         self.complete = True
--- a/ochreflow/lab/duplicates/client.py
+++ b/ochreflow/lab/duplicates/client.py
@@ -1,101 +1,36 @@
-"""The clients of the sidecars: each request on a kept connection if one is free, as the protocol has it."""
+"""The clients of the sidecars: a request goes on an idle connection if there is one, as in the protocol."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import socket
-import struct
 from collections import defaultdict
 from collections.abc import Callable
 from enum import Enum, auto
-from typing import cast
 
-import httptools
-
-from ..platform_config import HOST
-from .classes import Effect
+from .client_connection import ClientConnection
 from .events import ClientDisconnected, ClientHalfClosed, ConnectionClosed, RequestSent, ResponseReceived
 from .plan import ClientRequest, DisconnectMode
 from .recorder import EventRecorder
+from .wire import request_bytes
 
-RESPONSE_GRACE_S = 0.8  # seconds for which a client waits beyond its deadline
-CONNECT_TIMEOUT_S = 6.0  # seconds: a sidecar may take so long to end and come back
-CONNECT_RETRY_DELAY_S = 0.05  # seconds until a client tries again where nobody listens
-PIECE_DELAY_S = 0.005  # seconds between the pieces of a request that is written slowly
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+RESPONSE_GRACE_S = 0.8  # for which a client waits beyond its deadline
+CONNECT_TIMEOUT_S = 6.0  # a sidecar may take so long to end and come back
+CONNECT_RETRY_DELAY_S = 0.05  # until a client tries again where nobody listens
+PIECE_DELAY_S = 0.005  # between the pieces of a request that is written slowly
+WAITED_LONG_ENOUGH = "waited long enough"  # what is recorded of a client whose wait is over
 
 
 class ExchangeResult(Enum):
     """How a request ended for its client on one connection."""
 
     ANSWERED = auto()
-    CLOSED_UNANSWERED = auto()  # closed without a byte of an answer: if it was a kept one, perhaps not read
+    CLOSED_UNANSWERED = auto()  # without a byte of an answer: on a reused connection perhaps unread
     ABANDONED = auto()
 
 
-class ClientConnection(asyncio.Protocol):
-    """A connection to a sidecar, with at most one request on it."""
-
-    def __init__(self, number: int, opened: float) -> None:
-        self.number = number
-        self.opened = opened  # when it was asked for
-        self.transport: asyncio.Transport | None = None
-        self.used = False  # an answer has come on it
-        self.status: asyncio.Future[int] | None = None  # of the request that is out
-        self.answer_begun = False  # bytes of its answer have come
-        self.closed = False
-        self.request_written = False  # of the request that is out
-        self.left_by_client = False  # by the client itself
-        self.parser = httptools.HttpResponseParser(self)
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-
-    def data_received(self, data: bytes) -> None:
-        self.answer_begun = True
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserError:
-            self.abort()
-
-    def on_message_complete(self) -> None:
-        if self.status is not None and not self.status.done():
-            self.used = True
-            self.closed = self.closed or not self.parser.should_keep_alive()
-            self.status.set_result(self.parser.get_status_code())
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.closed = True
-        if self.status is not None and not self.status.done():
-            self.status.set_exception(ConnectionResetError())
-
-    def abort(self) -> None:
-        self.closed = True
-        if self.transport is not None:
-            self.transport.abort()
-
-    def half_close(self) -> None:
-        """Send nothing more, also no further request, and wait for the answer."""
-        self.closed = True
-        assert self.transport is not None
-        self.transport.write_eof()
-
-    def disconnect(self, disconnect_mode: DisconnectMode) -> None:
-        """Go away as the plan says."""
-        self.closed = self.left_by_client = True
-        assert self.transport is not None
-        if disconnect_mode is DisconnectMode.HALF_CLOSE:
-            self.transport.write_eof()
-            return
-        if disconnect_mode is DisconnectMode.RESET:
-            sock = self.transport.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-        self.transport.abort()
-
-
 class Clients:
-    """The clients of all sidecars."""
+    """Owns the clients of all sidecars: their idle connections, and the request on each of the others."""
 
     def __init__(
         self,
@@ -103,6 +38,7 @@
         address: Callable[[int], tuple[str, int]],
         killed_at: Callable[[int], float],
     ) -> None:
+        """Take what gives the address of a sidecar, and when it was last killed."""
         self.recorder = recorder
         self.address = address
         self.killed_at = killed_at  # connections to a sidecar that were opened before ended with it
@@ -110,12 +46,12 @@
         self.connections = 0
 
     async def send(self, request: ClientRequest) -> None:
-        """Play one request to its end; once more where a kept connection ended as if it had not been read."""
+        """Play one request to its end; once more where a reused connection was closed without an answer."""
         fresh = False
         while True:
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                    connection = await self._connection(request.sidecar, fresh)
+                    connection = await self._connection(request.sidecar, fresh=fresh)
             except TimeoutError:
                 return
             reused = connection.used
@@ -141,22 +77,13 @@
             self.recorder.add(request.id, ResponseReceived(self.recorder.now(), answered))
             if not connection.closed:
                 self.idle[request.sidecar].append(connection)
-            return ExchangeResult.ANSWERED
         except ConnectionResetError:
-            if connection.left_by_client:
-                return ExchangeResult.ABANDONED
-            killed = self.killed_at(request.sidecar) >= connection.opened
-            self.recorder.add(
-                request.id, ConnectionClosed(self.recorder.now(), connection.answer_begun, killed)
-            )
-            return (
-                ExchangeResult.ABANDONED
-                if killed or connection.answer_begun
-                else ExchangeResult.CLOSED_UNANSWERED
-            )
+            return self._record_reset(request, connection)
         except TimeoutError:
-            self.recorder.add(request.id, ClientDisconnected(self.recorder.now(), "waited long enough"))
+            self.recorder.add(request.id, ClientDisconnected(self.recorder.now(), WAITED_LONG_ENOUGH))
             return ExchangeResult.ABANDONED
+        else:
+            return ExchangeResult.ANSWERED
         finally:
             if disconnect_timer is not None:
                 disconnect_timer.cancel()
@@ -164,6 +91,17 @@
             if connection.closed or status.cancelled() or not status.done():
                 connection.abort()
 
+    def _record_reset(self, request: ClientRequest, connection: ClientConnection) -> ExchangeResult:
+        """Record that the connection ended before the answer was complete, unless the client ended it."""
+        if connection.disconnected_by_client:
+            return ExchangeResult.ABANDONED
+        killed = self.killed_at(request.sidecar) >= connection.opened_at
+        closed = ConnectionClosed(self.recorder.now(), connection.answer_begun, killed)
+        self.recorder.add(request.id, closed)
+        if killed or connection.answer_begun:
+            return ExchangeResult.ABANDONED
+        return ExchangeResult.CLOSED_UNANSWERED
+
     def _disconnect(self, request: ClientRequest, connection: ClientConnection) -> None:
         """Leave as the plan says, if the answer is still waited for."""
         mode = request.disconnect_mode
@@ -176,7 +114,7 @@
             self.recorder.add(request.id, ClientHalfClosed(self.recorder.now()))
             connection.half_close()
 
-    async def _connection(self, sidecar: int, fresh: bool) -> ClientConnection:
+    async def _connection(self, sidecar: int, *, fresh: bool) -> ClientConnection:
         idle = self.idle[sidecar]
         while idle and not fresh:
             connection = idle.pop()
@@ -211,29 +149,7 @@
         connection.request_written = True
 
     def close(self) -> None:
+        """Close the idle connections."""
         for idle in self.idle.values():
             for connection in idle:
                 connection.abort()
-
-
-def request_bytes(request: ClientRequest) -> bytes:
-    """The request as it goes over the wire."""
-    safe = request.cls.effect is Effect.IDEMPOTENT
-    head = [
-        f"{'GET' if safe else 'POST'} /{request.cls.name}/part HTTP/1.1",
-        f"Host: {HOST}",
-        f"X-Request-Id: {request.id}",
-        f"X-Deadline: {round(request.deadline * 1000)}m",
-    ]
-    if request.last:
-        head.append("Connection: close")
-    if request.cls.effect is Effect.IDEMPOTENT_WITH_KEY:
-        head.append(f"Idempotency-Key: key-of-{request.id}")
-    body = b"x" * request.size
-    if request.chunked:
-        head.append("Transfer-Encoding: chunked")
-        body = b"%x\r\n%s\r\n" % (len(body), body) if body else b""
-        body += b"0\r\n\r\n"
-    elif not safe:
-        head.append(f"Content-Length: {request.size}")
-    return "\r\n".join([*head, "", ""]).encode() + body
--- a/ochreflow/lab/duplicates/drawing.py
+++ b/ochreflow/lab/duplicates/drawing.py
@@ -53,6 +53,7 @@
 SERVERS_PER_CELL = 2
 RECEIVE_BUFFER_SIZES_BYTES = (0, 1024, 1024, 4096, 4096, 4096, 16_384)  # 0: the system's own
 SEGMENT_SIZES_BYTES = (536, 1460, 1460, 1460)  # small ones keep the sender's buffer small
+HEDGING_SHARE = 0.5  # of the runs allow hedged requests
 CONNECT_TIMEOUTS_S = (0.25, 0.25, 1.6)
 
 SERVER_STEPS_PER_SECOND = 1.5
@@ -71,6 +72,7 @@
 SURGE_REQUESTS_PER_SECOND = 500.0
 PAIRS_PER_SECOND = 4.0
 LONG_ANSWERS_BYTES = (8_000, 20_000, 30_000)  # more than a client of a pair takes without reading
+LAST_SHARE = 0.5  # of the pairs ask for the connection to be closed behind them
 PAIR_DELAYS_S = (0.02, 0.2)  # the bounds
 FIRST_BURST_AT_S = 0.2
 FIRST_FREEZE_AT_S = 0.1
@@ -91,7 +93,7 @@
         fault_groups,
         sidecars,
         classes,
-        hedging=rng.random() < 0.5,
+        hedging=rng.random() < HEDGING_SHARE,
         max_attempts=rng.choice((2, 3, 4)),
         connect_timeout=rng.choice(CONNECT_TIMEOUTS_S),
         servers=servers,
@@ -264,7 +266,7 @@
         at = rng.uniform(FIRST_BURST_AT_S, self.seconds)
         answer_size = rng.choice(LONG_ANSWERS_BYTES)
         lookup = replace(self._small_request(at, sidecar, idempotent), answer_size=answer_size)
-        last = rng.random() < 0.5
+        last = rng.random() < LAST_SHARE
         order = replace(self._small_request(at, sidecar, non_idempotent), last=last)
         line_after = rng.uniform(*PAIR_DELAYS_S)
         return PipelinedPair(at, lookup, order, line_after, line_after + rng.uniform(*PAIR_DELAYS_S))
--- a/ochreflow/lab/duplicates/fleet.py
+++ b/ochreflow/lab/duplicates/fleet.py
@@ -1,4 +1,4 @@
-"""The sidecars of a run as processes, and the directory that tells them of servers."""
+"""The sidecars of a run as processes, and the directory from which they get their servers."""
 
 from __future__ import annotations
 
@@ -14,22 +14,24 @@
 from pathlib import Path
 from time import time
 
+from ...errors import OchreflowError
 from ..event_log import EventLog
 from ..fake_directory import FakeDirectory
-from ..platform_config import HOST, NODE_TYPE, NS_PER_MS, RESOURCE_LIMITS, ZONES
+from ..platform_config import HOST
 from ..process_environment import START_TIMEOUT_S
 from .plan import Plan, SidecarChange
 from .recorder import EventRecorder
 from .server import Server
+from .sidecar_config import directory_entry, sidecar_configuration
 
-LISTENS = " listens at "
-KILL_DELAY_S = 0.7  # seconds after SIGTERM and the longest deadline
-NS_PER_S = 1_000_000_000
+LISTENS = " listens at "  # in the line that a sidecar logs once it listens
+LOG_POLL_INTERVAL_S = 0.01
+KILL_DELAY_S = 0.7  # after SIGTERM and the longest deadline
 DEBUG_LINES = '[log]\nlevel = "debug"\nper_second = 10000\n'
-SIGSTOP_DELAY_S = 0.003  # seconds until a process that gets SIGSTOP runs no more
+SIGSTOP_DELAY_S = 0.003  # until a process that gets SIGSTOP runs no more
 
 
-class FleetError(Exception):
+class FleetError(OchreflowError):
     """A sidecar did not start; the text says why."""
 
 
@@ -43,8 +45,10 @@
         program: Path,
         recorder: EventRecorder,
         servers: list[Server],
+        *,
         with_debug_lines: bool = False,
     ) -> None:
+        """Prepare the processes of a run, whose files go into `run_dir`."""
         self.options = self._debug_options(run_dir) if with_debug_lines else ()
         self.plan = plan
         self.run_dir = run_dir.absolute()
@@ -54,17 +58,18 @@
         self.event_log = EventLog(self.run_dir / "directory.jsonl")
         self.directory = FakeDirectory(self.event_log, asyncio.get_running_loop())
         self.directory_address = ""
+        self.listening: asyncio.Server | None = None  # the directory's
         self.processes: dict[int, asyncio.subprocess.Process] = {}
         self.addresses: dict[int, tuple[str, int]] = {}
         self.killed: dict[int, float] = {}
         self.freezes: dict[int, int] = defaultdict(int)  # that last, by sidecar
         self.starts = 0
-        self.ending: set[int] = set()  # sidecars that were told to end
+        self.ending: set[int] = set()  # sidecars that were asked to end
         self.crashed: list[str] = []
 
     @staticmethod
     def _debug_options(run_dir: Path) -> tuple[str, ...]:
-        """The command line of a sidecar that logs each attempt and verdict."""
+        """The command line of a sidecar that logs each attempt and final response."""
         path = (run_dir / "debug.toml").absolute()
         path.write_text(DEBUG_LINES)
         return ("--config", str(path))
@@ -74,28 +79,15 @@
     async def start(self) -> None:
         """Start the directory and all sidecars."""
         loop = asyncio.get_running_loop()
-        listening = await loop.create_server(self.directory.service.connection, HOST, 0)
-        self.directory_address = f"{HOST}:{listening.sockets[0].getsockname()[1]}"
+        self.listening = await loop.create_server(self.directory.service.connection, HOST, 0)
+        self.directory_address = f"{HOST}:{self.listening.sockets[0].getsockname()[1]}"
         for server in self.servers:
             self.publish(server)
         await asyncio.gather(*(self.start_sidecar(number) for number in range(self.plan.sidecars)))
 
     def publish(self, server: Server, status: str = "SERVING", since_ms: int = 0) -> None:
-        """Tell the directory how a server stands."""
-        self.directory.put(self._entry(server, status, since_ms))
-
-    def _entry(self, server: Server, status: str = "SERVING", since_ms: int = 0) -> dict[str, object]:
-        place = server.placements[-1]
-        return {
-            "name": f"server-{server.number}",
-            "address": f"{HOST}:{server.port}",
-            "zone": ZONES[place.zone],
-            "type": NODE_TYPE,
-            "group": place.cell,
-            "status": status,
-            "weight": 1.0,
-            "since_ms": since_ms,
-        }
+        """Publish the state of a server in the directory."""
+        self.directory.put(directory_entry(server, status, since_ms))
 
     # The sidecars
 
@@ -123,83 +115,35 @@
 
     @staticmethod
     async def _wait_until_listening(number: int, process: asyncio.subprocess.Process, log: Path) -> str:
-        """Wait until a sidecar listens; what it has said."""
+        """Wait until a sidecar listens, and return its output; FleetError if it does not."""
         try:
             async with asyncio.timeout(START_TIMEOUT_S):
                 while LISTENS not in (output := log.read_text(errors="replace")):
                     if process.returncode is not None:
                         last = (output.strip().splitlines() or ["it said nothing"])[-1]
-                        raise FleetError(f"sidecar {number} did not start: {last}")
-                    await asyncio.sleep(0.01)
+                        message = f"sidecar {number} did not start: {last}"
+                        raise FleetError(message)
+                    await asyncio.sleep(LOG_POLL_INTERVAL_S)
         except TimeoutError:
-            raise FleetError(f"sidecar {number} did not listen within {START_TIMEOUT_S:g} s") from None
+            message = f"sidecar {number} did not listen within {START_TIMEOUT_S:g} s"
+            raise FleetError(message) from None
         return output
 
+    def _configuration(self, number: int) -> dict[str, object]:
+        return sidecar_configuration(
+            self.plan,
+            number,
+            listen=self.addresses.get(number, (HOST, 0)),
+            directory_address=self.directory_address,
+            entries=[directory_entry(server) for server in self.servers],
+        )
+
     def configure(self, number: int) -> Path:
         """Write the configuration of a sidecar."""
         path = self.run_dir / f"sidecar-{number}.json"
         path.write_text(json.dumps(self._configuration(number)))
         return path
 
-    def _configuration(self, number: int) -> dict[str, object]:
-        host, port = self.addresses.get(number, (HOST, 0))
-        listed = [self._entry(server) for server in self.servers]
-        return {
-            "name": f"sidecar-{number}",
-            "listen": f"{host}:{port}",
-            "management": f"{HOST}:0",
-            "discovery": self.directory_address,
-            "seed": f"{self.plan.seed * 100 + number + 1:x}",
-            "limits": {"cores": 1.0, **RESOURCE_LIMITS},
-            "known": {"index": 0, "snapshot": True, "endpoints": listed},
-            "settings": self._settings(number),
-        }
-
-    def _settings(self, number: int) -> dict[str, object]:
-        plan = self.plan
-        classes = [
-            {
-                "name": cls.name,
-                "deadline-ns": round(cls.deadline * 1000) * NS_PER_MS,
-                "objective-ns": round(cls.deadline * 500) * NS_PER_MS,
-                "repeat": cls.effect.value,
-                "key-scope": cls.scope.value,
-                "window-ns": round(cls.window * 1000) * NS_PER_MS,
-                "points": 1.0,
-                "late-value": 0.0,
-                "stream": False,
-            }
-            for cls in plan.classes
-        ]
-        return {
-            "accounts": [],
-            "ceilings": {
-                "cancel": True,
-                "conn-idle-ns": 60 * NS_PER_S,
-                "connect-timeout-ns": round(plan.connect_timeout * 1000) * NS_PER_MS,
-                "max-retry-after-ns": 2 * NS_PER_S,
-                "retry-after": True,
-                "second-copies": plan.hedging,
-                "send-cap": plan.max_attempts,
-            },
-            "classes": classes,
-            "dcs": ZONES,
-            "kinds": [NODE_TYPE],
-            "my-zone": number % len(ZONES),
-            "index": number,
-            "discovery": "ask",
-            "fleet-size": plan.sidecars,
-            "rules": {
-                "must-ask-in-ns": 10 * NS_PER_S,
-                "drain-grace-ns": 500 * NS_PER_MS,
-                "start-capacity": 0.9,
-                "warm-within-ns": NS_PER_S,
-                "overload-factor": 50.0,
-                "overload-for-ns": 3 * NS_PER_S,
-            },
-            "tick-ns": 5 * NS_PER_MS,
-        }
-
     @asynccontextmanager
     async def frozen(self, number: int) -> AsyncIterator[None]:
         """Keep a sidecar from running; several who want that at once share it."""
@@ -264,9 +208,11 @@
             self._signal(number, signal.SIGKILL)
         for process in self.processes.values():
             await process.wait()
+        if self.listening is not None:
+            self.listening.close()
         self.directory.close()
         self.event_log.close()
 
-    def restarted(self, server: Server) -> None:
-        """Tell the directory of a server that has just started anew."""
+    def publish_restart(self, server: Server) -> None:
+        """Publish a server that has just started again."""
         self.publish(server, since_ms=int(time() * 1000))
--- a/ochreflow/lab/duplicates/judge.py
+++ b/ochreflow/lab/duplicates/judge.py
@@ -1,6 +1,6 @@
 """Rule `duplicate` of the protocol, judged on the events of one request.
 
-A copy that a server turned away as never run counts for nothing from the moment of that answer on. Any other
+A copy that a server rejected as never run counts for nothing from the moment of that answer on. Any other
 copy may have run. The judge knows no sidecar, no socket and no clock.
 """
 
@@ -23,8 +23,8 @@
     ResponseReceived,
 )
 
-SLACK_S = 0.05  # seconds by which each time limit of the protocol grows on sockets
-PROPAGATION_TIMEOUT_S = 2.0  # seconds after which a sidecar knows that a server belongs to another group
+SLACK_S = 0.05  # by which each time limit of the protocol grows on sockets
+PROPAGATION_TIMEOUT_S = 2.0  # after which a sidecar knows that a server belongs to another group
 REJECTION_CODES = (429, 503)  # answers that tell the client that trying again is harmless
 
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a server stands for a while: what decides which of its repeats are dropped."""
+    """Where a server stands for a while: what decides which retries it drops."""
 
     since: float
     zone: int
@@ -62,7 +62,7 @@
 
 
 def find_violations(
-    cls: RequestClass, events: Sequence[Event], placements: PlacementLookup, hedging: bool
+    cls: RequestClass, events: Sequence[Event], placements: PlacementLookup, *, hedging: bool
 ) -> list[Violation]:
     """All breaks of the rule in the events of one request."""
     events = sorted(events, key=lambda event: event.at)
@@ -73,7 +73,7 @@
     found = []
     for number, later in enumerate(copies):
         earlier = [copy for copy in copies[:number] if rejected_at.get(copy.attempt, later.at) >= later.at]
-        found += _repeat_violations(cls, earlier, later, placements)
+        found += _retry_violations(cls, earlier, later, placements)
     if not hedging:
         found += _concurrent_copies(copies, events)
     if not cls.rejectable:
@@ -81,7 +81,7 @@
     return sorted(found, key=lambda one: one.at)
 
 
-def _repeat_violations(
+def _retry_violations(
     cls: RequestClass, earlier: list[CopyReceived], later: CopyReceived, placements: PlacementLookup
 ) -> list[Violation]:
     """Whether a copy could begin after those that may have run, or may yet when their last byte comes."""
@@ -110,8 +110,8 @@
 def _same_group(scope: Scope, one: CopyReceived, other: CopyReceived, placements: PlacementLookup) -> bool:
     """Whether both servers were in one group, each as it stood around its own copy.
 
-    The servers that drop a repeat are those of the group in which the earlier copy was taken: a later move of
-    its server changes nothing. Of one that moves around its copy either group will do.
+    The servers that drop a retry are those of the group in which the earlier copy was accepted: a later move
+    of its server changes nothing. Of one that moves around its copy either group will do.
     """
     if scope is Scope.ALL:
         return True
@@ -132,7 +132,7 @@
     found = []
     for number, later in enumerate(copies):
         if ended.get(later.attempt, later.at) < later.at:
-            continue  # its server had done with it before it was whole
+            continue  # its server had done with it before it was complete
         for copy in copies[:number]:
             # A server sees the end of a connection only once it has accepted it and read all before it.
             watched = copy.at <= later.not_before
--- a/ochreflow/lab/duplicates/pipelining.py
+++ b/ochreflow/lab/duplicates/pipelining.py
@@ -8,20 +8,22 @@
 
 import httptools
 
-from .client import CONNECT_TIMEOUT_S, RESPONSE_GRACE_S, request_bytes
+from .client import CONNECT_TIMEOUT_S, RESPONSE_GRACE_S, WAITED_LONG_ENOUGH
 from .events import ClientDisconnected, ConnectionClosed, RequestSent, ResponseReceived
 from .plan import PipelinedPair
 from .recorder import EventRecorder
+from .wire import request_bytes
 
-RECEIVE_BUFFER_BYTES = 4096  # bytes
+RECEIVE_BUFFER_BYTES = 4096
 EMPTY_LINE = b"\r\n"  # behind a request; a server ignores it (RFC 9112, 2.2)
 NO_CONNECTION = 0  # such a connection has no number: it is not used again
 
 
 class PairConnection(asyncio.Protocol):
-    """A connection that reads nothing until it is told to, and then the answers in their order."""
+    """A connection that reads nothing until its reading is resumed, and then the answers in their order."""
 
     def __init__(self, recorder: EventRecorder, request_ids: tuple[str, ...]) -> None:
+        """Expect an answer to each of these requests, in this order."""
         self.recorder = recorder
         self.unanswered = list(request_ids)
         self.answer_begun = False  # a part of the next answer has come
@@ -29,28 +31,31 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def data_received(self, data: bytes) -> None:
+        """Parse answers; what is none ends the exchange."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self._finish()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """End the exchange."""
         self._finish()
 
     def _finish(self) -> None:
         if not self.finished.done():
             self.finished.set_result(None)
 
-    # The parser's calls
+    # Called by the parser
 
     def on_message_begin(self) -> None:
+        """Note that an answer has begun."""
         self.answer_begun = True
 
     def on_message_complete(self) -> None:
+        """Record an answer."""
         self.answer_begun = False
-        self.recorder.add(
-            self.unanswered.pop(0), ResponseReceived(self.recorder.now(), self.parser.get_status_code())
-        )
+        response = ResponseReceived(self.recorder.now(), self.parser.get_status_code())
+        self.recorder.add(self.unanswered.pop(0), response)
         if not self.unanswered:
             self._finish()
 
@@ -99,11 +104,13 @@
 
 
 def _record_missing(connection: PairConnection, recorder: EventRecorder) -> None:
-    """Say how the requests ended that have no answer."""
+    """Record how the requests without an answer ended."""
     answer_begun = connection.answer_begun
     for request_id in connection.unanswered:
         if connection.finished.done():
-            recorder.add(request_id, ConnectionClosed(recorder.now(), answer_begun, killed=False))
+            recorder.add(
+                request_id, ConnectionClosed(recorder.now(), answer_begun=answer_begun, killed=False)
+            )
         else:
-            recorder.add(request_id, ClientDisconnected(recorder.now(), "waited long enough"))
+            recorder.add(request_id, ClientDisconnected(recorder.now(), WAITED_LONG_ENOUGH))
         answer_begun = False
--- a/ochreflow/lab/duplicates/play.py
+++ b/ochreflow/lab/duplicates/run.py
@@ -1,81 +1,49 @@
-"""Plays one plan on real sockets, and judges what was seen."""
+"""Runs one plan on real sockets, and judges what was recorded."""
 
 from __future__ import annotations
 
 import asyncio
 import shutil
 import tempfile
-from collections import Counter
-from dataclasses import dataclass, field
 from pathlib import Path
 
 import uvloop
 
-from .classes import Effect, RequestClass
+from .classes import Effect
 from .client import Clients
-from .events import AttemptRejected, CopyReceived, Event, ResponseReceived
+from .events import CopyReceived
 from .fleet import Fleet
-from .judge import Placement, Violation, find_violations
+from .judge import Placement, find_violations
 from .pipelining import play_pair
 from .plan import Burst, ClientRequest, PipelinedPair, Plan, ServerChange, ServerStep, SidecarStep
 from .recorder import EventRecorder
-from .server import RunContext, Server
+from .result import Failure, RunResult
+from .run_context import RunContext
+from .server import Server
 
-CONCLUSIVE_CODES = (200, 429, 503)  # answers that say whether the request ran
 FINISH_TIMEOUT_S = 10.0  # seconds for which the last requests and restarts are waited for
 
 
-@dataclass(slots=True)
-class Failure:
-    """A request that broke the rule, and all that is known of it."""
-
-    request_id: str
-    cls: RequestClass
-    violations: list[Violation]
-    timeline: list[Event]
-
-
-@dataclass(slots=True)
-class RunResult:
-    """What a run came to."""
-
-    seed: int
-    failures: list[Failure] = field(default_factory=list)
-    crashed: list[str] = field(default_factory=list)
-    requests: int = 0
-    copies: int = 0
-    unsafe_answers: Counter[int] = field(default_factory=Counter)  # answers by code, of unsafe requests
-    needless_failures: int = 0  # unsafe requests answered as failed, none of whose copies may have run
-
-    @property
-    def broken(self) -> bool:
-        return bool(self.failures or self.crashed)
-
-    @property
-    def unproven(self) -> int:
-        """Unsafe requests whose answer says neither that they ran nor that they did not."""
-        return sum(count for code, count in self.unsafe_answers.items() if code not in CONCLUSIVE_CODES)
-
-
-def play(plan: Plan, program: Path, keep: Path | None = None) -> RunResult:
+def run_plan(plan: Plan, program: Path, keep: Path | None = None) -> RunResult:
     """Play a plan with the program of a checkout; logs, with a line for each attempt, are kept in `keep`."""
     run_dir = keep or Path(tempfile.mkdtemp(prefix="ochreflow-duplicates-"))
     run_dir.mkdir(parents=True, exist_ok=True)
     try:
-        return uvloop.run(_play(plan, run_dir, program, keep is not None))
+        return uvloop.run(_play(plan, run_dir, program, with_debug_lines=keep is not None))
     finally:
         if keep is None:
             shutil.rmtree(run_dir, ignore_errors=True)
 
 
-async def _play(plan: Plan, run_dir: Path, program: Path, with_debug_lines: bool) -> RunResult:
-    return await Run(plan, run_dir, program, with_debug_lines).play()
+async def _play(plan: Plan, run_dir: Path, program: Path, *, with_debug_lines: bool) -> RunResult:
+    return await Run(plan, run_dir, program, with_debug_lines=with_debug_lines).play()
 
 
 class Run:
     """Owns all that takes part in one run."""
 
-    def __init__(self, plan: Plan, run_dir: Path, program: Path, with_debug_lines: bool) -> None:
+    def __init__(self, plan: Plan, run_dir: Path, program: Path, *, with_debug_lines: bool) -> None:
+        """Prepare a run of the checkout at `program`, whose files go into `run_dir`."""
         self.plan = plan
         self.recorder = EventRecorder()
         pairs = (request for pair in plan.pairs for request in (pair.lookup, pair.order))
@@ -86,7 +54,9 @@
         self.servers = [
             Server(number, server_plan, context) for number, server_plan in enumerate(plan.servers)
         ]
-        self.fleet = Fleet(plan, run_dir, program, self.recorder, self.servers, with_debug_lines)
+        self.fleet = Fleet(
+            plan, run_dir, program, self.recorder, self.servers, with_debug_lines=with_debug_lines
+        )
         self.clients = Clients(
             self.recorder, lambda number: self.fleet.addresses[number], self.fleet.killed_at
         )
@@ -160,24 +130,25 @@
         await self._wait_until(step.at)
         server = self.servers[step.server]
         self.recorder.record_process_event(f"server {step.server}: {step.change.value}, {step.seconds:g} s")
-        if step.change is ServerChange.MOVE:
-            self._move(step.server, step.group_offset)
-        elif step.change is ServerChange.DRAIN:
-            self.fleet.publish(server, "DRAINING")
-            await asyncio.sleep(step.seconds)
-            self.fleet.publish(server)
-        elif step.change is ServerChange.RESTART:
-            server.stop()
-            await asyncio.sleep(step.seconds)
-            await server.start()
-            self.fleet.restarted(server)
-        else:
-            server.pause_accepting()
-            await asyncio.sleep(step.seconds)
-            server.resume_accepting()
+        match step.change:
+            case ServerChange.MOVE:
+                self._move(step.server, step.group_offset)
+            case ServerChange.DRAIN:
+                self.fleet.publish(server, "DRAINING")
+                await asyncio.sleep(step.seconds)
+                self.fleet.publish(server)
+            case ServerChange.RESTART:
+                server.stop()
+                await asyncio.sleep(step.seconds)
+                await server.start()
+                self.fleet.publish_restart(server)
+            case ServerChange.ACCEPT_LATE:
+                server.pause_accepting()
+                await asyncio.sleep(step.seconds)
+                server.resume_accepting()
 
     def _move(self, number: int, further: int) -> None:
-        """Move a server to the group of the one so many numbers further, and tell the directory."""
+        """Move a server to the group of the one so many numbers further, and publish it in the directory."""
         placement = self.servers[(number + further) % len(self.servers)].placements[-1]
         self.servers[number].move(placement.zone, placement.cell)
         self.fleet.publish(self.servers[number])
@@ -196,20 +167,12 @@
             result.requests += 1
             result.copies += sum(isinstance(event, CopyReceived) for event in events)
             if request.cls.effect is Effect.NON_IDEMPOTENT:
-                self._count(result, events)
-            if violations := find_violations(request.cls, events, self._placements, self.plan.hedging):
+                result.count_unsafe(events)
+            if violations := find_violations(
+                request.cls, events, self._placements, hedging=self.plan.hedging
+            ):
                 result.failures.append(
                     Failure(request_id, request.cls, violations, self.recorder.timeline(request_id))
                 )
         result.failures.sort(key=lambda failure: failure.violations[0].at)
         return result
-
-    @staticmethod
-    def _count(result: RunResult, events: list[Event]) -> None:
-        copies = {event.attempt for event in events if isinstance(event, CopyReceived)}
-        rejected_at = {event.attempt for event in events if isinstance(event, AttemptRejected)}
-        for event in events:
-            if isinstance(event, ResponseReceived):
-                result.unsafe_answers[event.code] += 1
-                if event.code not in CONCLUSIVE_CODES and not copies - rejected_at:
-                    result.needless_failures += 1
--- a/ochreflow/lab/duplicates/search.py
+++ b/ochreflow/lab/duplicates/search.py
@@ -4,27 +4,23 @@
 
 from collections.abc import Iterator
 from concurrent.futures import ProcessPoolExecutor, as_completed
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from pathlib import Path
 
-from .classes import Effect, RequestClass
+from ...errors import OchreflowError
 from .drawing import draw
 from .fault_groups import FaultGroup
-from .play import Failure, RunResult, play
+from .report import Totals, format_failure, format_result, format_timeline, format_totals
+from .result import RunResult
+from .run import run_plan
 
 PACKAGE_START = Path("ochreflow") / "__main__.py"
 CHECKOUT = Path(__file__).resolve().parents[3]
 MAX_LISTED_FAILURES = 3  # broken requests that are named under the line of a run
 
-PRINTED_EFFECTS = {
-    Effect.IDEMPOTENT: "SAFE",
-    Effect.IDEMPOTENT_WITH_KEY: "KEYED",
-    Effect.NON_IDEMPOTENT: "UNSAFE",
-}
 
-
-class SearchError(Exception):
-    """What was asked can't be played; the text says why in one line."""
+class SearchError(OchreflowError):
+    """A search that can't be run; the text says why in one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,32 +38,11 @@
     def check(self) -> None:
         """SearchError if it can't be played."""
         if not (self.program / PACKAGE_START).is_file():
-            raise SearchError(f"{self.program}: no checkout, it has no {PACKAGE_START}")
+            message = f"{self.program}: no checkout, it has no {PACKAGE_START}"
+            raise SearchError(message)
         if self.keep is not None and self.keep.exists() and not self.keep.is_dir():
-            raise SearchError(f"{self.keep}: no folder")
-
-
-@dataclass(slots=True)
-class Totals:
-    """What all runs came to."""
-
-    runs: int = 0
-    broken: list[int] = field(default_factory=list)  # seeds
-    requests: int = 0
-    copies: int = 0
-    answers: int = 0  # to unsafe requests
-    unproven: int = 0
-    needless_failures: int = 0
-
-    def add(self, result: RunResult) -> None:
-        self.runs += 1
-        self.requests += result.requests
-        self.copies += result.copies
-        self.answers += sum(result.unsafe_answers.values())
-        self.unproven += result.unproven
-        self.needless_failures += result.needless_failures
-        if result.broken:
-            self.broken.append(result.seed)
+            message = f"{self.keep}: no folder"
+            raise SearchError(message)
 
 
 def search(options: SearchOptions) -> int:
@@ -99,47 +74,4 @@
 
 def _play_seed(options: SearchOptions, seed: int) -> RunResult:
     keep = options.keep / f"seed-{seed}" if options.keep is not None else None
-    return play(draw(seed, options.seconds, options.fault_groups), options.program.resolve(), keep)
-
-
-def format_result(result: RunResult) -> str:
-    """What a person is shown of a run."""
-    outcome = "broken" if result.broken else "kept"
-    codes = ", ".join(f"{code}: {count}" for code, count in sorted(result.unsafe_answers.items()))
-    text = (
-        f"seed {result.seed:<5} {outcome:<6} {len(result.failures)} of {result.requests} requests broke it,"
-        f" {result.copies} copies; unsafe {{{codes}}}, {result.needless_failures} of them failed needlessly"
-    )
-    return "\n".join([text, *(f"      {crash}" for crash in result.crashed)])
-
-
-def format_failure(failure: Failure) -> str:
-    """A request that broke the rule, and how."""
-    first = failure.violations[0]
-    return f"{failure.request_id} {failure.cls.name}: {first.kind.value} at {first.at:.4f} s, {first.text}"
-
-
-def format_timeline(failure: Failure) -> str:
-    """The events of a request in order."""
-    events = "\n".join(f"      {event.at:9.4f}  {event}" for event in failure.timeline)
-    return f"      Events of {failure.request_id} ({format_class(failure.cls)}):\n{events}"
-
-
-def format_class(cls: RequestClass) -> str:
-    """A request class in the form that reports have had from the first, with the words of that time."""
-    return (
-        f"RequestClass(name={cls.name!r},"
-        f" effect=<Effect.{PRINTED_EFFECTS[cls.effect]}: {cls.effect.value!r}>,"
-        f" deadline={cls.deadline!r}, scope={cls.scope!r}, window={cls.window!r})"
-    )
-
-
-def format_totals(totals: Totals) -> str:
-    """The sums of all runs."""
-    answers = max(totals.answers, 1)
-    seeds = f": {', '.join(map(str, sorted(totals.broken)))}" if totals.broken else ""
-    return (
-        f"{len(totals.broken)} of {totals.runs} runs broke the rule{seeds}\n"
-        f"{totals.requests} requests, {totals.copies} copies; of {totals.answers} answers to unsafe requests"
-        f" {totals.unproven / answers:.3f} may have run, {totals.needless_failures / answers:.4f} needlessly"
-    )
+    return run_plan(draw(seed, options.seconds, options.fault_groups), options.program.resolve(), keep)
--- /dev/null
+++ b/ochreflow/lab/duplicates/sidecar_config.py
@@ -0,0 +1,95 @@
+"""The configuration of a sidecar and the directory's entries, in the platform's words."""
+
+from __future__ import annotations
+
+from ..platform_config import HOST, NODE_TYPE, NS_PER_MS, RESOURCE_LIMITS, ZONES
+from .plan import Plan
+from .server import Server
+
+NS_PER_S = 1_000_000_000
+MS_PER_S = 1000
+OBJECTIVE_SHARE = 0.5  # of a deadline is the latency objective
+SEEDS_PER_RUN = 100  # so that no two sidecars of neighbouring runs have one seed
+
+
+def directory_entry(server: Server, status: str = "SERVING", since_ms: int = 0) -> dict[str, object]:
+    """A server as the directory lists it."""
+    placement = server.placements[-1]
+    return {
+        "name": f"server-{server.number}",
+        "address": f"{HOST}:{server.port}",
+        "zone": ZONES[placement.zone],
+        "type": NODE_TYPE,
+        "group": placement.cell,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": since_ms,
+    }
+
+
+def sidecar_configuration(
+    plan: Plan,
+    number: int,
+    *,
+    listen: tuple[str, int],
+    directory_address: str,
+    entries: list[dict[str, object]],
+) -> dict[str, object]:
+    """The configuration of the sidecar of this number, which knows these servers from the first."""
+    host, port = listen
+    return {
+        "name": f"sidecar-{number}",
+        "listen": f"{host}:{port}",
+        "management": f"{HOST}:0",
+        "discovery": directory_address,
+        "seed": f"{plan.seed * SEEDS_PER_RUN + number + 1:x}",
+        "limits": {"cores": 1.0, **RESOURCE_LIMITS},
+        "known": {"index": 0, "snapshot": True, "endpoints": entries},
+        "settings": _settings(plan, number),
+    }
+
+
+def _settings(plan: Plan, number: int) -> dict[str, object]:
+    """The settings in the platform's form."""
+    classes = [
+        {
+            "name": cls.name,
+            "deadline-ns": round(cls.deadline * MS_PER_S) * NS_PER_MS,
+            "objective-ns": round(cls.deadline * OBJECTIVE_SHARE * MS_PER_S) * NS_PER_MS,
+            "repeat": cls.effect.value,
+            "key-scope": cls.scope.value,
+            "window-ns": round(cls.window * MS_PER_S) * NS_PER_MS,
+            "points": 1.0,
+            "late-value": 0.0,
+            "stream": False,
+        }
+        for cls in plan.classes
+    ]
+    return {
+        "accounts": [],
+        "ceilings": {
+            "cancel": True,
+            "conn-idle-ns": 60 * NS_PER_S,
+            "connect-timeout-ns": round(plan.connect_timeout * MS_PER_S) * NS_PER_MS,
+            "max-retry-after-ns": 2 * NS_PER_S,
+            "retry-after": True,
+            "second-copies": plan.hedging,
+            "send-cap": plan.max_attempts,
+        },
+        "classes": classes,
+        "dcs": ZONES,
+        "kinds": [NODE_TYPE],
+        "my-zone": number % len(ZONES),
+        "index": number,
+        "discovery": "ask",
+        "fleet-size": plan.sidecars,
+        "rules": {
+            "must-ask-in-ns": 10 * NS_PER_S,
+            "drain-grace-ns": 500 * NS_PER_MS,
+            "start-capacity": 0.9,
+            "warm-within-ns": NS_PER_S,
+            "overload-factor": 50.0,
+            "overload-for-ns": 3 * NS_PER_S,
+        },
+        "tick-ns": 5 * NS_PER_MS,
+    }
--- a/ochreflow/lab/fault/proxy.py
+++ b/ochreflow/lab/fault/proxy.py
@@ -12,10 +12,9 @@
 from .datagrams import DatagramMachine
 from .script import DATAGRAM_FAULTS, STREAM_FAULTS, Fault, ScriptError, Side, read_faults
 from .stream import StreamMachine
-from .stream_proxy import ConnectionEnd, ProxiedConnection
+from .stream_proxy import Address, ConnectionEnd, ProxiedConnection
 from .transcript import Transcript
 
-Address = tuple[str, int]
 BACKLOG = 512
 
 
--- a/ochreflow/lab/fault/stream_proxy.py
+++ b/ochreflow/lab/fault/stream_proxy.py
@@ -3,19 +3,17 @@
 from __future__ import annotations
 
 import asyncio
-import socket
-import struct
 from collections import deque
 from collections.abc import Callable
 from typing import cast
 
+from ..socket_reset import reset_when_closed
 from .script import Side
 from .stream import Action, Close, Forward, HalfClose, StreamMachine, Wait
 
 Address = tuple[str, int]
 MAX_BUFFERED_BYTES = 256 * 1024  # on their way in one direction before its sender is read no further
 RESUME_BELOW_BYTES = 64 * 1024
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with no time: a close resets
 
 
 class ProxiedConnection:
@@ -184,8 +182,7 @@
         if (transport := self._open_transport) is None:
             return
         if reset:
-            sock = transport.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            reset_when_closed(transport.get_extra_info("socket"))
             transport.abort()
         else:
             transport.close()
--- a/tests/test_duplicate_search.py
+++ b/tests/test_duplicate_search.py
@@ -29,7 +29,8 @@
     ServerPlan,
     SidecarChange,
 )
-from ochreflow.lab.duplicates.play import play
+from ochreflow.lab.duplicates.report import format_timeline
+from ochreflow.lab.duplicates.run import run_plan
 from ochreflow.lab.duplicates.treatment import Ending, Treatment
 
 ROOT = Path(__file__).resolve().parents[1]
@@ -58,7 +59,7 @@
         ends = [stay.since for stay in stays[1:]] + [1e9]
         return [stay for stay, until in zip(stays, ends, strict=True) if stay.since <= end and until >= begin]
 
-    return [one.kind for one in find_violations(cls, events, stood, hedging)]
+    return [one.kind for one in find_violations(cls, events, stood, hedging=hedging)]
 
 
 # The judge: second copies
@@ -340,7 +341,7 @@
     ],
 )
 def test_what_cannot_be_searched_is_one_line_and_starts_nothing(arguments, capsys, monkeypatch):
-    monkeypatch.setattr(searching, "play", lambda *_: pytest.fail("it played"))
+    monkeypatch.setattr(searching, "run_plan", lambda *_: pytest.fail("it played"))
     assert main(["lab", "duplicates", *arguments]) == 2
     said = capsys.readouterr()
     assert said.out == ""
@@ -450,8 +451,8 @@
 @pytest.mark.xdist_group("real-time")
 @pytest.mark.parametrize("ending", [Ending.HALF_CLOSE, Ending.GARBAGE])
 def test_what_is_partly_written_when_its_server_ends_is_not_sent_again(ending):
-    result = play(partly_written(ending), ROOT)
-    assert [searching.format_timeline(failure) for failure in result.failures] == []
+    result = run_plan(partly_written(ending), ROOT)
+    assert [format_timeline(failure) for failure in result.failures] == []
     assert result.crashed == []
     assert result.copies >= len(partly_written(ending).requests)  # the rest did come, or nothing was tried
 
@@ -476,8 +477,8 @@
     ending = fixed_plan(
         200, treatment, (PLAIN,) * 4, disconnects_after=0.1, disconnect_mode=DisconnectMode.END_SENDING
     )
-    result = play(replace(ending, pairs=pairs), ROOT)
-    assert [searching.format_timeline(failure) for failure in result.failures] == []
+    result = run_plan(replace(ending, pairs=pairs), ROOT)
+    assert [format_timeline(failure) for failure in result.failures] == []
     assert result.copies == len(ending.requests) + 2 * len(pairs)
     assert result.unsafe_answers == {502: len(ending.requests), 200: len(pairs)}
 
@@ -486,8 +487,8 @@
 def test_no_drawn_run_breaks_the_rule():
     plans = [draw(seed, 2.5, frozenset(FaultGroup)) for seed in (2, 10)]
     with ProcessPoolExecutor(len(plans)) as pool:
-        results = list(pool.map(play, plans, [ROOT] * len(plans)))
+        results = list(pool.map(run_plan, plans, [ROOT] * len(plans)))
     for result in results:
-        assert [searching.format_timeline(failure) for failure in result.failures] == []
+        assert [format_timeline(failure) for failure in result.failures] == []
         assert result.crashed == []
         assert result.requests > 100
