--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -179,7 +179,7 @@
             self._forget(self.pending[event.id])
 
     def _on_stream(self, event: api.StreamStarted) -> None:
-        """An answer has begun: what its server needed for it is known, the rest is the client's pace."""
+        """A response has begun: its server's latency is known, the rest is the client's speed."""
         request = self.pending.get(event.id)
         if request is None:
             return
@@ -268,22 +268,22 @@
 
     def _end(self, request: PendingRequest) -> None:
         """Decide on the final response: a rejection, which invites a retry, or a failure."""
-        if self.safety_rules.may_refuse(request):
-            wait = 0
-            if self.ctx.settings.retry_after:
-                remaining_ns: float = max(request.deadline - self.ctx.now, 0)
-                until_objective = request.spec.objective_ns - request.age - self.latency.baseline[request.cls]
-                if until_objective > 0.0:
-                    remaining_ns = min(
-                        remaining_ns, until_objective
-                    )  # another try may still be in time; a later one hardly earns
-                ceiling = min(self.ctx.settings.max_retry_after_ns, remaining_ns * RETRY_AFTER_SHARE)
-                wait = int(ceiling * self.ctx.random.uniform(MIN_RETRY_AFTER_JITTER, 1.0))
-            self.ctx.actions.append(api.Reject(request.id, wait))
+        if self.safety_rules.may_reject(request):
+            retry_after_ns = self._retry_after_ns(request) if self.ctx.settings.retry_after else 0
+            self.ctx.actions.append(api.Reject(request.id, retry_after_ns))
         else:
             self.ctx.actions.append(api.Fail(request.id))
         self._forget(request)
 
+    def _retry_after_ns(self, request: PendingRequest) -> int:
+        remaining_ns: float = max(request.deadline - self.ctx.now, 0)
+        until_objective = request.spec.objective_ns - request.age - self.latency.baseline[request.cls]
+        if until_objective > 0.0:
+            # A retry may still be answered within the objective; a later one hardly earns anything.
+            remaining_ns = min(remaining_ns, until_objective)
+        ceiling = min(self.ctx.settings.max_retry_after_ns, remaining_ns * RETRY_AFTER_SHARE)
+        return int(ceiling * self.ctx.random.uniform(MIN_RETRY_AFTER_JITTER, 1.0))
+
     def _forget(self, request: PendingRequest) -> None:
         del self.pending[request.id]
         self._cancel_others(request, -1)
@@ -296,7 +296,7 @@
     def _on_overdue(self, request: PendingRequest, timer: ScheduledTimer) -> None:
         """An attempt is late: evidence against a silent server, and a retry if that one is ejected.
 
-        Guards against retry storms: at a server not known to be bad either the work is long, which a repeat
+        Guards against retry storms: at a server that is no outlier either the work is long, which a retry
         would not shorten, or all is slow, which it would make worse; and silence may be little traffic.
         """
         number = timer.attempt
@@ -309,7 +309,9 @@
             if not silent:
                 self.outlier_detector.write_off(server, AttemptKey(request.id, number))
         elif not silent:
-            self.limiter.record_latency(server, request.cls, self.ctx.now - sent)  # late news is no use
+            self.limiter.record_latency(
+                server, request.cls, self.ctx.now - sent
+            )  # known late, it is of no use
         else:  # one long piece of work must not condemn a server by itself
             server.answering = False
             self.outlier_detector.record_failure(server, OVERDUE_FAILURE_WEIGHT, MAX_EJECTED_SHARE_ON_SILENCE)
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -43,7 +43,8 @@
 MIN_CLASS_SHARE = 0.5
 
 # What a client's retry is still worth.
-PATIENCE_SMOOTHING = 0.01  # of the difference, for each shorter first try: how long clients wait for one try
+# Of the difference, for each shorter first attempt of a client: how long clients wait for one.
+CLIENT_TIMEOUT_SMOOTHING = 0.01
 SURE_BASELINES = 1.5  # baseline latencies before the objective: the answer comes in time
 HOPELESS_BASELINES = 0.5  # ... and it hardly ever does
 
@@ -61,7 +62,9 @@
     ) -> None:
         """Start without a limit, until the first update."""
         self.ctx, self.latency, self.tenant_quotas, self.endpoints = ctx, latency, tenant_quotas, endpoints
-        self.client_patience = [0.0] * len(latency.class_mean)  # how long clients wait for one try
+        self.client_timeout = [0.0] * len(
+            latency.class_mean
+        )  # ns that clients wait for one attempt, by class
         self.pressure = PRIOR_PRESSURE
         self.pressure_sum = self.pressure_count = 0.0
         self.pressure_at = self.limited_at = self.updated_at = 0
@@ -94,10 +97,10 @@
         # By its client: time spent in line here is not a retry's age.
         given = remaining_ns + event.waited_ns
         baseline = self.latency.baseline[event.cls]
-        span = self.client_patience[event.cls]
+        span = self.client_timeout[event.cls]
         if not event.is_retry:
-            span = max(given, span + PATIENCE_SMOOTHING * (given - span))
-            self.client_patience[event.cls] = span
+            span = max(given, span + CLIENT_TIMEOUT_SMOOTHING * (given - span))
+            self.client_timeout[event.cls] = span
         if given < span - 2 * self.ctx.settings.tick_ns:
             request.age = spec.deadline_ns - remaining_ns
             in_time = _likelihood(spec.objective_ns - request.age, baseline)
@@ -142,44 +145,49 @@
         self.completed_units = 0.0
         self.peak_inflight = max(self.endpoints.inflight, self.peak_inflight * PEAK_DECAY)
         self.decay()
+        ceiling = self._ceiling()
+        limit = self._step(min(self.limit, ceiling), ceiling, passed)
+        # Every sidecar keeps its part of a floor, so that all together leave a tired fleet nearly idle.
+        floor = MIN_LIMIT_PER_SERVER * self.endpoints.ready_count / self.ctx.settings.fleet_size
+        self.limit = max(limit, floor, 0.0 if self.endpoints.low_traffic else 1.0)
+        self._update_class_shares()
+
+    def _ceiling(self) -> float:
+        """Return the highest limit that the answers seen so far justify."""
         if self.ctx.now - self.first_update_at < self.ctx.shortest:
-            ceiling = UNTESTED_HEADROOM * (
-                self.peak_inflight + self.endpoints.ready_count
-            )  # no answers to go by yet
-        else:
-            # A limit that follows what is in flight lets a surge in before the first late answer.
-            spread = IDLE_SERVER_ALLOWANCE * self.endpoints.ready_count / self.ctx.settings.fleet_size
-            ceiling = SURGE_FACTOR * self.target_inflight + SURGE_ALLOWANCE + spread
-        limit = min(self.limit, ceiling)
+            # No answers to go by yet.
+            return UNTESTED_HEADROOM * (self.peak_inflight + self.endpoints.ready_count)
+        # A limit that follows what is in flight lets a surge in before the first late answer.
+        spread = IDLE_SERVER_ALLOWANCE * self.endpoints.ready_count / self.ctx.settings.fleet_size
+        return SURGE_FACTOR * self.target_inflight + SURGE_ALLOWANCE + spread
+
+    def _step(self, limit: float, ceiling: float, passed: int) -> float:
+        """Return the limit after the `passed` ns since the last update."""
         late = self.pressure > 1.0
         if late:  # what is above that binds nothing, and lowering it would not help
             limit = min(limit, max(self.peak_inflight, self.target_inflight))
-        bound = (
-            self.ctx.now - self.limited_at < 2 * self.update_interval_ns
-            or self.endpoints.inflight > limit / 2
-        )
-        if late or bound or self.endpoints.low_traffic:
-            # The gradient of latency, and room to queue for all sidecars together: where both are level it
-            # stays. In good times little in flight tells nothing of it, unless that is usual.
-            # Guards against a room made for many: who gets the traffic of many opened by 0.4 a second.
-            regains = self.endpoints.low_traffic and not late
-            headroom = limit if regains else math.sqrt(limit / self.ctx.settings.fleet_size)
-            opens = min(max(PROBING_PRESSURE / self.pressure, 1.0), MAX_GRADIENT)
-            found = limit * min(max(1.0 / self.pressure, MIN_GRADIENT), opens) + headroom
-            step = 1.0 - (1.0 - UPDATE_STEP) ** (
-                passed / self.update_interval_ns
-            )  # who rarely sends, rarely looks
-            limit = min(limit + step * (found - limit), ceiling)
-        # Every sidecar keeps its part of a floor, so that all together leave a tired fleet nearly idle.
-        floor = MIN_LIMIT_PER_SERVER * self.endpoints.ready_count / self.ctx.settings.fleet_size
-        self.limit = max(limit, floor, 0.0 if self.endpoints.low_traffic else 1.0)
+        recently_limited = self.ctx.now - self.limited_at < 2 * self.update_interval_ns
+        bound = recently_limited or self.endpoints.inflight > limit / 2
+        if not (late or bound or self.endpoints.low_traffic):
+            # In good times little in flight tells nothing of the limit, unless that is always so.
+            return limit
+        # The gradient of latency, and room to queue for all sidecars together: where both are level the limit
+        # stays. Guards against room made for many: with the traffic of many, a limit opened by 0.4 a second.
+        regains = self.endpoints.low_traffic and not late
+        headroom = limit if regains else math.sqrt(limit / self.ctx.settings.fleet_size)
+        max_gradient = min(max(PROBING_PRESSURE / self.pressure, 1.0), MAX_GRADIENT)
+        found = limit * min(max(1.0 / self.pressure, MIN_GRADIENT), max_gradient) + headroom
+        # A sidecar that rarely sends updates its limit rarely, and by more.
+        step: float = 1.0 - (1.0 - UPDATE_STEP) ** (passed / self.update_interval_ns)
+        return min(limit + step * (found - limit), ceiling)
+
+    def _update_class_shares(self) -> None:
         densities = [self.value_density(cls) for cls in range(len(self.latency.baseline))]
-        top = max(densities) or 1.0  # classes may all be worth nothing
+        highest = max(densities) or 1.0  # classes may all have no weight
         # What is shed first is soon the worst-served class, which the goal may weigh by itself.
-        cheap = MIN_CLASS_SHARE + (1.0 - MIN_CLASS_SHARE) * min(
-            CLASS_LEVELLING * self.ctx.settings.goal_worst_class, 1.0
-        )
-        self.class_share = [cheap + (1.0 - cheap) * value_density / top for value_density in densities]
+        levelled = min(CLASS_LEVELLING * self.ctx.settings.goal_worst_class, 1.0)
+        min_share = MIN_CLASS_SHARE + (1.0 - MIN_CLASS_SHARE) * levelled
+        self.class_share = [min_share + (1.0 - min_share) * density / highest for density in densities]
 
     def value_density(self, cls: int) -> float:
         """Return the priority weight of a class for the server time that it takes."""
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -15,7 +15,7 @@
 from .state_records import SECOND, Context, EndpointGroup, PendingRequest, Server
 
 SMOOTHING = 0.08  # weight of a new sample of one server: work varies far more than servers do
-# Estimates halve their distance to the mean in so many usual gaps between answers.
+# Estimates halve their distance to the mean in so many mean gaps between answers.
 ESTIMATE_HALF_LIFE_GAPS = 20.0
 STALE_HALF_LIFE = 4.0  # shortest deadlines after which a latency says half as much of the queue others made
 STALE_SHARPNESS = 2.0  # how much better than in proportion to speed: one of two drawn wins by its square
@@ -190,7 +190,7 @@
     def sample_pair(
         self, group: list[Server], request: PendingRequest, tried: Collection[Server]
     ) -> list[Server]:
-        """Up to two different servers of the group that may take this request now."""
+        """Return up to two different servers of the group that this request may be sent to now."""
         found: list[Server] = []
         size = len(group)
         if not size:
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -24,7 +24,7 @@
 
 # By the protocol: what discovery has counts as notified then, also after a failed call.
 LIST_DEADLINE_NS = 6 * SECOND
-# By the protocol: a call is answered or refused in this; so long a connect is tried.
+# By the protocol: a poll is answered or rejected within this; so long is a connect timeout.
 POLL_TIMEOUT_NS = 2 * SECOND
 
 
--- a/ochreflow/policy/interface.py
+++ b/ochreflow/policy/interface.py
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """Never changed: requests are judged by their class as it was when they were taken."""
+    """A class of requests. It never changes: a request is judged by its class as it was on arrival."""
 
     name: str
     objective_ns: int
@@ -151,11 +151,11 @@
     tenant: int
     deadline_ns: int  # on the clock
     key: int = 0
-    cost_ns: int = 0  # expected work; 0: not told
+    cost_ns: int = 0  # expected work; 0: unknown
     is_retry: bool = False
     is_write: bool = False
     uploading: bool = False  # its body is still coming: its deadline is set anew by `BodyUploaded`
-    waited_ns: int = 0  # since it had come, behind others of its client, before it was taken up
+    waited_ns: int = 0  # between its arrival and this event, behind others of its client
 
 
 @dataclass(slots=True)
@@ -242,7 +242,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final: surely had no harmful effect, a new try does no harm."""
+    """Final: the request has surely had no harmful effect, and a retry does no harm."""
 
     id: int
     retry_after_ns: int = 0
--- a/ochreflow/policy/latency.py
+++ b/ochreflow/policy/latency.py
@@ -3,8 +3,8 @@
 from .state_records import SECOND, Context
 
 CLASS_SMOOTHING = 0.03  # the class mean moves slower than any server, being the common yardstick
-UNKNOWN_LATENCY_SHARE = 0.25  # of the aim, the class yardstick before any answer
-BASELINE_AVERAGED_SAMPLES = 30  # answers of a class that are simply averaged into its usual latency
+UNKNOWN_LATENCY_SHARE = 0.25  # of the objective: the class mean before any answer
+BASELINE_AVERAGED_SAMPLES = 30  # answers of a class that are simply averaged into its baseline
 BASELINE_DEADLINES = 25.0  # shortest deadlines over which it moves then, slower than any trouble lasts
 # ... and this part of that under pressure, lest it never forgives a wrong start.
 BASELINE_DRIFT_UNDER_PRESSURE = 0.1
@@ -54,7 +54,7 @@
         self.baseline[cls] += step * (duration_ns - self.baseline[cls])
 
     def cost(self, cls: int) -> float:
-        """The work of a class against the mean of the classes, by its usual latency."""
+        """Return the work of a class in units of the classes' mean, by their baselines."""
         return self.baseline[cls] / self.mean_baseline()
 
     def mean_baseline(self) -> float:
--- a/ochreflow/policy/safety_rules.py
+++ b/ochreflow/policy/safety_rules.py
@@ -1,4 +1,4 @@
-"""Safety rules: every send passes `may_send`, its first byte `write_by`, every refusal `may_refuse`."""
+"""Safety rules: every send passes `may_send`, its first byte `write_by`, every rejection `may_reject`."""
 
 from .interface import Effect, Scope
 from .slow_start import SlowStart
@@ -40,7 +40,7 @@
         return end if self.ctx.now < end else 0
 
     def _window_end(self, request: PendingRequest, but: int) -> int:
-        """Until when servers drop a repeat of what may have run, by its first copy but for this one."""
+        """Return until when servers drop a retry of what may have run, by its first other attempt."""
         if request.spec.effect is not Effect.IDEMPOTENT_WITH_KEY:
             return NO_END
         begun = [
@@ -48,7 +48,7 @@
         ]
         return min(begun) + request.spec.window_ns - self.ctx.settings.tick_ns if begun else NO_END
 
-    def may_refuse(self, request: PendingRequest) -> bool:
+    def may_reject(self, request: PendingRequest) -> bool:
         """Whether a rejection, which invites the client to retry, does no harm."""
         spec = request.spec
         if spec.effect is Effect.IDEMPOTENT or (
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -15,7 +15,9 @@
     (Status.CONNECT_FAILED, Status.NOT_SENT)
 )  # ends of attempts that cost no server any work
 PROVES_NOT_RUN = UNWRITTEN | {Status.REJECTED}
-MAX_UNSENT_SHARE = 0.45  # of a request's time may pass with nothing sent, while another try is still of use
+MAX_UNSENT_SHARE = (
+    0.45  # of a request's time may pass with nothing sent, while another attempt is still of use
+)
 
 
 class AttemptState(Enum):
@@ -113,11 +115,11 @@
         self.ready = entry.state is State.READY
         self.started = entry.started_ns
         self.start_learned_at = now  # when this sidecar heard of that start
-        # Not heard from: counts at the mean, a cold one too, whose slow start protects it.
+        # Not heard from: counts at the mean, one that is warming up too, which slow start protects.
         self.relative_latency = 1.0
         self.samples = self.last_heard_at = self.last_alive_at = 0
         self.success_rate = 1.0  # smoothed part of its answers that are no errors
-        self.answering = True  # whether the latest news of it was an answer, if only an error
+        self.answering = True  # whether the latest attempt that ended was answered, if only by an error
         self.load, self.load_reported_at = 0.0, 0  # requests held, as last reported, and when
         self.latency_per_request = 0.0  # smoothed latency for each request held, in class means; 0: not known
         self.consecutive_failures, self.ejections, self.half_open_at = 0.0, 0, 0
@@ -158,11 +160,11 @@
         self.deadline = request.deadline_ns
         self.first_send_by = now + int(MAX_UNSENT_SHARE * (self.deadline - now))
         self.reached_server = False  # some attempt has reached a server
-        self.age = 0  # since the client's first try, as far as is known
+        self.age = 0  # ns since the client's first attempt, as far as is known
         self.attempts: list[Attempt] = []  # by number
         self.retries = 0  # delays waited so far
-        self.retry_paid = False  # the next repeat has been paid for
-        self.retry_scheduled = False  # a repeat waits in the timer heap
+        self.retry_paid = False  # the next retry has been paid for
+        self.retry_scheduled = False  # a retry waits in the timer heap
         self.streaming = False
         self.uploading = request.uploading  # its body still comes: no server works on it yet
         self.body_discarded = False  # its body can't be brought again
--- a/ochreflow/policy/tenant_quota.py
+++ b/ochreflow/policy/tenant_quota.py
@@ -20,15 +20,15 @@
         """Start without traffic."""
         self.ctx = ctx
         tenants = len(ctx.settings.tenants)
-        self.counts = [0.0] * tenants  # first tries since the shares were judged
-        self.request_rates = [0.0] * tenants  # first tries per second, smoothed
+        self.counts = [0.0] * tenants  # first attempts since the quotas were judged
+        self.request_rates = [0.0] * tenants  # first attempts per second, smoothed
         self.judged_at = 0
-        self.over_quota: list[float] = []  # the part of each tenant's traffic that is over its share
+        self.over_quota: list[float] = []  # the part of each tenant's traffic that is over its quota
         self.peer_rates: dict[int, tuple[int, list[float]]] = {}
-        self.rates = struct.Struct(f"<{tenants}I")  # the peers' message: first tries a second by tenant
+        self.rates = struct.Struct(f"<{tenants}I")  # the gossip: first attempts a second by tenant
 
     def count(self, tenant: int) -> None:
-        """Count a first try; now and then work out how much of each tenant's traffic is over its share."""
+        """Count a first attempt; now and then judge how much of each tenant's traffic is over its quota."""
         self.counts[tenant] += 1.0
         passed = self.ctx.now - self.judged_at
         if passed < QUOTA_UPDATE_INTERVAL * self.ctx.shortest:
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -218,7 +218,7 @@
 
 
 def broken_refusal_gate(monkeypatch):
-    monkeypatch.setattr(SafetyRules, "may_refuse", lambda self, request: True)
+    monkeypatch.setattr(SafetyRules, "may_reject", lambda self, request: True)
 
 
 def broken_list(monkeypatch):
