--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -32,7 +32,6 @@
     POLL,
     RETRY,
     Attempt,
-    AttemptKey,
     Context,
     InFlightAttempt,
     PendingRequest,
@@ -243,11 +242,11 @@
     def _count_in_flight(self, request: PendingRequest, server: Server, number: int) -> None:
         """Its server has the whole of an attempt: it is in flight from now on."""
         overdue = self.outlier_detector.overdue_after(server, request.cls, request.deadline - self.ctx.now)
-        server.in_flight[AttemptKey(request.id, number)] = InFlightAttempt(self.ctx.now, request.cls)
+        server.in_flight[request.id, number] = InFlightAttempt(self.ctx.now, request.cls)
         if not server.ejected:
             self.endpoints.inflight += 1
         due_ns = self.ctx.now + overdue
-        self.ctx.schedule(ScheduledTimer(due_ns, OVERDUE, request.id, attempt=number))
+        self.ctx.schedule(ScheduledTimer(due_ns, OVERDUE, request.id, 0, number))
 
     def _schedule_retry(self, request: PendingRequest) -> None:
         """Retry after a backoff; or end the request."""
@@ -305,9 +304,9 @@
             return
         server, sent = attempt.server, attempt.sent
         silent = server.last_alive_at <= sent
-        if timer.rechecked:
+        if timer.rechecks:
             if not silent:
-                self.outlier_detector.write_off(server, AttemptKey(request.id, number))
+                self.outlier_detector.write_off(server, (request.id, number))
         elif not silent:
             self.limiter.record_latency(
                 server, request.cls, self.ctx.now - sent
@@ -319,7 +318,7 @@
             self._retry_elsewhere(request, number)
         recheck_at = 2 * self.ctx.now - sent
         if recheck_at < request.deadline:
-            self.ctx.schedule(ScheduledTimer(recheck_at, OVERDUE, request.id, rechecked=True, attempt=number))
+            self.ctx.schedule(ScheduledTimer(recheck_at, OVERDUE, request.id, 1, number))
 
     def _retry_all_from(self, server: Server) -> None:
         """What waits at a server that has just been ejected is likely lost: do not wait it out."""
--- a/ochreflow/policy/outcome_recorder.py
+++ b/ochreflow/policy/outcome_recorder.py
@@ -14,7 +14,7 @@
     OutlierDetector,
 )
 from .slow_start import SlowStart
-from .state_records import SECOND, UNWRITTEN, AttemptKey, Context, Server
+from .state_records import SECOND, UNWRITTEN, Context, Server
 
 MIN_FAILURE_SAMPLE = 4.0  # class means that a failure counts at least: a fast error is no fast server
 REJECTION_SAMPLE = 3.0  # class means: a full server is alive, but to be left alone for a while
@@ -38,7 +38,7 @@
     def record_end(self, event: Outcome) -> Server | None:
         """Count an attempt as in flight no more, however it ended; return its server, if still known."""
         server = self.endpoints.servers.get(event.server)
-        attempt = AttemptKey(event.id, event.attempt)
+        attempt = (event.id, event.attempt)
         if server and attempt in server.in_flight:
             since_ns, cls = server.in_flight.pop(attempt)
             written_off = attempt in server.written_off
--- a/ochreflow/policy/slow_start.py
+++ b/ochreflow/policy/slow_start.py
@@ -6,8 +6,8 @@
 """
 
 from collections import defaultdict
-from enum import Enum
-from typing import NamedTuple
+from collections.abc import Mapping
+from typing import TypeVar
 
 from .endpoint_set import EndpointSet
 from .latency import LatencyEstimates
@@ -22,21 +22,10 @@
 BURST_S = 0.25  # seconds of the refill rate may be sent at once
 MIN_WARM_SHARE = 0.01  # of a server's capacity, however little the settings say
 
-
-class GroupScope(Enum):
-    """By what the servers of a group are alike."""
-
-    SIDE = 0  # all local or all remote
-    KIND = 1
-    CELL = 2
-
-
-class ServerGroup(NamedTuple):
-    """Names a group of servers that the list describes alike, on one side of the zone's border."""
-
-    remote: bool
-    scope: GroupScope
-    number: int = 0  # of the kind or the cell
+# Names servers that the list describes alike: whether they are remote, and the number of their kind or cell.
+# A bare pair, as it is made for each look at a server that is warming up.
+GroupKey = tuple[bool, int]
+Key = TypeVar("Key", bool, GroupKey)
 
 
 class SlowStart:
@@ -45,53 +34,48 @@
     def __init__(self, ctx: Context, latency: LatencyEstimates, endpoints: EndpointSet) -> None:
         """Start without knowing what warm servers carry."""
         self.ctx, self.latency, self.endpoints = ctx, latency, endpoints
-        # Own work a second of a warm server of each group; of a cell, as a part of its kinds'.
-        self.group_loads: dict[ServerGroup, float] = {}
-        self.group_loads_at = 0
+        # Own work a second of each warm server, in requests of mean work.
+        self.side_loads: dict[bool, float] = {}  # of all local, of all remote ones
+        self.kind_loads: dict[GroupKey, float] = {}
+        self.cell_loads: dict[GroupKey, float] = {}  # as a part of what the kinds of its servers carry
+        self.loads_at = 0
 
     def record_answer(self, server: Server, cls: int) -> None:
         """Count an answer in the load of its server; where no load is known, it earns tokens."""
         server.completed_work += self.latency.cost(cls)
-        self.update_group_loads()
-        if server.tokens_updated_at and not self.group_loads:
+        self.update_loads()
+        if server.tokens_updated_at and not self.side_loads:
             server.slow_start_tokens += TOKENS_PER_ANSWER * self.latency.cost(cls)
 
-    def update_group_loads(self) -> None:
+    def update_loads(self) -> None:
         """Learn the load of warm servers by group, of a cell as a part of its kinds'. None warm: it stays."""
-        passed = self.ctx.now - max(self.group_loads_at, self.endpoints.first_request_at)
+        passed = self.ctx.now - max(self.loads_at, self.endpoints.first_request_at)
         if passed < LOAD_UPDATE_INTERVAL * max(self.ctx.shortest, self.ctx.settings.warm_up_ns):
             return
         span = min(self.ctx.now - self.endpoints.first_request_at, self.ctx.settings.warm_up_ns) + 1
-        work_by_group: dict[ServerGroup, list[float]] = defaultdict(list)
+        work_by_side: dict[bool, list[float]] = defaultdict(list)
+        work_by_kind: dict[GroupKey, list[float]] = defaultdict(list)
+        work_by_cell: dict[GroupKey, list[float]] = defaultdict(list)
         for server in self.endpoints.local + self.endpoints.remote:
             if self.warm_share(server) >= 1.0:
-                side, kind, cell = self.groups(server)
-                work_by_group[side].append(server.completed_work)
-                work_by_group[kind].append(server.completed_work)
-                if known := self.group_loads.get(kind):
-                    work_by_group[cell].append(server.completed_work / known)
+                remote = server.zone != self.ctx.settings.zone
+                kind = (remote, server.kind)
+                work_by_side[remote].append(server.completed_work)
+                work_by_kind[kind].append(server.completed_work)
+                if known := self.kind_loads.get(kind):
+                    work_by_cell[remote, server.cell].append(server.completed_work / known)
             server.completed_work = 0.0
-        for group, each in work_by_group.items():
-            load = sum(each) / len(each) * SECOND / passed
-            known = self.group_loads.get(group, load)
-            self.group_loads[group] = known + min(passed / span, 1.0) * (load - known)
-        self.group_loads_at = self.ctx.now
-
-    def groups(self, server: Server) -> tuple[ServerGroup, ServerGroup, ServerGroup]:
-        """Return the groups of a server: its side of the zone's border, and there its kind and its cell."""
-        remote = server.zone != self.ctx.settings.zone
-        return (
-            ServerGroup(remote, GroupScope.SIDE),
-            ServerGroup(remote, GroupScope.KIND, server.kind),
-            ServerGroup(remote, GroupScope.CELL, server.cell),
-        )
+        weight = min(passed / span, 1.0)
+        _follow(self.side_loads, work_by_side, passed, weight)
+        _follow(self.kind_loads, work_by_kind, passed, weight)
+        _follow(self.cell_loads, work_by_cell, passed, weight)
+        self.loads_at = self.ctx.now
 
     def baseline_load(self, server: Server) -> float:
         """Return what others of its kind carry, less where its cell carries less; of its side, if none."""
-        side, kind, cell = self.groups(server)
-        return self.group_loads.get(kind, self.group_loads.get(side, 0.0)) * min(
-            self.group_loads.get(cell, 1.0), 1.0
-        )
+        remote = server.zone != self.ctx.settings.zone
+        load = self.kind_loads.get((remote, server.kind), self.side_loads.get(remote, 0.0))
+        return load * min(self.cell_loads.get((remote, server.cell), 1.0), 1.0)
 
     def drain_tokens(self, server: Server) -> None:
         """Empty the bucket of a server that rejected an attempt: that pushes it over too."""
@@ -142,3 +126,11 @@
                 need if self.ctx.random.random() * need < server.slow_start_tokens else 0.0
             )
         return server.slow_start_tokens >= need
+
+
+def _follow(loads: dict[Key, float], work: Mapping[Key, list[float]], passed: int, weight: float) -> None:
+    """Move the load of each group towards the mean of what its servers did in the `passed` ns."""
+    for group, each in work.items():
+        load = sum(each) / len(each) * SECOND / passed
+        known = loads.get(group, load)
+        loads[group] = known + weight * (load - known)
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -49,15 +49,13 @@
     due_ns: int
     kind: TimerKind
     request_id: int = 0
-    rechecked: bool = False  # the attempt was overdue before
+    rechecks: int = 0  # how often the attempt was overdue before: 0 or 1
     attempt: int = 0
 
 
-class AttemptKey(NamedTuple):
-    """Names an attempt: its request, and its number within that request."""
-
-    request_id: int
-    attempt: int
+# Names an attempt: the id of its request, and its number within that request. A bare pair, as one is made for
+# each attempt and each outcome.
+AttemptKey = tuple[int, int]
 
 
 class InFlightAttempt(NamedTuple):
--- a/tests/test_little.py
+++ b/tests/test_little.py
@@ -15,7 +15,7 @@
     State,
     Status,
 )
-from ochreflow.policy.state_records import AttemptKey, InFlightAttempt
+from ochreflow.policy.state_records import InFlightAttempt
 
 
 def make(**more):
@@ -186,4 +186,4 @@
     """An attempt at this server, whatever the pick would say."""
     balancer.handle(now, request(ident, now))
     balancer.pending[ident].attempts[-1][0].in_flight.pop((ident, 0), None)
-    server.in_flight[AttemptKey(ident, 0)] = InFlightAttempt(now, 0)
+    server.in_flight[ident, 0] = InFlightAttempt(now, 0)
