--- a/ochreflow/app/overlap.py
+++ b/ochreflow/app/overlap.py
@@ -54,14 +54,14 @@
     async def start(self) -> object:
         """Listen, link to who is there, and return the list that the newest of them has, if any."""
         if len(os.fsencode(self.path)) > PATH_MOST:
-            log.warning("overlap_unseen", reason=f"the name {self.path} is too long")
+            log.warning("hot_restart_unavailable", reason=f"the name {self.path} is too long")
             return None
         with contextlib.suppress(OSError):
             self.path.unlink()  # of an earlier process of this number
         try:
             self.server = await self.loop.create_unix_server(lambda: Link(self), str(self.path))
         except OSError as error:
-            log.warning("overlap_unseen", reason=str(error))
+            log.warning("hot_restart_unavailable", reason=str(error))
             return None
         others = [path for path in self.folder.glob(f"{PREFIX}*{SUFFIX}") if path != self.path]
         links = [link for path in others if (link := await self._connect(path)) is not None]
@@ -143,7 +143,7 @@
             try:
                 self._read(json.loads(line))
             except (ValueError, TypeError, KeyError, AttributeError, RecursionError):
-                log.warning("overlap_unreadable")
+                log.warning("hot_restart_message_invalid")
                 self.close()
                 return
         if len(self.buffer) > LINE_MOST:
@@ -154,7 +154,7 @@
             self.pid = int(message["pid"])
             self.handed = message["list"]
             self.books = message.get("known")  # versions before this one do not tell any
-            log.info("overlap_began", process=self.pid)
+            log.info("hot_restart_peer_connected", process=self.pid)
             if not self.greeted.done():
                 self.greeted.set_result(None)
         descriptors, clients, memory = (max(int(part), 0) for part in message["holds"])
@@ -166,7 +166,7 @@
         if not self.greeted.done():
             self.greeted.set_result(None)
         if self.pid is not None:
-            log.info("overlap_ended", process=self.pid)
+            log.info("hot_restart_peer_disconnected", process=self.pid)
         self.overlap.changed()
 
     def write(self, message: dict) -> None:
--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -52,7 +52,7 @@
     try:
         return parse_endpoint_update(data, names)
     except ListError as error:
-        log.warning("handed_list_unreadable", reason=str(error))
+        log.warning("inherited_list_invalid", reason=str(error))
         return None
 
 
--- a/ochreflow/app/reload.py
+++ b/ochreflow/app/reload.py
@@ -109,7 +109,7 @@
             try:
                 await self._take()
             except ConfigError as error:
-                log.warning("reload_refused", reason=str(error))
+                log.warning("reload_rejected", reason=str(error))
             if not self.again:
                 return
 
@@ -127,7 +127,7 @@
         self.sidecar.reload(config)
         if changed:
             self.take_options(options, sink)
-            log.info("reload_taken", changed=", ".join(changed))
+            log.info("reload_applied", changed=", ".join(changed))
 
     def take_options(self, options: Options, sink: Sink) -> None:
         self.options = options
--- a/ochreflow/core/actions.py
+++ b/ochreflow/core/actions.py
@@ -62,7 +62,7 @@
             case api.Fetch():
                 self.fetch()
             case api.Log():
-                log.info("module", said=action.text)
+                log.info("balancer_message", message=action.text)
             case _:
                 assert_never(action)
 
--- a/ochreflow/core/endpoints.py
+++ b/ochreflow/core/endpoints.py
@@ -96,7 +96,7 @@
         if update.complete:
             named = {entry.endpoint.server for entry in update.entries}
             for server in [server for server in self.listed if server not in named]:
-                log.info("server_left", server=server, name=self.listed[server].name)
+                log.info("server_removed", server=server, name=self.listed[server].name)
                 self._remove(server, self.listed[server])
         for entry in update.entries:
             self._apply_entry(entry)
@@ -109,11 +109,11 @@
             if state is State.REMOVED:
                 return
             host, port = entry.address
-            log.info("server_known", name=entry.name, server=server, host=host, port=port)
+            log.info("server_added", name=entry.name, server=server, host=host, port=port)
         else:
             was_ready = known.endpoint.state is State.READY
             if was_ready != (state is State.READY):
-                log.info("server_state", name=entry.name, server=server, state=state.name.lower())
+                log.info("server_state_changed", name=entry.name, server=server, state=state.name.lower())
             if known.since_ms != entry.since_ms:
                 log.info("server_restarted", name=entry.name, server=server)
         if state is State.REMOVED:
--- a/ochreflow/core/fault_log.py
+++ b/ochreflow/core/fault_log.py
@@ -21,4 +21,4 @@
         """Log the exception that is being handled, with what failed because of it."""
         if monotonic() - self.logged_at >= MIN_INTERVAL_S:
             self.logged_at = monotonic()
-            log.exception("fault", reason=reason)
+            log.exception("internal_error", reason=reason)
--- a/ochreflow/core/lifecycle.py
+++ b/ochreflow/core/lifecycle.py
@@ -103,7 +103,7 @@
         if self.phase is Phase.DRAINING:
             self.phase = Phase.SERVING
             self._stop_closing_idle_connections()
-            log.info("undrained")
+            log.info("drain_cancelled")
         return True
 
     def _close_idle_connections(self) -> None:
--- a/ochreflow/core/log.py
+++ b/ochreflow/core/log.py
@@ -14,32 +14,32 @@
 # What each event says in plain words. A field that has no place in the words is not lost: `text` adds it.
 EVENTS = {
     "listening": "{name} listens at {host}:{port}",
-    "operators_listening": "operators are heard at {host}:{port}",
-    "draining": "draining: an operator empties this sidecar",
-    "undrained": "serving again: the drain was undone",
-    "terminating": "terminating: {clients} clients connected",
-    "server_known": "{name} is server {server} at {host}:{port}",
-    "server_state": "{name} ({server}) is {state}",
+    "management_listening": "management interface is at {host}:{port}",
+    "draining": "draining: requested by an operator",
+    "drain_cancelled": "drain cancelled: new requests are accepted again",
+    "terminating": "terminating: graceful shutdown with {clients} client connections open",
+    "server_added": "{name} is server {server} at {host}:{port}",
+    "server_state_changed": "{name} ({server}) is {state}",
     "server_restarted": "{name} ({server}) has restarted",
-    "server_left": "server {server} has left the list",
-    "directory_moved": "discovery is now at {host}:{port}",
-    "directory_failed": "discovery failed: {reason}",
-    "directory_overdue": "discovery has not answered a call in time: another one is made beside it",
-    "directory_back": "discovery answers again",
-    "handed_list_unreadable": "the list that was handed over is unreadable: {reason}",
-    "reload_refused": "the configuration stays as it was: {reason}",
-    "reload_taken": "the operator's file was read again: {changed}",
-    "overlap_unseen": "other processes of this sidecar are not seen: {reason}",
-    "overlap_unreadable": "another process said what can't be read; it is left alone",
-    "overlap_began": "process {process} serves beside this one",
-    "overlap_ended": "process {process} is gone",
-    "accept_paused": "no descriptor for another connection ({reason}): {closed} that waited closed, "
-    "none accepted for {seconds} s",
-    "connection_refused": "a connection from {address} was refused: {reason}",
-    "module": "{said}",
+    "server_removed": "server {server} was removed from the endpoint list",
+    "discovery_address_changed": "discovery is now at {host}:{port}",
+    "discovery_failed": "discovery failed: {reason}",
+    "discovery_poll_overdue": "discovery has not answered a poll in time: another one is sent beside it",
+    "discovery_recovered": "discovery has recovered",
+    "inherited_list_invalid": "the inherited endpoint list is invalid: {reason}",
+    "reload_rejected": "reload rejected, the configuration is unchanged: {reason}",
+    "reload_applied": "reload applied: {changed}",
+    "hot_restart_unavailable": "other processes of this sidecar can't be found: {reason}",
+    "hot_restart_message_invalid": "invalid message from another process: its connection is closed",
+    "hot_restart_peer_connected": "process {process} serves beside this one",
+    "hot_restart_peer_disconnected": "process {process} is gone",
+    "accept_paused": "no file descriptor left ({reason}): {closed} idle connections closed, "
+    "accepting paused for {seconds} s",
+    "connection_rejected": "connection from {address} rejected: {reason}",
+    "balancer_message": "{message}",
     "final_response": "{frontend} request {request} {outcome}: {reason}",
     "attempt": "{frontend} request {request} attempt {attempt} at server {server}: {status}",
-    "fault": "{reason}",
+    "internal_error": "{reason}",
 }
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 PER_SECOND = 100  # lines of one event; a list of servers may name some dozens at once
@@ -93,7 +93,7 @@
             return
         window[1] += 1
         if window[2]:
-            fields["held_back"] = int(window[2])
+            fields["suppressed"] = int(window[2])
             window[2] = 0
         self.sink(level, event, fields)
 
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -113,7 +113,7 @@
         """Whether the connection admission, if there is one, lets in a connection from this address."""
         refusal = self.admission.admit(monotonic(), client, host) if self.admission is not None else None
         if refusal is not None:
-            log.info("connection_refused", address=host, reason=refusal.value)
+            log.info("connection_rejected", address=host, reason=refusal.value)
             return False
         self.let_in.add(client)
         return True
--- a/ochreflow/http/management.py
+++ b/ochreflow/http/management.py
@@ -65,7 +65,7 @@
         if address is not None:
             server = await self.loop.create_server(self.call, *address, backlog=BACKLOG)
             host, port = server.sockets[0].getsockname()
-            log.info("operators_listening", host=host, port=port)
+            log.info("management_listening", host=host, port=port)
         if self.server is not None:
             self.server.close()
         self.server, self.address = server, address
--- a/ochreflow/membership/directory.py
+++ b/ochreflow/membership/directory.py
@@ -134,7 +134,7 @@
         """
         if self.closed or address == self.address:
             return
-        log.info("directory_moved", host=address[0], port=address[1])
+        log.info("discovery_address_changed", host=address[0], port=address[1])
         old, self.address = self.calls, address
         self.calls = self.calls_to(address)
         old.close()
@@ -182,7 +182,7 @@
         if number != self.round:
             return
         if not whole or self.doubtful:
-            log.info("directory_overdue", version=self.version)
+            log.info("discovery_poll_overdue", version=self.version)
         if not whole:
             self._new_round(True)
             return
@@ -262,9 +262,9 @@
         if self.failing != (news is None):
             self.failing = news is None
             if self.failing:
-                log.warning("directory_failed", reason=reason)
+                log.warning("discovery_failed", reason=reason)
             else:
-                log.info("directory_back")
+                log.info("discovery_recovered")
 
     def _take(self, news: EndpointUpdate | None) -> None:
         if news is not None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -238,13 +238,13 @@
             operators = f"{HOST}:{process.operators}"
             assert (await ask(process.port, message("lookup", "a"))).code == 200
             connections = [await asyncio.open_connection(HOST, process.port) for _ in range(4)]
-            await process.heard(b"refused: address has too many open")
+            await process.heard(b"rejected: address has too many open")
             output = await asyncio.to_thread(command, "admission", "show", operators)
             assert output.returncode == 0 and ", address has too many open" in output.stdout
             assert "caps of an address: 3 open" in output.stdout
             file.write_text(file.read_text().replace("open = 3", "open = 30"))
             process.process.send_signal(signal.SIGHUP)
-            await process.heard(b"read again: admission.open")
+            await process.heard(b"reload applied: admission.open")
             assert (await ask(process.port, message("lookup", "b"))).code == 200
             file.write_text(file.read_text().replace("on = true", "on = false"))
             process.process.send_signal(signal.SIGHUP)
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -297,8 +297,8 @@
     monkeypatch.setattr(log, "sink", lambda level, event, fields: said.append((level, event, fields)))
     run(play())
     assert said == [
-        ("warning", "directory_failed", {"reason": "answer 503"}),
-        ("info", "directory_back", {}),
+        ("warning", "discovery_failed", {"reason": "answer 503"}),
+        ("info", "discovery_recovered", {}),
     ]
 
 
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -173,7 +173,7 @@
             taken.close()
             sidecar.file.write_text(busy)
             sidecar.process.send_signal(signal.SIGHUP)
-            await sidecar.heard(rb"read again: operators.listen, clients.idle")
+            await sidecar.heard(rb"reload applied: operators.listen, clients.idle")
             assert (await ask(port, b"GET /healthcheck HTTP/1.1\r\n\r\n")).code == 200
             with pytest.raises(OSError):
                 await ask(old, b"GET /healthcheck HTTP/1.1\r\n\r\n")
@@ -235,20 +235,20 @@
     assert missing in done.stderr and "requirements-cli.txt" in done.stderr
 
 
-def test_one_event_is_bounded_and_what_was_held_back_is_counted():
+def test_one_event_is_bounded_and_what_was_suppressed_is_counted():
     now, said = [0.0], []
     log = Log(lambda level, event, fields: said.append((event, fields)), lambda: now[0])
     log.use(log.sink, "info", 3)
     for _ in range(10):
-        log.info("module", said="x")
+        log.info("balancer_message", message="x")
         log.debug("final_response")
     log.info("draining")
     now[0] = 1.0
-    log.info("module", said="y")
+    log.info("balancer_message", message="y")
     assert said == [
-        *[("module", {"said": "x"})] * 3,
+        *[("balancer_message", {"message": "x"})] * 3,
         ("draining", {}),
-        ("module", {"said": "y", "held_back": 7}),
+        ("balancer_message", {"message": "y", "suppressed": 7}),
     ]
 
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -84,7 +84,7 @@
     async def _read(self):
         """All of its log; what it says of its ports is noted."""
         async for line in self.process.stderr:
-            for name, before in (("operators", rb"heard at"), ("port", rb"listens at")):
+            for name, before in (("operators", rb"management interface is at"), ("port", rb"listens at")):
                 if match := re.search(before + rb" 127\.0\.0\.1:(\d+)", line):
                     setattr(self, name, int(match[1]))
             if match := re.search(rb'"port": (\d+), "event": "listening"', line):
@@ -492,7 +492,9 @@
             assert await sidecar.process.wait() == 0
             log = await sidecar.log
             assert b"Traceback" not in log and len(old.got) == 1
-            assert log.count(b"stays as it was") in (0, 1) and log.count(b"discovery is now at") == 1
+            assert (
+                log.count(b"configuration is unchanged") in (0, 1) and log.count(b"discovery is now at") == 1
+            )
 
     run(play())
 
