--- a/ochreflow/app/config.py
+++ b/ochreflow/app/config.py
@@ -11,7 +11,7 @@
 from ..core.limits import MB
 from ..core.ports import Address
 from ..errors import OchreflowError
-from ..membership.directory import ListError, parse_endpoint_update
+from ..membership.discovery import EndpointListError, parse_endpoint_update
 from ..policy.interface import Settings
 from ..policy.settings import Transport, nested_settings, nested_transport
 
@@ -69,7 +69,7 @@
         )
     except KeyError as error:
         raise ConfigError(f"{path}: {error} is missing") from None
-    except ListError as error:
+    except EndpointListError as error:
         raise ConfigError(f"{path}: known is unreadable: {error}") from None
     except (OSError, ValueError, TypeError, AttributeError, RecursionError) as error:
         raise ConfigError(f"{path}: {' '.join(str(error).split())}") from None
--- a/ochreflow/app/overlap.py
+++ b/ochreflow/app/overlap.py
@@ -22,7 +22,7 @@
 SUFFIX = ".sock"
 PATH_MOST = 100  # what an address of a Unix socket has room for
 LINE_MOST = 4 * 1024 * 1024
-ANSWER_WITHIN = 0.25  # seconds for the others to greet; without them a process starts all the same
+ANSWER_TIMEOUT_S = 0.25  # seconds for the others to greet; without them a process starts all the same
 TELL_EVERY = 0.1  # seconds between looks at what is held
 
 
@@ -66,7 +66,7 @@
         others = [path for path in self.folder.glob(f"{PREFIX}*{SUFFIX}") if path != self.path]
         links = [link for path in others if (link := await self._connect(path)) is not None]
         if links:
-            await asyncio.wait([link.greeted for link in links], timeout=ANSWER_WITHIN)
+            await asyncio.wait([link.greeted for link in links], timeout=ANSWER_TIMEOUT_S)
         self.books = [link.books for link in links if link.books is not None]
         lists = [link.handed for link in links if link.handed is not None]
         self._tell()
@@ -74,7 +74,7 @@
 
     async def _connect(self, path: Path) -> Link | None:
         try:
-            async with asyncio.timeout(ANSWER_WITHIN):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 _, link = await self.loop.create_unix_connection(lambda: Link(self), str(path))
         except (ConnectionRefusedError, FileNotFoundError):
             with contextlib.suppress(OSError):
--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -17,7 +17,7 @@
 from ..core.limits import Descriptors, Memory, Usage
 from ..core.log import log
 from ..http.management import Management
-from ..membership.directory import ListError, parse_endpoint_update
+from ..membership.discovery import EndpointListError, parse_endpoint_update
 from .config import Config, ConfigError, read_config
 from .reload import Options, Reloader
 from .sidecar import Sidecar
@@ -51,7 +51,7 @@
         return None
     try:
         return parse_endpoint_update(data, names)
-    except ListError as error:
+    except EndpointListError as error:
         log.warning("inherited_list_invalid", reason=str(error))
         return None
 
@@ -91,9 +91,9 @@
     loop.add_signal_handler(signal.SIGHUP, reloader.ask)
     try:
         if config.peer_listen is not None:
-            from ..membership.peers import Peers
+            from ..membership.gossip import Gossip
 
-            peers = Peers(config.settings.index, config.peers, config.peers_all, engine.on_gossip)
+            peers = Gossip(config.settings.index, config.peers, config.peers_all, engine.on_gossip)
             await loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
             engine.use_gossip(peers)
         await management.listen(options.operators or config.management)
--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -15,8 +15,8 @@
 from ..http.frontend import HttpFrontend
 from ..http.upstream import Upstreams
 from ..http.upstream_transport import HttpUpstreamTransport
-from ..membership.directory import Directory, format_endpoint_list
-from ..membership.silence import waits
+from ..membership.discovery import DiscoveryClient, format_endpoint_list
+from ..membership.timeouts import long_poll_timeouts
 from .config import Config
 
 CONNECT_WITHIN = 1.0  # seconds, where the settings name no time
@@ -55,7 +55,7 @@
         )
         self.upstream_transport = HttpUpstreamTransport(self.upstreams, settings.report_columns)
         self.http = HttpFrontend(self.engine, self.upstream_transport)
-        self.directory = Directory(
+        self.discovery = DiscoveryClient(
             loop,
             partial(HttpCalls, loop),
             config.discovery,
@@ -63,14 +63,14 @@
             known.version,
             self.engine.on_endpoint_update,
             pushed=not settings.polling_required,
-            waits=waits(settings.drain_grace_ns),
+            timeouts=long_poll_timeouts(settings.drain_grace_ns),
         )
-        self.engine.start(self.directory, known)
+        self.engine.start(self.discovery, known)
 
     def list_now(self) -> dict:
         """The list for a process that begins beside this one; an ending one may be long past its last."""
         return format_endpoint_list(
-            self.directory.version or 0, self.engine.endpoints.listed.values(), self.names
+            self.discovery.version or 0, self.engine.endpoints.listed.values(), self.names
         )
 
     def known_clients(self) -> object:
@@ -80,7 +80,7 @@
 
     def reload(self, config: Config) -> None:
         """Take what may change while running of a new configuration: the directory may have moved."""
-        self.directory.turn(config.discovery)
+        self.discovery.switch_address(config.discovery)
 
     def close(self) -> None:
         """Let go of all sockets."""
--- a/ochreflow/membership/peers.py
+++ b/ochreflow/membership/gossip.py
@@ -7,10 +7,10 @@
 
 from ..core.ports import Address
 
-DATAGRAM_MOST = 256
+MAX_DATAGRAM_BYTES = 256
 
 
-class Peers(asyncio.DatagramProtocol):
+class Gossip(asyncio.DatagramProtocol):
     """Sends to peers by their number and hands on what known ones send."""
 
     def __init__(
@@ -27,7 +27,7 @@
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         number = self.numbers.get((addr[0], addr[1]))
-        if number is not None and len(data) <= DATAGRAM_MOST:
+        if number is not None and len(data) <= MAX_DATAGRAM_BYTES:
             self.heard(number, data)
 
     def error_received(self, exc: Exception) -> None:
@@ -35,7 +35,7 @@
 
     def send(self, data: bytes, peer: int | None) -> None:
         # Guards against a message that is over the limit, which must not leave the machine.
-        if self.transport is None or self.transport.is_closing() or len(data) > DATAGRAM_MOST:
+        if self.transport is None or self.transport.is_closing() or len(data) > MAX_DATAGRAM_BYTES:
             return
         if peer is None:
             if self.everyone is not None:
--- a/tests/test_told.py
+++ b/tests/test_discovery_recovery.py
@@ -1,7 +1,7 @@
 """When a sidecar is told once discovery is back, and what all of them ask meanwhile: in simulated time.
 
 The module and the directory are the real ones; the loop and discovery are played. `PYTHONPATH=. python
-tests/test_told.py` prints the tables of `docs/design/discovery.md`.
+tests/test_discovery_recovery.py` prints the tables of `docs/design/discovery.md`.
 """
 
 import heapq
@@ -17,9 +17,14 @@
 from ochreflow import Balancer
 from ochreflow.core.endpoints import EndpointIds
 from ochreflow.http.calls import CONNECT_WITHIN
-from ochreflow.membership import directory
-from ochreflow.membership.directory import Directory
-from ochreflow.membership.silence import OVERDUE_LEAST, TOLD_AFTER, WAIT_MS, waits
+from ochreflow.membership import discovery
+from ochreflow.membership.discovery import DiscoveryClient
+from ochreflow.membership.timeouts import (
+    LONG_POLL_WAIT_MS,
+    MIN_STALL_TIMEOUT_S,
+    NOTIFIED_AFTER_S,
+    long_poll_timeouts,
+)
 from ochreflow.policy import endpoint_set as endpoint_set_module
 from ochreflow.policy.interface import ListKind, Membership, SetTimer, Timer, Watch
 
@@ -214,7 +219,7 @@
         self.balancer = Balancer(
             settings(polling_required=not pushed, fleet_size=fleet, drain_grace_ns=grace_ns), seed
         )
-        self.directory = Directory(
+        self.discovery = DiscoveryClient(
             loop,
             lambda address: Line(loop, registry[address]),
             "first",
@@ -222,14 +227,14 @@
             known,
             self.hear,
             pushed,
-            waits(grace_ns),
+            long_poll_timeouts(grace_ns),
         )
         self.post(Membership(ListKind.CACHED, known, []))
 
     def post(self, event):
         for action in self.balancer.handle(START + int(self.loop.now * SECOND), event):
             if isinstance(action, Watch):
-                self.directory.watch(action.on)
+                self.discovery.watch(action.on)
             elif isinstance(action, SetTimer):
                 after = -(-action.after_ns // 1_000_000) / 1000
                 self.loop.call_later(after, self.post, Timer(action.token))
@@ -277,21 +282,21 @@
     """So many calls of each sidecar in a row fall silent: how late, from the end of the first one's wait."""
     world = World(fleet, grace, nodes, answer=answer)
     world.loop.run(30.0)
-    began = [node.directory.called for node in world.nodes]
+    began = [node.discovery.polled_at for node in world.nodes]
     for node in world.nodes:
-        node.directory.calls = Deaf(world.loop, world.registry, in_a_row - 1)
+        node.discovery.transport = Deaf(world.loop, world.registry, in_a_row - 1)
     world.registry.fall_silent()
     world.registry.change()
     world.loop.run(150.0)
     told = [node.told.get(2, float("inf")) for node in world.nodes]
-    return max(at - since - WAIT_MS / 1000 for at, since in zip(told, began, strict=True))
+    return max(at - since - LONG_POLL_WAIT_MS / 1000 for at, since in zip(told, began, strict=True))
 
 
 def mute(fleet, grace, lasts, nodes=200, answer=0.02):
     """Open watches fall silent, calls are swallowed for so long: how far beyond its limit the last is told.
 
-    A change made at the return counts as told TOLD_IN later, or TOLD_AFTER beyond the wait of a watch that
-    was asked for before and is out still.
+    A change made at the return counts as told TOLD_IN later, or NOTIFIED_AFTER_S beyond the wait of a watch
+    that was asked for before and is out still.
     """
     world = World(fleet, grace, nodes, answer=answer)
     world.loop.run(30.0)
@@ -300,10 +305,10 @@
     back = 30.0 + lasts
     world.loop.run(back)
     world.registry.manner = "up"
-    waits_end = [node.directory.calls.watched + WAIT_MS / 1000 for node in world.nodes]
+    waits_end = [node.discovery.transport.watched + LONG_POLL_WAIT_MS / 1000 for node in world.nodes]
     world.registry.change()
     world.loop.run(back + 60.0)
-    limits = [max(back + TOLD_IN, end + TOLD_AFTER) + grace + SLACK for end in waits_end]
+    limits = [max(back + TOLD_IN, end + NOTIFIED_AFTER_S) + grace + SLACK for end in waits_end]
     told = [node.told.get(2, float("inf")) for node in world.nodes]
     return max(at - limit for at, limit in zip(told, limits, strict=True))
 
@@ -314,7 +319,7 @@
     world.second.manner, world.second.index = manner, 7
     world.loop.run(30.0)
     for node in world.nodes:
-        node.directory.turn("second")
+        node.discovery.switch_address("second")
     world.loop.run(30.0 + lasts)
     world.second.manner = "up"
     world.loop.run(90.0 + lasts)
@@ -327,7 +332,7 @@
     world.second.whole, world.second.each, world.second.index = whole, each, 7
     world.loop.run(30.0)
     for node in world.nodes:
-        node.directory.turn("second")
+        node.discovery.switch_address("second")
     world.loop.run(90.0)
     return world
 
@@ -386,24 +391,24 @@
 @pytest.mark.parametrize("grace", GRACES)
 @pytest.mark.parametrize("fleet", FLEETS)
 def test_two_silences_in_a_row_keep_what_was_missed_in_time(fleet, grace):
-    left = waits(int(grace * SECOND)).check_overdue  # for the answer to the one that is heard
-    assert left >= (TOLD_AFTER - OVERDUE_LEAST) / 2
-    for in_a_row, answer in ((1, TOLD_AFTER), (2, left)):
+    left = long_poll_timeouts(int(grace * SECOND)).resync_stall_s  # for the answer to the one that is heard
+    assert left >= (NOTIFIED_AFTER_S - MIN_STALL_TIMEOUT_S) / 2
+    for in_a_row, answer in ((1, NOTIFIED_AFTER_S), (2, left)):
         late = silences(fleet, grace, in_a_row, nodes=40, answer=min(answer, left))
-        assert late <= TOLD_AFTER + grace + SLACK
+        assert late <= NOTIFIED_AFTER_S + grace + SLACK
 
 
 @pytest.mark.parametrize("grace", GRACES)
 @pytest.mark.parametrize("fleet", FLEETS)
 def test_a_discovery_that_swallowed_calls_for_a_while_tells_in_time_when_it_is_back(fleet, grace):
-    answer = waits(int(grace * SECOND)).check_overdue
+    answer = long_poll_timeouts(int(grace * SECOND)).resync_stall_s
     for lasts in MUTES:
         assert mute(fleet, grace, lasts, nodes=40, answer=answer) <= 0.0
 
 
 def test_times_that_the_parts_count_on_agree():
-    assert endpoint_set_module.POLL_TIMEOUT_NS == TOLD_AFTER * SECOND == ANSWER * SECOND
-    assert CONNECT_WITHIN <= ANSWER < directory.ANSWER_WITHIN
+    assert endpoint_set_module.POLL_TIMEOUT_NS == NOTIFIED_AFTER_S * SECOND == ANSWER * SECOND
+    assert CONNECT_WITHIN <= ANSWER < discovery.ANSWER_TIMEOUT_S
     assert endpoint_set_module.LIST_DEADLINE_NS == TOLD_IN * SECOND
 
 
@@ -422,9 +427,9 @@
 def test_pushed_lists_are_asked_for_at_once_after_a_sighup():
     world = World(1, 4.0, 0)
     node = Node(world.loop, {"first": world.registry, "second": world.second}, 1, 4.0, 1, pushed=True)
-    node.directory.watch(True)
+    node.discovery.watch(True)
     world.loop.run(30.0)
-    node.directory.turn("second")
+    node.discovery.switch_address("second")
     world.loop.run(30.1)
     assert world.second.wholes == [30.0] and 1 in node.told
 
@@ -438,7 +443,7 @@
         world.registry.manner = world.second.manner = "503"
         for count in range(turns):
             for node in world.nodes:
-                node.directory.turn("first" if count % 2 else "second")
+                node.discovery.switch_address("first" if count % 2 else "second")
             world.loop.run(31.0 + count)
         world.loop.run(100.0)
         return a_second(world.second.calls, 50.0, 100.0)[0]
@@ -466,7 +471,7 @@
     registry, node = world.registry, world.nodes[0]
     (held,) = registry.waiting
     registry.fall_silent()
-    failed = node.directory.called + WAIT_MS / 1000 + node.directory.waits.overdue
+    failed = node.discovery.polled_at + LONG_POLL_WAIT_MS / 1000 + node.discovery.timeouts.poll_stall_s
     registry.manner = "503"
     world.loop.run(failed + late)
     registry.index = 2
@@ -503,7 +508,7 @@
     print("silence: the last told, in seconds after the first watch's wait; answers take 20 ms, then 1 s")
     for grace, fleet in itertools.product(GRACES, FLEETS):
         row = [silences(fleet, grace, n, answer=a) for a in (0.02, 1.0) for n in (1, 2, 3)]
-        print(grace, fleet, f"limit {TOLD_AFTER + grace + SLACK:.2f}", [round(v, 2) for v in row])
+        print(grace, fleet, f"limit {NOTIFIED_AFTER_S + grace + SLACK:.2f}", [round(v, 2) for v in row])
     print("swallowed calls: seconds of the last one told beyond its limit; answers take 20 ms, then 1 s")
     for grace, fleet in itertools.product(GRACES, FLEETS):
         row = [max(mute(fleet, grace, lasts, answer=a) for lasts in MUTES) for a in (0.02, 1.0)]
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -25,9 +25,9 @@
 from ochreflow.core.endpoints import EndpointIds
 from ochreflow.core.log import log
 from ochreflow.http.calls import HttpCalls
-from ochreflow.membership import directory, silence
-from ochreflow.membership.directory import Directory, ListError, parse_endpoint_update
-from ochreflow.membership.silence import TOLD_AFTER, Waits, waits
+from ochreflow.membership import discovery, timeouts
+from ochreflow.membership.discovery import DiscoveryClient, EndpointListError, parse_endpoint_update
+from ochreflow.membership.timeouts import NOTIFIED_AFTER_S, LongPollTimeouts, long_poll_timeouts
 from ochreflow.policy.interface import State
 
 
@@ -39,14 +39,16 @@
     return EndpointIds(["a", "b"], ["std"])
 
 
-USUAL = waits(2_500_000_000)
-SHORT = Waits(wait_ms=50, overdue=0.05, whole_overdue=0.1, check_overdue=0.1, pushed_again=1.0)
+USUAL = long_poll_timeouts(2_500_000_000)
+SHORT = LongPollTimeouts(
+    wait_ms=50, poll_stall_s=0.05, complete_list_stall_s=0.1, resync_stall_s=0.1, agent_retry_s=1.0
+)
 SLACK = 0.05  # seconds by which every limit grows on sockets
 
 
-def asking(fake, version, heard, waits=USUAL, pushed=False):
+def asking(fake, version, heard, times=USUAL, pushed=False):
     loop = asyncio.get_running_loop()
-    return Directory(loop, calls, (HOST, fake.port), names(), version, heard.append, pushed, waits)
+    return DiscoveryClient(loop, calls, (HOST, fake.port), names(), version, heard.append, pushed, times)
 
 
 def listing(index, *entries, snapshot=True):
@@ -110,15 +112,18 @@
 
 @pytest.mark.parametrize("grace_ns", [0, 50_000_000, 500_000_000, 2_500_000_000, 25_000_000_000])
 def test_after_a_silence_the_next_call_leaves_discovery_its_time_within_the_grace(grace_ns):
-    times = waits(grace_ns)
-    for wait, overdue in ((times.wait_ms / 1000, times.overdue), (0.0, times.whole_overdue)):
-        told = max(wait + TOLD_AFTER, 6.0)  # from the call on, where silence begins with it
-        assert wait + overdue + TOLD_AFTER <= told + grace_ns / 1e9 + SLACK
-    answer = times.check_overdue  # as much is left for an answer where the call beside is silent as well
-    assert times.overdue + times.check_overdue + answer <= TOLD_AFTER + grace_ns / 1e9 + SLACK
-    assert answer >= (TOLD_AFTER - silence.OVERDUE_LEAST) / 2
-    assert times.overdue < directory.ANSWER_WITHIN and times.whole_overdue < directory.ANSWER_WITHIN
-    assert times.pushed_again <= max(grace_ns / 1e9 / 2, 0.05)
+    times = long_poll_timeouts(grace_ns)
+    for wait, overdue in ((times.wait_ms / 1000, times.poll_stall_s), (0.0, times.complete_list_stall_s)):
+        told = max(wait + NOTIFIED_AFTER_S, 6.0)  # from the call on, where silence begins with it
+        assert wait + overdue + NOTIFIED_AFTER_S <= told + grace_ns / 1e9 + SLACK
+    answer = times.resync_stall_s  # as much is left for an answer where the call beside is silent as well
+    assert times.poll_stall_s + times.resync_stall_s + answer <= NOTIFIED_AFTER_S + grace_ns / 1e9 + SLACK
+    assert answer >= (NOTIFIED_AFTER_S - timeouts.MIN_STALL_TIMEOUT_S) / 2
+    assert (
+        times.poll_stall_s < discovery.ANSWER_TIMEOUT_S
+        and times.complete_list_stall_s < discovery.ANSWER_TIMEOUT_S
+    )
+    assert times.agent_retry_s <= max(grace_ns / 1e9 / 2, 0.05)
 
 
 def test_a_watch_that_falls_silent_is_opened_anew_before_its_call_times_out():
@@ -137,7 +142,7 @@
         heard = []
         watcher = asking(fake, 40, heard, SHORT)
         watcher.watch(True)
-        watcher.waits = USUAL  # only the first call is overdue soon
+        watcher.timeouts = USUAL  # only the first call is overdue soon
         await until(lambda: heard)
         assert heard[0].entries[0].endpoint.state is State.DRAINING and watcher.watching
         assert fake.connections >= 2 and fake.ended == 0  # the silent call is out still
@@ -170,7 +175,7 @@
         heard = []
         watcher = asking(fake, 40, heard, SHORT)
         watcher.watch(True)
-        watcher.waits = USUAL  # only the first call is overdue soon
+        watcher.timeouts = USUAL  # only the first call is overdue soon
         await until(lambda: len(fake.got) == 2)
         for event in (late, new) if late_first else (new, late):
             count = len(heard)
@@ -204,7 +209,7 @@
         heard = []
         watcher = asking(fake, None, heard, SHORT)
         watcher.watch(True)
-        watcher.waits = USUAL  # only the first call is overdue soon
+        watcher.timeouts = USUAL  # only the first call is overdue soon
         await until(lambda: heard)
         assert heard == [None] and not watcher.watching and len(fake.got) == 1
         if late:
@@ -238,11 +243,11 @@
         go = asyncio.Event()
         fake = await Fake(act).start()
         heard = []
-        watcher = Directory(
+        watcher = DiscoveryClient(
             asyncio.get_running_loop(), calls, (HOST, fake.port), names(), None, take, False, SHORT
         )
         watcher.watch(True)
-        watcher.waits = USUAL  # only the first call is overdue soon
+        watcher.timeouts = USUAL  # only the first call is overdue soon
         await until(lambda: heard)
         go.set()
         await until(lambda: len(heard) > 1)
@@ -269,7 +274,7 @@
         watcher = asking(fake, 40, heard, SHORT)
         watcher.watch(True)
         await until(lambda: heard)
-        watcher.waits = USUAL  # only the first two calls are overdue soon
+        watcher.timeouts = USUAL  # only the first two calls are overdue soon
         await until(lambda: len(fake.got) == 4)
         assert [told and told.version for told in heard] == [None, 41] and watcher.watching
         targets = [got.first.split()[1] for got in fake.got]
@@ -339,7 +344,7 @@
 
 
 def test_pushed_lists_are_watched_again_after_a_failure_unasked(tmp_path, monkeypatch):
-    monkeypatch.setattr(silence, "AGAIN_MOST", 0.01)
+    monkeypatch.setattr(timeouts, "MAX_RETRY_DELAY_S", 0.01)
 
     async def play():
         async def act(message, reader, writer):
@@ -353,7 +358,7 @@
         data = config(news(1), fake.address)
         data["settings"]["discovery"] = "push"
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            await until(lambda: sidecar.directory.version == 41)
+            await until(lambda: sidecar.discovery.version == 41)
         assert len(fake.got) >= 2
 
     run(play())
@@ -382,7 +387,7 @@
             held = asyncio.create_task(ask(sidecar.port, message("order", "ab")))
             await until(lambda: old.got)
             go.set()
-            await until(lambda: sidecar.directory.version == 2)
+            await until(lambda: sidecar.discovery.version == 2)
             for number in range(5):
                 assert (await ask(sidecar.port, message("order", f"id{number}"))).body == b"served "
             finish.set()
@@ -419,7 +424,7 @@
 def test_what_is_no_address_is_refused(text):
     with pytest.raises(ValueError):
         split_address(text)
-    with pytest.raises(ListError):
+    with pytest.raises(EndpointListError):
         parse_endpoint_update(news(1, entry("s1", text)), names())
 
 
@@ -474,7 +479,7 @@
 
 def test_an_unreadable_list_leaves_no_names_and_new_zones_are_bounded():
     known = names()
-    with pytest.raises(ListError):
+    with pytest.raises(EndpointListError):
         parse_endpoint_update(news(1, entry("s1", f"{HOST}:7", zone="new"), entry("s2", "nowhere")), known)
     assert not known.servers and len(known.zones) == 2
     for number in range(3000):
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -25,7 +25,7 @@
 from ochreflow.core import request_ids
 from ochreflow.core.limits import MB, Descriptors, Memory
 from ochreflow.http import clients, connection
-from ochreflow.membership.peers import Peers
+from ochreflow.membership.gossip import Gossip
 
 ID = b"X-Request-Id: ab\r\n"
 
@@ -305,7 +305,7 @@
         heard = []
 
         async def open_peer(index, peers):
-            peer = Peers(index, peers, None, lambda number, data: heard.append((number, data)))
+            peer = Gossip(index, peers, None, lambda number, data: heard.append((number, data)))
             transport, _ = await loop.create_datagram_endpoint(lambda: peer, local_addr=(HOST, 0))
             return peer, transport.get_extra_info("sockname")
 
