--- a/ochreflow/app/config.py
+++ b/ochreflow/app/config.py
@@ -11,7 +11,7 @@
 from ..core.limits import MB
 from ..core.ports import Address
 from ..errors import OchreflowError
-from ..membership.discovery import EndpointListError, parse_endpoint_update
+from ..membership.endpoint_list import EndpointListError, parse_endpoint_update
 from ..policy.interface import Settings
 from ..policy.settings import Transport, nested_settings, nested_transport
 
--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -17,7 +17,7 @@
 from ..core.limits import Descriptors, Memory, Usage
 from ..core.log import log
 from ..http.management import Management
-from ..membership.discovery import EndpointListError, parse_endpoint_update
+from ..membership.endpoint_list import EndpointListError, parse_endpoint_update
 from .config import Config, ConfigError, read_config
 from .reload import Options, Reloader
 from .sidecar import Sidecar
--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -15,7 +15,8 @@
 from ..http.frontend import HttpFrontend
 from ..http.upstream import Upstreams
 from ..http.upstream_transport import HttpUpstreamTransport
-from ..membership.discovery import DiscoveryClient, format_endpoint_list
+from ..membership.discovery import DiscoveryClient
+from ..membership.endpoint_list import format_endpoint_list
 from ..membership.timeouts import long_poll_timeouts
 from .config import Config
 
--- a/ochreflow/membership/__init__.py
+++ b/ochreflow/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of servers comes from."""
+"""Where endpoint lists come from: discovery's client, the form of its lists, and gossip between sidecars."""
--- a/ochreflow/membership/discovery.py
+++ b/ochreflow/membership/discovery.py
@@ -1,108 +1,38 @@
-"""The list of servers: what discovery's answers say, and the calls that ask for them."""
+"""The client of discovery: long polls for changes of the endpoint list, and requests for the complete list.
+
+A long poll (`?after=VERSION&wait_ms=N`) is held by discovery until there is a change. `timeouts` says when
+one that stays unanswered counts as stalled; a request for the complete list (a resync) is sent beside it.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import json
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from functools import partial
-from typing import Protocol
+from typing import TYPE_CHECKING
 
-from ..core.address import split_address
-from ..core.endpoints import EndpointIds, EndpointRecord, EndpointUpdate
+from ..core.endpoints import EndpointIds, EndpointUpdate
 from ..core.log import log
 from ..core.ports import Address
-from ..errors import OchreflowError
-from ..policy.interface import Endpoint, State
+from .answer_order import AnswerOrder
+from .endpoint_list import parse_endpoint_update
+from .stall_timer import StallTimer
 from .timeouts import LongPollTimeouts
 
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.REMOVED}
-ANSWER_TIMEOUT_S = 3.5  # seconds beyond a call's own wait: discovery works through calls in turn
-MIN_POLL_INTERVAL_S = 0.1  # seconds between calls that are answered at once with nothing new
-
-
-class EndpointListError(OchreflowError, ValueError):
-    """What came is no list of servers."""
-
-
-class DiscoveryTransport(Protocol):
-    """How a directory at one address is asked."""
-
-    def get(self, target: str, timeout_s: float, on_answer: Callable[[bytes | None, str], None]) -> None:
-        """Ask once; `on_answer` hears the answer, or None and the reason. Times in seconds."""
-        ...
-
-    def close(self) -> None: ...
-
-
-def parse_endpoint_update(data: object, ids: EndpointIds) -> EndpointUpdate:
-    """Read a list or a change of it, complete or not at all: an unreadable one leaves no names behind."""
-    try:
-        fields = _list_fields(data)
-        version, complete = int(fields["index"]), bool(fields["snapshot"])
-        entries = [_read_entry(entry) for entry in fields["endpoints"]]
-    except EndpointListError as error:
-        raise EndpointListError(f"ListError: {error}") from None  # operators know this word; it stays
-    except (KeyError, TypeError, ValueError, OverflowError, AttributeError) as error:
-        raise EndpointListError(f"{type(error).__name__}: {error}") from None
-    for record, zone, kind in entries:
-        endpoint = record.endpoint
-        endpoint.server = ids.server(record.name)
-        endpoint.zone, endpoint.kind = ids.zone(zone), ids.kind(kind)
-    return EndpointUpdate(version, complete, [record for record, _, _ in entries])
-
-
-def format_endpoint_list(version: int, entries: Iterable[EndpointRecord], ids: EndpointIds) -> dict:
-    """The whole list in the form that `read_news` reads."""
-    zones, kinds = ({number: name for name, number in known.items()} for known in (ids.zones, ids.kinds))
-    words = {state: word for word, state in STATES.items()}
-    return {
-        "index": version,
-        "snapshot": True,
-        "endpoints": [
-            {
-                "name": entry.name,
-                "address": f"{entry.address[0]}:{entry.address[1]}",
-                "zone": zones.get(entry.endpoint.zone, ""),
-                "type": kinds.get(entry.endpoint.kind, ""),
-                "group": entry.endpoint.cell,
-                "status": words[entry.endpoint.state],
-                "weight": entry.endpoint.weight,
-                "since_ms": entry.since_ms,
-            }
-            for entry in entries
-        ],
-    }
-
-
-def _list_fields(data: object) -> dict:
-    """The list's fields; EndpointListError if it has no entries."""
-    if not isinstance(data, dict) or not isinstance(data["endpoints"], list):
-        raise EndpointListError("no list of endpoints")
-    return data
-
-
-def _read_entry(entry: dict) -> tuple[EndpointRecord, str, str]:
-    """An entry without its numbers, with the names of its zone and kind."""
-    since_ms = int(entry.get("since_ms") or 0)
-    if since_ms < 0:
-        raise EndpointListError(f"since_ms is {since_ms}")
-    endpoint = Endpoint(
-        server=0,
-        zone=0,
-        kind=0,
-        cell=int(entry.get("group") or 0),
-        # A status of tomorrow is no invitation to send anything new.
-        state=STATES.get(entry["status"], State.DRAINING),
-        weight=float(entry.get("weight", 1.0)),
-        started_ns=since_ms * 1_000_000,
-    )
-    record = EndpointRecord(str(entry["name"]), endpoint, split_address(entry["address"]), since_ms)
-    return record, str(entry.get("zone", "")), str(entry.get("type", ""))
+if TYPE_CHECKING:
+    from .transport import DiscoveryTransport
+
+COMPLETE_LIST = "/api/targets"
+ANSWER_TIMEOUT_S = 3.5  # beyond a poll's own wait: discovery works through its requests one at a time
+MIN_POLL_INTERVAL_S = 0.1  # between polls that are answered at once without news
+
+UpdateHandler = Callable[[EndpointUpdate | None, str], None]
+"""Gets an update, or None and the reason of the failure."""
 
 
 class DiscoveryClient:
-    """Watches and fetches when told to; any failure is news of its own and ends no watcher for good."""
+    """Polls and fetches when the engine says so. A failure is passed on as an update of None."""
 
     def __init__(
         self,
@@ -112,35 +42,43 @@
         ids: EndpointIds,
         version: int,
         on_update: Callable[[EndpointUpdate | None], None],
+        *,
         pushed: bool,
         timeouts: LongPollTimeouts,
     ) -> None:
+        """Open a transport to `address`; nothing is sent before `watch` or `fetch`.
+
+        `version` is that of the list already known. `pushed`: discovery is an agent on the own machine that
+        pushes lists and has no caller but this one.
+        """
         self.loop = loop
         self.timeouts = timeouts
         self.connect = connect
         self.ids = ids
-        self.version: int | None = version  # None: a whole list is wanted first
+        self.order = AnswerOrder(version)
         self.on_update = on_update
         self.pushed = pushed
         self.watching = False
-        self.resync_pending = False  # the latest watch has fallen silent: a whole list shows who is there
-        self.watch_generation = (
-            0  # of watching: a call of an earlier one tells its update and goes on with nothing
-        )
-        self.stall_timer: asyncio.TimerHandle | None = None  # of the latest watch
-        self.answers_accepted = 0  # answers
-        self.polled_at = 0.0
+        self.resync_pending = False  # the latest poll has stalled: a complete list is asked for
+        # A poll of an earlier generation still brings its update, but no next poll follows it.
+        self.watch_generation = 0
+        self.stall_timer = StallTimer(loop)  # of the latest poll
+        self.polled_at = 0.0  # on the loop's clock, in seconds
         self.failing = False
         self.closed = False
         self.address = address
         self.transport = connect(address)
 
-    def switch_address(self, address: tuple[str, int]) -> None:
-        """Go over to another discovery at once, with a whole list first.
+    @property
+    def version(self) -> int | None:
+        """The version of the list that is known; None while a complete list is needed first."""
+        return self.order.version
 
-        Guards against the new one's index having begun anew, and against answers of the old one, which
-        counts no longer and soon closes its connections. When to ask the new one is up to the module, since
-        all sidecars turn at once; the agent on the own machine has one caller.
+    def switch_address(self, address: Address) -> None:
+        """Go over to another discovery at once, and ask it for a complete list first.
+
+        Its versions may start anew, and answers of the one before no longer count. When to poll the new one
+        is up to the balancer, since all sidecars switch at once; an agent on the own machine has one caller.
         """
         if self.closed or address == self.address:
             return
@@ -148,7 +86,7 @@
         old, self.address = self.transport, address
         self.transport = self.connect(address)
         old.close()
-        self.version = None
+        self.order.require_complete_list()
         self.watch(False)
         if self.pushed:
             self.watch(True)
@@ -156,139 +94,135 @@
             self.on_update(None)
 
     def watch(self, on: bool) -> None:
+        """Begin or stop long polling; no change if it is so already."""
         if on == self.watching:
             return
         self.watching = on
-        self._start_generation(False)
+        self._start_generation(resync=False)
+
+    def fetch(self) -> None:
+        """Ask once for the complete list."""
+        self._request(COMPLETE_LIST, ANSWER_TIMEOUT_S, self._on_fetch_answer)
 
-    def _start_generation(self, resync_pending: bool) -> None:
+    def close(self) -> None:
+        """Stop polling and close the connections; late answers are ignored."""
+        self.closed = True
+        self.watch(False)
+        self.transport.close()
+
+    # Long polls
+
+    def _start_generation(self, *, resync: bool) -> None:
         self.watch_generation += 1
-        self.resync_pending = resync_pending
-        if self.stall_timer is not None:
-            self.stall_timer.cancel()
-            self.stall_timer = None
+        self.resync_pending = resync
+        self.stall_timer.stop()
         if self.watching:
             self._next_poll(self.watch_generation)
 
-    def fetch(self) -> None:
-        self._request("/api/targets", ANSWER_TIMEOUT_S, self._on_fetch_answer)
-
     def _next_poll(self, generation: int) -> None:
         if generation != self.watch_generation:
             return
         self.polled_at = self.loop.time()
         complete = self.resync_pending or self.version is None
-        target, wait = "/api/targets", 0.0
+        target, wait_s = COMPLETE_LIST, 0.0
         if not complete:
             target += f"?after={self.version}&wait_ms={self.timeouts.wait_ms}"
-            wait, stall_s = self.timeouts.wait_ms / 1000, self.timeouts.poll_stall_s
+            wait_s, stall_s = self.timeouts.wait_ms / 1000, self.timeouts.poll_stall_s
+        elif self.resync_pending:
+            stall_s = self.timeouts.resync_stall_s
         else:
-            stall_s = (
-                self.timeouts.resync_stall_s if self.resync_pending else self.timeouts.complete_list_stall_s
-            )
-        self.stall_timer = self.loop.call_later(wait + stall_s, self._on_stall, generation, complete)
-        self._request(target, wait + ANSWER_TIMEOUT_S, partial(self._on_watch_answer, generation))
-
-    def _on_stall(self, generation: int, complete: bool) -> None:
-        """A call has not answered in time: what it still says is taken, but it is not waited for."""
+            stall_s = self.timeouts.complete_list_stall_s
+        self.stall_timer.start(wait_s + stall_s, partial(self._on_stall, generation, complete=complete))
+        self._request(target, wait_s + ANSWER_TIMEOUT_S, partial(self._on_poll_answer, generation))
+
+    def _on_stall(self, generation: int, *, complete: bool) -> None:
+        """Stop waiting for a poll that has not answered in time; what it answers later is still applied."""
         if generation != self.watch_generation:
             return
         if not complete or self.resync_pending:
             log.info("discovery_poll_overdue", version=self.version)
         if not complete:
-            self._start_generation(True)
+            self._start_generation(resync=True)
             return
         if self.resync_pending:
-            # The module counts from now on, so a call begins now; its answer is one that is late.
-            self._request("/api/targets", ANSWER_TIMEOUT_S, partial(self._on_watch_answer, generation))
+            # The balancer counts its time from the failure on, so one more request begins now.
+            self._request(COMPLETE_LIST, ANSWER_TIMEOUT_S, partial(self._on_poll_answer, generation))
         self._on_failure("no answer")
 
-    def _request(
-        self, target: str, timeout_s: float, on_answer: Callable[[EndpointUpdate | None, str], None]
-    ) -> None:
-        transport, accepted_before = self.transport, self.answers_accepted
+    def _on_poll_answer(self, generation: int, update: EndpointUpdate | None, reason: str) -> None:
+        if generation != self.watch_generation:
+            if update is not None:
+                self._accept_late(update)
+            return
+        self.stall_timer.stop()
+        if update is None:
+            self._on_failure(reason)
+            return
+        self._log_transition(update, reason)
+        self.resync_pending = False
+        try:
+            self._accept(update)
+        finally:
+            self._schedule_next_poll(generation, update)
+
+    def _schedule_next_poll(self, generation: int, update: EndpointUpdate) -> None:
+        """Poll again: at once after news, else not before `MIN_POLL_INTERVAL_S`, so as to spin on no agent.
+
+        The protocol lets 200 ms pass between two polls of one watch.
+        """
+        pause_s = 0.0 if update.entries else MIN_POLL_INTERVAL_S - (self.loop.time() - self.polled_at)
+        if pause_s > 0.0:
+            self.loop.call_later(pause_s, self._next_poll, generation)
+        else:
+            self._next_poll(generation)
+
+    def _accept_late(self, update: EndpointUpdate) -> None:
+        """Apply the answer to a poll that was given up: discovery counts this sidecar as notified."""
+        try:
+            self._accept(update)
+        finally:
+            self.watch(True)  # the balancer counts on a watch from this update on
+
+    # Requests and their answers
+
+    def _request(self, target: str, timeout_s: float, on_answer: UpdateHandler) -> None:
+        transport, accepted_before = self.transport, self.order.answers_accepted
 
         def answered(body: bytes | None, reason: str) -> None:
             if transport is not self.transport or self.closed:
-                return  # an answer of a directory that has been left
+                return  # an answer from the address before
             update = None
             if body is not None:
                 try:
-                    update = self._check_order(
-                        parse_endpoint_update(json.loads(body), self.ids), accepted_before
-                    )
+                    parsed = parse_endpoint_update(json.loads(body), self.ids)
+                    update = self.order.check(parsed, accepted_before)
                 except (ValueError, RecursionError) as error:
                     reason = str(error)
             on_answer(update, reason)
 
         transport.get(target, timeout_s, answered)
 
-    def _check_order(self, update: EndpointUpdate, accepted_before: int) -> EndpointUpdate:
-        """Guards the list against answers that come after a newer one to a later call."""
-        if self.version is None:
-            if not update.complete:
-                raise EndpointListError("changes came in place of the whole list")
-        elif update.version < self.version:
-            if accepted_before != self.answers_accepted:
-                return EndpointUpdate(self.version, False, [])
-            if not update.complete:
-                self.version = None
-                raise EndpointListError("the index went back")
-        return update
-
-    def _on_watch_answer(self, generation: int, update: EndpointUpdate | None, reason: str) -> None:
-        if generation != self.watch_generation:
-            if update is not None:
-                try:
-                    self._accept(update)  # it was written to this sidecar, so it counts as told
-                finally:
-                    self.watch(True)  # the module takes it for watching from here on
-            return
-        if self.stall_timer is not None:
-            self.stall_timer.cancel()
-            self.stall_timer = None
-        if update is None:
-            self._on_failure(reason)
-            return
+    def _on_fetch_answer(self, update: EndpointUpdate | None, reason: str) -> None:
         self._log_transition(update, reason)
-        self.resync_pending = False
-        try:
-            self._accept(update)
-        finally:
-            # Guards against asking an agent in a tight loop; a pause within 200 ms ends no watch.
-            pause = 0.0 if update.entries else MIN_POLL_INTERVAL_S - (self.loop.time() - self.polled_at)
-            if pause > 0.0:
-                self.loop.call_later(pause, self._next_poll, generation)
-            else:
-                self._next_poll(generation)
+        self._accept(update)
 
     def _on_failure(self, reason: str) -> None:
         self._log_transition(None, reason)
         self.watch(False)
-        if self.pushed:  # nobody asks the agent but this; the module only waits for what it tells
+        if self.pushed:  # the balancer only waits for what an agent pushes: nobody else polls it again
             self.loop.call_later(self.timeouts.agent_retry_s, self.watch, True)
         self._accept(None)
 
-    def _on_fetch_answer(self, update: EndpointUpdate | None, reason: str) -> None:
-        self._log_transition(update, reason)
-        self._accept(update)
+    def _accept(self, update: EndpointUpdate | None) -> None:
+        if update is not None:
+            self.order.accept(update)
+        self.on_update(update)
 
     def _log_transition(self, update: EndpointUpdate | None, reason: str) -> None:
-        """Log the first failure and the recovery: an outage lasts, and what it says does not change."""
+        """Log only the first of several failures, and the recovery."""
         if self.failing != (update is None):
             self.failing = update is None
             if self.failing:
                 log.warning("discovery_failed", reason=reason)
             else:
                 log.info("discovery_recovered")
-
-    def _accept(self, update: EndpointUpdate | None) -> None:
-        if update is not None:
-            self.version = update.version
-            self.answers_accepted += 1
-        self.on_update(update)
-
-    def close(self) -> None:
-        self.closed = True
-        self.watch(False)
-        self.transport.close()
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -226,8 +226,8 @@
             EndpointIds(["a"], ["std"]),
             known,
             self.hear,
-            pushed,
-            long_poll_timeouts(grace_ns),
+            pushed=pushed,
+            timeouts=long_poll_timeouts(grace_ns),
         )
         self.post(Membership(ListKind.CACHED, known, []))
 
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -9,7 +9,7 @@
 
 from ochreflow.core import lifecycle
 from ochreflow.core.ports import Reason
-from ochreflow.membership.discovery import parse_endpoint_update
+from ochreflow.membership.endpoint_list import parse_endpoint_update
 from ochreflow.policy import interface as api
 
 FRONTENDS = ["http", "lines"]
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -26,7 +26,8 @@
 from ochreflow.core.log import log
 from ochreflow.http.calls import HttpCalls
 from ochreflow.membership import discovery, timeouts
-from ochreflow.membership.discovery import DiscoveryClient, EndpointListError, parse_endpoint_update
+from ochreflow.membership.discovery import DiscoveryClient
+from ochreflow.membership.endpoint_list import EndpointListError, parse_endpoint_update
 from ochreflow.membership.timeouts import NOTIFIED_AFTER_S, LongPollTimeouts, long_poll_timeouts
 from ochreflow.policy.interface import State
 
@@ -48,7 +49,9 @@
 
 def asking(fake, version, heard, times=USUAL, pushed=False):
     loop = asyncio.get_running_loop()
-    return DiscoveryClient(loop, calls, (HOST, fake.port), names(), version, heard.append, pushed, times)
+    return DiscoveryClient(
+        loop, calls, (HOST, fake.port), names(), version, heard.append, pushed=pushed, timeouts=times
+    )
 
 
 def listing(index, *entries, snapshot=True):
@@ -244,7 +247,14 @@
         fake = await Fake(act).start()
         heard = []
         watcher = DiscoveryClient(
-            asyncio.get_running_loop(), calls, (HOST, fake.port), names(), None, take, False, SHORT
+            asyncio.get_running_loop(),
+            calls,
+            (HOST, fake.port),
+            names(),
+            None,
+            take,
+            pushed=False,
+            timeouts=SHORT,
         )
         watcher.watch(True)
         watcher.timeouts = USUAL  # only the first call is overdue soon
--- a/tests/test_net_long_day.py
+++ b/tests/test_net_long_day.py
@@ -2,7 +2,7 @@
 
 from net_helpers import HOST, Fake, Sidecar, answer_ok, ask, config, entry, message, news, run, until
 
-from ochreflow.membership.discovery import parse_endpoint_update
+from ochreflow.membership.endpoint_list import parse_endpoint_update
 
 DAYS_WORTH = 3000
 
--- a/tests/test_overlap.py
+++ b/tests/test_overlap.py
@@ -13,7 +13,7 @@
 from ochreflow.app.overlap import Overlap
 from ochreflow.core.endpoints import EndpointIds
 from ochreflow.core.limits import MB, Descriptors, Memory, Usage
-from ochreflow.membership.discovery import format_endpoint_list, parse_endpoint_update
+from ochreflow.membership.endpoint_list import format_endpoint_list, parse_endpoint_update
 
 pytestmark = pytest.mark.xdist_group("processes")
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -62,7 +62,7 @@
         KILLED,
     ),
     "drains kept": (
-        "membership/discovery.py",
+        "membership/endpoint_list.py",
         '"DRAINING": State.DRAINING',
         '"DRAINING": State.READY',
         DRAINED,
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -26,7 +26,7 @@
 from ochreflow.core.body import MAX_BUFFERED_BYTES, Body
 from ochreflow.core.limits import MB, Memory
 from ochreflow.http import clients, framing, upstream
-from ochreflow.membership.discovery import parse_endpoint_update
+from ochreflow.membership.endpoint_list import parse_endpoint_update
 from ochreflow.policy import interface as api
 
 BIG = 8 * MB
