--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -10,128 +10,157 @@
 import socket
 import sys
 from time import monotonic
+from typing import TYPE_CHECKING
 
 import uvloop
 
-from ..core.endpoints import EndpointIds, EndpointUpdate
+from ..core.endpoints import EndpointUpdate
 from ..core.limits import Descriptors, Memory, Usage
 from ..core.log import log
+from ..core.ports import Address
 from ..http.management import Management
-from ..membership.endpoint_list import EndpointListError, parse_endpoint_update
 from .config import Config, ConfigError, read_config
+from .inherited import inherited_endpoint_list, inherited_socket
 from .reload import Options, Reloader
 from .sidecar import Sidecar
 
-BACKLOG = 512
+if TYPE_CHECKING:
+    from .hot_restart import HotRestart
+    from .hot_restart_form import Inheritance
 
+BACKLOG = 512  # connections that wait to be accepted
+GC_THRESHOLDS = (20_000, 20, 50)
 
-def inherited_socket(text: str | None) -> socket.socket | None:
-    """The clients' listening socket, where the platform holds it for every process."""
-    if not text:
-        return None
-    try:
-        if not (text.isascii() and text.isdigit()):
-            raise ValueError("no number")
-        sock = socket.socket(fileno=int(text))
-        try:
-            listening = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-        except OSError:
-            listening = 0
-        if not listening or sock.type != socket.SOCK_STREAM:
-            sock.detach()
-            raise ValueError("no listening socket")
-    except (OSError, ValueError, OverflowError) as error:
-        raise ConfigError(f"GW_FD {text!r} can't be used: {error}") from None
-    return sock
-
-
-def handed_list(data: object, names: EndpointIds) -> EndpointUpdate | None:
-    """The list that a process beside this one has: it is fresher than the configuration's."""
-    if data is None:
-        return None
-    try:
-        return parse_endpoint_update(data, names)
-    except EndpointListError as error:
-        log.warning("inherited_list_invalid", reason=str(error))
-        return None
 
+class Process:
+    """Owns the parts of one process, and the order in which they start and close."""
 
-async def run(config: Config, options: Options, path: str | None) -> None:
-    loop = asyncio.get_running_loop()
-    inherited = inherited_socket(os.environ.get("GW_FD"))
-    usage = Usage(
-        Descriptors(min(config.sockets, options.descriptors or config.sockets)),
-        Memory(min(config.memory, options.memory or config.memory)),
-    )
-    sidecar: Sidecar | None = None
-    overlap, known = None, None
-    if inherited is not None and (folder := os.environ.get("TMPDIR")):
-        # Only a socket that the platform holds can have another process on it.
-        from .overlap import Overlap
-
-        overlap = Overlap(
-            loop,
-            folder,
-            usage,
-            lambda: sidecar.list_now() if sidecar is not None else None,
-            known=lambda: sidecar.known_clients() if sidecar is not None else None,
+    def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, options: Options) -> None:
+        """Take over the listening socket, if there is one; nothing is started yet."""
+        self.loop = loop
+        self.config = config
+        self.options = options
+        self.inherited = inherited_socket(os.environ.get("GW_FD"))
+        self.usage = Usage(
+            Descriptors(min(config.sockets, options.descriptors or config.sockets)),
+            Memory(min(config.memory, options.memory or config.memory)),
         )
-        known = handed_list(await overlap.start(), config.names)
-    sidecar = Sidecar(loop, config, usage, known)
-    engine = sidecar.engine
-    management = Management(loop, engine)
-    reloader = Reloader(loop, sidecar, management, options, path)
-    reloader.take_options(options, options.sink())
-    admission = sidecar.http.clients.admission
-    if admission is not None and overlap is not None:
-        for books in overlap.books:
-            admission.restore(monotonic(), books)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, engine.lifecycle.terminate)
-    loop.add_signal_handler(signal.SIGHUP, reloader.ask)
-    try:
-        if config.peer_listen is not None:
-            from ..membership.gossip import Gossip
-
-            peers = Gossip(config.settings.index, config.peers, config.peers_all, engine.on_gossip)
-            await loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
-            engine.use_gossip(peers)
-        await management.listen(options.operators or config.management)
-        if admission is not None:
+        self.hot_restart: HotRestart | None = None
+        self.sidecar: Sidecar | None = None
+        self.management: Management | None = None
+
+    async def start(self, path: str | None) -> None:
+        """Start all parts; ConfigError if an address can't be bound. `path`: the platform's configuration."""
+        endpoint_list = await self._start_hot_restart()
+        sidecar = self.sidecar = Sidecar(self.loop, self.config, self.usage, endpoint_list)
+        management = self.management = Management(self.loop, sidecar.engine)
+        reloader = Reloader(self.loop, sidecar, management, self.options, path)
+        reloader.apply_options(self.options, self.options.sink())
+        self._restore_known_clients(sidecar)
+        self._handle_signals(sidecar, reloader)
+        try:
+            await self._open_gossip(sidecar)
+            await management.listen(self.options.operators or self.config.management)
+            host, port = await self._listen(sidecar)
+        except OSError as error:
+            msg = f"can't listen: {error}"
+            raise ConfigError(msg) from None
+        sidecar.engine.lifecycle.serve()
+        _freeze_collector()
+        log.info("listening", name=self.config.name, host=host, port=port)
+
+    async def run_until_stopped(self) -> None:
+        """Wait for the end of the graceful shutdown; then close all parts."""
+        if self.sidecar is None or self.management is None:
+            return
+        await self.sidecar.engine.lifecycle.stopped
+        self.management.close()
+        if self.hot_restart is not None:
+            self.hot_restart.close()
+        self.sidecar.close()
+
+    async def _start_hot_restart(self) -> EndpointUpdate | None:
+        """Link to other processes; the endpoint list that one of them hands over."""
+        directory = os.environ.get("TMPDIR")
+        if self.inherited is None or not directory:
+            return None  # only a socket that the platform holds can have another process on it
+        from .hot_restart import HotRestart
+
+        self.hot_restart = HotRestart(self.loop, directory, self.usage, self._own_inheritance)
+        return inherited_endpoint_list(await self.hot_restart.start(), self.config.names)
+
+    def _own_inheritance(self) -> Inheritance:
+        """What a process that starts beside this one is given."""
+        from .hot_restart_form import Inheritance
+
+        if self.sidecar is None:
+            return Inheritance(None, None)
+        return Inheritance(self.sidecar.format_endpoint_list(), self.sidecar.known_clients())
+
+    def _restore_known_clients(self, sidecar: Sidecar) -> None:
+        admission = sidecar.http.clients.admission
+        if admission is None or self.hot_restart is None:
+            return
+        for snapshot in self.hot_restart.known_clients:
+            admission.restore(monotonic(), snapshot)
+
+    def _handle_signals(self, sidecar: Sidecar, reloader: Reloader) -> None:
+        for number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(number, sidecar.engine.lifecycle.terminate)
+        self.loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
+
+    async def _open_gossip(self, sidecar: Sidecar) -> None:
+        config = self.config
+        if config.peer_listen is None:
+            return
+        from ..membership.gossip import Gossip
+
+        gossip = Gossip(config.settings.index, config.peers, config.peers_all, sidecar.engine.on_gossip)
+        await self.loop.create_datagram_endpoint(lambda: gossip, local_addr=config.peer_listen)
+        sidecar.engine.use_gossip(gossip)
+
+    async def _listen(self, sidecar: Sidecar) -> Address:
+        """Accept clients' connections; the address at which that is."""
+        http = sidecar.http
+        if http.clients.admission is not None:
             from ..http.acceptor import Acceptor
 
-            sock = inherited or socket.create_server(config.listen)
+            sock = self.inherited or socket.create_server(self.config.listen)
             sock.listen(BACKLOG)
             host, port = sock.getsockname()
-            sidecar.http.listen(Acceptor(loop, sock, sidecar.http.connection, sidecar.http.clients))
+            http.listen(Acceptor(self.loop, sock, http.connection, http.clients))
+            return host, port
+        if self.inherited is not None:
+            server = await self.loop.create_server(http.connection, sock=self.inherited, backlog=BACKLOG)
         else:
-            if inherited is not None:
-                server = await loop.create_server(sidecar.http.connection, sock=inherited, backlog=BACKLOG)
-            else:
-                server = await loop.create_server(sidecar.http.connection, *config.listen, backlog=BACKLOG)
-            host, port = server.sockets[0].getsockname()
-            sidecar.http.listen(server)
-    except OSError as error:
-        raise ConfigError(f"can't listen: {error}") from None
-    engine.lifecycle.serve()
-    # What was made until now lives as long as the process: collections need not look at it again, nor
-    # come as often as for a program that makes cycles.
+            server = await self.loop.create_server(http.connection, *self.config.listen, backlog=BACKLOG)
+        host, port = server.sockets[0].getsockname()
+        http.listen(server)
+        return host, port
+
+
+def _freeze_collector() -> None:
+    """Keep the garbage collector from looking again at what lives as long as the process.
+
+    Nor need it run as often as for a program that makes many reference cycles.
+    """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(20_000, 20, 50)
-    log.info("listening", name=config.name, host=host, port=port)
-    await engine.lifecycle.stopped
-    management.close()
-    if overlap is not None:
-        overlap.close()
-    sidecar.close()
+    gc.set_threshold(*GC_THRESHOLDS)
+
+
+async def run(config: Config, options: Options, path: str | None) -> None:
+    """Serve until the graceful shutdown has ended. `path` names the platform's configuration, for reloads."""
+    process = Process(asyncio.get_running_loop(), config, options)
+    await process.start(path)
+    await process.run_until_stopped()
 
 
 def main(operator_file: str | None = None) -> int:
     """Run until the end is asked for; the exit code. `operator_file` names the operator's own file."""
     # The loop's own reports of exceptions that nobody caught.
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
-    # Guards the start and the end, when no loop listens: the signal's default would end the process.
+    # The default of SIGHUP would end the process while no loop handles it: at the start and at the end.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = os.environ.get("GW_CONFIG")
     try:
--- a/ochreflow/app/reload.py
+++ b/ochreflow/app/reload.py
@@ -94,26 +94,26 @@
         self.options = options
         self.path = path
         self.task: asyncio.Task[None] | None = None
-        self.again = False  # asked for once more while one was being taken
+        self.reload_again = False  # asked for once more while one was being taken
 
-    def ask(self) -> None:
+    def request_reload(self) -> None:
         """Read the configurations again, now or when the reload that is under way has ended."""
         if self.task is not None and not self.task.done():
-            self.again = True
+            self.reload_again = True
             return
         self.task = self.loop.create_task(self._reload())
 
     async def _reload(self) -> None:
         while True:
-            self.again = False
+            self.reload_again = False
             try:
-                await self._take()
+                await self._apply_new()
             except ConfigError as error:
                 log.warning("reload_rejected", reason=str(error))
-            if not self.again:
+            if not self.reload_again:
                 return
 
-    async def _take(self) -> None:
+    async def _apply_new(self) -> None:
         """Everything that may fail comes first; then all of it is taken."""
         config: Config = read_config(self.path)
         options = Options.read(self.options.path)
@@ -126,10 +126,10 @@
                 raise ConfigError(f"{options.path}: operators.listen: {error.strerror or error}") from None
         self.sidecar.reload(config)
         if changed:
-            self.take_options(options, sink)
+            self.apply_options(options, sink)
             log.info("reload_applied", changed=", ".join(changed))
 
-    def take_options(self, options: Options, sink: Sink) -> None:
+    def apply_options(self, options: Options, sink: Sink) -> None:
         self.options = options
         file = options.file
         if file is None:
@@ -140,9 +140,9 @@
         times.idle = file.clients.idle
         times.slow_reader = file.clients.slow_reader
         if file.admission.on:
-            self._take_admission(file.admission)
+            self._apply_admission(file.admission)
 
-    def _take_admission(self, table: AdmissionTable) -> None:
+    def _apply_admission(self, table: AdmissionTable) -> None:
         """Turn the connection admission on, or give it other limits."""
         from ..admission.connection_admission import ConnectionAdmission
         from ..admission.limits import Limits
--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar put together: the core, the HTTP front and carrier, and the directory."""
+"""One sidecar: the core, the HTTP frontend and upstream transport, and the discovery client."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import resource
 from functools import partial
 from time import monotonic
+from typing import Any
 
 from ..core.clock import NS_PER_S
 from ..core.endpoints import EndpointUpdate
@@ -20,7 +21,7 @@
 from ..membership.timeouts import long_poll_timeouts
 from .config import Config
 
-CONNECT_WITHIN = 1.0  # seconds, where the settings name no time
+CONNECT_TIMEOUT_S = 1.0  # where the settings name none
 
 
 def system_limit() -> int | None:
@@ -39,6 +40,7 @@
         usage: Usage | None = None,
         known: EndpointUpdate | None = None,
     ) -> None:
+        """Build the parts and start the core with the `known` endpoint list, or else the configuration's."""
         usage = usage or Usage(Descriptors(config.sockets), Memory(config.memory))
         usage.descriptors.system_limit = system_limit
         usage.descriptors.apply_system_limit()
@@ -51,7 +53,7 @@
             loop,
             usage.descriptors,
             usage.memory,
-            settings.connect_timeout_ns / NS_PER_S or CONNECT_WITHIN,
+            settings.connect_timeout_ns / NS_PER_S or CONNECT_TIMEOUT_S,
             config.transport.conn_idle_ns / NS_PER_S,
         )
         self.upstream_transport = HttpUpstreamTransport(self.upstreams, settings.report_columns)
@@ -68,8 +70,8 @@
         )
         self.engine.start(self.discovery, known)
 
-    def list_now(self) -> dict:
-        """The list for a process that begins beside this one; an ending one may be long past its last."""
+    def format_endpoint_list(self) -> dict[str, Any]:
+        """The endpoint list for a process that starts beside this one; it may be old while this one ends."""
         return format_endpoint_list(
             self.discovery.version or 0, self.engine.endpoints.listed.values(), self.names
         )
@@ -80,9 +82,9 @@
         return admission.snapshot(monotonic()) if admission is not None else None
 
     def reload(self, config: Config) -> None:
-        """Take what may change while running of a new configuration: the directory may have moved."""
+        """Apply what may change while running of a new configuration: the address of discovery."""
         self.discovery.switch_address(config.discovery)
 
     def close(self) -> None:
-        """Let go of all sockets."""
+        """Close all sockets."""
         self.engine.close()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -384,7 +384,8 @@
     listening.close()
     assert done.returncode == 0, done.stderr
     loaded = set(done.stdout.split())
-    links = {"ochreflow.app.overlap", "ochreflow.membership.gossip"}
+    hot_restart = {f"ochreflow.app.hot_restart{part}" for part in ("", "_form", "_link")}
+    links = hot_restart | {"ochreflow.membership.gossip"}
     assert loaded & links == (links if told else set())
     assert told or not loaded & {"pathlib", "urllib.parse", "ipaddress"}
 
@@ -401,7 +402,7 @@
         subprocess.run([sys.executable, *command[1:]], cwd=tmp_path, env=env, timeout=60, check=True)
     code = """
 import os, sys
-import ochreflow.app.overlap, ochreflow.app.process, ochreflow.membership.gossip
+import ochreflow.app.hot_restart, ochreflow.app.process, ochreflow.membership.gossip
 loaded = [module for name, module in sys.modules.items() if name.partition(".")[0] == "ochreflow"]
 print(len(loaded), *(module.__name__ for module in loaded if not os.path.exists(module.__cached__)))
 print(loaded[0].__file__)
