--- a/ochreflow/app/config.py
+++ b/ochreflow/app/config.py
@@ -5,6 +5,7 @@
 import json
 import os
 from dataclasses import dataclass
+from typing import Any
 
 from ..core.address import split_address
 from ..core.endpoints import EndpointIds, EndpointUpdate
@@ -15,22 +16,24 @@
 from ..policy.interface import Settings
 from ..policy.settings import Transport, nested_settings, nested_transport
 
-SOCKETS = 1024  # where the configuration names no limit
-MEMORY_MB = 192  # likewise
+MAX_SOCKETS = 1024  # also where the configuration names no limit
+DEFAULT_MEMORY_MB = 192  # where the configuration names no limit
 
 
 class ConfigError(OchreflowError):
-    """The sidecar can't start; the text says why in one line."""
+    """A configuration that can't be used; the text says why in one line."""
 
 
 @dataclass(slots=True)
 class Config:
+    """The whole file. Addresses are host and port, limits are counts and bytes."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
     sockets: int
-    memory: int
+    memory: int  # bytes
     management: Address | None
     peer_listen: Address | None
     peers: list[Address]
@@ -42,8 +45,10 @@
 
 
 def read_config(path: str | None) -> Config:
+    """Read and check the file; ConfigError if anything in it is missing or wrong."""
     if not path:
-        raise ConfigError("GW_CONFIG is not set")
+        msg = "GW_CONFIG is not set"
+        raise ConfigError(msg)
     try:
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
@@ -56,8 +61,8 @@
             listen=split_address(data["listen"], min_port=0),
             discovery=split_address(data["discovery"]),
             seed=int(data["seed"], 16),
-            sockets=min(int(limits.get("sockets", SOCKETS)), SOCKETS),
-            memory=int(limits.get("memory_mb", MEMORY_MB) * MB),
+            sockets=min(int(limits.get("sockets", MAX_SOCKETS)), MAX_SOCKETS),
+            memory=int(limits.get("memory_mb", DEFAULT_MEMORY_MB) * MB),
             management=_management(data),
             peer_listen=split_address(data["peer_listen"]) if data.get("peer_listen") else None,
             peers=[split_address(peer) for peer in data.get("peers", [])],
@@ -68,14 +73,17 @@
             known=parse_endpoint_update(data["known"], names),
         )
     except KeyError as error:
-        raise ConfigError(f"{path}: {error} is missing") from None
+        msg = f"{path}: {error} is missing"
+        raise ConfigError(msg) from None
     except EndpointListError as error:
-        raise ConfigError(f"{path}: known is unreadable: {error}") from None
+        msg = f"{path}: known is unreadable: {error}"
+        raise ConfigError(msg) from None
     except (OSError, ValueError, TypeError, AttributeError, RecursionError) as error:
-        raise ConfigError(f"{path}: {' '.join(str(error).split())}") from None
+        msg = f"{path}: {' '.join(str(error).split())}"
+        raise ConfigError(msg) from None
 
 
-def _management(data: dict) -> Address | None:
+def _management(data: dict[str, Any]) -> Address | None:
     """The operators' address: two processes may share a configuration, so the environment comes first."""
     text = os.environ.get("GW_MANAGEMENT") or data.get("management")
     return split_address(text, min_port=0) if text else None
--- a/ochreflow/app/hot_restart.py
+++ b/ochreflow/app/hot_restart.py
@@ -16,7 +16,7 @@
 
 from ..core.limits import Usage
 from ..core.log import log
-from .hot_restart_form import NOTHING_HELD, Inheritance, format_held
+from .hot_restart_form import NO_USAGE, Inheritance, format_usage
 from .hot_restart_link import Link
 
 PREFIX = "sidecar-"
@@ -75,16 +75,16 @@
         """How many other processes live; two links to one of them count once."""
         return len({link.pid for link in self.links if link.pid is not None})
 
-    def own_held(self) -> tuple[int, ...]:
+    def own_usage(self) -> tuple[int, ...]:
         """What this process holds: descriptors, clients' connections, bytes of memory."""
         return self.usage.own_usage()
 
     def update_others(self) -> None:
         """Count what the other processes hold, each process once."""
-        held = {link.pid: link.held for link in self.links if link.pid is not None}
-        totals = (sum(parts) for parts in zip(NOTHING_HELD, *held.values(), strict=True))
+        usages = {link.pid: link.usage for link in self.links if link.pid is not None}
+        totals = (sum(parts) for parts in zip(NO_USAGE, *usages.values(), strict=True))
         descriptors, clients, memory_bytes = totals
-        self.usage.set_others(len(held), descriptors, clients, memory_bytes)
+        self.usage.set_others(len(usages), descriptors, clients, memory_bytes)
 
     def close(self) -> None:
         """Close the links and the socket, and remove its file."""
@@ -113,11 +113,11 @@
 
     def _share(self) -> None:
         """Notify the others of what this process holds, when that has changed."""
-        held = self.own_held()
-        if held != self.shared and self.links:
-            self.shared = held
+        usage = self.own_usage()
+        if usage != self.shared and self.links:
+            self.shared = usage
             for link in list(self.links):
-                link.write(format_held(held))
+                link.write(format_usage(usage))
         self.timer = self.loop.call_later(SHARE_INTERVAL_S, self._share)
 
 
--- a/ochreflow/app/hot_restart_form.py
+++ b/ochreflow/app/hot_restart_form.py
@@ -20,15 +20,15 @@
 """What the functions below raise for a line that is not of this form."""
 
 
-class HeldResources(NamedTuple):
-    """What one process holds."""
+class ResourceUsage(NamedTuple):
+    """What one process has in use."""
 
     descriptors: int
     clients: int  # connections of clients, of the descriptors
     memory_bytes: int
 
 
-NOTHING_HELD = HeldResources(0, 0, 0)
+NO_USAGE = ResourceUsage(0, 0, 0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,21 +39,21 @@
     known_clients: object  # the snapshot of connection admission; None without it, and from earlier versions
 
 
-def format_greeting(process: int, inheritance: Inheritance, held: tuple[int, ...]) -> bytes:
+def format_greeting(process: int, inheritance: Inheritance, usage: tuple[int, ...]) -> bytes:
     """The first line."""
     return _format_line(
         {
             "pid": process,
             "list": inheritance.endpoint_list,
             "known": inheritance.known_clients,
-            "holds": held,
+            "holds": usage,
         }
     )
 
 
-def format_held(held: tuple[int, ...]) -> bytes:
+def format_usage(usage: tuple[int, ...]) -> bytes:
     """A later line."""
-    return _format_line({"holds": held})
+    return _format_line({"holds": usage})
 
 
 def is_greeting(message: dict[str, Any]) -> bool:
@@ -71,10 +71,10 @@
     return Inheritance(greeting["list"], greeting.get("known"))
 
 
-def parse_held(message: dict[str, Any]) -> HeldResources:
+def parse_usage(message: dict[str, Any]) -> ResourceUsage:
     """What the process of a line holds; negative numbers count as none."""
     descriptors, clients, memory_bytes = (max(int(part), 0) for part in message["holds"])
-    return HeldResources(descriptors, clients, memory_bytes)
+    return ResourceUsage(descriptors, clients, memory_bytes)
 
 
 def _format_line(message: dict[str, object]) -> bytes:
--- a/ochreflow/app/hot_restart_link.py
+++ b/ochreflow/app/hot_restart_link.py
@@ -10,13 +10,13 @@
 from .hot_restart_form import (
     INVALID,
     MAX_LINE_BYTES,
-    NOTHING_HELD,
+    NO_USAGE,
     Inheritance,
     format_greeting,
     is_greeting,
-    parse_held,
     parse_inheritance,
     parse_process,
+    parse_usage,
 )
 
 
@@ -31,7 +31,7 @@
         """What this process hands over."""
         ...
 
-    def own_held(self) -> tuple[int, ...]:
+    def own_usage(self) -> tuple[int, ...]:
         """What this process holds."""
         ...
 
@@ -50,7 +50,7 @@
         self.buffer = bytearray()
         self.pid: int | None = None  # known from the greeting on
         self.inheritance = Inheritance(None, None)
-        self.held = NOTHING_HELD
+        self.usage = NO_USAGE
         self.greeted: asyncio.Future[None] = owner.loop.create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -58,7 +58,7 @@
         self.transport = cast("asyncio.Transport", transport)
         owner = self.owner
         owner.links[self] = None
-        self.write(format_greeting(owner.pid, owner.own_inheritance(), owner.own_held()))
+        self.write(format_greeting(owner.pid, owner.own_inheritance(), owner.own_usage()))
 
     def data_received(self, data: bytes) -> None:
         """Apply the lines that are complete; the link is closed at the first invalid one."""
@@ -99,7 +99,7 @@
             self.inheritance = parse_inheritance(message)
             log.info("hot_restart_peer_connected", process=self.pid)
             self._end_greeting()
-        self.held = parse_held(message)
+        self.usage = parse_usage(message)
         self.owner.update_others()
 
     def _end_greeting(self) -> None:
--- a/ochreflow/app/logs.py
+++ b/ochreflow/app/logs.py
@@ -9,10 +9,10 @@
 from ..core.log import Sink
 
 
-def structured(form: str) -> Sink:
-    """A sink that writes to standard error in the form "json" or "console"."""
+def structured(format_name: str) -> Sink:
+    """A sink that writes to standard error in the format "json" or "console"."""
     render: structlog.typing.Processor
-    if form == "json":
+    if format_name == "json":
         render = structlog.processors.JSONRenderer(sort_keys=False)
     else:
         render = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -21,7 +21,8 @@
 from ..http.management import Management
 from .config import Config, ConfigError, read_config
 from .inherited import inherited_endpoint_list, inherited_socket
-from .reload import Options, Reloader
+from .options import Options
+from .reload import Reloader
 from .sidecar import Sidecar
 
 if TYPE_CHECKING:
--- a/ochreflow/cli/main.py
+++ b/ochreflow/cli/main.py
@@ -36,13 +36,13 @@
 @click.argument("file")
 def check(file: str) -> int:
     """Check an operator's file: a line for each fault, exit code 2 if there is one."""
-    from ..app.operator import FaultsError, read_file
+    from ..app.operator_reader import OperatorFileError, read_file
 
     try:
         read_file(file)
-    except FaultsError as error:
-        for fault in error.faults:
-            click.echo(fault, err=True)
+    except OperatorFileError as error:
+        for line in error.errors:
+            click.echo(line, err=True)
         return EXIT_USAGE_ERROR
     click.echo(f"{file}: fine")
     return EXIT_OK
@@ -51,7 +51,7 @@
 @ochreflow.command(epilog=example("ochreflow schema > ochreflow.schema.json"))
 def schema() -> int:
     """Print the JSON Schema of the operator's file."""
-    from ..app.operator import schema as operator_schema
+    from ..app.operator_schema import schema as operator_schema
 
     click.echo(json.dumps(operator_schema(), indent=2))
     return EXIT_OK
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -13,7 +13,7 @@
 from test_process import Process
 
 from ochreflow.app.hot_restart import HotRestart
-from ochreflow.app.hot_restart_form import Inheritance, format_greeting, format_held
+from ochreflow.app.hot_restart_form import Inheritance, format_greeting, format_usage
 from ochreflow.core.endpoints import EndpointIds
 from ochreflow.core.limits import MB, Descriptors, Memory, Usage
 from ochreflow.membership.endpoint_list import format_endpoint_list, parse_endpoint_update
@@ -190,4 +190,4 @@
     update = parse_endpoint_update(greeting["list"], names)
     written = format_endpoint_list(update.version, update.entries, names)
     assert format_greeting(14024, Inheritance(written, greeting["known"]), (2, 1, 0)) == recorded
-    assert format_held((2, 1, 0)) == b'{"holds":[2,1,0]}\n'
+    assert format_usage((2, 1, 0)) == b'{"holds":[2,1,0]}\n'
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -15,7 +15,7 @@
 from net_helpers import HOST, Fake, ask, config, entry, message, news, run, silent
 from test_process import Process
 
-from ochreflow.app import operator
+from ochreflow.app import operator, operator_reader
 from ochreflow.core.log import Log
 
 pytestmark = pytest.mark.xdist_group("processes")
@@ -49,9 +49,9 @@
     for text, fault in FAULTS.items():
         path = tmp_path / "one.toml"
         path.write_text(text)
-        with pytest.raises(operator.FaultsError) as caught:
-            operator.read_file(str(path))
-        assert len(caught.value.faults) == 1 and caught.value.faults[0].startswith(f"{path}: {fault}"), text
+        with pytest.raises(operator_reader.OperatorFileError) as caught:
+            operator_reader.read_file(str(path))
+        assert len(caught.value.errors) == 1 and caught.value.errors[0].startswith(f"{path}: {fault}"), text
     path.write_text("top = 1\n[log]\nlevel = 'loud'\nper_secnod = 3\n[clients]\nidle = 2\n")
     done = command("check", str(path))
     assert done.returncode == 2 and not done.stdout
@@ -80,7 +80,7 @@
     plain = operator.OperatorFile()
     for table in tables:
         assert set(everything[table]) == set(getattr(plain, table).__struct_fields__)
-    read = operator.read_file(str(path))
+    read = operator_reader.read_file(str(path))
     assert read.log == plain.log and read.clients == plain.clients
 
 
@@ -280,7 +280,7 @@
     own = {name for name in imported[None] if name.startswith("ochreflow")}
     layers = {name.split(".")[1] for name in own if "." in name}
     assert layers == {"app", "core", "errors", "http", "membership", "policy"}
-    assert not own & {"ochreflow.app.operator", "ochreflow.app.logs"}
+    assert not any(name.startswith(("ochreflow.app.operator", "ochreflow.app.logs")) for name in own)
     heavy = {"click", "msgspec", "structlog", "tomllib", "yaml", "numpy", "matplotlib", "cryptography"}
     assert not imported[None] & heavy
     assert imported["plain"] & heavy == {"msgspec", "tomllib"}
