--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 
 TESTS = Path(__file__).parent
-QUIET = 0.001  # seconds, the least that a selector waits: what the kernel has in hand arrives in less
-STUCK = 60.0  # seconds without a timer or a byte: nothing will come any more
-PLAY_WITHIN = 300.0  # seconds of real time for one scenario, some 3 on an idle machine
+MIN_WAIT_S = 0.001  # seconds, the least that a selector waits: what the kernel has in hand arrives in less
+STALL_TIMEOUT_S = 60.0  # seconds without a timer or a byte: nothing will come any more
+PLAY_TIMEOUT_S = 300.0  # seconds of real time for one scenario, some 3 on an idle machine
 
 
 class Clock:
@@ -41,7 +41,7 @@
         time.time = lambda: (self.since + self.now) / 1e9
 
 
-class QuietSelector(selectors.DefaultSelector):
+class SimulatedTimeSelector(selectors.DefaultSelector):
     """Waits for sockets in real time, for timers in simulated time."""
 
     def __init__(self, clock: Clock) -> None:
@@ -53,11 +53,11 @@
         if found or timeout == 0:
             return found
         if timeout is None:
-            found = super().select(STUCK)
+            found = super().select(STALL_TIMEOUT_S)
             if not found:
                 raise RuntimeError("everybody waits, and nothing can come")
             return found
-        found = super().select(QUIET)
+        found = super().select(MIN_WAIT_S)
         if not found:
             self.clock.leap(timeout)
         return found
@@ -69,25 +69,25 @@
 
     findings: list  # (rule, text) of each
     crashed: list  # exceptions that nobody caught, and whoever did not end
-    asked: int  # requests
+    requests: int  # attempts that clients sent
 
     @property
     def broken(self):
         return {rule for rule, _ in self.findings}
 
 
-def play(scenario, folder, seed, program=None):
-    """Play it with a build of the program, this one without `program`; the event logs are in `folder`."""
+def play(scenario, run_dir, seed, program=None):
+    """Play it with a build of the program, this one without `program`; the event logs are in `run_dir`."""
     import msgspec
 
-    given = folder / "scenario.json"
+    given = run_dir / "scenario.json"
     given.write_bytes(msgspec.json.encode(scenario))
     done = subprocess.run(
         [sys.executable, str(Path(__file__)), str(given), str(seed)],
         env={**os.environ, "PYTHONPATH": str(program or TESTS.parent)},
         capture_output=True,
         text=True,
-        timeout=PLAY_WITHIN,
+        timeout=PLAY_TIMEOUT_S,
         check=False,
     )
     assert done.returncode == 0, done.stderr[-4000:]
@@ -104,15 +104,17 @@
 
     scenario = msgspec.json.decode(path.read_bytes(), type=Scenario)
     crashed: list[str] = []
-    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(QuietSelector(clock))) as runner:
+    with asyncio.Runner(
+        loop_factory=lambda: asyncio.SelectorEventLoop(SimulatedTimeSelector(clock))
+    ) as runner:
         runner.get_loop().set_exception_handler(
             lambda loop, context: crashed.append(f"{context['message']}: {context.get('exception')!r}")
         )
         runner_of_scenario = SimulatedRunner(scenario, path.parent, seed)
         result = runner.run(runner_of_scenario.run())
     findings = [(finding.rule, finding.text) for finding in result.report.findings]
-    asked = sum(counts["asked"] for counts in result.report.by_class.values())
-    print(json.dumps({"findings": findings, "crashed": crashed + result.crashes, "asked": asked}))
+    requests = sum(counts["asked"] for counts in result.report.by_class.values())
+    print(json.dumps({"findings": findings, "crashed": crashed + result.crashes, "requests": requests}))
 
 
 if __name__ == "__main__":
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -36,7 +36,7 @@
         ([0.5, 0.5], "no difference shown"),  # two pairs say nothing of chance
     ],
 )
-def test_the_verdict_follows_the_interval_of_pairs(by, verdict):
+def test_the_conclusion_follows_the_interval_of_pairs(by, verdict):
     # Seeds differ by far more than builds do: only pairing shows it.
     found = [result("A", seed, 0.1 * seed) for seed in range(len(by))]
     found += [result("B", seed, 0.1 * seed + more) for seed, more in enumerate(by)]
@@ -68,7 +68,7 @@
         (made / "ochreflow/policy" / name).read_text() for name in ("outlier_detection.py", "slow_start.py")
     )
     assert "\nMAX_CONSECUTIVE_FAILURES = 9.5\n" in text and "\nOVERLOAD_SHARE = 1.0\n" in text
-    for number, (wrong, said) in enumerate(
+    for number, (wrong, message) in enumerate(
         [
             (".,STRIKES=9", "wanted FILE:NAME=VALUE"),
             (".,policy/none.py:MAX_CONSECUTIVE_FAILURES=9", "there is no policy/none.py"),
@@ -78,7 +78,7 @@
     ):
         with pytest.raises(BuildError) as caught:
             make(wrong, tmp_path / f"wrong{number}")
-        assert said in str(caught.value) and "\n" not in str(caught.value)
+        assert message in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_a_revision_is_had_from_git(tmp_path, monkeypatch):
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -21,12 +21,12 @@
 
 
 def made(*steps, **more):
-    whole = scenario(SECONDS, RATE, 6, *(step[:4] for step in steps))
+    base = scenario(SECONDS, RATE, 6, *(step[:4] for step in steps))
     forms = [{"malformation": step[4]} if len(step) > 4 else {} for step in steps]
     by = [{"replacements": step[5]} if len(step) > 5 else {} for step in steps]
-    pairs = zip(whole.steps, forms, by, strict=True)
+    pairs = zip(base.steps, forms, by, strict=True)
     return msgspec.structs.replace(
-        whole, steps=tuple(msgspec.structs.replace(step, **form, **new) for step, form, new in pairs), **more
+        base, steps=tuple(msgspec.structs.replace(step, **form, **new) for step, form, new in pairs), **more
     )
 
 
@@ -52,26 +52,26 @@
     return count["taken"] - count["ran"] >= 2
 
 
-def failed(least, most):
+def failed(low, high):
     def seen(run):
         count = counts(run, "node-1")
-        return least <= count["failed"] / max(count["taken"], 1) <= most and count["failed"] >= 2
+        return low <= count["failed"] / max(count["taken"], 1) <= high and count["failed"] >= 2
 
     return seen
 
 
 def slowed(run):
     times = stretched(run, "node-1")
-    early = [took for at, took in times.items() if at < 0.25 * SECONDS]
-    late = [took for at, took in times.items() if at > 0.42 * SECONDS]
+    early = [duration for at, duration in times.items() if at < 0.25 * SECONDS]
+    late = [duration for at, duration in times.items() if at > 0.42 * SECONDS]
     return late and median(late) > 1.25 * median(early)
 
 
-def more_came(run):
-    asked = [event["at"] for event in run["clients-1"] if event["what"] == "asked"]
-    begin = min(asked)
-    in_it = sum(0.4 <= (at - begin) / NS_PER_S / SECONDS < 0.65 for at in asked)
-    return 2.0 < (in_it / 0.25) / ((len(asked) - in_it) / 0.75) < 3.0
+def load_was_higher(run):
+    sent = [event["at"] for event in run["clients-1"] if event["what"] == "asked"]
+    begin = min(sent)
+    in_it = sum(0.4 <= (at - begin) / NS_PER_S / SECONDS < 0.65 for at in sent)
+    return 2.0 < (in_it / 0.25) / ((len(sent) - in_it) / 0.75) < 3.0
 
 
 def silent(run):
@@ -80,7 +80,7 @@
     return max(late - early for early, late in pairwise(at)) > 2 * NS_PER_S
 
 
-def spoilt(run):
+def ran_requests(run):
     return counts(run, "node-1")["ran"] >= 2
 
 
@@ -101,14 +101,14 @@
         msgspec.structs.replace(
             made(), load=msgspec.structs.replace(made().load, bursts=(Burst(0.4, 0.65, 2.5),))
         ),
-        more_came,
+        load_was_higher,
     ),
     "silent connections": (made((0.3, "freeze", [1]), (0.7, "thaw", [1])), silent),
-    "answers cut after their heads": (made((0.1, "spoil", [1], 1.0, "cut")), spoilt),
-    "answers that are garbled": (made((0.1, "spoil", [1], 1.0, "garbled")), spoilt),
-    "answers that stall": (made((0.1, "spoil", [1], 1.0, "stalled")), spoilt),
-    "extra bytes after an answer": (made((0.1, "spoil", [1], 1.0, "extra")), spoilt),
-    "1xx in front": (made((0.1, "spoil", [1], 1.0, "interim")), spoilt),
+    "answers cut after their heads": (made((0.1, "spoil", [1], 1.0, "cut")), ran_requests),
+    "answers that are garbled": (made((0.1, "spoil", [1], 1.0, "garbled")), ran_requests),
+    "answers that stall": (made((0.1, "spoil", [1], 1.0, "stalled")), ran_requests),
+    "extra bytes after an answer": (made((0.1, "spoil", [1], 1.0, "extra")), ran_requests),
+    "1xx in front": (made((0.1, "spoil", [1], 1.0, "interim")), ran_requests),
     "replaced at a reused address": (made((0.4, "replace", [1], 1.0, "extra", (11,))), replaced),
 }
 
@@ -117,9 +117,9 @@
 def test_in_simulated_time_the_same_seed_gives_the_same_digest(name):
     given, seen = FAILURES[name]
     runs = [Simulation(given, 4, load_policy(None)) for _ in range(2)]
-    played = [run.run() for run in runs]
-    assert played[0].digest == played[1].digest
-    assert played[0].outcome == 0, played[0].report.findings[:3]
+    result = [run.run() for run in runs]
+    assert result[0].digest == result[1].digest
+    assert result[0].outcome == 0, result[0].report.findings[:3]
     events = {what: event_log.events for what, event_log in runs[0].event_logs.items()}
     assert all(event["at"] >= START_NS for event in events["clients-1"])
     assert seen(events)
@@ -129,14 +129,14 @@
     """The whole program on loopback sockets, in simulated time (`simulated.py`): no run is void."""
 
     def judged(name):
-        folder = tmp_path / name
-        folder.mkdir()
-        return name, play(FAILURES[name][0], folder, 4)
+        run_dir = tmp_path / name
+        run_dir.mkdir()
+        return name, play(FAILURES[name][0], run_dir, 4)
 
-    with ThreadPoolExecutor(AT_ONCE) as room:
-        played = dict(room.map(judged, FAILURES))
+    with ThreadPoolExecutor(AT_ONCE) as pool:
+        result = dict(pool.map(judged, FAILURES))
     for name, (_, seen) in FAILURES.items():
         run = {path.stem: list(read_events(path)) for path in (tmp_path / name).glob("*.jsonl")}
-        assert not played[name].crashed, (name, played[name].crashed[:3])
-        assert not played[name].findings, (name, played[name].findings[:3])
+        assert not result[name].crashed, (name, result[name].crashed[:3])
+        assert not result[name].findings, (name, result[name].findings[:3])
         assert seen(run), name
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -60,7 +60,7 @@
     return Counter(event["what"] for event in events)
 
 
-def test_a_node_runs_drops_repeats_and_turns_away_what_it_has_no_room_for(tmp_path):
+def test_a_node_runs_requests_drops_duplicates_and_rejects_beyond_its_capacity(tmp_path):
     async def steps(node, port):
         assert (await ask(port, request("a"))).body == b"n:a"
         token = "Idempotency-Key: t"
@@ -79,7 +79,7 @@
     assert kinds(events) == {"taken": 5, "began": 5, "ran": 5, "dropped": 1, "turned_away": 4, "ordered": 1}
 
 
-def test_a_node_in_trouble_swallows_or_fails(tmp_path):
+def test_a_node_with_a_fault_answers_nothing_or_fails(tmp_path):
     async def steps(node, port):
         await ask(port, order(fail=1.0))
         assert (await ask(port, request("a"))).code == 500
@@ -96,7 +96,7 @@
     assert [event["id"] for event in events if event["what"] == "ran"] == ["c"]
 
 
-def test_a_cold_node_falls_when_it_is_pushed_and_only_then(tmp_path):
+def test_a_node_that_warms_up_collapses_under_overload_only(tmp_path):
     async def gently(node, port):
         for n in range(10):
             assert (await ask(port, request(f"g{n}"))).code == 200
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("moment", ["work is due", "a request waits", "a connection comes"])
-def test_a_node_of_a_pod_that_ends_writes_nothing_more_and_leaves_the_others_alone(tmp_path, moment):
+def test_a_node_of_a_group_that_ends_records_nothing_more_and_the_others_serve_on(tmp_path, moment):
     """Guards the event log's end: work, waiting requests and connections of an ended node cross it."""
 
     async def play():
@@ -133,13 +133,13 @@
             writers.append(writer)
         while kinds(read_events(tmp_path / "n.jsonl"))["taken"] < taken:
             await asyncio.sleep(0.001)
-        held = first.handler.service.connection() if moment == "a connection comes" else None
-        if held is not None:  # it was accepted, and its transport comes up after the end
+        accepted = first.handler.service.connection() if moment == "a connection comes" else None
+        if accepted is not None:  # it was accepted, and its transport comes up after the end
             first.end()
             transport = Transport()
-            held.connection_made(transport)
+            accepted.connection_made(transport)
             if not transport.aborted:
-                held.data_received(request("late"))
+                accepted.data_received(request("late"))
         else:
             assert (await ask(port, order(end=True))).code == 200
         while not first.event_log.file.closed:
@@ -174,7 +174,7 @@
         pass
 
 
-def test_a_directory_lists_and_tells_changes_to_whoever_watches(tmp_path):
+def test_a_directory_lists_endpoints_and_notifies_watchers(tmp_path):
     def entry(name, status="SERVING"):
         return {"name": name, "address": f"{HOST}:1", "status": status}
 
@@ -190,8 +190,8 @@
 
         for name in ("a", "b"):
             assert (await ask(port, order(**entry(name)))).code == 200
-        whole = await get()
-        assert whole["snapshot"] and [one["name"] for one in whole["endpoints"]] == ["a", "b"]
+        complete = await get()
+        assert complete["snapshot"] and [one["name"] for one in complete["endpoints"]] == ["a", "b"]
         assert (await get("?after=2&wait_ms=1"))["endpoints"] == []
         assert [one["name"] for one in (await get("?after=1&wait_ms=60000"))["endpoints"]] == ["b"]
         assert (await get("?after=99&wait_ms=60000"))["snapshot"]
@@ -201,8 +201,8 @@
             await asyncio.sleep(0.001)
         await ask(port, order(name="a", status="DRAINING"))
         async with asyncio.timeout(WAIT):
-            told = json.loads((await read_message(reader)).body)
-        assert told == {"index": 3, "snapshot": False, "endpoints": [entry("a", "DRAINING")]}
+            notified = json.loads((await read_message(reader)).body)
+        assert notified == {"index": 3, "snapshot": False, "endpoints": [entry("a", "DRAINING")]}
         await ask(port, order(name="b", status="DELETED"))
         assert [one["name"] for one in (await get())["endpoints"]] == ["a"]
         writer.close()
@@ -214,7 +214,7 @@
     return {"what": what, "at": int(seconds * NS_PER_S), **fields}
 
 
-def asked(ident, seconds=1.0, cls="assign"):
+def sent(ident, seconds=1.0, cls="assign"):
     return at(seconds, "asked", id=ident, cls=cls, deadline=2.0)
 
 
@@ -228,32 +228,32 @@
 
 
 FINE = {
-    "clients": [asked("a"), answered("a"), asked("z", 9.0), answered("z", 9.5, "refused", "")],
+    "clients": [sent("a"), answered("a"), sent("z", 9.0), answered("z", 9.5, "refused", "")],
     "n": node_did("a"),
     "m": [],
     "directory": [at(0.5, "told", entries={"n": "SERVING", "m": "SERVING"})],
 }
 WRONG = {  # what is written down beside what is fine, the rule that is broken, and what the finding names
-    "no answer": ({"clients": [asked("b")]}, "one final answer", "request b: 0 answers"),
+    "no answer": ({"clients": [sent("b")]}, "one final answer", "request b: 0 answers"),
     "two answers": (
-        {"clients": [asked("b"), answered("b", 1.5, "refused"), answered("b", 1.6, "refused")]},
+        {"clients": [sent("b"), answered("b", 1.5, "refused"), answered("b", 1.6, "refused")]},
         "one final answer",
         "request b: 2 answers",
     ),
-    "lost": ({"clients": [asked("b"), answered("b", 1.5, "lost")]}, "one final answer", "request b"),
+    "lost": ({"clients": [sent("b"), answered("b", 1.5, "lost")]}, "one final answer", "request b"),
     "late": (
-        {"clients": [asked("b"), answered("b", 3.2, "failed")]},
+        {"clients": [sent("b"), answered("b", 3.2, "failed")]},
         "one final answer",
         "request b: failed after 2.200 of 2 s",
     ),
     "ran twice": (
-        {"clients": [asked("b"), answered("b")], "n": node_did("b"), "m": node_did("b", 1.3)},
+        {"clients": [sent("b"), answered("b")], "n": node_did("b"), "m": node_did("b", 1.3)},
         "no repeat beyond the class",
         "request b was taken 2 times: n at 1200000000, m at 1300000000",
     ),
     "drain not kept": (
         {
-            "clients": [asked("b", 9.0), answered("b", 9.5)],
+            "clients": [sent("b", 9.0), answered("b", 9.5)],
             "n": node_did("b", 9.2),
             "directory": [at(6.0, "told", entries={"n": "DRAINING"})],
         },
@@ -262,7 +262,7 @@
     ),
     "drain told again": (
         {
-            "clients": [asked("b", 9.0), answered("b", 9.5)],
+            "clients": [sent("b", 9.0), answered("b", 9.5)],
             "n": node_did("b", 9.2),
             "directory": [at(t, "told", entries={"n": "DRAINING"}) for t in (6.0, 8.9)],
         },
@@ -271,7 +271,7 @@
     ),
     "gone, by a whole list without it": (
         {
-            "clients": [asked("b", 9.0), answered("b", 9.5)],
+            "clients": [sent("b", 9.0), answered("b", 9.5)],
             "n": node_did("b", 9.2),
             "directory": [at(6.0, "told", entries={"m": "SERVING"}, whole=True)],
         },
@@ -294,34 +294,34 @@
         "m fell: 9.00 s of work came, 2.00 could be",
     ),
     "another's answer": (
-        {"clients": [asked("b"), answered("b", 1.5, "served", "n:a")]},
+        {"clients": [sent("b"), answered("b", 1.5, "served", "n:a")]},
         "true answers",
         "request b was served 'n:a'",
     ),
     "made up": (
-        {"clients": [asked("b"), answered("b", 1.5, "served", "n:b")]},
+        {"clients": [sent("b"), answered("b", 1.5, "served", "n:b")]},
         "true answers",
         "which no node made",
     ),
 }
 RIGHT = {
     "a repeat that was dropped": {
-        "clients": [asked("b"), answered("b")],
+        "clients": [sent("b"), answered("b")],
         "n": [*node_did("b"), at(1.4, "dropped", id="b", cls="assign")],
     },
     "within the grace": {
-        "clients": [asked("b", 8.0), answered("b", 8.4)],
+        "clients": [sent("b", 8.0), answered("b", 8.4)],
         "n": node_did("b", 8.2),
         "directory": [at(6.0, "told", entries={"n": "DRAINING"})],
     },
     "after the drain's end": {
-        "clients": [asked("b", 9.0), answered("b", 9.5)],
+        "clients": [sent("b", 9.0), answered("b", 9.5)],
         "n": node_did("b", 9.2),
         "directory": [at(t, "told", entries={"n": s}) for t, s in ((6.0, "DRAINING"), (8.0, "SERVING"))],
     },
-    "a client that left": {"clients": [asked("b"), answered("b", 1.1, "left", "")], "n": node_did("b")},
+    "a client that left": {"clients": [sent("b"), answered("b", 1.1, "left", "")], "n": node_did("b")},
     "an execution of what may run again": {
-        "clients": [asked("b", 1.0, "lookup"), answered("b", cls="lookup")],
+        "clients": [sent("b", 1.0, "lookup"), answered("b", cls="lookup")],
         "n": [*node_did("b", 1.2, "lookup"), *node_did("b", 1.3, "lookup")],
     },
 }
@@ -372,7 +372,7 @@
     assert "2 answers" in report.findings[0].text
 
 
-def test_an_event_log_that_a_kill_cut_off_is_read_up_to_there(tmp_path):
+def test_a_truncated_event_log_is_read_up_to_its_last_complete_line(tmp_path):
     path = tmp_path / "l"
     path.write_text('{"what":"a"}\n{"what":"b"}\n{"wha')
     assert [event["what"] for event in read_events(path)] == ["a", "b"]
@@ -396,7 +396,7 @@
     assert served > 50 and (tmp_path / "kept" / "node-7.jsonl").exists()
 
 
-def test_a_directory_with_manners_is_slow_late_forgetful_and_full(tmp_path):
+def test_a_directory_limits_its_rate_delays_notifications_and_forgets_changes(tmp_path):
     async def play():
         loop = asyncio.get_running_loop()
         directory = FakeDirectory(EventLog(tmp_path / "d.jsonl"), loop)
@@ -428,7 +428,7 @@
 
 
 @pytest.mark.parametrize("form", ["extra", "interim", "cut", "garbled", "stalled"])
-def test_a_node_spoils_its_answers_in_the_form_it_is_told(tmp_path, form):
+def test_a_node_sends_the_malformed_response_that_was_ordered(tmp_path, form):
     async def steps(node, port):
         await ask(port, order(spoil=1.0, form=form))
         reader, writer = await asyncio.open_connection(HOST, port)
@@ -471,7 +471,7 @@
     assert kinds(with_node(tmp_path, steps, max_connections=1))["taken"] == 2
 
 
-def test_clients_leave_are_slow_and_come_back_after_a_refusal(tmp_path):
+def test_clients_disconnect_are_slow_and_retry_after_a_rejection(tmp_path):
     async def play():
         async def turns(message, reader, writer):
             first = message.headers["x-request-id"].split("-")[0]
--- a/tests/test_model.py
+++ b/tests/test_node_model.py
@@ -36,7 +36,7 @@
     return times
 
 
-def test_what_is_in_hand_shares_the_cores():
+def test_running_requests_share_the_cores():
     node = model(cores=2, concurrency=4)
     for number in range(4):
         node.arrive(0.0, number, work(f"r{number}"))
@@ -47,7 +47,7 @@
     assert ends(node) == {0: 1.0, 1: 1.0, 2: 2.0, 3: 2.0}
 
 
-def test_a_crowded_node_thrashes():
+def test_a_node_with_a_full_queue_is_slower():
     node = model(cores=1, queue_capacity=4, crowding_loss=0.5)
     for number in range(5):
         node.arrive(0.0, number, work(f"r{number}"))
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize(("profile", "warm"), [({"warm_up_s": 4.0}, 4.0), ({"warm_up_work_s": 1.5}, None)])
-def test_a_cold_node_warms_by_time_or_by_work(profile, warm):
+def test_a_node_warms_up_by_time_or_by_work(profile, warm):
     node = model(cores=1, start_capacity=0.25, **{"warm_up_s": 1e9, **profile})
     node.advance(4.0)
     assert (node.capacity == 1.0) is (warm is not None)
@@ -71,14 +71,14 @@
 
 def test_keys_are_known_for_a_while_and_only_so_many():
     node = model(cores=1, key_cache_ttl_s=100.0, key_cache_size=2, cached_key_cost_factor=0.5)
-    for at, (key, took) in enumerate([("x", 1.0), ("x", 0.5), ("y", 1.0), ("z", 1.0), ("x", 1.0)]):
+    for at, (key, duration) in enumerate([("x", 1.0), ("x", 0.5), ("y", 1.0), ("z", 1.0), ("x", 1.0)]):
         node.arrive(10.0 * at, at, work(f"r{at}", key=key))
-        assert ends(node) == {at: 10.0 * at + took}
+        assert ends(node) == {at: 10.0 * at + duration}
     node.arrive(500.0, 9, work("late", key="x"))
     assert ends(node, 600.0) == {9: 501.0}
 
 
-def test_a_pod_drops_repeats_within_the_window_and_forgets_them():
+def test_a_deduplication_group_drops_duplicates_within_the_window():
     dedup_group = DeduplicationGroup()
     one, other = model(dedup_group), model(dedup_group)
     assert kinds(one.arrive(0.0, 1, work("r", idempotency_key="t"))) == ["taken", "began"]
@@ -93,7 +93,7 @@
     ]  # of another pod
 
 
-def test_what_nobody_waits_for_is_not_begun():
+def test_an_abandoned_request_is_not_started():
     node = model(cores=1)
     node.arrive(0.0, 1, work("r1"))
     node.arrive(0.0, 2, work("r2"))
@@ -102,7 +102,7 @@
     assert ends(node) == {1: 1.0} and node.next_event_at() is None
 
 
-def test_a_cold_node_that_falls_cuts_what_comes():
+def test_a_collapsed_node_closes_the_connections_of_new_requests():
     node = model(cores=1, start_capacity=0.2, warm_up_s=1e9, queue_capacity=1000)
     acts = [act for number in range(9) for act in node.arrive(0.01 * number, number, work(f"r{number}"))]
     assert any(isinstance(act, Collapse) for act in acts) and isinstance(acts[-1], CloseConnection)
@@ -119,7 +119,7 @@
     assert node.faults.malformed_share == 0.0
 
 
-def test_a_row_of_arrivals_is_its_seed_s_and_a_habit_more_leaves_the_rest():
+def test_a_schedule_depends_on_its_seed_and_one_habit_more_leaves_the_rest():
     classes = [
         RequestClass("a", 0.7, Idempotency.IDEMPOTENT_WITH_KEY, 2.0, 0.05),
         RequestClass("b", 0.3, Idempotency.IDEMPOTENT, 2.0, 0.02),
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -89,14 +89,14 @@
 }
 
 
-def sabotaged(folder, file, old, new):
+def sabotaged(build_dir, file, old, new):
     """A copy of the program with one line changed."""
-    shutil.copytree(PROGRAM, folder / "ochreflow", ignore=shutil.ignore_patterns("__pycache__"))
-    path = folder / "ochreflow" / file
+    shutil.copytree(PROGRAM, build_dir / "ochreflow", ignore=shutil.ignore_patterns("__pycache__"))
+    path = build_dir / "ochreflow" / file
     text = path.read_text()
     assert text.count(old) == 1
     path.write_text(text.replace(old, new))
-    return folder
+    return build_dir
 
 
 def test_each_sabotaged_build_is_convicted_and_a_good_one_is_not(tmp_path):
@@ -104,21 +104,21 @@
     assert set(SABOTAGE) == set(RULES)
 
     def judged(name, made, program):
-        folder = tmp_path / name
-        folder.mkdir()
-        return name, play(made, folder, 1, program)
+        run_dir = tmp_path / name
+        run_dir.mkdir()
+        return name, play(made, run_dir, 1, program)
 
     runs = [(f"good {number}", made, None) for number, made in enumerate((TROUBLED, DRAINED, KILLED, COLD))]
     for number, (rule, (file, old, new, made)) in enumerate(SABOTAGE.items()):
         runs.append((rule, made, sabotaged(tmp_path / f"program {number}", file, old, new)))
-    with ThreadPoolExecutor(AT_ONCE) as room:
-        played = dict(room.map(lambda one: judged(*one), runs))
-    for name, run in played.items():
+    with ThreadPoolExecutor(AT_ONCE) as pool:
+        result = dict(pool.map(lambda one: judged(*one), runs))
+    for name, run in result.items():
         if name in SABOTAGE:
             assert name in run.broken, name
         else:
             assert not run.findings and not run.crashed, (name, run.findings[:3], run.crashed[:3])
-        assert run.asked > 100
+        assert run.requests > 100
 
 
 def test_a_build_that_gives_up_55_ms_after_the_deadline_is_convicted(tmp_path):
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ('says = "x"\n', "kinds"),
         ("speed = 1\n", "speed"),
@@ -158,7 +158,7 @@
         ("[", "Invalid"),
     ],
 )
-def test_a_bad_scenario_is_one_line(tmp_path, change, said):
+def test_a_bad_scenario_is_one_line(tmp_path, change, message):
     kinds = '[kinds.a]\nshare = 1\nwork = 0.1\nrepeat = "safe"\n'
     path = tmp_path / "s.toml"
     path.write_text(change if "says" in change or change == "[" else f'says = "x"\n{kinds}{change}')
@@ -166,12 +166,12 @@
         path.write_text(f'says = "x"\n{change}{kinds}')
     with pytest.raises(ScenarioError) as caught:
         read_scenario(str(path))
-    assert said in str(caught.value) and "\n" not in str(caught.value)
+    assert message in str(caught.value) and "\n" not in str(caught.value)
     done = command("lab", "run", str(path))
     assert done.returncode == 2 and done.stderr.count("\n") == 1
 
 
-def test_the_load_follows_its_shape_and_worth_counts_what_was_in_time():
+def test_the_load_follows_its_shape_and_goodput_counts_what_was_in_time():
     made = scenario(10.0, 50, 1)
     load = msgspec.structs.replace(made.load, bursts=(Burst(0.4, 0.5, 2.5),), wave_amplitude=0.5)
     shaped = msgspec.structs.replace(made, load=load)
--- a/tests/test_simulated.py
+++ b/tests/test_simulated.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from simulated import Clock, QuietSelector
+from simulated import Clock, SimulatedTimeSelector
 
 BUSY = 0.2  # seconds of real time that are spent
 real = time.perf_counter
@@ -16,7 +16,7 @@
         monkeypatch.setattr(time, name, getattr(time, name))  # and back, whatever `install` does
     clock = Clock()
     clock.install()
-    made = asyncio.SelectorEventLoop(QuietSelector(clock))
+    made = asyncio.SelectorEventLoop(SimulatedTimeSelector(clock))
     yield made
     made.close()
 
@@ -72,6 +72,6 @@
 
 
 def test_who_waits_for_nothing_is_told(loop, monkeypatch):
-    monkeypatch.setattr("simulated.STUCK", 0.05)
+    monkeypatch.setattr("simulated.STALL_TIMEOUT_S", 0.05)
     with pytest.raises(RuntimeError, match="nothing can come"):
         loop.run_until_complete(loop.create_future())
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -15,10 +15,12 @@
 
 @pytest.mark.parametrize("name", scenario_names())
 def test_the_library_keeps_every_rule(name):
-    played = simulate(read_scenario(name), 3)
-    assert played.outcome == 0, played.report.findings[:3]
-    took = [took for logical in played.report.logical_requests.values() for took in logical.values()]
-    assert sum(time is not None for time in took) > 0.8 * len(took) > 500
+    result = simulate(read_scenario(name), 3)
+    assert result.outcome == 0, result.report.findings[:3]
+    durations = [
+        duration for logical in result.report.logical_requests.values() for duration in logical.values()
+    ]
+    assert sum(time is not None for time in durations) > 0.8 * len(durations) > 500
 
 
 def test_the_same_seed_gives_the_same_bytes_and_another_one_others():
@@ -39,10 +41,10 @@
     assert rule in found
 
 
-def test_what_is_lost_while_a_sidecar_is_killed_is_counted_and_excused():
-    played = simulate(read_scenario("kill-loop"), 1)
-    lost = sum(counts["lost"] for counts in played.report.by_class.values())
-    assert lost > 10 and played.outcome == 0
+def test_unanswered_requests_of_a_killed_sidecar_are_counted_and_excused():
+    result = simulate(read_scenario("kill-loop"), 1)
+    lost = sum(counts["lost"] for counts in result.report.by_class.values())
+    assert lost > 10 and result.outcome == 0
 
 
 def test_the_margins_are_those_of_the_engine():
@@ -62,7 +64,7 @@
     }
 
 
-def test_a_folder_without_a_module_is_told(tmp_path):
+def test_a_build_without_a_decision_module_is_an_error(tmp_path):
     with pytest.raises(FileNotFoundError, match="no decision module"):
         load_policy(tmp_path)
     assert (
@@ -71,7 +73,7 @@
     )
 
 
-def test_nodes_of_a_pod_drop_each_other_s_repeats():
+def test_nodes_of_a_group_drop_each_other_s_duplicates():
     run = Simulation(read_scenario("odd-clients"), 1, load_policy(None))
     run.run()
     nodes = run.directory.nodes
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -18,16 +18,16 @@
 
 
 @pytest.mark.parametrize(("sidecars", "cores"), [(1, 2), (4, 2), (16, 4)])
-def test_a_fleet_that_is_cold_as_a_whole_is_put_to_work_at_once(sidecars, cores):
+def test_a_fleet_that_warms_up_together_is_used_at_once(sidecars, cores):
     """With no answer there was no pace, and with no pace no answer, until the fleet was warm by its clock."""
-    played = simulate(cold(sidecars, cores, 65.0 * cores), 1)
-    assert played.outcome == 0
-    took = [time for logical in played.report.logical_requests.values() for time in logical.values()]
-    assert sum(time is not None for time in took) > 0.9 * len(took)
+    result = simulate(cold(sidecars, cores, 65.0 * cores), 1)
+    assert result.outcome == 0
+    durations = [time for logical in result.report.logical_requests.values() for time in logical.values()]
+    assert sum(time is not None for time in durations) > 0.9 * len(durations)
 
 
 @pytest.mark.parametrize(("sidecars", "cores"), [(1, 1), (4, 1), (1, 4), (16, 4)])
-def test_no_cold_fleet_is_pushed_over_by_far_more_than_it_can_bear(sidecars, cores):
+def test_no_fleet_that_warms_up_collapses_under_far_too_high_load(sidecars, cores):
     given = cold(sidecars, cores, 300.0 * cores, warm_up_s=30.0, start_capacity=0.05)
     assert not simulate(replace(given, duration_s=16.0), 1).report.findings
 
