--- a/ochreflow/policy/settings.py
+++ b/ochreflow/policy/settings.py
@@ -187,11 +187,14 @@
     if count < 1:
         message = "setting classes.count is unreadable: no class"
         raise SettingError(message)
+    # Tenants and report columns come first: where several settings are wrong, the first one read is named.
+    tenants = _tenants(pairs)
+    report_columns = _report_columns(pairs)
     return api.Settings(
         classes=[_request_class(pairs, f"classes.{n}.") for n in range(count)],
         zones=pairs.names("dcs"),
         zone=pairs.integer("my-zone", 0),
-        tenants=_tenants(pairs),
+        tenants=tenants,
         over_quota_weight=pairs.number("over-share-worth", 1.0),
         weight_by_work=pairs.text("worth-by", "request") == "work",
         index=pairs.integer("index", 0),
@@ -213,7 +216,7 @@
         retry_after=pairs.flag("ceilings.retry-after", default=False),
         max_retry_after_ns=pairs.integer("ceilings.max-retry-after-ns", 0),
         connect_timeout_ns=pairs.integer("ceilings.connect-timeout-ns", 0),
-        report_columns=_report_columns(pairs),
+        report_columns=report_columns,
         weighted=pairs.text("weight-source", "silent") != "silent",
         goal_worst_class=pairs.number("goal.worst-class", 0.0),
         price_cross_zone=pairs.number("prices.cross-zone", 0.0),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -206,6 +206,21 @@
             settings.parse_settings(text)
 
 
+@pytest.mark.parametrize(
+    ("wrong", "named"),
+    [
+        (("accounts.count", "classes.0.deadline-ns"), "accounts.count"),
+        (("classes.0.deadline-ns", "my-zone"), "classes.0.deadline-ns"),
+        (("classes.count", "accounts.count"), "classes.count"),
+        (("ceilings.send-cap", "rules.drain-grace-ns"), "rules.drain-grace-ns"),
+    ],
+)
+def test_of_several_unreadable_settings_the_first_one_read_is_named(wrong, named):
+    lines = [line for line in TEXT.splitlines() if line.split("=", 1)[0] not in wrong]
+    with pytest.raises(settings.SettingError, match=named):
+        settings.parse_settings("\n".join([*lines, *(key + "=?" for key in wrong)]))
+
+
 def test_instances_act_alike_together_and_apart():
     text = TEXT.encode()
 
