--- a/ochreflow/core/dispatcher.py
+++ b/ochreflow/core/dispatcher.py
@@ -21,6 +21,7 @@
         self.fault_log = fault_log
         self.queue: deque[api.Event] = deque()
         self.dispatching = False
+        self.latest_actions: list[api.Action] = []  # of the latest event that the balancer began with
         self.execute: Callable[[api.Action], None]
 
     def set_executor(self, execute: Callable[[api.Action], None]) -> None:
@@ -39,13 +40,14 @@
         try:
             while self.queue:
                 event = self.queue.popleft()
-                self.balancer.ctx.actions = []  # else a fault would have those of an earlier event done again
                 try:
                     actions = self.balancer.handle(self.clock.now(), event)
                 except Exception:
                     # Guards all other requests against a fault in one: the deadline watchdog answers it.
                     self.fault_log.log("the module failed on an event")
-                    actions = self.balancer.ctx.actions
+                    actions = self._actions_before_fault()
+                else:
+                    self.latest_actions = actions
                 for action in actions:
                     try:
                         self.execute(action)
@@ -53,3 +55,10 @@
                         self.fault_log.log("an action failed")
         finally:
             self.dispatching = False
+
+    def _actions_before_fault(self) -> list[api.Action]:
+        actions = self.balancer.actions_before_fault()
+        if actions is self.latest_actions:
+            return []  # it failed before it began with the event: these are an earlier event's
+        self.latest_actions = actions
+        return actions
