--- a/ochreflow/core/log.py
+++ b/ochreflow/core/log.py
@@ -1,7 +1,7 @@
-"""What the program says of itself: events by name, with typed fields, and a bound on how often.
+"""The program's log: events by name, with typed fields, at a bounded rate.
 
-This is the one list of the events there are. How they are written is the affair of a sink that the
-process sets: plain lines by default, which need nothing but the standard library.
+This is the only list of events. A sink that the process sets writes them: by default plain lines, which need
+only the standard library.
 """
 
 from __future__ import annotations
@@ -9,9 +9,10 @@
 import sys
 import traceback
 from collections.abc import Callable
+from dataclasses import dataclass
 from time import monotonic
 
-# What each event says in plain words. A field that has no place in the words is not lost: `text` adds it.
+# The text of each event. Fields that don't stand in the text are appended by `text`.
 EVENTS = {
     "listening": "{name} listens at {host}:{port}",
     "management_listening": "management interface is at {host}:{port}",
@@ -42,6 +43,7 @@
     "internal_error": "{reason}",
 }
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
+RATE_WINDOW_S = 1.0
 PER_SECOND = 100  # lines of one event; a list of servers may name some dozens at once
 
 Sink = Callable[[str, str, dict[str, object]], None]
@@ -50,9 +52,9 @@
 def text(event: str, fields: dict[str, object]) -> str:
     """Return the plain words of an event."""
     words = EVENTS.get(event, event)
-    said = words.format_map(fields) if "{" in words else words
+    message = words.format_map(fields) if "{" in words else words
     rest = [f"{key}={value}" for key, value in fields.items() if f"{{{key}}}" not in words]
-    return " ".join([said, *rest])
+    return " ".join([message, *rest])
 
 
 def plain(level: str, event: str, fields: dict[str, object]) -> None:
@@ -64,8 +66,17 @@
         print(trace, file=sys.stderr, end="", flush=True)
 
 
+@dataclass(slots=True)
+class RateWindow:
+    """How often one event came within a second."""
+
+    started_s: float
+    written: int = 0
+    suppressed: int = 0  # since one was last written
+
+
 class Log:
-    """Where all parts write. An event over its bound is counted, and told with the next one let through."""
+    """Where all parts write. Events over their bound are counted, and the next one written says how many."""
 
     def __init__(self, sink: Sink = plain, clock: Callable[[], float] = monotonic) -> None:
         """Write to `sink`; `clock` gives seconds."""
@@ -78,23 +89,23 @@
         self.min_level = LEVELS[min_level]
         self.debugging = min_level == "debug"  # asked for each request: it must cost nothing otherwise
         self.per_second = per_second
-        self.windows: dict[str, list[float]] = {}  # by event: start of its second, written, held back
+        self.windows: dict[str, RateWindow] = {}  # by event
 
     def write(self, level: str, event: str, fields: dict[str, object]) -> None:
         """Write an event, unless its level is too low or it came too often within this second."""
         if LEVELS[level] < self.min_level:
             return
         now = self.clock()
-        window = self.windows.setdefault(event, [now, 0, 0])
-        if now - window[0] >= 1.0:
-            window[0], window[1] = now, 0
-        if window[1] >= self.per_second:
-            window[2] += 1
+        window = self.windows.setdefault(event, RateWindow(now))
+        if now - window.started_s >= RATE_WINDOW_S:
+            window.started_s, window.written = now, 0
+        if window.written >= self.per_second:
+            window.suppressed += 1
             return
-        window[1] += 1
-        if window[2]:
-            fields["suppressed"] = int(window[2])
-            window[2] = 0
+        window.written += 1
+        if window.suppressed:
+            fields["suppressed"] = window.suppressed
+            window.suppressed = 0
         self.sink(level, event, fields)
 
     def debug(self, event: str, **fields: object) -> None:
@@ -114,7 +125,7 @@
         self.write("error", event, fields)
 
     def exception(self, event: str, **fields: object) -> None:
-        """An error with the trace of the exception that is being handled."""
+        """Write an error with the trace of the exception that is being handled."""
         self.write("error", event, {**fields, "trace": traceback.format_exc()})
 
 
