--- a/tests/test_little.py
+++ b/tests/test_low_traffic.py
@@ -1,4 +1,4 @@
-"""Sidecars that see little: one small test for each failure found at full size."""
+"""Sidecars with low traffic: one small test for each failure found at full size."""
 
 import pytest
 from helpers import MS, SECOND, START, endpoint, kinds, play_timers, request, send_one, serve
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -59,8 +59,8 @@
         took,
         cls=lambda n: 0,
         tenant=lambda n: 0,
-        left=lambda n: 2 * SECOND,
-        again=lambda n: False,
+        remaining_ns=lambda n: 2 * SECOND,
+        is_retry=lambda n: False,
     ):
         """Actions of this stretch, with their times."""
         self.log = []
@@ -74,8 +74,8 @@
             self.now = arrival
             self.ident += 1
             number = self.ident
-            due = arrival + left(number)
-            self._handle(Request(number, cls(number), tenant(number), due, is_retry=again(number)), took)
+            due = arrival + remaining_ns(number)
+            self._handle(Request(number, cls(number), tenant(number), due, is_retry=is_retry(number)), took)
             arrival += gap
         return self.log
 
@@ -262,8 +262,8 @@
 def test_a_clients_old_tries_are_shed_first_and_only_in_overload(feed, left, marked):
     """Incident i8cc3a0: most of what was let through came too late, counted from the client's first try."""
     old = {
-        "left": lambda n: 900 * MS if n % 2 else left,
-        "again": lambda n: marked and n % 2 == 0,
+        "remaining_ns": lambda n: 900 * MS if n % 2 else left,
+        "is_retry": lambda n: marked and n % 2 == 0,
     }
     assert share(feed.run(5, 100, fast, **old), Reject) == 0
     log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.endpoints.inflight) * MS, **old)
@@ -275,7 +275,7 @@
 def test_a_refused_client_is_asked_back_within_its_aim_unless_that_has_passed():
     """Later, and its next try could only be late: much of what was served in i8cc3a0 was."""
     feed = Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT, max_retry_after_ns=10 * SECOND))
-    old = {"left": lambda n: 1500 * MS if n % 2 else 1400 * MS}  # of 2 s, so these are 0.6 s old
+    old = {"remaining_ns": lambda n: 1500 * MS if n % 2 else 1400 * MS}  # of 2 s, so these are 0.6 s old
     feed.run(5, 100, fast, **old)
     log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.endpoints.inflight) * MS, **old)
     refused = [a for _, a in log if isinstance(a, Reject)]
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -6,10 +6,21 @@
 import tomllib
 from pathlib import Path
 
+import pytest
 from helpers import MS, SECOND, START, endpoint, make, request, settings
 
 from ochreflow import Balancer
-from ochreflow.policy.interface import Effect, ListKind, Membership, Outcome, Send, SetTimer, Status, Timer
+from ochreflow.policy.interface import (
+    Effect,
+    ListKind,
+    Log,
+    Membership,
+    Outcome,
+    Send,
+    SetTimer,
+    Status,
+    Timer,
+)
 
 ROOT = Path(__file__).parent.parent
 MAX_MODULE_LINES = 400  # of one decision module: past that it has more than one job
@@ -123,3 +134,18 @@
 
 def test_work_per_event_does_not_grow_with_open_requests():
     assert _operations(2000) <= 1.5 * _operations(100)
+
+
+def test_a_fault_leaves_the_actions_of_its_own_event_and_none_of_an_earlier_one(monkeypatch):
+    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
+    sent = balancer.handle(now, request(1, now))
+    assert any(isinstance(action, Send) for action in sent)
+
+    def fail_after_log(request):
+        balancer.ctx.log("decided before the fault")
+        raise RuntimeError("injected")
+
+    monkeypatch.setattr(balancer.picker, "pick", fail_after_log)
+    with pytest.raises(RuntimeError, match="injected"):
+        balancer.handle(now, request(2, now))
+    assert balancer.actions_before_fault() == [Log("decided before the fault")]
