--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -160,9 +160,8 @@
             # It ended before its body was through.
             self.outcome_recorder.learn(server, self.ctx.now, request.cls, event, written_off=False)
         elif server and request.streaming and event.status is Status.RESET:
-            self.outlier_detector.record_failure(
-                server, 1.0, MAX_EJECTED_SHARE
-            )  # it began to answer, and broke
+            # It began to answer, and broke.
+            self.outlier_detector.record_failure(server, 1.0, MAX_EJECTED_SHARE)
         settled = request.record_end(event.attempt, event.status)
         if event.final:
             self._forget(request)
@@ -308,9 +307,8 @@
             if not silent:
                 self.outlier_detector.write_off(server, (request.id, number))
         elif not silent:
-            self.limiter.record_latency(
-                server, request.cls, self.ctx.now - sent
-            )  # known late, it is of no use
+            # A latency that is known late is of no use.
+            self.limiter.record_latency(server, request.cls, self.ctx.now - sent)
         else:  # one long piece of work must not condemn a server by itself
             server.answering = False
             self.outlier_detector.record_failure(server, OVERDUE_FAILURE_WEIGHT, MAX_EJECTED_SHARE_ON_SILENCE)
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -42,7 +42,7 @@
 # Of the limit is open to the class of least priority weight for its cost, all of it to the highest.
 MIN_CLASS_SHARE = 0.5
 
-# What a client's retry is still worth.
+# What a client's retry can still earn.
 # Of the difference, for each shorter first attempt of a client: how long clients wait for one.
 CLIENT_TIMEOUT_SMOOTHING = 0.01
 SURE_BASELINES = 1.5  # baseline latencies before the objective: the answer comes in time
@@ -62,16 +62,15 @@
     ) -> None:
         """Start without a limit, until the first update."""
         self.ctx, self.latency, self.tenant_quotas, self.endpoints = ctx, latency, tenant_quotas, endpoints
-        self.client_timeout = [0.0] * len(
-            latency.class_mean
-        )  # ns that clients wait for one attempt, by class
+        # By class, ns that clients wait for one attempt.
+        self.client_timeout = [0.0] * len(latency.class_mean)
         self.pressure = PRIOR_PRESSURE
         self.pressure_sum = self.pressure_count = 0.0
         self.pressure_at = self.limited_at = self.updated_at = 0
         self.peak_inflight = self.target_inflight = 0.0
-        self.completed_units = 0.0  # wanted latencies of what was answered since the last correction
-        self.first_update_at = 0  # time of the first correction
-        self.limit = 1e9  # until the first correction
+        self.completed_units = 0.0  # target latencies of what was answered since the last update
+        self.first_update_at = 0  # 0: none yet
+        self.limit = 1e9  # until the first update
         self.update_interval_ns = int(ctx.shortest * UPDATE_INTERVAL)
         self.class_share = [1.0] * len(latency.class_mean)
 
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -9,9 +9,8 @@
 from .state_records import POLL, SECOND, Context, ScheduledTimer, Server
 
 MIN_SUBSET_SIZE = 2  # servers of each side (own zone, others): a pick of two needs two
-SUBSET_DEADLINES = (
-    1.0  # ... or as many as are asked in so many shortest deadlines: each is heard from so often
-)
+# ... or as many as get a request in so many shortest deadlines: each is heard from so often.
+SUBSET_DEADLINES = 1.0
 REQUEST_RATE_DEADLINES = 5.0  # shortest deadlines over which the own requests are counted
 
 # Polls of discovery, as parts of the polling interval.
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -15,9 +15,8 @@
     (Status.CONNECT_FAILED, Status.NOT_SENT)
 )  # ends of attempts that cost no server any work
 PROVES_NOT_RUN = UNWRITTEN | {Status.REJECTED}
-MAX_UNSENT_SHARE = (
-    0.45  # of a request's time may pass with nothing sent, while another attempt is still of use
-)
+# Of a request's time so much may pass with nothing sent, while another attempt is still of use.
+MAX_UNSENT_SHARE = 0.45
 
 
 class AttemptState(Enum):
