--- a/tests/checker.py
+++ b/tests/checker.py
@@ -36,7 +36,7 @@
         self.servers = {}  # id -> Endpoint as last listed
         self.listed = set()
         self.requests = {}  # id -> [class, deadline, ended, attempts]
-        self.cold = {}  # id -> [sends, answers] since the start it was listed with
+        self.warming_up = {}  # id -> [sends, answers] since the start it was listed with
         self.answers = []
 
     def event(self, now, event):
@@ -46,7 +46,7 @@
             for entry in event.entries:
                 before = self.servers.get(entry.server)
                 if before is None or before.started_ns != entry.started_ns:
-                    self.cold[entry.server] = [0, 0]
+                    self.warming_up[entry.server] = [0, 0]
                 self.servers[entry.server] = entry
                 if entry.state is State.READY:
                     self.listed.add(entry.server)
@@ -61,20 +61,20 @@
                 request[2] = True
             if event.status is Status.OK:
                 self.answers.append(now)
-                self.cold[event.server][1] += 1
+                self.warming_up[event.server][1] += 1
         elif isinstance(event, StreamStarted):
             self.requests[event.id][3][event.attempt][2] = "streaming"
 
     def actions(self, now, actions):
         for action in actions:
             if isinstance(action, Send):
-                self._send(now, action)
+                self._check_send(now, action)
             elif isinstance(action, Reject | Fail):
                 need(action.id in self.requests, "answers an unknown request")
                 cls, _, ended, attempts = self.requests[action.id]
                 need(not ended, "a second final answer")
                 if isinstance(action, Reject):
-                    self._refusal(self.settings.classes[cls], attempts)
+                    self._check_rejection(self.settings.classes[cls], attempts)
                 self.requests[action.id][2] = True
             elif isinstance(action, Probe):
                 need(self.settings.can_probe, "probes where it may not")
@@ -83,13 +83,13 @@
                 need(self.settings.can_cancel, "cancels where it may not")
                 need(action.attempt < len(self.requests[action.id][3]), "cancels what was never sent")
 
-    def _refusal(self, spec, attempts):
+    def _check_rejection(self, spec, attempts):
         harmless = spec.effect is Effect.IDEMPOTENT or (
             spec.effect is Effect.IDEMPOTENT_WITH_KEY and spec.scope is Scope.ALL
         )
         need(harmless or all(a[2] == "never" for a in attempts), "refuses what may have run")
 
-    def _send(self, now, action):
+    def _check_send(self, now, action):
         need(action.id in self.requests, "sends an unknown request")
         cls, deadline, ended, attempts = self.requests[action.id]
         spec = self.settings.classes[cls]
@@ -110,15 +110,15 @@
                 if spec.scope is Scope.ZONE:
                     need(server.zone == target.zone, "an effect twice: another zone")
         attempts.append([target, now, "out"])
-        self._pace(now, target)
+        self._check_slow_start(now, target)
 
-    def _pace(self, now, target):
+    def _check_slow_start(self, now, target):
         """Sends to a cold server: what it answered, twice, and its part of what this sidecar gets done."""
         age = now - target.started_ns
         warm = self.settings.warm_up_ns
         if not target.started_ns or age >= warm:
             return
-        tally = self.cold[target.server]
+        tally = self.warming_up[target.server]
         tally[0] += 1
         start = self.settings.start_capacity
         part = start + (1 - start) * max(age, 0) / warm
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -62,14 +62,14 @@
     return next(a for a in actions if isinstance(a, Send))
 
 
-def serve(balancer, now, idents, took):
+def serve(balancer, now, idents, duration_ns):
     """Requests one after another, each answered in time; the time after the last, and the servers used."""
     used = set()
     for ident in idents:
         sent = send_one(balancer, now, ident)
         used.add(sent.server)
-        now += took
-        balancer.handle(now, Outcome(ident, 0, sent.server, Status.OK, took, True))
+        now += duration_ns
+        balancer.handle(now, Outcome(ident, 0, sent.server, Status.OK, duration_ns, True))
     return now, used
 
 
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -22,14 +22,14 @@
     return make_any(fleet_size=400, **more)
 
 
-def trickle(balancer, now, idents, took, gap=SECOND):
+def trickle(balancer, now, idents, duration_ns, gap=SECOND):
     """One request at a time, far apart; the servers used, in order."""
     used = []
     for ident in idents:
         now += gap
         sent = send_one(balancer, now, ident)
         used.append(sent.server)
-        latency = took(sent.server)
+        latency = duration_ns(sent.server)
         balancer.handle(now + latency, Outcome(ident, 0, sent.server, Status.OK, latency, True))
     return now, used
 
@@ -37,8 +37,8 @@
 def test_a_sidecar_that_sends_little_keeps_to_few_servers_and_a_busy_one_to_all():
     """Every server was met twice a minute, so none was ever known as slow or hung."""
     entries = [endpoint(n) for n in range(40)]
-    quiet, now = make(entries=entries)
-    assert len(set(trickle(quiet, now, range(60), lambda server: 40 * MS)[1])) <= 4
+    idle, now = make(entries=entries)
+    assert len(set(trickle(idle, now, range(60), lambda server: 40 * MS)[1])) <= 4
     busy, now = make(entries=entries)
     assert len(serve(busy, now, range(1500), 10 * MS)[1]) == 40
 
@@ -61,14 +61,14 @@
 def test_a_request_reaches_beyond_the_set_when_none_of_it_is_fit():
     """A keyed repeat may only go to the group of its first server, of which the set may hold no other."""
     entries = [endpoint(n, cell=n // 2) for n in range(40)]
-    again = []
+    retried = []
     for seed in range(20):
         balancer, now = make(entries=entries, effect=Effect.IDEMPOTENT_WITH_KEY, seed=seed)
         first = send_one(balancer, now, 1).server
         actions = balancer.handle(now + MS, Outcome(1, 0, first, Status.RESET, MS, False))
         done = play_timers(balancer, now + MS, actions, now + SECOND)
-        again += [action.server - first for _, action in done if isinstance(action, Send)]
-    assert len(again) == 20 and {abs(step) for step in again} == {1}  # its neighbour, of the same cell
+        retried += [action.server - first for _, action in done if isinstance(action, Send)]
+    assert len(retried) == 20 and {abs(step) for step in retried} == {1}  # its neighbour, of the same cell
 
 
 def test_an_overrun_zone_and_a_slow_kind_get_less_within_tens_of_answers():
@@ -109,12 +109,12 @@
 def test_restarted_servers_are_used_from_their_listing_on_but_not_by_all_at_once():
     """A third of a fleet came back from a crash and stood idle for 14 s: first tokens took so long."""
     warm = [endpoint(n) for n in range(1, 9)]
-    cold = START + 5 * SECOND
+    restarted_at = START + 5 * SECOND
     first = []
     for seed in range(200):
         balancer, now = make(entries=warm, seed=seed)
         now, _ = trickle(balancer, now, range(10), lambda server: 50 * MS, SECOND // 2)
-        assert now == cold
+        assert now == restarted_at
         balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(9, started=now)]))
         _, used = trickle(balancer, now, range(10, 30), lambda server: 50 * MS, SECOND // 2)
         if 9 in used:
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize("servers, failures", [(60, 1), (6, 2)])
-def test_who_asks_a_server_rarely_avoids_it_after_one_failed_connect(servers, failures):
+def test_a_rarely_used_server_is_ejected_after_one_failed_connect(servers, failures):
     """herd+vast: of thirty gone servers a sidecar had found three after 5 s, as each had to fail it twice."""
     balancer, now = make_any(servers=servers, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     for ident in range(100):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -41,13 +41,13 @@
         self.tie += 1
         heapq.heappush(self.queue, (when, self.tie, event))
 
-    def _handle(self, event, took):
+    def _handle(self, event, duration_ns):
         for action in self.balancer.handle(self.now, event):
             self.log.append((self.now, action))
             if isinstance(action, SetTimer):
                 self._later(self.now + action.after_ns, Timer(action.token))
             elif isinstance(action, Send):
-                latency = took(action.server)
+                latency = duration_ns(action.server)
                 if latency is not None:
                     ok = Outcome(action.id, 0, action.server, Status.OK, latency, True)
                     self._later(self.now + latency, ok)
@@ -56,7 +56,7 @@
         self,
         seconds,
         per_second,
-        took,
+        duration_ns,
         cls=lambda n: 0,
         tenant=lambda n: 0,
         remaining_ns=lambda n: 2 * SECOND,
@@ -70,12 +70,13 @@
         while arrival < end:
             while self.queue and self.queue[0][0] <= arrival:
                 self.now, _, event = heapq.heappop(self.queue)
-                self._handle(event, took)
+                self._handle(event, duration_ns)
             self.now = arrival
             self.ident += 1
             number = self.ident
             due = arrival + remaining_ns(number)
-            self._handle(Request(number, cls(number), tenant(number), due, is_retry=is_retry(number)), took)
+            event = Request(number, cls(number), tenant(number), due, is_retry=is_retry(number))
+            self._handle(event, duration_ns)
             arrival += gap
         return self.log
 
@@ -98,11 +99,11 @@
     return Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT))
 
 
-def test_nothing_is_refused_while_answers_are_in_time(feed):
+def test_nothing_is_rejected_while_answers_are_in_time(feed):
     assert share(feed.run(10, 100, fast), Reject) == 0
 
 
-def test_work_is_refused_when_all_answers_are_late_and_again_taken_when_they_are_not(feed):
+def test_requests_are_rejected_when_all_answers_are_late_and_admitted_when_they_are_not(feed):
     feed.run(5, 100, fast)
     feed.run(3, 100, late)
     assert share(feed.run(3, 100, late), Reject) > 0.3
@@ -110,7 +111,7 @@
     assert share(feed.run(3, 100, fast), Reject) < 0.05
 
 
-def test_the_usual_latency_is_not_learned_from_a_collapse(feed):
+def test_the_baseline_latency_is_not_learned_from_a_collapse(feed):
     """Incident i545f60: it followed the collapse and the limit never bound."""
     feed.run(5, 300, fast)
     before = feed.balancer.latency.baseline[0]
@@ -145,22 +146,22 @@
 
 def test_the_limit_lets_go_within_a_second_of_a_burst(feed):
     """Guards against refusing all that comes until a queue has drained that would have drained by itself."""
-    took = Queues(feed, 40 * MS)  # six servers: 150 a second
-    assert share(feed.run(10, 75, took), Reject) == 0
-    burst = feed.run(5, 375, took)
+    duration_ns = Queues(feed, 40 * MS)  # six servers: 150 a second
+    assert share(feed.run(10, 75, duration_ns), Reject) == 0
+    burst = feed.run(5, 375, duration_ns)
     sent = sum(isinstance(action, Send) for _, action in burst)
     assert share(burst, Reject) > 0.4 and sent > 0.9 * 150 * 5  # the fleet is kept busy
-    feed.run(1, 75, took)
-    assert share(feed.run(5, 75, took), Reject) == 0
+    feed.run(1, 75, duration_ns)
+    assert share(feed.run(5, 75, duration_ns), Reject) == 0
 
 
-def test_what_a_burst_is_let_in_comes_in_time(feed):
+def test_what_is_admitted_of_a_burst_is_answered_in_time(feed):
     """Of what was sent, what the fleet could not answer within the aim of 500 ms, after the first second."""
-    took = Queues(feed, 40 * MS)
-    feed.run(10, 75, took)
-    feed.run(1, 375, took)
+    duration_ns = Queues(feed, 40 * MS)
+    feed.run(10, 75, duration_ns)
+    feed.run(1, 375, duration_ns)
     waits = []
-    feed.run(4, 375, lambda server: waits.append(took(server)) or waits[-1])
+    feed.run(4, 375, lambda server: waits.append(duration_ns(server)) or waits[-1])
     late = [wait for wait in waits if wait > 500 * MS]
     assert len(waits) > 500 and len(late) < 0.1 * len(waits)
 
@@ -196,7 +197,7 @@
     assert feed.balancer.limiter.limit < 0.4 * before  # more servers show by their answers
 
 
-def test_one_hung_server_does_not_make_the_sidecar_refuse(feed):
+def test_one_hung_server_does_not_make_the_sidecar_reject(feed):
     feed.run(5, 100, fast)
     log = feed.run(8, 100, lambda server: None if server == 101 else 40 * MS)
     assert share(log, Reject) < 0.02
@@ -258,11 +259,11 @@
     assert 0 < cheap < 1.3 * dear
 
 
-@pytest.mark.parametrize("left, marked", [(900 * MS, True), (600 * MS, True), (600 * MS, False)])
-def test_a_clients_old_tries_are_shed_first_and_only_in_overload(feed, left, marked):
+@pytest.mark.parametrize("remaining_ns, marked", [(900 * MS, True), (600 * MS, True), (600 * MS, False)])
+def test_a_clients_late_retries_are_shed_first_and_only_in_overload(feed, remaining_ns, marked):
     """Incident i8cc3a0: most of what was let through came too late, counted from the client's first try."""
     old = {
-        "remaining_ns": lambda n: 900 * MS if n % 2 else left,
+        "remaining_ns": lambda n: 900 * MS if n % 2 else remaining_ns,
         "is_retry": lambda n: marked and n % 2 == 0,
     }
     assert share(feed.run(5, 100, fast, **old), Reject) == 0
@@ -272,7 +273,7 @@
     assert refused.count(0) > 0
 
 
-def test_a_refused_client_is_asked_back_within_its_aim_unless_that_has_passed():
+def test_a_retry_after_lies_within_the_objective_unless_that_has_passed():
     """Later, and its next try could only be late: much of what was served in i8cc3a0 was."""
     feed = Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT, max_retry_after_ns=10 * SECOND))
     old = {"remaining_ns": lambda n: 1500 * MS if n % 2 else 1400 * MS}  # of 2 s, so these are 0.6 s old
@@ -284,7 +285,7 @@
     assert min(waits[0]) > 500 * MS / 2
 
 
-def test_a_tenant_over_its_share_is_refused_first_and_only_in_overload():
+def test_a_tenant_over_its_quota_is_rejected_first_and_only_in_overload():
     tenants = [Tenant("calm", 0.5, 50.0), Tenant("loud", 0.5, 50.0)]
     feed = Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT, tenants=tenants, over_quota_weight=0.1))
     loud_mostly = {"tenant": lambda n: n % 5 != 0}
@@ -297,22 +298,22 @@
     assert rate[True] / asked[True] > rate[False] / asked[False]
 
 
-def test_peers_rates_are_told_and_taken_and_corrupt_ones_skipped():
+def test_rates_are_published_and_recorded_and_corrupt_ones_skipped():
     tenants = [Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0)]
     config = settings(effect=Effect.NON_IDEMPOTENT, tenants=tenants, can_gossip=True, fleet_size=2, index=0)
     balancer = Balancer(config, 1)
     balancer.handle(START, Membership(ListKind.FULL, 1, [endpoint(n) for n in range(4)]))
     feed = Feed(balancer, START)
-    told = [a.data for _, a in feed.run(5, 20, fast, tenant=lambda n: 0) if isinstance(a, PublishGossip)]
-    assert told
-    balancer.handle(feed.now, GossipReceived(1, told[-1][:3]))
-    balancer.handle(feed.now, GossipReceived(1, told[-1]))
+    published = [a.data for _, a in feed.run(5, 20, fast, tenant=lambda n: 0) if isinstance(a, PublishGossip)]
+    assert published
+    balancer.handle(feed.now, GossipReceived(1, published[-1][:3]))
+    balancer.handle(feed.now, GossipReceived(1, published[-1]))
     feed.run(2, 20, fast, tenant=lambda n: 0)
     assert balancer.tenant_quotas.over_quota[0] > 0.5  # 20 here and 20 there, of 10
     assert balancer.tenant_quotas.over_quota[1] == 0.0
 
 
-def test_a_surge_is_let_in_only_as_far_as_answers_justify():
+def test_a_surge_is_admitted_only_as_far_as_answers_justify():
     """Incident ibe9fc7: four times what was in flight, of late, grew with the surge until all was jammed."""
     feed = Feed(*make(servers=40, effect=Effect.NON_IDEMPOTENT, fleet_size=8))
     feed.run(5, 50, fast)
@@ -324,12 +325,12 @@
 
 
 @pytest.mark.parametrize("effect", list(Effect))
-def test_an_ejected_server_is_tried_again_one_request_at_a_time_by_any_class_where_none_is_safe(effect):
+def test_an_ejected_server_is_half_open_to_any_class_where_none_is_idempotent(effect):
     """Incident ifc0f20: no class of the site was safe, so what had recovered stayed ejected for good."""
     balancer, now = make(servers=6, effect=effect)
-    lost = balancer.endpoints.servers[100]
-    balancer.outlier_detector.record_failure(lost, 5.0, 1.0)
-    assert lost.ejected
+    ejected = balancer.endpoints.servers[100]
+    balancer.outlier_detector.record_failure(ejected, 5.0, 1.0)
+    assert ejected.ejected
     tried = []
     for step in range(1000):
         now += 10 * MS
@@ -342,7 +343,7 @@
     assert tried[0] - START > SECOND
 
 
-def test_only_a_safe_class_is_the_trial_where_there_is_one():
+def test_only_an_idempotent_class_is_the_half_open_request_where_there_is_one():
     classes = [
         RequestClass("safe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.IDEMPOTENT),
         RequestClass("unsafe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.NON_IDEMPOTENT),
@@ -356,7 +357,7 @@
     assert [a.server for a in actions if isinstance(a, Send)] == [100]
 
 
-def test_attempts_whose_answers_are_lost_do_not_fill_the_limit():
+def test_attempts_that_are_never_answered_do_not_fill_the_limit():
     """Guards against a network that drops answers: they filled the limit, and all was refused."""
     balancer, now = make(servers=4, effect=Effect.NON_IDEMPOTENT, hedging=False)
     sent = {}
@@ -382,7 +383,7 @@
     )
 
 
-def test_what_can_not_be_sent_is_refused_before_half_its_time():
+def test_what_can_not_be_sent_is_rejected_before_half_its_time():
     """Guards the client's time: told early and when to come back, it may yet be served."""
     balancer, now = make(entries=[], effect=Effect.NON_IDEMPOTENT)
     done = play_timers(balancer, now, balancer.handle(now, request(7, now)), now + 2 * SECOND)
@@ -459,7 +460,7 @@
     assert share(feed.run(1, 700, fast), Reject) < 0.1
 
 
-def test_a_body_that_is_through_at_a_server_that_left_meanwhile_is_not_held_for_ever():
+def test_a_body_uploaded_to_a_server_that_was_removed_meanwhile_is_not_in_flight_for_ever():
     """Its end is no known server's any more: counted as in flight it would narrow the limit for good."""
     balancer, now = make(entries=[endpoint(1), endpoint(2)])
     sent = balancer.handle(now, Request(7, 0, 0, now + 2 * SECOND, uploading=True))
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -19,33 +19,33 @@
 def test_an_attempt_whose_connection_never_came_up_is_given_back_once_it_was_taken_from_this_start():
     balancer, now = make(entries=[endpoint(1), endpoint(2)])
     server = restarted(balancer, now)
-    pace = balancer.slow_start
+    slow_start = balancer.slow_start
     sent = balancer.ctx.now = now + 10 * MS
-    pace.allows(server, 0, consume=True)
+    slow_start.allows(server, 0, consume=True)
     taken = server.slow_start_tokens
     balancer.ctx.now += 200 * MS
-    pace.give_back(server, 0, sent)
+    slow_start.give_back(server, 0, sent)
     assert server.slow_start_tokens == taken + balancer.latency.cost(0)
     # Its pace was another life's: the new one owes nothing for it.
     server = restarted(balancer, now + SECOND)
     balancer.ctx.now += SECOND
-    pace.allows(server, 0, consume=False)
+    slow_start.allows(server, 0, consume=False)
     fresh = server.slow_start_tokens
-    pace.give_back(server, 0, sent)
+    slow_start.give_back(server, 0, sent)
     assert server.slow_start_tokens == fresh
 
 
 def test_an_attempt_between_a_start_and_the_news_of_it_gets_nothing_back_from_the_new_life():
     balancer, now = make(entries=[endpoint(1), endpoint(2)])
-    pace = balancer.slow_start
-    started, sent, told = now, now + 100 * MS, now + SECOND
-    balancer.handle(told, Membership(ListKind.DELTA, 2, [endpoint(1, started=started)]))
+    slow_start = balancer.slow_start
+    started, sent, notified_at = now, now + 100 * MS, now + SECOND
+    balancer.handle(notified_at, Membership(ListKind.DELTA, 2, [endpoint(1, started=started)]))
     server = balancer.endpoints.servers[1]
-    pace.allows(server, 0, consume=False)
+    slow_start.allows(server, 0, consume=False)
     fresh = server.slow_start_tokens
-    pace.give_back(server, 0, sent)
+    slow_start.give_back(server, 0, sent)
     assert server.slow_start_tokens == fresh
-    pace.give_back(server, 0, told)
+    slow_start.give_back(server, 0, notified_at)
     assert server.slow_start_tokens == fresh + balancer.latency.cost(0)
 
 
@@ -172,12 +172,12 @@
         settings = {"seed": seed, "overload_factor": 2.5, "overload_for_ns": 3 * SECOND}
         balancer, now = began([endpoint(1), endpoint(2)], **settings)
         now = carry(balancer, now, {1: 20, 2: 20})
-        server, pace = restarted(balancer, now), balancer.slow_start
+        server, slow_start = restarted(balancer, now), balancer.slow_start
         for tick in range(300):
             balancer.ctx.now = now + tick * 10 * MS
-            budget += 2.5 * 20 * pace.warm_share(server) / 100
-            if pace.allows(server, 0, consume=False):
-                pace.allows(server, 0, consume=True)
+            budget += 2.5 * 20 * slow_start.warm_share(server) / 100
+            if slow_start.allows(server, 0, consume=False):
+                slow_start.allows(server, 0, consume=True)
                 sent += 1
     assert 0.65 * budget < sent < 0.85 * budget
 
@@ -190,14 +190,14 @@
         balancer, now = began(entries, seed=seed, fleet_size=200, overload_factor=2.5)
         now = carry(balancer, now, dict.fromkeys([one.id for one in balancer.endpoints.local], 4))
         balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(0, started=now)]))
-        server, pace = balancer.endpoints.servers[0], balancer.slow_start
+        server, slow_start = balancer.endpoints.servers[0], balancer.slow_start
         if server in balancer.endpoints.outside_subset:
             continue
         for tick in range(500):
             balancer.ctx.now = now + tick * 10 * MS
-            budget += 2 * 2.5 * 2 * pace.warm_share(server) / 100
-            if pace.allows(server, 0, consume=False):
-                pace.allows(server, 0, consume=True)
+            budget += 2 * 2.5 * 2 * slow_start.warm_share(server) / 100
+            if slow_start.allows(server, 0, consume=False):
+                slow_start.allows(server, 0, consume=True)
                 sent += 1
     assert budget > 150
     assert 0.65 * budget < sent < 0.85 * budget
@@ -220,13 +220,13 @@
 def test_a_cold_server_that_turns_away_gets_nothing_until_more_is_earned():
     balancer, now = began([endpoint(1), endpoint(2)])
     now = carry(balancer, now, {1: 10, 2: 10})
-    server, pace = restarted(balancer, now), balancer.slow_start
+    server, slow_start = restarted(balancer, now), balancer.slow_start
     balancer.ctx.now = now + 2 * SECOND
-    assert pace.allows(server, 0, consume=False)
-    pace.drain_tokens(server)
-    assert not pace.allows(server, 0, consume=False)
+    assert slow_start.allows(server, 0, consume=False)
+    slow_start.drain_tokens(server)
+    assert not slow_start.allows(server, 0, consume=False)
     balancer.ctx.now += 2 * SECOND
-    assert pace.allows(server, 0, consume=False)
+    assert slow_start.allows(server, 0, consume=False)
 
 
 def test_a_kind_never_met_warm_is_paced_by_all():
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -121,11 +121,11 @@
             elif isinstance(action, Send):
                 self._sent(action)
             elif isinstance(action, Probe):
-                took = int(self.rng.expovariate(1) * 15 * MS) + 1
+                duration_ns = int(self.rng.expovariate(1) * 15 * MS) + 1
                 status = self.rng.choice(STATUSES)
                 report = self.report() if status is Status.OK else ()
-                made = ProbeResult(action.server, status, took, report)
-                self.later(self.now + took, lambda made=made: made)
+                made = ProbeResult(action.server, status, duration_ns, report)
+                self.later(self.now + duration_ns, lambda made=made: made)
             elif isinstance(action, Cancel):
                 key = action.id, action.attempt
                 self.later(self.now + TICK, lambda key=key: self._settle(*key, Status.CANCELLED))
@@ -141,11 +141,11 @@
         self.state[key] = action.server, self.now
         status = self.rng.choice(STATUSES)
         deadline = self.deadlines[action.id]
-        took = int(self.rng.expovariate(1) * 150 * MS) + 1
+        duration_ns = int(self.rng.expovariate(1) * 150 * MS) + 1
         limit = min(deadline, self.now + action.timeout_ns if action.timeout_ns else deadline)
-        if status is Status.TIMEOUT or self.now + took > limit or self.rng.random() < 0.03:
-            status, took = Status.TIMEOUT, limit - self.now
-        self.later(self.now + took, lambda: self._settle(*key, status))
+        if status is Status.TIMEOUT or self.now + duration_ns > limit or self.rng.random() < 0.03:
+            status, duration_ns = Status.TIMEOUT, limit - self.now
+        self.later(self.now + duration_ns, lambda: self._settle(*key, status))
 
     def _settle(self, ident, number, status):
         if (ident, number) in self.settled:
@@ -210,14 +210,14 @@
     World(rng, config, Balancer(config, seed)).run(250)
 
 
-def broken_send_gate(monkeypatch):
-    def only_list_and_pace(self, request, server):
+def broken_send_rule(monkeypatch):
+    def only_list_and_slow_start(self, request, server):
         return server.listed and server.ready and self.slow_start.allows(server, request.cls, consume=False)
 
-    monkeypatch.setattr(SafetyRules, "may_send", only_list_and_pace)
+    monkeypatch.setattr(SafetyRules, "may_send", only_list_and_slow_start)
 
 
-def broken_refusal_gate(monkeypatch):
+def broken_rejection_rule(monkeypatch):
     monkeypatch.setattr(SafetyRules, "may_reject", lambda self, request: True)
 
 
@@ -242,7 +242,7 @@
     monkeypatch.setattr(RetryPolicy, "delay", lambda self, request: SECOND * 3600)
 
 
-def broken_pace(monkeypatch):
+def broken_slow_start(monkeypatch):
     monkeypatch.setattr(SlowStart, "allows", lambda self, server, cls, *, consume: True)
     monkeypatch.setattr(EndpointPicker, "slowness", lambda self, server: 1e-3 if server.started else 1.0)
 
@@ -250,11 +250,11 @@
 @pytest.mark.parametrize(
     ("plant", "text"),
     [
-        (broken_send_gate, "twice|out|many"),
-        (broken_refusal_gate, "refuses what may have run"),
+        (broken_send_rule, "twice|out|many"),
+        (broken_rejection_rule, "refuses what may have run"),
         (broken_list, "not ready"),
         (broken_answers, "never answered"),
-        (broken_pace, "cold"),
+        (broken_slow_start, "cold"),
     ],
 )
 def test_the_checker_catches_a_planted_violation(monkeypatch, plant, text):
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("effect", list(Effect))
 @pytest.mark.parametrize("status", [Status.REJECTED, Status.CONNECT_FAILED])
-def test_what_never_ran_is_repeated_elsewhere_after_a_delay(effect, status):
+def test_what_never_ran_is_retried_elsewhere_after_a_backoff(effect, status):
     balancer, now = make(effect=effect)
     first = send_one(balancer, now, 1)
     done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("status", [Status.TIMEOUT, Status.RESET])
-def test_ambiguous_failures_end_unsafe_requests_with_a_failure(status):
+def test_ambiguous_failures_end_non_idempotent_requests_with_a_failure(status):
     balancer, now = make(effect=Effect.NON_IDEMPOTENT)
     first = send_one(balancer, now, 1)
     done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
@@ -35,14 +35,14 @@
 
 
 @pytest.mark.parametrize("status", [Status.TIMEOUT, Status.RESET])
-def test_ambiguous_failures_of_safe_requests_are_repeated(status):
+def test_ambiguous_failures_of_idempotent_requests_are_retried(status):
     balancer, now = make(effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
     done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
     assert [a.id for _, a in done if isinstance(a, Send)][:1] == [1]
 
 
-def test_delays_are_jittered_and_grow_with_the_time_left():
+def test_backoffs_are_jittered_and_grow_with_the_remaining_time():
     waits = {}
     for length in (SECOND, 4 * SECOND):
         seen = []
@@ -63,7 +63,7 @@
     assert any(isinstance(a, Reject | Fail) for a in actions)
 
 
-def test_no_time_left_is_answered_at_once():
+def test_no_remaining_time_is_answered_at_once():
     balancer, now = make()
     actions = balancer.handle(now, request(5, now, 0))
     assert [type(a) for a in actions] == [Reject]
@@ -77,14 +77,14 @@
     for sent in [send_one(balancer, now, ident) for ident in range(1000, 1024)]:
         done += balancer.handle(now, Outcome(sent.id, 0, sent.server, Status.RESET, MS, False))
     refused = sum(isinstance(action, Reject | Fail) for action in done)
-    again = []
+    retried = []
     for step in range(1, 400):
-        again += kinds(balancer.handle(now + step * 5 * MS, Timer(balancer.timer_token)), Send)
-    assert 0 < len(again) < 0.2 * 64  # in proportion to first tries, not to failures
-    assert len(again) + refused == 24
+        retried += kinds(balancer.handle(now + step * 5 * MS, Timer(balancer.timer_token)), Send)
+    assert 0 < len(retried) < 0.2 * 64  # in proportion to first tries, not to failures
+    assert len(retried) + refused == 24
 
 
-def test_what_reached_no_server_is_repeated_whatever_has_been_saved_up():
+def test_what_reached_no_server_is_retried_whatever_the_budget():
     """herd+vast: sidecars with an old list refused a third, each after one connect to a gone server."""
     balancer, now = make(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     served = 0
@@ -113,14 +113,14 @@
 
 
 @pytest.mark.parametrize(
-    "status, spent", [(Status.CONNECT_FAILED, 0.0), (Status.REJECTED, 0.25), (Status.RESET, 1.0)]
+    "status, cost", [(Status.CONNECT_FAILED, 0.0), (Status.REJECTED, 0.25), (Status.RESET, 1.0)]
 )
-def test_a_repeat_costs_what_the_attempt_before_it_may_have_cost_a_server(status, spent):
+def test_a_retry_costs_what_the_attempt_before_it_may_have_cost_a_server(status, cost):
     balancer, now = make(servers=6, effect=Effect.IDEMPOTENT)
     sent = send_one(balancer, now, 1)
     balancer.retry_policy.tokens = 1.0
     balancer.handle(now + MS, Outcome(1, 0, sent.server, status, MS, False))
-    assert balancer.pending[1].retry_scheduled and balancer.retry_policy.tokens == 1.0 - spent
+    assert balancer.pending[1].retry_scheduled and balancer.retry_policy.tokens == 1.0 - cost
 
 
 def test_one_request_in_ten_at_most_tries_an_avoided_server_however_many_are_due():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -34,7 +34,7 @@
     assert kinds(actions, Fail, Reject) == [Fail(1)]
 
 
-def test_without_servers_a_request_is_held_and_refused_before_the_client_gives_up():
+def test_without_servers_a_request_is_pending_and_rejected_before_the_client_gives_up():
     balancer, now = make(entries=[])
     actions = balancer.handle(now, request(1, now, SECOND))
     assert not kinds(actions, Send, Reject, Fail)
@@ -44,7 +44,7 @@
     assert answers[0][0] < now + SECOND
 
 
-def test_a_held_request_is_sent_when_a_server_appears():
+def test_a_pending_request_is_sent_when_a_server_appears():
     balancer, now = make(entries=[])
     actions = balancer.handle(now, request(1, now))
     actions += balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(7)]))
@@ -62,7 +62,7 @@
     assert not [a for _, a in done if isinstance(a, Send | Reject | Fail)]
 
 
-def test_draining_and_gone_servers_get_nothing_not_even_planned_repeats():
+def test_draining_and_removed_servers_get_nothing_not_even_scheduled_retries():
     entries = [endpoint(1), endpoint(2)]
     balancer, now = make(entries=entries, effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
@@ -77,7 +77,7 @@
         assert {a.server for a in sends} <= {other}
 
 
-def test_a_keyed_repeat_stays_in_the_cell_and_is_never_refused():
+def test_a_retry_with_a_key_stays_in_the_cell_and_is_never_rejected():
     entries = [endpoint(1, cell=0), endpoint(2, cell=0), endpoint(3, cell=1), endpoint(4, cell=1)]
     for seed in range(20):
         balancer, now = make(entries=entries, seed=seed, effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.CELL)
@@ -116,7 +116,7 @@
     return there[2:], actions, now
 
 
-def test_no_second_copy_where_forbidden_but_the_first_is_called_off_at_a_lost_server():
+def test_no_hedged_request_where_forbidden_but_the_first_is_cancelled_at_an_ejected_server():
     balancer, now = make(effect=Effect.IDEMPOTENT, hedging=False)
     waiting, actions, now = lose(balancer, now, 100)
     assert {a.id for a in kinds(actions, Cancel)} == set(waiting)
@@ -126,7 +126,7 @@
     assert [a for _, a in done if isinstance(a, Send) and a.id == waiting[0]]
 
 
-def test_what_waits_at_a_lost_server_is_repeated_beside_it_where_allowed():
+def test_attempts_at_an_ejected_server_are_retried_beside_it_where_allowed():
     balancer, now = make(effect=Effect.IDEMPOTENT, hedging=True)
     waiting, actions, now = lose(balancer, now, 100)
     done = play_timers(balancer, now, actions, now + SECOND)
@@ -134,14 +134,14 @@
     assert not kinds(actions, Cancel)
 
 
-def test_a_late_attempt_at_a_server_not_known_to_be_bad_is_not_repeated():
+def test_a_late_attempt_at_a_server_that_is_no_outlier_is_not_retried():
     """Incidents i921dec, i4efe13: quiet sidecars find every server silent and doubled the load."""
     balancer, now = make(effect=Effect.IDEMPOTENT, hedging=True)
     done = play_timers(balancer, now, balancer.handle(now, request(1, now)), now + 2 * SECOND)
     assert not [a for _, a in done if isinstance(a, Send)]
 
 
-def test_a_silent_server_is_left_alone_and_an_answer_brings_it_back():
+def test_a_silent_server_is_ejected_and_an_answer_readmits_it():
     entries = [endpoint(n) for n in range(1, 7)]
     balancer, now = make(entries=entries, effect=Effect.NON_IDEMPOTENT)
     ident = 0
@@ -188,12 +188,12 @@
             chosen[action.server] += 1
             bad = action.server == 1
             status = Status.ERROR if bad else Status.OK
-            took = MS if bad else 50 * MS
-            balancer.handle(now + took, Outcome(ident, 0, action.server, status, took, not bad))
+            duration_ns = MS if bad else 50 * MS
+            balancer.handle(now + duration_ns, Outcome(ident, 0, action.server, status, duration_ns, not bad))
     assert chosen[1] < min(chosen[n] for n in range(2, 7))
 
 
-def test_a_cold_server_gets_less_than_its_fair_share_until_it_answers():
+def test_a_warming_server_gets_less_than_its_fair_share_until_it_answers():
     warm = [endpoint(n) for n in range(1, 5)]
     balancer, now = make(entries=warm, effect=Effect.NON_IDEMPOTENT)
     cold_sends = 0
@@ -209,7 +209,7 @@
     assert cold_sends <= 300 / 5
 
 
-def test_cold_servers_are_tried_by_a_sidecar_that_sends_little_at_a_time():
+def test_warming_servers_are_tried_by_a_sidecar_that_sends_little_at_a_time():
     """i8cc3a0: one request in flight at a time never reached the servers that came to help."""
     entries = [endpoint(100), endpoint(101)]
     balancer, now = make(entries=entries)
@@ -220,7 +220,7 @@
     assert reached >= {200, 201, 202}
 
 
-def test_a_new_sidecar_does_not_flood_a_cold_server():
+def test_a_new_sidecar_does_not_flood_a_warming_server():
     balancer, now = make(entries=[endpoint(1), endpoint(2, started=START)], effect=Effect.NON_IDEMPOTENT)
     sends = []
     for ident in range(50):
@@ -248,27 +248,27 @@
         )
         armed = balancer.handle(now, Membership(ListKind.CACHED, 1, [endpoint(1)]))
         done = play_timers(balancer, now, armed, now + 10 * SECOND)
-        asked = [when for when, a in done if isinstance(a, Watch)]
-        starts.add(asked[0])
-        failed = balancer.handle(asked[0], Membership(ListKind.FAILED, 0, []))
-        again = play_timers(balancer, asked[0], failed, asked[0] + 10 * SECOND)
-        assert [a for _, a in again if isinstance(a, Watch)]
+        polled = [when for when, a in done if isinstance(a, Watch)]
+        starts.add(polled[0])
+        failed = balancer.handle(polled[0], Membership(ListKind.FAILED, 0, []))
+        retried = play_timers(balancer, polled[0], failed, polled[0] + 10 * SECOND)
+        assert [a for _, a in retried if isinstance(a, Watch)]
     assert len(starts) > 8
 
 
-def test_many_sidecars_that_start_at_once_ask_over_a_time_that_one_service_bears():
+def test_many_sidecars_that_start_at_once_poll_over_a_time_that_one_service_bears():
     """herd+vast: 40 calls in half a second to a service of ten a second; most waited too long."""
-    first, again = [], []
+    first, retried = [], []
     for seed in range(40):
         wanted = settings(polling_required=True, polling_interval_ns=10 * SECOND, fleet_size=40)
         balancer, now = Balancer(wanted, seed), START
         armed = balancer.handle(now, Membership(ListKind.CACHED, 1, [endpoint(1)]))
-        asked = [when for when, a in play_timers(balancer, now, armed, now + 10 * SECOND)]
-        failed = balancer.handle(asked[0], Membership(ListKind.FAILED, 0, []))
-        asked += [when for when, a in play_timers(balancer, asked[0], failed, asked[0] + 10 * SECOND)]
-        first.append(asked[0] - START)
-        again.append(asked[1] - asked[0])
-    for waits in (first, again):
+        polled = [when for when, a in play_timers(balancer, now, armed, now + 10 * SECOND)]
+        failed = balancer.handle(polled[0], Membership(ListKind.FAILED, 0, []))
+        polled += [when for when, a in play_timers(balancer, polled[0], failed, polled[0] + 10 * SECOND)]
+        first.append(polled[0] - START)
+        retried.append(polled[1] - polled[0])
+    for waits in (first, retried):
         assert max(sum(at <= wait < at + SECOND for wait in waits) for at in waits) <= 25
         assert max(waits) < 6 * SECOND
 
@@ -297,7 +297,7 @@
     assert not [a for _, a in done if isinstance(a, Send)]
 
 
-def test_when_all_servers_drain_a_request_is_held_and_refused_in_time():
+def test_when_all_servers_drain_a_request_is_pending_and_rejected_in_time():
     balancer, now = make(entries=[endpoint(1, state=State.DRAINING), endpoint(2, state=State.DRAINING)])
     actions = balancer.handle(now, request(1, now, SECOND))
     done = [(now, a) for a in actions] + play_timers(balancer, now, actions, now + 3 * SECOND)
@@ -312,7 +312,7 @@
     assert 5.0 < balancer.latency.answer_rate < 40.0
 
 
-def test_when_every_server_was_lost_requests_still_go_out():
+def test_when_each_server_was_ejected_requests_are_still_sent():
     balancer, now = make(entries=[endpoint(1)], effect=Effect.NON_IDEMPOTENT)
     sends = []
     for ident in range(4):
