--- a/ochreflow/app/config.py
+++ b/ochreflow/app/config.py
@@ -40,8 +40,8 @@
     peers_all: Address | None
     settings: Settings
     transport: Transport
-    names: EndpointIds
-    known: EndpointUpdate
+    endpoint_ids: EndpointIds
+    cached_list: EndpointUpdate  # used until discovery answers
 
 
 def read_config(path: str | None) -> Config:
@@ -54,7 +54,7 @@
             data = json.load(file)
         settings = nested_settings(data["settings"])
         transport = nested_transport(data["settings"])
-        names = EndpointIds(settings.zones, transport.kinds)
+        ids = EndpointIds(settings.zones, transport.kinds)
         limits = data.get("limits", {})
         return Config(
             name=str(data["name"]),
@@ -69,8 +69,8 @@
             peers_all=split_address(data["peers_all"]) if data.get("peers_all") else None,
             settings=settings,
             transport=transport,
-            names=names,
-            known=parse_endpoint_update(data["known"], names),
+            endpoint_ids=ids,
+            cached_list=parse_endpoint_update(data["known"], ids),
         )
     except KeyError as error:
         msg = f"{path}: {error} is missing"
--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -88,7 +88,7 @@
         from .hot_restart import HotRestart
 
         self.hot_restart = HotRestart(self.loop, directory, self.usage, self._own_inheritance)
-        return inherited_endpoint_list(await self.hot_restart.start(), self.config.names)
+        return inherited_endpoint_list(await self.hot_restart.start(), self.config.endpoint_ids)
 
     def _own_inheritance(self) -> Inheritance:
         """What a process that starts beside this one is given."""
--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -38,16 +38,16 @@
         loop: asyncio.AbstractEventLoop,
         config: Config,
         usage: Usage | None = None,
-        known: EndpointUpdate | None = None,
+        cached_list: EndpointUpdate | None = None,
     ) -> None:
-        """Build the parts and start the core with the `known` endpoint list, or else the configuration's."""
+        """Build the parts and start the core with `cached_list`, or else with the configuration's list."""
         usage = usage or Usage(Descriptors(config.sockets), Memory(config.memory))
         usage.descriptors.system_limit = system_limit
         usage.descriptors.apply_system_limit()
-        settings, known = config.settings, known or config.known
-        self.names = config.names
+        settings, cached_list = config.settings, cached_list or config.cached_list
+        self.endpoint_ids = config.endpoint_ids
         self.engine = Engine(
-            loop, settings, usage, config.names, max_open=config.transport.max_open, seed=config.seed
+            loop, settings, usage, config.endpoint_ids, max_open=config.transport.max_open, seed=config.seed
         )
         self.upstreams = Upstreams(
             loop,
@@ -62,18 +62,18 @@
             loop,
             partial(HttpCalls, loop),
             config.discovery,
-            config.names,
-            known.version,
+            config.endpoint_ids,
+            cached_list.version,
             self.engine.on_endpoint_update,
             pushed=not settings.polling_required,
             timeouts=long_poll_timeouts(settings.drain_grace_ns),
         )
-        self.engine.start(self.discovery, known)
+        self.engine.start(self.discovery, cached_list)
 
     def format_endpoint_list(self) -> dict[str, Any]:
         """The endpoint list for a process that starts beside this one; it may be old while this one ends."""
         return format_endpoint_list(
-            self.discovery.version or 0, self.engine.endpoints.listed.values(), self.names
+            self.discovery.version or 0, self.engine.endpoints.listed.values(), self.endpoint_ids
         )
 
     def known_clients(self) -> object:
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -63,7 +63,7 @@
         self.loop = Holding(asyncio.get_running_loop())
         self.sidecar.upstreams.loop = self.loop
         self.engine = self.sidecar.engine
-        self.names = self.sidecar.names
+        self.names = self.sidecar.endpoint_ids
 
     def hold(self):
         self.loop.open.clear()
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -414,9 +414,9 @@
             assert (await ask(sidecar.port, message("lookup", "ab"))).code == 200
             for index in range(2, 50):
                 sidecar.engine.on_endpoint_update(
-                    parse_endpoint_update(news(index, entry(f"s{index}", fake.address)), sidecar.names)
+                    parse_endpoint_update(news(index, entry(f"s{index}", fake.address)), sidecar.endpoint_ids)
                 )
-            assert len(sidecar.upstreams.targets) == 1 and len(sidecar.names.servers) <= 2
+            assert len(sidecar.upstreams.targets) == 1 and len(sidecar.endpoint_ids.servers) <= 2
             assert (await ask(sidecar.port, message("lookup", "cd"))).code == 200
 
     run(play())
--- a/tests/test_net_long_day.py
+++ b/tests/test_net_long_day.py
@@ -19,15 +19,15 @@
                     entry(f"s{number - 1}", fake.address, "DELETED"),
                     snapshot=False,
                 )
-                engine.on_endpoint_update(parse_endpoint_update(change, sidecar.names))
+                engine.on_endpoint_update(parse_endpoint_update(change, sidecar.endpoint_ids))
                 if number % 20 == 0:
                     data = message("lookup", f"id{number}", "900m", b"", f"X-Key: key{number}")
                     assert (await ask(sidecar.port, data)).code == 200
-                assert len(sidecar.names.servers) <= 2
+                assert len(sidecar.endpoint_ids.servers) <= 2
             await until(lambda: not sidecar.http.clients.all)
             assert len(module.endpoints.servers) <= 2 and len(sidecar.upstreams.targets) == 1
             assert len(sidecar.upstreams.connections) <= 2
-            assert len(module.picker.groups) <= 4 and len(sidecar.names.zones) <= 256
+            assert len(module.picker.groups) <= 4 and len(sidecar.endpoint_ids.zones) <= 256
             assert not (module.pending or engine.requests.pending or engine.attempts.in_flight)
             assert (
                 len(module.ctx.timers) <= DAYS_WORTH / 20
@@ -49,7 +49,7 @@
             old.consecutive_failures = 5.0
             module.outlier_detector.eject(old)
             change = news(2, entry("s1", fake.address, "DELETED"), entry("s2", fake.address), snapshot=False)
-            engine.on_endpoint_update(parse_endpoint_update(change, sidecar.names))
+            engine.on_endpoint_update(parse_endpoint_update(change, sidecar.endpoint_ids))
             (new,) = [server for server in module.endpoints.servers.values() if server.listed]
             assert new is not old and not new.ejected and not new.samples and not module.endpoints.ejected
             assert (await ask(sidecar.port, message("lookup", "b"))).code == 200
@@ -65,7 +65,7 @@
             engine = sidecar.engine
             for index, status in ((2, "DELETED"), (3, "SERVING")):
                 change = news(index, entry("s1", fake.address, status), snapshot=False)
-                engine.on_endpoint_update(parse_endpoint_update(change, sidecar.names))
+                engine.on_endpoint_update(parse_endpoint_update(change, sidecar.endpoint_ids))
             assert (await ask(sidecar.port, message("order", "a"))).code == 200
             assert list(sidecar.upstreams.targets) == list(engine.balancer.endpoints.servers)
 
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -205,7 +205,7 @@
                 await until(lambda: sidecar.engine.lifecycle.closing_idle_connections)
             else:
                 change = news(2, entry("s1", server.address, "DRAINING"), snapshot=False)
-                sidecar.engine.on_endpoint_update(parse_endpoint_update(change, sidecar.names))
+                sidecar.engine.on_endpoint_update(parse_endpoint_update(change, sidecar.endpoint_ids))
             go.set()
             assert await reader.readexactly(len(PIECE)) == PIECE
             if drains == "the sidecar":
