--- a/ochreflow/membership/answer_order.py
+++ b/ochreflow/membership/answer_order.py
@@ -31,7 +31,7 @@
                 raise EndpointListError(msg)
         elif update.version < self.version:
             if accepted_before != self.answers_accepted:
-                return EndpointUpdate(self.version, False, [])
+                return EndpointUpdate(self.version, complete=False, entries=[])
             if not update.complete:
                 self.version = None
                 msg = "the index went back"
--- a/ochreflow/membership/discovery.py
+++ b/ochreflow/membership/discovery.py
@@ -87,13 +87,13 @@
         self.transport = self.connect(address)
         old.close()
         self.order.require_complete_list()
-        self.watch(False)
+        self.watch(on=False)
         if self.pushed:
-            self.watch(True)
+            self.watch(on=True)
         else:
             self.on_update(None)
 
-    def watch(self, on: bool) -> None:
+    def watch(self, *, on: bool) -> None:
         """Begin or stop long polling; no change if it is so already."""
         if on == self.watching:
             return
@@ -107,7 +107,7 @@
     def close(self) -> None:
         """Stop polling and close the connections; late answers are ignored."""
         self.closed = True
-        self.watch(False)
+        self.watch(on=False)
         self.transport.close()
 
     # Long polls
@@ -181,7 +181,7 @@
         try:
             self._accept(update)
         finally:
-            self.watch(True)  # the balancer counts on a watch from this update on
+            self.watch(on=True)  # the balancer counts on a watch from this update on
 
     # Requests and their answers
 
@@ -208,9 +208,9 @@
 
     def _on_failure(self, reason: str) -> None:
         self._log_transition(None, reason)
-        self.watch(False)
+        self.watch(on=False)
         if self.pushed:  # the balancer only waits for what an agent pushes: nobody else polls it again
-            self.loop.call_later(self.timeouts.agent_retry_s, self.watch, True)
+            self.loop.call_later(self.timeouts.agent_retry_s, partial(self.watch, on=True))
         self._accept(None)
 
     def _accept(self, update: EndpointUpdate | None) -> None:
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -234,7 +234,7 @@
     def post(self, event):
         for action in self.balancer.handle(START + int(self.loop.now * NS_PER_S), event):
             if isinstance(action, Watch):
-                self.discovery.watch(action.on)
+                self.discovery.watch(on=action.on)
             elif isinstance(action, SetTimer):
                 after = -(-action.after_ns // 1_000_000) / 1000
                 self.loop.call_later(after, self.post, Timer(action.token))
@@ -435,7 +435,7 @@
 def test_pushed_lists_are_polled_at_once_after_a_sighup():
     world = World(1, 4.0, 0)
     node = Node(world.loop, {"first": world.registry, "second": world.second}, 1, 4.0, 1, pushed=True)
-    node.discovery.watch(True)
+    node.discovery.watch(on=True)
     world.loop.run(30.0)
     node.discovery.switch_address("second")
     world.loop.run(30.1)
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -102,10 +102,10 @@
         fake = await Fake(act).start()
         heard = []
         watcher = asking(fake, 40, heard)
-        watcher.watch(True)
+        watcher.watch(on=True)
         await until(lambda: heard)
         assert heard == [None] and not watcher.watching and watcher.version == 40
-        watcher.watch(True)
+        watcher.watch(on=True)
         await until(lambda: len(heard) > 1)
         assert heard[1].version == 41 and heard[1].complete
         watcher.close()
@@ -144,7 +144,7 @@
         fake = await Fake(act).start()
         heard = []
         watcher = asking(fake, 40, heard, SHORT)
-        watcher.watch(True)
+        watcher.watch(on=True)
         watcher.timeouts = USUAL  # only the first call is overdue soon
         await until(lambda: heard)
         assert heard[0].entries[0].endpoint.state is State.DRAINING and watcher.watching
@@ -177,7 +177,7 @@
         fake = await Fake(act).start()
         heard = []
         watcher = asking(fake, 40, heard, SHORT)
-        watcher.watch(True)
+        watcher.watch(on=True)
         watcher.timeouts = USUAL  # only the first call is overdue soon
         await until(lambda: len(fake.got) == 2)
         for event in (late, new) if late_first else (new, late):
@@ -211,14 +211,14 @@
         fake = await Fake(act).start()
         heard = []
         watcher = asking(fake, None, heard, SHORT)
-        watcher.watch(True)
+        watcher.watch(on=True)
         watcher.timeouts = USUAL  # only the first call is overdue soon
         await until(lambda: heard)
         assert heard == [None] and not watcher.watching and len(fake.got) == 1
         if late:
             go.set()
         else:
-            watcher.watch(True)
+            watcher.watch(on=True)
         await until(lambda: len(heard) > 1)
         assert heard[1].complete and watcher.version == 3 and watcher.watching
         await until(lambda: "after=3&" in fake.got[-1].first)
@@ -256,7 +256,7 @@
             pushed=False,
             timeouts=SHORT,
         )
-        watcher.watch(True)
+        watcher.watch(on=True)
         watcher.timeouts = USUAL  # only the first call is overdue soon
         await until(lambda: heard)
         go.set()
@@ -282,7 +282,7 @@
         fake = await Fake(act).start()
         heard = []
         watcher = asking(fake, 40, heard, SHORT)
-        watcher.watch(True)
+        watcher.watch(on=True)
         await until(lambda: heard)
         watcher.timeouts = USUAL  # only the first two calls are overdue soon
         await until(lambda: len(fake.got) == 4)
@@ -330,8 +330,8 @@
         fake = await Fake(act).start()
         heard = []
         watcher = asking(fake, 40, heard)
-        watcher.watch(True)
-        watcher.watch(True)  # no second one beside it
+        watcher.watch(on=True)
+        watcher.watch(on=True)  # no second one beside it
         await until(lambda: len(fake.got) == 4)
         assert [got.first.split("after=")[1].split("&")[0] for got in fake.got] == ["40", "41", "42", "43"]
         assert not any(news.complete for news in heard)
@@ -455,7 +455,7 @@
         fake = await Fake(act).start()
         heard = []
         both = asking(fake, 40, heard)
-        both.watch(True)
+        both.watch(on=True)
         await until(lambda: fake.got)
         both.fetch()
         await until(lambda: heard)
@@ -477,9 +477,9 @@
         fake = await Fake(act).start()
         heard = []
         watcher = asking(fake, 40, heard)
-        watcher.watch(True)
+        watcher.watch(on=True)
         await until(lambda: heard)
-        watcher.watch(True)
+        watcher.watch(on=True)
         await until(lambda: len(heard) > 1)
         assert heard[0] is None and heard[1].complete and watcher.version == 3
         watcher.close()
