--- a/ochreflow/app/operator.py
+++ b/ochreflow/app/operator.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ..core.log import PER_SECOND
-from ..http.clients import HEAD_MOST, IDLE_MOST, SLOW_READER
+from ..http.clients import HEAD_TIMEOUT_S, IDLE_TIMEOUT_S, SLOW_READER_TIMEOUT_S
 from .operator_hints import Bounds, FixedAtStart, annotation
 from .units import HostPort, Seconds, Size
 
@@ -43,9 +43,9 @@
 class ClientsTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """How long a client's connection may take for each step."""
 
-    head_within: Annotated[Seconds, Bounds(0.1, 60)] = Seconds(HEAD_MOST)
-    idle: Annotated[Seconds, Bounds(0.1, 3600)] = Seconds(IDLE_MOST)
-    slow_reader: Annotated[Seconds, Bounds(0.1, 600)] = Seconds(SLOW_READER)
+    head_within: Annotated[Seconds, Bounds(0.1, 60)] = Seconds(HEAD_TIMEOUT_S)
+    idle: Annotated[Seconds, Bounds(0.1, 3600)] = Seconds(IDLE_TIMEOUT_S)
+    slow_reader: Annotated[Seconds, Bounds(0.1, 600)] = Seconds(SLOW_READER_TIMEOUT_S)
 
 
 class AdmissionTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/ochreflow/http/calls.py
+++ b/ochreflow/http/calls.py
@@ -12,9 +12,9 @@
 from .response import Response
 from .upstream import Upstreams
 
-CONNECT_WITHIN = 2.0  # seconds, as long as an answer may take: `policy/endpoint_set.py` counts on no more
-IDLE_MOST = 30.0
-ANSWER_MOST = 4 * 1024 * 1024
+CONNECT_TIMEOUT_S = 2.0  # seconds, as long as an answer may take: `policy/endpoint_set.py` counts on no more
+IDLE_TIMEOUT_S = 30.0
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 SERVICE = 0  # the one target
 
 
@@ -23,7 +23,9 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address) -> None:
         self.host = f"{address[0]}:{address[1]}"
-        self.upstreams = Upstreams(loop, Descriptors(1024), Memory(192 * MB), CONNECT_WITHIN, IDLE_MOST)
+        self.upstreams = Upstreams(
+            loop, Descriptors(1024), Memory(192 * MB), CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S
+        )
         self.upstreams.update(SERVICE, address, 0, State.READY)
 
     def get(self, target: str, within: float, done: Callable[[bytes | None, str], None]) -> None:
@@ -36,7 +38,7 @@
                 done(None, status.name if answer is None else f"answer {answer.code}")
 
         head = f"GET {target} HTTP/1.1\r\nHost: {self.host}\r\nAccept: application/json\r\n\r\n".encode()
-        self.upstreams.start(SERVICE, Exchange(lambda: head, ended, ANSWER_MOST), within)
+        self.upstreams.start(SERVICE, Exchange(lambda: head, ended, MAX_RESPONSE_BYTES), within)
 
     def close(self) -> None:
         self.upstreams.close()
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -11,23 +11,25 @@
 from ..core.limits import Descriptors
 from ..core.log import log
 
-HEAD_MOST = 2.6  # seconds from connecting, or from a message's first byte, until its head has come
-BODY_RATE_LEAST = 32_000  # bytes of a body a second, looked at as seldom: clients may send 64 kB a second
-IDLE_MOST = 2.0  # seconds that a connection is kept with no request open
-SLOW_READER = 5.0  # seconds in which a client may take nothing of an answer
-FEW = 0.25  # of the clients' share: when more than that have sent nothing, it is no burst of the usual ones
-STALE = 0.5  # seconds without a byte, with a message owed: slow clients write a piece more often
-CUT_MOST = 32  # clients that go at one look for a share that has become smaller: its turn must not be long
-YOUNG = 0.02  # seconds in which a new connection's first request may well be on its way
+HEAD_TIMEOUT_S = 2.6  # seconds from connecting, or from a message's first byte, until its head has come
+MIN_BODY_BYTES_PER_S = 32_000  # measured over one `HEAD_TIMEOUT_S` at a time: clients may send 64 kB a second
+IDLE_TIMEOUT_S = 2.0  # seconds that a connection is kept with no request open
+SLOW_READER_TIMEOUT_S = 5.0  # seconds in which a client may take nothing of an answer
+# Of the clients' quota of descriptors: when more have sent nothing, it is no burst of the usual ones.
+MAX_SILENT_SHARE = 0.25
+STALE_AFTER_S = 0.5  # seconds without a byte, with a message owed: slow clients write a piece more often
+# Clients closed in one sweep for a quota that has become smaller: a turn of the loop must not be long.
+MAX_EVICTIONS_PER_SWEEP = 32
+FIRST_REQUEST_DELAY_S = 0.02  # seconds in which a new connection's first request may well be on its way
 
 
 @dataclass(slots=True)
 class Times:
     """How long clients may take, in seconds. What changes here holds from the next look on."""
 
-    head: float = field(default_factory=lambda: HEAD_MOST)
-    idle: float = field(default_factory=lambda: IDLE_MOST)
-    slow_reader: float = field(default_factory=lambda: SLOW_READER)
+    head: float = field(default_factory=lambda: HEAD_TIMEOUT_S)
+    idle: float = field(default_factory=lambda: IDLE_TIMEOUT_S)
+    slow_reader: float = field(default_factory=lambda: SLOW_READER_TIMEOUT_S)
 
 
 class Client(Protocol):
@@ -209,15 +211,15 @@
         if lingering is not None:
             return lingering
         owing = [client for client in self.heard if not client.serving]  # the new one at the latest
-        if self.heard[owing[0]] <= now - STALE:
+        if self.heard[owing[0]] <= now - STALE_AFTER_S:
             return owing[0]
         mute = [client for client in owing if not client.size and not client.asked]
-        if len(mute) > self.descriptors.max_clients * FEW:
+        if len(mute) > self.descriptors.max_clients * MAX_SILENT_SHARE:
             return mute[0]
         quiet = next((client for client in self.idle if client.quiet), None)
         if quiet is not None:
             return quiet
-        return mute[0] if self.heard[mute[0]] <= now - YOUNG else owing[0]
+        return mute[0] if self.heard[mute[0]] <= now - FIRST_REQUEST_DELAY_S else owing[0]
 
     def give_way(self) -> bool:
         """Close one that waits for nothing, for what has been taken; False if every one is owed an answer.
@@ -273,7 +275,7 @@
         """
         self.descriptors.apply_system_limit()
         if self.descriptors.total < self.total:
-            self._let_go(min(max(len(self.all) - self.descriptors.max_clients, 0), CUT_MOST))
+            self._let_go(min(max(len(self.all) - self.descriptors.max_clients, 0), MAX_EVICTIONS_PER_SWEEP))
             if len(self.all) <= self.descriptors.max_clients:
                 self.total = self.descriptors.total
 
@@ -284,7 +286,7 @@
         for client in _since(self.waited, now - self.times.head):
             came = client.came_since_look()
             # What is not being read may have come long ago.
-            if client.paused or came is None or came >= BODY_RATE_LEAST * (now - self.waited[client]):
+            if client.paused or came is None or came >= MIN_BODY_BYTES_PER_S * (now - self.waited[client]):
                 del self.waited[client]
                 self.waited[client] = now
             else:
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -24,11 +24,11 @@
 from .response import HOP_BY_HOP
 from .response import Response as Answer
 
-BODY_MOST = 40 * 1024 * 1024  # messages reach 32 MB
-HEADERS_MOST = 32 * 1024
-FRAMING_MOST = 8  # bytes on the socket for each one of a body, in the smallest of chunks
-WAITING_MOST = 16  # requests that a client may send ahead of their answers before it is read no further
-LINGER = 2.0  # seconds in which a client may take nothing more of its last answers, and not close either
+MAX_BODY_BYTES = 40 * 1024 * 1024  # messages reach 32 MB
+MAX_HEADERS_BYTES = 32 * 1024
+MAX_FRAMING_FACTOR = 8  # bytes on the socket for each one of a body, in the smallest of chunks
+MAX_PIPELINED_REQUESTS = 16  # that a client may send ahead of their answers before it is read no further
+DRAINING_CLOSE_TIMEOUT_S = 2.0  # in which a client may take nothing more of its last answers, and not close
 REASONS = {
     200: b"OK",
     400: b"Bad Request",
@@ -289,7 +289,7 @@
         except httptools.HttpParserError:
             self._reject(400, "malformed request")
         # Guards the memory: the parser itself holds a header line of any length.
-        if self.size > (BODY_MOST * FRAMING_MOST if self.in_body else HEADERS_MOST):
+        if self.size > (MAX_BODY_BYTES * MAX_FRAMING_FACTOR if self.in_body else MAX_HEADERS_BYTES):
             self._reject(431, "headers are too long")
         self._pump()
         self.clients.place(self)
@@ -385,14 +385,14 @@
         self.body.on_reading_change = self._update_reading
         self.head_ended = True
         self.looked_at = 0
-        if self.header_size + len(self.target) > HEADERS_MOST:
+        if self.header_size + len(self.target) > MAX_HEADERS_BYTES:
             self._reject(431, "headers are too long")
         elif chunked and self.parser.get_http_version() == "1.0":
             # Such a message's framing is faulty (RFC 9112, 6.1): where it ends can't be believed.
             self._reject(400, "HTTP/1.0 knows no Transfer-Encoding")
         elif self.headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
             self._reject(501, "Transfer-Encoding must be chunked")
-        elif stated > BODY_MOST:
+        elif stated > MAX_BODY_BYTES:
             self._reject(413, "the body is too large")
         elif not self._hold(self.header_size):
             self._reject(503, "too much is held")
@@ -402,7 +402,7 @@
     def on_body(self, data: bytes) -> None:
         if self.deaf or self.skipping or self.body is None:
             return
-        if self.body.size + len(data) > BODY_MOST:
+        if self.body.size + len(data) > MAX_BODY_BYTES:
             self._reject(413, "the body is too large")
         elif not self.body.add(data):
             self._reject(503, "too much is held")
@@ -474,7 +474,9 @@
         """Read on only while what is read can be taken up: backpressure towards the client."""
         if self.transport is None or self.transport.is_closing() or self.deaf:
             return
-        stop = len(self.waiting) >= WAITING_MOST or (self.body is not None and self.body.reading_paused)
+        stop = len(self.waiting) >= MAX_PIPELINED_REQUESTS or (
+            self.body is not None and self.body.reading_paused
+        )
         if stop == self.paused:
             return
         self.paused = stop
@@ -665,7 +667,7 @@
     def _linger(self) -> None:
         assert self.transport is not None
         self.undelivered = unacknowledged(self.transport)
-        self.linger = self.engine.loop.call_later(LINGER, self._linger_no_more)
+        self.linger = self.engine.loop.call_later(DRAINING_CLOSE_TIMEOUT_S, self._linger_no_more)
 
     def _linger_no_more(self) -> None:
         assert self.transport is not None
--- a/ochreflow/http/exchange.py
+++ b/ochreflow/http/exchange.py
@@ -16,7 +16,7 @@
 from ..policy.interface import Status
 from .response import Response
 
-LEAST_WAIT = 0.001  # seconds: a timer that is due at once would fire within the call that sets it
+MIN_TIMER_DELAY_S = 0.001  # seconds: a timer that is due at once would fire within the call that sets it
 
 Done = Callable[["Exchange", Status, Response | None], None]
 
@@ -144,7 +144,7 @@
         """Give it up after so long."""
         self.clear_timeout()
         if not self.ended and self.loop is not None:
-            self.timer = self.loop.call_later(max(seconds, LEAST_WAIT), self.give_up, Status.TIMEOUT)
+            self.timer = self.loop.call_later(max(seconds, MIN_TIMER_DELAY_S), self.give_up, Status.TIMEOUT)
 
     def clear_timeout(self) -> None:
         """Cancel the time-out."""
--- a/ochreflow/http/management.py
+++ b/ochreflow/http/management.py
@@ -15,10 +15,10 @@
 from ..core.ports import Address
 
 BACKLOG = 512
-CALLS_MOST = 8  # connections at a time; the reserve of descriptors has room for them
-CALL_BYTES_MOST = 8 * 1024
-READ_WITHIN = 0.9  # seconds from connecting until the whole call has come
-READ_ANSWER_WITHIN = 2.0  # seconds until the caller has taken its answer
+MAX_CONNECTIONS = 8  # connections at a time; the reserve of descriptors has room for them
+MAX_REQUEST_BYTES = 8 * 1024
+READ_TIMEOUT_S = 0.9  # seconds from connecting until the whole call has come
+RESPONSE_READ_TIMEOUT_S = 2.0  # seconds until the caller has taken its answer
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -76,7 +76,7 @@
 
     def admit(self, call: ManagementConnection) -> None:
         self.calls[call] = None
-        if len(self.calls) > CALLS_MOST:
+        if len(self.calls) > MAX_CONNECTIONS:
             # Who has been silent longest goes first. A new caller is not yet known to be silent.
             others = [other for other in self.calls if other is not call]
             next((other for other in others if not other.answered), others[0]).drop()
@@ -118,7 +118,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        self.timer = self.management.loop.call_later(READ_WITHIN, self._expire)
+        self.timer = self.management.loop.call_later(READ_TIMEOUT_S, self._expire)
         self.management.admit(self)
 
     def data_received(self, data: bytes) -> None:
@@ -138,7 +138,7 @@
                 self._write(500, "the call failed\n")
                 raise  # the loop logs it
             self._write(*answer)
-        elif self.size > CALL_BYTES_MOST:
+        elif self.size > MAX_REQUEST_BYTES:
             self._write(400, "the call is too long\n")
 
     def on_url(self, url: bytes) -> None:
@@ -169,7 +169,7 @@
         )
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.management.loop.call_later(READ_ANSWER_WITHIN, self.drop)
+        self.timer = self.management.loop.call_later(RESPONSE_READ_TIMEOUT_S, self.drop)
         self.transport.close()  # once what was written has gone
 
     def drop(self) -> None:
--- a/ochreflow/http/progress.py
+++ b/ochreflow/http/progress.py
@@ -12,7 +12,7 @@
 NOTHING = bytes(4)
 # Seconds between two looks at the connections that are not read. By the protocol no attempt may begin more
 # than 0.1 s after its client has left. Two looks in half of that leave room for a turn of the loop as long.
-LOOK_EVERY = 0.1 / 4
+DISCONNECT_POLL_INTERVAL_S = 0.1 / 4
 
 
 def queued_by_system(fd: int) -> int:
@@ -57,7 +57,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def add(self, transport: asyncio.Transport, told: Callable[[], object]) -> None:
-        """`told` is called at most `LOOK_EVERY` and a turn of the loop after the end could be read.
+        """Call `told` at most `DISCONNECT_POLL_INTERVAL_S` and a turn of the loop after the end can be read.
 
         Again at each look, until the transport is removed: this has to be before its socket is closed, at the
         latest as its connection is lost.
@@ -67,7 +67,7 @@
         self.told[fd] = told
         self.poll.register(fd, select.POLLRDHUP)  # a reset and an end of both ways are always told
         if self.timer is None:
-            self.timer = self.loop.call_later(LOOK_EVERY, self._look)
+            self.timer = self.loop.call_later(DISCONNECT_POLL_INTERVAL_S, self._look)
 
     def remove(self, transport: asyncio.Transport) -> None:
         fd = self.fds.pop(transport, None)
@@ -82,7 +82,7 @@
         for fd, _ in self.poll.poll(0):
             if fd in self.told:  # one that was told may have removed another
                 self.told[fd]()
-        self.timer = self.loop.call_later(LOOK_EVERY, self._look)
+        self.timer = self.loop.call_later(DISCONNECT_POLL_INTERVAL_S, self._look)
 
     def close(self) -> None:
         if self.timer is not None:
--- a/ochreflow/http/response.py
+++ b/ochreflow/http/response.py
@@ -16,9 +16,9 @@
 from ..core.limits import Memory
 from ..policy.interface import Status
 
-HEADERS_MOST = 32 * 1024  # bytes of a response's head and of all its framing
-RELAY_MOST = 40 * 1024 * 1024  # of the body of a response that is relayed; messages reach 32 MB
-FRAMING_MOST = 8  # bytes on the socket for each one of a body, in the smallest of chunks
+MAX_HEADERS_BYTES = 32 * 1024  # bytes of a response's head and of all its framing
+MAX_RELAYED_BODY_BYTES = 40 * 1024 * 1024  # of the body of a response that is relayed; messages reach 32 MB
+MAX_FRAMING_FACTOR = 8  # bytes on the socket for each one of a body, in the smallest of chunks
 REFUSALS = (503, 504)  # the codes with which a server may say that it did not run the request
 TRUE = b"1"  # the value of the header that says so
 HOP_BY_HOP = frozenset(
@@ -144,8 +144,10 @@
 
     def _size_limit(self) -> int:
         if not self._in_body:
-            return HEADERS_MOST
-        return HEADERS_MOST + (RELAY_MOST * FRAMING_MOST if self._may_relay else self._buffer_limit)
+            return MAX_HEADERS_BYTES
+        return MAX_HEADERS_BYTES + (
+            MAX_RELAYED_BODY_BYTES * MAX_FRAMING_FACTOR if self._may_relay else self._buffer_limit
+        )
 
     @property
     def _says_not_run(self) -> bool:
@@ -191,7 +193,7 @@
         if self.complete is not None or code < 200:
             return
         self._in_body = True
-        most = RELAY_MOST if self._may_relay and code == 200 else self._buffer_limit
+        most = MAX_RELAYED_BODY_BYTES if self._may_relay and code == 200 else self._buffer_limit
         # What can't fit is known to be of no use before it comes.
         if self._encoding:
             self.invalid = self._encoding.lower() != b"chunked"
@@ -205,7 +207,9 @@
     def on_body(self, data: bytes) -> None:
         if self.complete is not None or self.invalid:
             return
-        if self._relayed + self._reserved + len(data) > RELAY_MOST or not self._memory.reserve(len(data)):
+        if self._relayed + self._reserved + len(data) > MAX_RELAYED_BODY_BYTES or not self._memory.reserve(
+            len(data)
+        ):
             self.invalid = True
             return
         self._reserved += len(data)
--- a/ochreflow/http/socket_stream.py
+++ b/ochreflow/http/socket_stream.py
@@ -14,8 +14,8 @@
 
 from .progress import queued_by_system
 
-READ_SIZE = 64 * 1024  # bytes taken from the system at a time
-READS_IN_A_TURN = 16  # after which other connections get their turn
+READ_SIZE_BYTES = 64 * 1024  # bytes taken from the system at a time
+MAX_READS_PER_CALLBACK = 16  # after which other connections get their turn
 
 
 class StreamOwner(Protocol):
@@ -74,7 +74,7 @@
 
     def _on_readable(self) -> None:
         # Read until nothing is left: the loop may report an error together with data, and only once.
-        for _ in range(READS_IN_A_TURN):
+        for _ in range(MAX_READS_PER_CALLBACK):
             if not self.reading:
                 return
             if not self._read_once():
@@ -86,7 +86,7 @@
         owner = self.owner
         assert owner is not None  # nothing is read once closed
         try:
-            data = self.sock.recv(READ_SIZE)
+            data = self.sock.recv(READ_SIZE_BYTES)
         except (BlockingIOError, InterruptedError):
             return False
         except OSError:
--- a/ochreflow/http/upstream_connection.py
+++ b/ochreflow/http/upstream_connection.py
@@ -19,11 +19,11 @@
 
 # Seconds without a byte after which a peer is given up. A buffered response can be replaced by another
 # attempt, so it is given up sooner than one that is relayed, or than a request that a server reads slowly.
-RESPONSE_STALL_TIMEOUT = 1.0
-RELAY_STALL_TIMEOUT = 2.5
+RESPONSE_STALL_TIMEOUT_S = 1.0
+RELAY_STALL_TIMEOUT_S = 2.5
 # Seconds after a response within which a second one to the same request may come. No setting says how late it
 # can be; this is the slack by which the protocol lets each time limit on sockets grow.
-SETTLING_TIME = 0.05
+SETTLING_TIME_S = 0.05
 
 
 class ConnectionPool(Protocol):
@@ -104,7 +104,7 @@
         self.uploading.set_blocked(blocked=True)
         if self.write_stall is None and not self.closed:
             self.write_stall = StallTimer(
-                self.pool.loop, self.stream.unacknowledged, RELAY_STALL_TIMEOUT, self.connection_broken
+                self.pool.loop, self.stream.unacknowledged, RELAY_STALL_TIMEOUT_S, self.connection_broken
             )
 
     def resume_writing(self) -> None:
@@ -169,7 +169,7 @@
 
     def _watch_for_stall(self) -> None:
         """Give up a response that stops half-way: it would be waited for until the deadline."""
-        most = RELAY_STALL_TIMEOUT if self.response.relaying else RESPONSE_STALL_TIMEOUT
+        most = RELAY_STALL_TIMEOUT_S if self.response.relaying else RESPONSE_STALL_TIMEOUT_S
         silent = 0.0 if self.exchange is not None and self.exchange.paused else monotonic() - self.last_read
         if silent >= most:
             self.read_stall = None
@@ -272,7 +272,7 @@
 
     def settles_in(self) -> float:
         """Seconds until it is settled."""
-        return max(self.answered_at + SETTLING_TIME - monotonic(), 0.0)
+        return max(self.answered_at + SETTLING_TIME_S - monotonic(), 0.0)
 
     def _release_response(self) -> None:
         """Stop the timers of the exchange, and release the response's memory."""
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -15,8 +15,8 @@
 from ochreflow.core.body import MAX_BUFFERED_BYTES
 from ochreflow.http import connection
 from ochreflow.http.acceptor import Acceptor
-from ochreflow.http.connection import WAITING_MOST
-from ochreflow.http.progress import LOOK_EVERY, HangupWatch
+from ochreflow.http.connection import MAX_PIPELINED_REQUESTS
+from ochreflow.http.progress import DISCONNECT_POLL_INTERVAL_S, HangupWatch
 
 pytestmark = pytest.mark.xdist_group("real-time")
 
@@ -37,7 +37,7 @@
     """The same with so many behind it that the client is read no further."""
     client, taken = await behind_one(sidecar, server)
     front = front_of(sidecar, client)
-    client.sendall(b"".join(message("order", f"id{n}") for n in range(WAITING_MOST)))
+    client.sendall(b"".join(message("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS)))
     await until(lambda: front.paused)
     client.sendall(PIPELINED)
     return client, taken, front
@@ -209,10 +209,10 @@
             client, _ = await behind_one(sidecar, server)
             assert watch.timer is None and not watch.fds
             front = front_of(sidecar, client)
-            client.sendall(b"".join(message("order", f"id{n}") for n in range(WAITING_MOST)))
+            client.sendall(b"".join(message("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS)))
             await until(lambda: front.paused)
             assert len(watch.fds) == len(watch.told) == 1
-            await asyncio.sleep(3 * LOOK_EVERY)
+            await asyncio.sleep(3 * DISCONNECT_POLL_INTERVAL_S)
             assert watch.timer is not None and not front.transport.is_closing()
             client.close()
             await until(lambda: watch.timer is None)
@@ -244,7 +244,7 @@
         for end in ends[:2]:
             end.close()
         await until(lambda: told)
-        await asyncio.sleep(2 * LOOK_EVERY)
+        await asyncio.sleep(2 * DISCONNECT_POLL_INTERVAL_S)
         assert len(told) == 1 and told[0] in transports[:2]
         assert list(watch.fds) == transports[2:]
         ends[2].close()
@@ -260,7 +260,7 @@
 
 def test_a_client_that_asks_for_the_end_and_reads_nothing_is_let_go(tmp_path, monkeypatch):
     """Its connection closes once its answer has been written, which it never is."""
-    monkeypatch.setattr(connection, "LINGER", 1000.0)  # it goes for being slow alone
+    monkeypatch.setattr(connection, "DRAINING_CLOSE_TIMEOUT_S", 1000.0)  # it goes for being slow alone
 
     async def play():
         server = Server()
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -13,10 +13,10 @@
 import pytest
 from helpers import START, settings
 from net_helpers import HOST, entry, news
+from ochreflow.http.discovery_transport import CONNECT_TIMEOUT_S
 
 from ochreflow import Balancer
 from ochreflow.core.endpoints import EndpointIds
-from ochreflow.http.calls import CONNECT_WITHIN
 from ochreflow.membership import discovery
 from ochreflow.membership.discovery import DiscoveryClient
 from ochreflow.membership.timeouts import (
@@ -125,7 +125,7 @@
         elif self.behaviour == "late 503":
             self.loop.call_later(MAX_ANSWER_S, request.end, None, "503")
         elif self.behaviour == "never up":
-            self.loop.call_later(CONNECT_WITHIN, request.end, None, "CONNECT_FAILED")
+            self.loop.call_later(CONNECT_TIMEOUT_S, request.end, None, "CONNECT_FAILED")
         elif self.behaviour == "up":
             self._work(request)
 
@@ -410,7 +410,7 @@
 
 def test_times_that_the_parts_count_on_agree():
     assert endpoint_set_module.POLL_TIMEOUT_NS == NOTIFIED_AFTER_S * NS_PER_S == MAX_ANSWER_S * NS_PER_S
-    assert CONNECT_WITHIN <= MAX_ANSWER_S < discovery.ANSWER_TIMEOUT_S
+    assert CONNECT_TIMEOUT_S <= MAX_ANSWER_S < discovery.ANSWER_TIMEOUT_S
     assert endpoint_set_module.LIST_DEADLINE_NS == NOTIFIED_IN_S * NS_PER_S
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,7 @@
 )
 
 from ochreflow.core import lifecycle
-from ochreflow.http.connection import WAITING_MOST
+from ochreflow.http.connection import MAX_PIPELINED_REQUESTS
 
 SOON = 2.0  # seconds: the rule wants 0.3 from the leaving to the last send, the deadline would end all at 3
 
@@ -51,7 +51,7 @@
         fake = await Fake(hold).start()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(b"".join(message("order", f"id{n}") for n in range(WAITING_MOST + 4)))
+            writer.write(b"".join(message("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS + 4)))
             clients = sidecar.http.clients
             await until(lambda: fake.got and all(client.paused for client in clients.all))
             # More than is read of it now, so that the end is behind unread bytes in any case.
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -155,11 +155,11 @@
 
 
 def test_silent_callers_are_let_go_and_keep_nobody_out(tmp_path, monkeypatch):
-    monkeypatch.setattr(management, "READ_WITHIN", 30.0)
+    monkeypatch.setattr(management, "READ_TIMEOUT_S", 30.0)
 
     async def play():
         async with Sidecar(tmp_path / "c", config(news(1))) as sidecar, managed(sidecar) as port:
-            callers = [await asyncio.open_connection(HOST, port) for _ in range(management.CALLS_MOST)]
+            callers = [await asyncio.open_connection(HOST, port) for _ in range(management.MAX_CONNECTIONS)]
             callers[0][1].write(b"GET /sta")
             assert (await ask(port, call("GET", "/healthcheck"))).code == 200
             assert await callers[0][0].read() == b""  # the oldest made room
@@ -170,7 +170,7 @@
 
 
 def test_half_a_call_is_told_so_in_time(tmp_path, monkeypatch):
-    monkeypatch.setattr(management, "READ_WITHIN", 0.05)
+    monkeypatch.setattr(management, "READ_TIMEOUT_S", 0.05)
 
     async def play():
         async with Sidecar(tmp_path / "c", config(news(1))) as sidecar, managed(sidecar) as port:
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -50,7 +50,7 @@
         (raw(b"GET /lookup", ID + b"X-Cost-Hint: much\r\n"), 400),
         (raw(b"POST /hold", ID + b"Content-Length: 0\r\n"), 400),
         (raw(b"POST /order", ID + b"Content-Length: x\r\n"), 400),
-        (raw(b"POST /order", ID + b"Content-Length: %d\r\n" % (connection.BODY_MOST + 1)), 413),
+        (raw(b"POST /order", ID + b"Content-Length: %d\r\n" % (connection.MAX_BODY_BYTES + 1)), 413),
         (raw(b"POST /order", ID + b"Content-Length: 99999999999999999999999\r\n"), 400),
         (raw(b"POST /order", ID + b"Transfer-Encoding: chunked\r\n", b"zz\r\n"), 400),
         (raw(b"GET /lookup", ID + b"Connection: Upgrade\r\nUpgrade: h2c\r\n"), 400),
@@ -120,7 +120,7 @@
             chunks = b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Deadline: bad\r\n\r\n"
             data = raw(b"POST /order", ID + b"Transfer-Encoding: chunked\r\n", chunks)
             assert (await ask(sidecar.port, data)).body == b"abcde"
-            body = b"x" * connection.BODY_MOST
+            body = b"x" * connection.MAX_BODY_BYTES
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             whole = message("order", "big", "3000m", body, "Expect: 100-continue")
             writer.write(whole[: -len(body)])
@@ -146,7 +146,7 @@
 
 def test_a_slow_reader_is_let_go_and_bounded(tmp_path, monkeypatch):
     """Guards the memory: what a client does not read is not piled up for it."""
-    monkeypatch.setattr(clients, "SLOW_READER", 0.2)
+    monkeypatch.setattr(clients, "SLOW_READER_TIMEOUT_S", 0.2)
 
     async def play():
         async def big(message, reader, writer):
@@ -262,7 +262,7 @@
 
 def test_a_planned_end_cuts_no_answer_that_is_being_read(tmp_path, monkeypatch):
     """Guards answers on their way out when idle clients are closed."""
-    monkeypatch.setattr(clients, "SLOW_READER", 60.0)
+    monkeypatch.setattr(clients, "SLOW_READER_TIMEOUT_S", 60.0)
 
     async def play():
         async def big(message, reader, writer):
@@ -360,7 +360,7 @@
 
 def test_slow_heads_survive_a_crowd_that_says_half_and_stays(tmp_path, monkeypatch):
     """Guards slow clients: those that had connected first were taken for the crowd and let go."""
-    monkeypatch.setattr(clients, "STALE", 0.05)
+    monkeypatch.setattr(clients, "STALE_AFTER_S", 0.05)
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -383,8 +383,8 @@
 
 
 def test_clients_that_never_end_a_message_are_answered_and_let_go(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "HEAD_MOST", 0.3)
-    monkeypatch.setattr(clients, "IDLE_MOST", 60.0)
+    monkeypatch.setattr(clients, "HEAD_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(clients, "IDLE_TIMEOUT_S", 60.0)
 
     async def play():
         async def act(message, reader, writer):
@@ -412,7 +412,7 @@
 
 
 def test_clients_that_ask_once_and_stay_are_let_go(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "IDLE_MOST", 0.2)
+    monkeypatch.setattr(clients, "IDLE_TIMEOUT_S", 0.2)
 
     async def play():
         fake = await Fake(answer_ok).start()
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -126,7 +126,7 @@
             assert (await end)[0] is Status.OK
         await until(lambda: len(pool.targets[1].idle) == 3)  # one may have taken another's, its own comes yet
         for connection in pool.targets[1].idle:  # no second answer is to be feared on any of them
-            connection.answered_at -= upstream_connection.SETTLING_TIME
+            connection.answered_at -= upstream_connection.SETTLING_TIME_S
         latest = pool.targets[1].idle[-1]
         _, end = start(pool)
         assert latest.exchange is not None
@@ -376,7 +376,7 @@
 )
 def test_a_spoilt_answer_is_a_reset_at_once_and_its_connection_is_closed(spoilt, monkeypatch):
     """Guards requests against waiting to their deadline at a connection that stays open and is of no use."""
-    monkeypatch.setattr(upstream_connection, "RESPONSE_STALL_TIMEOUT", 0.2)
+    monkeypatch.setattr(upstream_connection, "RESPONSE_STALL_TIMEOUT_S", 0.2)
 
     async def play():
         async def act(message, reader, writer):
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -29,7 +29,7 @@
 
 from ochreflow.core.body import MAX_BUFFERED_BYTES
 from ochreflow.http import connection
-from ochreflow.http.connection import WAITING_MOST, ClientConnection
+from ochreflow.http.connection import MAX_PIPELINED_REQUESTS, ClientConnection
 from ochreflow.http.progress import unacknowledged
 from ochreflow.policy.interface import Status
 
@@ -367,7 +367,7 @@
 
 def test_a_client_that_does_not_close_after_its_last_answer_is_let_go(tmp_path, monkeypatch):
     """One look is enough where its machine has all: the time to linger does not begin anew."""
-    monkeypatch.setattr(connection, "LINGER", 0.3)
+    monkeypatch.setattr(connection, "DRAINING_CLOSE_TIMEOUT_S", 0.3)
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -377,7 +377,9 @@
             await until(lambda: any(front.lingering for front in sidecar.http.clients.all))
             rang = asyncio.get_running_loop().create_future()
             # Bells ring in the order of their times, and its own was set before.
-            asyncio.get_running_loop().call_later(connection.LINGER + 0.05, rang.set_result, None)
+            asyncio.get_running_loop().call_later(
+                connection.DRAINING_CLOSE_TIMEOUT_S + 0.05, rang.set_result, None
+            )
             await rang
             assert not sidecar.http.clients.all
             client.close()
@@ -446,7 +448,7 @@
             await taken.has(b"held")
             front = front_of(sidecar, client)
             if seen == "behind unread bytes":
-                client.sendall(b"".join(message("order", f"id{n}") for n in range(WAITING_MOST)))
+                client.sendall(b"".join(message("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS)))
                 await until(lambda: front.paused)
                 client.sendall(message("order", "unread"))
             client.shutdown(socket.SHUT_WR)
--- a/tests/test_response_proof.py
+++ b/tests/test_response_proof.py
@@ -136,7 +136,7 @@
 @pytest.mark.parametrize("case", NO_PROOF)
 def test_an_unsafe_request_is_neither_repeated_nor_refused_without_proof(tmp_path, monkeypatch, case):
     """Guards rule `duplicate`: the request may have run."""
-    monkeypatch.setattr(upstream_connection, "RESPONSE_STALL_TIMEOUT", 0.2)
+    monkeypatch.setattr(upstream_connection, "RESPONSE_STALL_TIMEOUT_S", 0.2)
     got, copies = run(ask_once(tmp_path, "order", *NO_PROOF[case]))
     assert copies == 1
     assert got.code >= 500 and got.code not in INVITES_REPEAT
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -35,7 +35,7 @@
 
 from ochreflow.app.sidecar import system_limit
 from ochreflow.core.limits import Descriptors
-from ochreflow.http.clients import CUT_MOST, Clients
+from ochreflow.http.clients import MAX_EVICTIONS_PER_SWEEP, Clients
 
 pytestmark = pytest.mark.xdist_group("real-time")
 
@@ -589,8 +589,8 @@
     assert list(clients.all) == come
     clients.descriptors.system_limit = lambda: LOWERED
     clients.sweep()
-    assert len(clients.all) == len(come) - CUT_MOST
-    for _ in range(len(come) // CUT_MOST):
+    assert len(clients.all) == len(come) - MAX_EVICTIONS_PER_SWEEP
+    for _ in range(len(come) // MAX_EVICTIONS_PER_SWEEP):
         clients.sweep()
     share = Descriptors(LOWERED).max_clients
     served, silent = ([one for one in come if one.serving is serving] for serving in (True, False))
--- a/tests/test_second_answer.py
+++ b/tests/test_second_answer.py
@@ -43,7 +43,7 @@
 
 @pytest.fixture
 def settling_time(monkeypatch):
-    return lambda seconds: monkeypatch.setattr(upstream_connection, "SETTLING_TIME", seconds)
+    return lambda seconds: monkeypatch.setattr(upstream_connection, "SETTLING_TIME_S", seconds)
 
 
 class Stage:
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -314,7 +314,7 @@
 
 
 def test_a_client_that_does_not_read_stops_its_server_and_is_let_go(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "SLOW_READER", 0.3)
+    monkeypatch.setattr(clients, "SLOW_READER_TIMEOUT_S", 0.3)
 
     async def play():
         async def endless(reader, writer):
@@ -398,7 +398,7 @@
 
 
 def test_an_upload_that_stalls_is_answered_and_its_attempt_given_up(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "HEAD_MOST", 0.3)
+    monkeypatch.setattr(clients, "HEAD_TIMEOUT_S", 0.3)
 
     async def play():
         server = await Server(say_ok).start()
@@ -430,8 +430,8 @@
 
 
 def test_a_slow_body_is_allowed_and_one_after_another_keeps_its_order(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "HEAD_MOST", 0.3)
-    monkeypatch.setattr(clients, "BODY_RATE_LEAST", 1000)
+    monkeypatch.setattr(clients, "HEAD_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(clients, "MIN_BODY_BYTES_PER_S", 1000)
 
     async def play():
         fake = await Fake(answer_ok).start()
