--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -20,9 +20,9 @@
 from ..core.stats import Disposition
 from .clients import Clients
 from .grammar import Grammar, HttpRequest, RequestError
-from .progress import HangupWatch, StallTimer, peer_gone, unacknowledged, unread
 from .response import HOP_BY_HOP
 from .response import Response as Answer
+from .socket_progress import DisconnectMonitor, StallTimer, peer_disconnected, unacknowledged, unread_bytes
 
 MAX_BODY_BYTES = 40 * 1024 * 1024  # messages reach 32 MB
 MAX_HEADERS_BYTES = 32 * 1024
@@ -139,7 +139,7 @@
     frontend_binding: FrontendBinding
     clients: Clients
     grammar: Grammar
-    hangups: HangupWatch  # of those that are not read at present
+    disconnect_monitor: DisconnectMonitor  # of those that are not read at present
 
 
 class ClientConnection(asyncio.Protocol):
@@ -219,7 +219,7 @@
         """Whether its client owes no part of a message, not even in what the system holds unread."""
         if not self.idle or self.begun or self.closed or self.transport is None:
             return False
-        return unread(self.transport) == 0
+        return unread_bytes(self.transport) == 0
 
     @property
     def quiet(self) -> bool:
@@ -249,7 +249,7 @@
         """
         if self.closed or self.transport is None or self.transport.is_closing():
             return True
-        if not peer_gone(self.transport):
+        if not peer_disconnected(self.transport):
             return False
         self._client_left()
         return True
@@ -329,7 +329,7 @@
         del self.parser
         self.clients.remove(self)
         if self.transport is not None:
-            self.shared.hangups.remove(self.transport)
+            self.shared.disconnect_monitor.remove(self.transport)
         if request is not None:
             self.engine.requests.client_disconnected(request)
         self.engine.lifecycle.client_disconnected()
@@ -338,8 +338,10 @@
         # Guards the memory against clients that ask and do not read.
         self.unread = True
         if self.slow is None and self.transport is not None:
-            waiting = partial(unacknowledged, self.transport)
-            self.slow = StallTimer(self.engine.loop, waiting, self.clients.times.slow_reader, self.close)
+            pending_bytes = partial(unacknowledged, self.transport)
+            self.slow = StallTimer(
+                self.engine.loop, pending_bytes, self.clients.times.slow_reader, self.close
+            )
         if self.passing is not None:
             self.passing.pause(paused=True)
 
@@ -483,9 +485,9 @@
         if stop:
             self.was_paused = True
             self.transport.pause_reading()
-            self.shared.hangups.add(self.transport, self.close_if_gone)
+            self.shared.disconnect_monitor.add(self.transport, self.close_if_gone)
         else:
-            self.shared.hangups.remove(self.transport)
+            self.shared.disconnect_monitor.remove(self.transport)
             self.transport.resume_reading()
 
     def _release(self, size: int) -> None:
@@ -655,11 +657,11 @@
         rest_comes = self.deaf or (self.skipping and self.begun)
         self.deaf = True
         if rest_comes:
-            self.shared.hangups.remove(self.transport)
+            self.shared.disconnect_monitor.remove(self.transport)
             self.transport.resume_reading()
         else:
             self.transport.pause_reading()
-            self.shared.hangups.add(self.transport, self.close_if_gone)
+            self.shared.disconnect_monitor.add(self.transport, self.close_if_gone)
         self.transport.write_eof()
         self._linger()
         self.clients.place(self)
--- a/ochreflow/http/frontend.py
+++ b/ochreflow/http/frontend.py
@@ -9,7 +9,7 @@
 from .clients import Clients
 from .connection import ClientConnection, Shared
 from .grammar import Grammar
-from .progress import HangupWatch
+from .socket_progress import DisconnectMonitor
 
 LABEL = "http"
 
@@ -22,9 +22,9 @@
     def __init__(self, engine: Engine, upstream_transport: UpstreamTransport) -> None:
         self.clients = Clients(engine.descriptors)
         self.frontend_binding = engine.bind_frontend(LABEL, self, upstream_transport)
-        self.hangups = HangupWatch(engine.loop)
+        self.disconnect_monitor = DisconnectMonitor(engine.loop)
         self.shared = Shared(
-            engine, self.frontend_binding, self.clients, Grammar(engine.settings), self.hangups
+            engine, self.frontend_binding, self.clients, Grammar(engine.settings), self.disconnect_monitor
         )
         self.servers: list[Listening] = []
 
@@ -53,6 +53,6 @@
 
     def close(self) -> None:
         self.stop_accepting()
-        self.hangups.close()
+        self.disconnect_monitor.close()
         for client in list(self.clients.all):
             client.close()
--- a/ochreflow/http/socket_stream.py
+++ b/ochreflow/http/socket_stream.py
@@ -12,7 +12,7 @@
 import struct
 from typing import Protocol
 
-from .progress import queued_by_system
+from .socket_progress import queued_by_system
 
 READ_SIZE_BYTES = 64 * 1024  # bytes taken from the system at a time
 MAX_READS_PER_CALLBACK = 16  # after which other connections get their turn
--- a/ochreflow/http/upstream_connection.py
+++ b/ochreflow/http/upstream_connection.py
@@ -13,8 +13,8 @@
 from ..policy.interface import Status
 from .exchange import Exchange
 from .framing import LAST_CHUNK, chunk, framed
-from .progress import StallTimer
 from .response import ResponseParser, classify
+from .socket_progress import StallTimer
 from .socket_stream import SocketStream
 
 # Seconds without a byte after which a peer is given up. A buffered response can be replaced by another
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -16,7 +16,7 @@
 from ochreflow.http import connection
 from ochreflow.http.acceptor import Acceptor
 from ochreflow.http.connection import MAX_PIPELINED_REQUESTS
-from ochreflow.http.progress import DISCONNECT_POLL_INTERVAL_S, HangupWatch
+from ochreflow.http.socket_progress import DISCONNECT_POLL_INTERVAL_S, DisconnectMonitor
 
 pytestmark = pytest.mark.xdist_group("real-time")
 
@@ -95,7 +95,9 @@
             if turn:
                 work()
             left = loop.create_future()
-            looking, name = (sidecar.http, "sweep") if after == "sweep" else (sidecar.http.hangups, "_look")
+            looking, name = (
+                (sidecar.http, "sweep") if after == "sweep" else (sidecar.http.disconnect_monitor, "_poll")
+            )
             look = getattr(looking, name)
 
             def look_and_leave():
@@ -205,7 +207,7 @@
     async def play():
         server = Server()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
-            watch = sidecar.http.hangups
+            watch = sidecar.http.disconnect_monitor
             client, _ = await behind_one(sidecar, server)
             assert watch.timer is None and not watch.fds
             front = front_of(sidecar, client)
@@ -225,7 +227,7 @@
 def test_a_transport_is_watched_until_it_is_removed_and_one_that_is_told_may_remove_others():
     async def play():
         loop = asyncio.get_running_loop()
-        watch, told = HangupWatch(loop), []
+        watch, told = DisconnectMonitor(loop), []
         server = Server()
         ends = [connect(server.listening.getsockname()[1]) for _ in range(3)]
         transports = []
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -30,7 +30,7 @@
 from ochreflow.core.body import MAX_BUFFERED_BYTES
 from ochreflow.http import connection
 from ochreflow.http.connection import MAX_PIPELINED_REQUESTS, ClientConnection
-from ochreflow.http.progress import unacknowledged
+from ochreflow.http.socket_progress import unacknowledged
 from ochreflow.policy.interface import Status
 
 LONG = b"a" * (MAX_BUFFERED_BYTES * 3 // 4)  # an answer that is held until it is whole
@@ -83,7 +83,7 @@
 
 def send_after_look(monkeypatch, sock, data):
     """Have bytes arrive right after it was found that none wait to be read."""
-    looked = connection.unread
+    looked = connection.unread_bytes
 
     def look(transport):
         count = looked(transport)
@@ -93,7 +93,7 @@
         return count
 
     sent = []
-    monkeypatch.setattr(connection, "unread", look)
+    monkeypatch.setattr(connection, "unread_bytes", look)
 
 
 def close_by(sidecar, path):
