--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -12,7 +12,7 @@
 from ..core.endpoints import EndpointUpdate
 from ..core.engine import Engine
 from ..core.limits import Descriptors, Memory, Usage
-from ..http.calls import HttpCalls
+from ..http.discovery_transport import HttpDiscoveryTransport
 from ..http.frontend import HttpFrontend
 from ..http.upstream import Upstreams
 from ..http.upstream_transport import HttpUpstreamTransport
@@ -60,7 +60,7 @@
         self.http = HttpFrontend(self.engine, self.upstream_transport)
         self.discovery = DiscoveryClient(
             loop,
-            partial(HttpCalls, loop),
+            partial(HttpDiscoveryTransport, loop),
             config.discovery,
             config.endpoint_ids,
             cached_list.version,
--- /dev/null
+++ b/ochreflow/http/discovery_transport.py
@@ -0,0 +1,46 @@
+"""GET requests of the sidecar's own to one HTTP/1.1 service, such as the directory of endpoints."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from ..core.limits import MB, Descriptors, Memory
+from ..core.ports import Address
+from ..policy.interface import State, Status
+from .exchange import Exchange
+from .response import Response
+from .upstream import Upstreams
+
+CONNECT_TIMEOUT_S = 2.0  # as long as a response may take: `policy/endpoint_set.py` counts on no more
+IDLE_TIMEOUT_S = 30.0
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
+MAX_DESCRIPTORS = 1024
+MAX_MEMORY_BYTES = 192 * MB
+SERVICE = 0  # the number of the one target
+
+
+class HttpDiscoveryTransport:
+    """A connection pool of its own: the cap on connections to servers must not keep the list unread."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address) -> None:
+        self.host = f"{address[0]}:{address[1]}"
+        descriptors, memory = Descriptors(MAX_DESCRIPTORS), Memory(MAX_MEMORY_BYTES)
+        self.upstreams = Upstreams(loop, descriptors, memory, CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S)
+        self.upstreams.update(SERVICE, address, 0, State.READY)
+
+    def get(self, target: str, timeout_s: float, done: Callable[[bytes | None, str], None]) -> None:
+        """Request `target` once; `done` gets the body of a 200, or None and what there was instead of one."""
+
+        def ended(_: Exchange, status: Status, response: Response | None) -> None:
+            if status is Status.OK and response is not None:
+                done(response.body, "")
+            else:
+                done(None, status.name if response is None else f"answer {response.code}")
+
+        head = f"GET {target} HTTP/1.1\r\nHost: {self.host}\r\nAccept: application/json\r\n\r\n".encode()
+        self.upstreams.start(SERVICE, Exchange(lambda: head, ended, MAX_RESPONSE_BYTES), timeout_s)
+
+    def close(self) -> None:
+        """Close all connections to the service."""
+        self.upstreams.close()
--- a/ochreflow/http/framing.py
+++ b/ochreflow/http/framing.py
@@ -12,7 +12,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data) if data else b""
 
 
-def framed(body: Body) -> bytes:
+def frame_body(body: Body) -> bytes:
     """The end of the head, which says how the body is framed, and all that is held of it."""
     length = len(body.buffered) if body.complete else body.length
     if length is not None:
--- a/ochreflow/http/reports.py
+++ b/ochreflow/http/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: what servers say of themselves, as figures that the module can use."""
+"""Load reports: what servers say of themselves, as figures that the decision module can use."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 FIGURE = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")  # plain numbers: no sign, no exponent, nothing endless
 
 
-class Reports:
-    """Reads load reports by the names of their fields, in the order that the module expects."""
+class LoadReportParser:
+    """Parses load reports by the names of their fields, in the order that the module expects."""
 
     def __init__(self, columns: tuple[str, ...]) -> None:
         self.columns = columns
-        self.places = {column.encode(): place for place, column in enumerate(columns)}
+        self.indexes = {column.encode(): index for index, column in enumerate(columns)}
 
-    def read(self, text: bytes) -> tuple[float, ...]:
+    def parse(self, text: bytes) -> tuple[float, ...]:
         """The figures; none at all if one is missing, comes twice or is unreadable."""
         values: list[float | None] = [None] * len(self.columns)
         for pair in text.split(b","):
             name, _, value = pair.partition(b"=")
             name = name.strip()
-            place = self.places.get(name)
-            if place is None:
-                place = self.places.get(canonical_column(name.decode("latin-1")).encode())
-            if place is not None:
-                if values[place] is not None or not FIGURE.fullmatch(value.strip()):
+            index = self.indexes.get(name)
+            if index is None:
+                index = self.indexes.get(canonical_column(name.decode("latin-1")).encode())
+            if index is not None:
+                if values[index] is not None or not FIGURE.fullmatch(value.strip()):
                     return ()
-                values[place] = float(value)
+                values[index] = float(value)
         known = [value for value in values if value is not None]
         return tuple(known) if len(known) == len(values) else ()
--- a/ochreflow/http/socket_progress.py
+++ b/ochreflow/http/socket_progress.py
@@ -49,8 +49,8 @@
 class DisconnectMonitor:
     """Reports peers that disconnect while nothing is read from them, which no reader of the loop reports.
 
-    One system call polls all of them, and only while there are any: its cost grows with their number by a tenth
-    of a microsecond each. It owns its timer; `close` stops it.
+    One system call polls all of them, and only while there are any: its cost grows with their number by a
+    tenth of a microsecond each. It owns its timer; `close` stops it.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -63,8 +63,9 @@
     def add(self, transport: asyncio.Transport, callback: Callable[[], object]) -> None:
         """Call `callback` once the peer has disconnected, and at each poll after that until it is removed.
 
-        The first call comes at most `DISCONNECT_POLL_INTERVAL_S` and an iteration of the loop after the end can
-        be read. The transport has to be removed before its socket is closed, at the latest in `connection_lost`.
+        The first call comes at most `DISCONNECT_POLL_INTERVAL_S` and an iteration of the loop after the end
+        can be read. The transport has to be removed before its socket is closed, at the latest in
+        `connection_lost`.
         """
         fd = transport.get_extra_info("socket").fileno()
         self.fds[transport] = fd
--- a/ochreflow/http/upstream_connection.py
+++ b/ochreflow/http/upstream_connection.py
@@ -12,7 +12,7 @@
 from ..core.limits import Memory
 from ..policy.interface import Status
 from .exchange import Exchange
-from .framing import LAST_CHUNK, chunk, framed
+from .framing import LAST_CHUNK, chunk, frame_body
 from .response import ResponseParser, classify
 from .socket_progress import StallTimer
 from .socket_stream import SocketStream
@@ -218,7 +218,7 @@
             return False
         body = exchange.body
         assert exchange.head is not None
-        payload = exchange.head() if body is None else exchange.head() + framed(body)
+        payload = exchange.head() if body is None else exchange.head() + frame_body(body)
         if not self.stream.begin(payload):
             return False
         self.response.start(exchange.response_limit, may_relay=exchange.relay is not None)
--- a/ochreflow/http/upstream_transport.py
+++ b/ochreflow/http/upstream_transport.py
@@ -9,7 +9,7 @@
 from ..policy.interface import State, Status
 from .exchange import Exchange
 from .grammar import HttpRequest
-from .reports import Reports
+from .load_reports import LoadReportParser
 from .response import Response
 from .upstream import Upstreams
 
@@ -19,7 +19,7 @@
 class HttpUpstreamTransport:
     def __init__(self, upstreams: Upstreams, report_columns: tuple[str, ...]) -> None:
         self.upstreams = upstreams
-        self.reports = Reports(report_columns)
+        self.load_report_parser = LoadReportParser(report_columns)
         self.probe_path = b"/-/load" if report_columns else b"/-/healthy"
 
     def start(
@@ -37,8 +37,8 @@
 
         def done(_: Exchange, status: Status, response: Response | None) -> None:
             report: tuple[float, ...] = ()
-            if response is not None and response.load and self.reports.columns:
-                report = self.reports.read(response.load)
+            if response is not None and response.load and self.load_report_parser.columns:
+                report = self.load_report_parser.parse(response.load)
             watcher.ended(status, response, report)
 
         exchange = Exchange(
@@ -62,8 +62,8 @@
     def probe(self, server: int, timeout: float, done: Callable[[Status, tuple[float, ...]], None]) -> None:
         def ended(_: Exchange, status: Status, response: Response | None) -> None:
             report: tuple[float, ...] = ()
-            if response is not None and self.reports.columns:
-                report = self.reports.read(response.load or response.body.strip())
+            if response is not None and self.load_report_parser.columns:
+                report = self.load_report_parser.parse(response.load or response.body.strip())
             done(status, report)
 
         head = b"GET %s HTTP/1.1\r\nHost: probe\r\n\r\n" % self.probe_path
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -17,6 +17,7 @@
 
 from ochreflow import Balancer
 from ochreflow.core.endpoints import EndpointIds
+from ochreflow.http.discovery_transport import CONNECT_TIMEOUT_S
 from ochreflow.membership import discovery
 from ochreflow.membership.discovery import DiscoveryClient
 from ochreflow.membership.timeouts import (
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -24,7 +24,7 @@
 from ochreflow.core.address import split_address
 from ochreflow.core.endpoints import EndpointIds
 from ochreflow.core.log import log
-from ochreflow.http.calls import HttpCalls
+from ochreflow.http.discovery_transport import HttpDiscoveryTransport
 from ochreflow.membership import discovery, timeouts
 from ochreflow.membership.discovery import DiscoveryClient
 from ochreflow.membership.endpoint_list import EndpointListError, parse_endpoint_update
@@ -33,7 +33,7 @@
 
 
 def calls(address):
-    return HttpCalls(asyncio.get_running_loop(), address)
+    return HttpDiscoveryTransport(asyncio.get_running_loop(), address)
 
 
 def names():
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -284,7 +284,7 @@
 def test_a_report_is_read_by_names_and_only_whole(tmp_path):
     async def play():
         async with Sidecar(tmp_path / "c", config(news(1))) as sidecar:
-            read = sidecar.upstream_transport.reports.read
+            read = sidecar.upstream_transport.load_report_parser.parse
             assert read(b"cpu=0.25, rps=3") == (3.0, 0.25)
             assert read(b"qps=3,util=0.25,more=1") == (3.0, 0.25)
             for figure in (
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -497,7 +497,7 @@
     memory = Memory(64 * MB)
     body, sink = Body(memory, None), Sink()
     assert body.add(bytes(bodies.MAX_BUFFERED_BYTES + 1)) and body.reading_paused
-    assert framing.framed(body).startswith(b"Transfer-Encoding: chunked\r\n\r\n10001\r\n")
+    assert framing.frame_body(body).startswith(b"Transfer-Encoding: chunked\r\n\r\n10001\r\n")
     body.stream_to(sink)
     assert body.discarded and memory.reserved_bytes == 0 and not body.reading_paused
     body.add(b"abc")
