--- a/ochreflow/http/exchange.py
+++ b/ochreflow/http/exchange.py
@@ -70,15 +70,15 @@
         "done",
         "generation",
         "head",
+        "idempotent",
         "loop",
         "opening",
         "paused",
         "rejected",
         "relay",
         "response_limit",
-        "safe",
         "timer",
-        "within",
+        "write_timeout_s",
         "write_timer",
         "written",
     )
@@ -91,8 +91,8 @@
         written: Callable[[], None] | None = None,
         body: Body | None = None,
         relay: Relay | None = None,
-        within: Callable[[], float] | None = None,
-        safe: bool = True,
+        write_timeout_s: Callable[[], float] | None = None,
+        idempotent: bool = True,
     ) -> None:
         # Called as the request is written, since its head tells the time that is left. None: it has ended.
         self.head: Callable[[], bytes] | None = head
@@ -101,8 +101,8 @@
         self.written = written  # called once, when the last byte has been handed to the system
         self.body = body  # follows the head, and may still be coming
         self.relay = relay  # for a response too long to be buffered; None: every response is buffered
-        self.within = within  # asked as the first byte is to go out: see `AttemptObserver.write_timeout_s`
-        self.safe = safe  # its method is: sending it again does no harm
+        self.write_timeout_s = write_timeout_s  # called as its first byte is due
+        self.idempotent = idempotent  # its method is: sending it again does no harm
         self.generation = 0  # of its server when it was started
         self.rejected = False  # it must not begin any more, and its end has been scheduled
         self.write_timer: asyncio.TimerHandle | None = None  # fires when the request must have arrived
@@ -137,7 +137,7 @@
             self.write_timer.cancel()
             self.write_timer = None
         # These refer to whoever refers to this exchange, a cycle that only the collector would free.
-        self.head = self.written = self.relay = self.within = None
+        self.head = self.written = self.relay = self.write_timeout_s = None
         done(self, status, answer)
 
     def set_timeout(self, seconds: float) -> None:
--- a/ochreflow/http/socket_stream.py
+++ b/ochreflow/http/socket_stream.py
@@ -55,7 +55,7 @@
         self.closed = False
         self.failed = False  # a write has failed: the owner is about to hear of it
         self.reading = False
-        self.waits_for_room = False
+        self.waiting_for_writable = False
 
     # Reading
 
@@ -106,7 +106,7 @@
             raise
         return True
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the peer has neither sent anything nor ended the connection, as far as can be read now."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -129,7 +129,7 @@
             sent = 0
         except OSError:
             return False
-        self._wait_for_room(message[sent:])
+        self._queue_unsent(message[sent:])
         return True
 
     def write(self, data: bytes) -> None:
@@ -142,14 +142,14 @@
                 pass
             except OSError:
                 self._fail()
-        self._wait_for_room(data[sent:])
+        self._queue_unsent(data[sent:])
         if self.unsent and self.owner is not None:
             self.owner.pause_writing()
 
-    def _wait_for_room(self, rest: bytes) -> None:
+    def _queue_unsent(self, rest: bytes) -> None:
         self.unsent += rest
-        if self.unsent and not self.closed and not self.failed and not self.waits_for_room:
-            self.waits_for_room = True
+        if self.unsent and not self.closed and not self.failed and not self.waiting_for_writable:
+            self.waiting_for_writable = True
             self.loop.add_writer(self.sock, self._on_writable)
 
     def _on_writable(self) -> None:
@@ -164,12 +164,12 @@
             return
         del self.unsent[:sent]
         if not self.unsent:
-            self._wait_for_room_no_more()
+            self._stop_waiting_for_writable()
             owner.resume_writing()
 
-    def _wait_for_room_no_more(self) -> None:
-        if self.waits_for_room:
-            self.waits_for_room = False
+    def _stop_waiting_for_writable(self) -> None:
+        if self.waiting_for_writable:
+            self.waiting_for_writable = False
             self.loop.remove_writer(self.sock)
 
     def _fail(self) -> None:
@@ -199,5 +199,5 @@
         self.closed = True
         self.owner = None
         self.pause_reading()
-        self._wait_for_room_no_more()
+        self._stop_waiting_for_writable()
         self.sock.close()
--- a/ochreflow/http/upstream.py
+++ b/ochreflow/http/upstream.py
@@ -129,7 +129,7 @@
         Taken for the response to an unsafe request, a late refusal would have it sent again while a server
         runs it.
         """
-        return exchange.safe or connection.settled
+        return exchange.idempotent or connection.settled
 
     def _send_when_settled(self, connection: Connection, exchange: Exchange) -> None:
         """Wait with nothing sent on a connection: a second response that comes meanwhile closes it."""
@@ -151,20 +151,22 @@
     def _try_send(connection: Connection, exchange: Exchange) -> SendResult:
         """Write an exchange if it still may be sent; the one place where an exchange begins.
 
-        It may not if its server has restarted or moved since it was chosen, or if its `within` says so.
+        It may not if its server has restarted or moved since it was chosen, or if its time to write is over.
         """
         target = connection.target
         current = (
             target.accepts_requests and exchange.generation == connection.generation == target.generation
         )
         current = current and not exchange.rejected  # its end will say that it never ran: that must stay true
-        within = exchange.within() if exchange.within is not None and current else math.inf
-        if not current or within <= 0.0:
+        timeout_s = (
+            exchange.write_timeout_s() if exchange.write_timeout_s is not None and current else math.inf
+        )
+        if not current or timeout_s <= 0.0:
             exchange.rejected = True
             return SendResult.REJECTED
         if not connection.send(exchange):
             return SendResult.DEAD
-        exchange.limit_write_time(within)
+        exchange.limit_write_time(timeout_s)
         return SendResult.STARTED
 
     def _open(self, target: Target, exchange: Exchange) -> None:
--- a/ochreflow/http/upstream_connection.py
+++ b/ochreflow/http/upstream_connection.py
@@ -113,14 +113,14 @@
         if self.uploading is not None:
             self.uploading.set_blocked(blocked=False)
         else:
-            self._tell_written()
+            self._notify_written()
 
     def _stop_write_stall(self) -> None:
         if self.write_stall is not None:
             self.write_stall.stop()
             self.write_stall = None
 
-    def _tell_written(self) -> None:
+    def _notify_written(self) -> None:
         if self.exchange is not None and self.exchange.written is not None:
             self.exchange.written()
 
@@ -135,7 +135,7 @@
         if self.chunking:
             self.stream.write(LAST_CHUNK)
         if not self.unwritten:
-            self._tell_written()
+            self._notify_written()
 
     def pause_response(self, paused: bool) -> None:
         """Stop reading for now, or read on. A server is not blamed for the time in which it was not read."""
@@ -169,13 +169,13 @@
 
     def _watch_for_stall(self) -> None:
         """Give up a response that stops half-way: it would be waited for until the deadline."""
-        most = RELAY_STALL_TIMEOUT_S if self.response.relaying else RESPONSE_STALL_TIMEOUT_S
+        timeout_s = RELAY_STALL_TIMEOUT_S if self.response.relaying else RESPONSE_STALL_TIMEOUT_S
         silent = 0.0 if self.exchange is not None and self.exchange.paused else monotonic() - self.last_read
-        if silent >= most:
+        if silent >= timeout_s:
             self.read_stall = None
             self.connection_broken()
             return
-        self.read_stall = self.pool.loop.call_later(most - silent, self._watch_for_stall)
+        self.read_stall = self.pool.loop.call_later(timeout_s - silent, self._watch_for_stall)
 
     def _relay(self) -> bool:
         """Pass on what has come of a response that is not buffered; False if nobody takes it."""
@@ -214,7 +214,7 @@
         """Write an exchange that may be sent; False if the connection was found dead, with nothing sent."""
         # A server may have closed an idle connection while the loop was busy. A request written after that
         # would count as one that may have run.
-        if not self.stream.is_quiet():
+        if not self.stream.is_idle():
             return False
         body = exchange.body
         assert exchange.head is not None
@@ -228,7 +228,7 @@
         if body is not None and not body.complete:
             self._upload(body)
         if not self.unwritten:
-            self._tell_written()
+            self._notify_written()
         return True
 
     def _upload(self, body: Body) -> None:
@@ -247,16 +247,16 @@
         status = classify(response)
         # Where part of the request is still on its way, what has come is no answer to it, and the rest may
         # arrive after the connection is closed.
-        doubtful = status is Status.REJECTED and not self.arrived
+        unproven = status is Status.REJECTED and not self.arrived
         self.exchange = None
         self.answered_at = monotonic()
         self.pause_response(False)
         self._release_response()
-        if self.response.keep_alive and not self.unwritten and not self.response.surplus and not doubtful:
+        if self.response.keep_alive and not self.unwritten and not self.response.surplus and not unproven:
             self.pool.keep(self)
         else:
             self.close()
-        if doubtful and not self.unwritten:
+        if unproven and not self.unwritten:
             exchange.end(Status.CANCELLED)
         else:
             exchange.end(status, response)
--- a/ochreflow/http/upstream_transport.py
+++ b/ochreflow/http/upstream_transport.py
@@ -49,7 +49,7 @@
             body,
             watcher,
             watcher.write_timeout_s,
-            safe=not request.is_write,
+            idempotent=not request.is_write,
         )
         self.upstreams.start(server, exchange, timeout)
         return exchange
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -386,7 +386,7 @@
             lambda: payload,
             lambda _, status, answer: end.set_result(status),
             64 * 1024,
-            within=lambda: 0.2,
+            write_timeout_s=lambda: 0.2,
         )
         pool.start(1, exchange, WAIT)
         peer, _ = await loop.sock_accept(server)
@@ -413,7 +413,7 @@
             lambda: b"GET / HTTP/1.1\r\n\r\n",
             lambda _, status, answer: end.set_result(status),
             64 * 1024,
-            within=lambda: 0.05,
+            write_timeout_s=lambda: 0.05,
         )
         pool.start(1, exchange, WAIT)
         peer, _ = await loop.sock_accept(server)
--- a/tests/test_second_answer.py
+++ b/tests/test_second_answer.py
@@ -65,14 +65,14 @@
     def idle(self):
         return self.pool.targets[1].idle
 
-    def start(self, safe):
+    def start(self, idempotent):
         """Start an exchange: itself, and the future of its end."""
         end = self.loop.create_future()
 
         def done(_, status, answer):
             end.set_result((status, answer and answer.body))
 
-        exchange = Exchange(lambda: PAYLOAD, done, 64 * 1024, safe=safe)
+        exchange = Exchange(lambda: PAYLOAD, done, 64 * 1024, idempotent=idempotent)
         self.pool.start(1, exchange, WAIT)
         return exchange, end
 
@@ -101,7 +101,7 @@
         """The same of several connections, in the order in which they have become idle."""
         ends, servers = [], []
         for _ in range(count):
-            ends.append(self.start(safe=True)[1])
+            ends.append(self.start(idempotent=True)[1])
             servers.append(await self.accept())
             await self.read(servers[-1])
         for server, end in zip(servers, ends, strict=True):
@@ -121,7 +121,7 @@
     async def play():
         stage = Stage()
         server = await stage.served()
-        _, end = stage.start(safe=False)
+        _, end = stage.start(idempotent=False)
         server.sendall(second)
         other = await stage.accept()
         await stage.read(other)
@@ -140,7 +140,7 @@
         stage = Stage()
         server = await stage.served()
         answered = stage.idle[0].answered_at
-        _, end = stage.start(safe=False)
+        _, end = stage.start(idempotent=False)
         await stage.read(server)
         assert monotonic() - answered >= 0.05
         server.sendall(REFUSAL)
@@ -157,7 +157,7 @@
     async def play():
         stage = Stage()
         server = await stage.served()
-        _, end = stage.start(safe=True)
+        _, end = stage.start(idempotent=True)
         await stage.read(server)
         server.sendall(REAL)
         assert await end == SERVED
@@ -171,7 +171,7 @@
 
     async def play():
         stage = Stage()
-        _, end = stage.start(safe=False)
+        _, end = stage.start(idempotent=False)
         server = await stage.accept()
         await stage.read(server)
         server.sendall(REFUSAL)
@@ -188,8 +188,8 @@
         stage = Stage()
         servers = await stage.all_served(2)
         stage.idle[0].answered_at -= NEVER
-        for safe in (True, False):
-            _, end = stage.start(safe)
+        for idempotent in (True, False):
+            _, end = stage.start(idempotent)
             await stage.read(servers[0])
             servers[0].sendall(REAL)
             assert await end == SERVED
@@ -206,7 +206,7 @@
     async def play():
         stage = Stage()
         first, *_ = await stage.all_served(3)
-        ends = [stage.start(safe=False)[1] for _ in range(3)]
+        ends = [stage.start(idempotent=False)[1] for _ in range(3)]
         others = [await stage.accept() for _ in range(2)]
         for server in (*others, first):
             await stage.read(server)
@@ -225,7 +225,7 @@
     async def play():
         stage = Stage()
         server = await stage.served()
-        exchange, end = stage.start(safe=False)
+        exchange, end = stage.start(idempotent=False)
         if how == "drain":
             stage.tell(State.DRAINING)
         else:
@@ -261,11 +261,11 @@
 
 async def one_waits_as_another_is_answered(stage):
     """An unsafe request waits for a connection of its own in the turn in which another's answer ends."""
-    _, first = stage.start(safe=True)
+    _, first = stage.start(idempotent=True)
     server = await stage.accept()
     await stage.read(server)
     stage.pool.loop = Holding(stage.loop)
-    _, second = stage.start(safe=False)
+    _, second = stage.start(idempotent=False)
     server.sendall(reply())
     assert (await first)[0] is Status.OK
     return server, second
@@ -315,7 +315,7 @@
         stage = Stage()
         server = await stage.served()
         server.sendall(REFUSAL)
-        _, end = stage.start(safe=True)
+        _, end = stage.start(idempotent=True)
         other = await stage.accept()
         await stage.read(other)
         other.sendall(REAL)
@@ -344,7 +344,7 @@
     async def play():
         stage = Stage()
         server = await stage.served()
-        _, end = stage.start(safe=False)
+        _, end = stage.start(idempotent=False)
         await stage.read(server)
         server.sendall(REFUSAL + REAL)
         assert (await end)[0] not in (Status.REJECTED, Status.CONNECT_FAILED, Status.NOT_SENT)
