--- a/ochreflow/http/management.py
+++ b/ochreflow/http/management.py
@@ -1,4 +1,4 @@
-"""The operators' address: one small HTTP/1.1 call per connection, each handed to the `Operated` part.
+"""The operators' address: one small HTTP/1.1 call per connection, each handed to the `Operations` part.
 
 It holds no state of the sidecar. It is bounded on its own, so that callers that send nothing can keep
 neither the next caller nor any client out.
@@ -30,7 +30,7 @@
 }
 
 
-class Operated(Protocol):
+class Operations(Protocol):
     """What can be asked of a sidecar, by whatever protocol."""
 
     def healthy(self) -> bool: ...
@@ -45,16 +45,16 @@
 class Management:
     """All calls together."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, operated: Operated) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, operations: Operations) -> None:
         self.loop = loop
-        self.calls: dict[ManagementConnection, None] = {}  # in the order they came
+        self.connections: dict[ManagementConnection, None] = {}  # in the order they came
         self.server: asyncio.Server | None = None
         self.address: Address | None = None  # as it was asked for
         self.routes = {
-            b"/healthcheck": (b"GET", lambda: _verdict(operated.healthy())),
-            b"/stats": (b"GET", lambda: (200, operated.report())),
-            b"/healthcheck/fail": (b"POST", lambda: _verdict(operated.drain())),
-            b"/healthcheck/ok": (b"POST", lambda: _verdict(operated.undrain())),
+            b"/healthcheck": (b"GET", lambda: _yes_or_no(operations.healthy())),
+            b"/stats": (b"GET", lambda: (200, operations.report())),
+            b"/healthcheck/fail": (b"POST", lambda: _yes_or_no(operations.drain())),
+            b"/healthcheck/ok": (b"POST", lambda: _yes_or_no(operations.undrain())),
         }
 
     async def listen(self, address: Address | None) -> None:
@@ -63,22 +63,22 @@
             return
         server = None
         if address is not None:
-            server = await self.loop.create_server(self.call, *address, backlog=BACKLOG)
+            server = await self.loop.create_server(self.connection, *address, backlog=BACKLOG)
             host, port = server.sockets[0].getsockname()
             log.info("management_listening", host=host, port=port)
         if self.server is not None:
             self.server.close()
         self.server, self.address = server, address
 
-    def call(self) -> ManagementConnection:
+    def connection(self) -> ManagementConnection:
         """The protocol for a new connection."""
         return ManagementConnection(self)
 
-    def admit(self, call: ManagementConnection) -> None:
-        self.calls[call] = None
-        if len(self.calls) > MAX_CONNECTIONS:
+    def admit(self, connection: ManagementConnection) -> None:
+        self.connections[connection] = None
+        if len(self.connections) > MAX_CONNECTIONS:
             # Who has been silent longest goes first. A new caller is not yet known to be silent.
-            others = [other for other in self.calls if other is not call]
+            others = [other for other in self.connections if other is not connection]
             next((other for other in others if not other.answered), others[0]).drop()
 
     def answer(self, method: bytes, target: bytes) -> tuple[int, str, str]:
@@ -86,20 +86,20 @@
         route = self.routes.get(target.split(b"?", 1)[0])
         if route is None:
             return 404, "unknown path\n", ""
-        allowed, do = route
+        allowed, handler = route
         if method != allowed:
             return 405, "wrong method\n", f"Allow: {allowed.decode()}\r\n"
-        code, body = do()
+        code, body = handler()
         return code, body, ""
 
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for call in list(self.calls):
-            call.drop()
+        for connection in list(self.connections):
+            connection.drop()
 
 
-def _verdict(yes: bool) -> tuple[int, str]:
+def _yes_or_no(yes: bool) -> tuple[int, str]:
     return (200, "yes\n") if yes else (503, "no\n")
 
 
@@ -148,7 +148,7 @@
         self.complete = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.management.calls.pop(self, None)
+        self.management.connections.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
         del self.parser  # the two refer to each other
@@ -175,4 +175,4 @@
     def drop(self) -> None:
         if self.transport is not None:
             self.transport.abort()
-        self.management.calls.pop(self, None)
+        self.management.connections.pop(self, None)
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -213,12 +213,12 @@
             front = front_of(sidecar, client)
             client.sendall(b"".join(message("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS)))
             await until(lambda: front.paused)
-            assert len(watch.fds) == len(watch.told) == 1
+            assert len(watch.fds) == len(watch.callbacks) == 1
             await asyncio.sleep(3 * DISCONNECT_POLL_INTERVAL_S)
             assert watch.timer is not None and not front.transport.is_closing()
             client.close()
             await until(lambda: watch.timer is None)
-            assert not watch.fds and not watch.told and not watch.poll.poll(0)
+            assert not watch.fds and not watch.callbacks and not watch.poller.poll(0)
         server.close()
 
     run(play())
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -38,7 +38,7 @@
     """The operators' listener of a sidecar: its port."""
     loop = asyncio.get_running_loop()
     listener = Management(loop, sidecar.engine)
-    server = await loop.create_server(listener.call, HOST, 0)
+    server = await loop.create_server(listener.connection, HOST, 0)
     try:
         yield server.sockets[0].getsockname()[1]
     finally:
