--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -19,7 +19,7 @@
 from ..core.ports import FinalResponse, IncomingRequest, Pause, Reason
 from ..core.stats import Disposition
 from .clients import Clients
-from .grammar import Grammar, HttpRequest, RequestError
+from .request_parser import HttpRequest, RequestError, RequestParser
 from .response import HOP_BY_HOP
 from .response import Response as Answer
 from .socket_progress import DisconnectMonitor, StallTimer, peer_disconnected, unacknowledged, unread_bytes
@@ -138,7 +138,7 @@
     engine: Engine
     frontend_binding: FrontendBinding
     clients: Clients
-    grammar: Grammar
+    request_parser: RequestParser
     disconnect_monitor: DisconnectMonitor  # of those that are not read at present
 
 
@@ -450,17 +450,17 @@
             try:
                 if self.doubled:
                     raise RequestError(400, "a header came twice")
-                item = self.shared.grammar.read(
+                item = self.shared.request_parser.parse(
                     self.engine.clock.now(),
                     self.parser.get_method(),
                     self.target,
                     self.headers,
                     self.lines,
                     self.body,
-                    keep_alive,
+                    keep_alive=keep_alive,
                 )
-                item.size = self.message_size
-                item.old = self.parser.get_http_version() == "1.0"
+                item.reserved_bytes = self.message_size
+                item.is_http_1_0 = self.parser.get_http_version() == "1.0"
             except RequestError as problem:
                 problem.keep_alive = keep_alive
                 item = problem
@@ -512,7 +512,7 @@
             request.keep_alive = False
             self.engine.requests.body_failed(request, disposition(code), (code, f"{text}\n".encode()))
         elif request is not None and request in self.waiting:
-            self._release(request.size)
+            self._release(request.reserved_bytes)
             self.waiting[self.waiting.index(request)] = RequestError(code, text, request.cls)
         elif self.current is None and not self.waiting:
             self._leave()  # it has had its answer
@@ -570,7 +570,7 @@
             return
         assert isinstance(head, Answer)
         headers = _lines(head)
-        chunked = length is None and not current.old
+        chunked = length is None and not current.is_http_1_0
         self.end_delimits = length is None and not chunked
         keep_alive = self._keeps(current.keep_alive) and not self.end_delimits
         self.passing = Passing(chunked, keep_alive, pause)
@@ -612,7 +612,7 @@
 
     def _let_go(self, request: HttpRequest) -> None:
         """Of what was held of a request; what still comes of it is read and thrown away."""
-        self._release(request.size)
+        self._release(request.reserved_bytes)
         request.body.discard()
         if request is self.flowing:
             self.flowing = None
--- a/ochreflow/http/exchange.py
+++ b/ochreflow/http/exchange.py
@@ -83,7 +83,7 @@
         "written",
     )
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  # a record of these would be one more object for each attempt
         self,
         head: Callable[[], bytes],
         done: Done,
@@ -92,8 +92,10 @@
         body: Body | None = None,
         relay: Relay | None = None,
         write_timeout_s: Callable[[], float] | None = None,
+        *,
         idempotent: bool = True,
     ) -> None:
+        """Make an exchange; nothing is sent until it is given to the pool."""
         # Called as the request is written, since its head tells the time that is left. None: it has ended.
         self.head: Callable[[], bytes] | None = head
         self.done: Done | None = done
--- a/ochreflow/http/frontend.py
+++ b/ochreflow/http/frontend.py
@@ -8,7 +8,7 @@
 from ..core.ports import UpstreamTransport
 from .clients import Clients
 from .connection import ClientConnection, Shared
-from .grammar import Grammar
+from .request_parser import RequestParser
 from .socket_progress import DisconnectMonitor
 
 LABEL = "http"
@@ -24,7 +24,11 @@
         self.frontend_binding = engine.bind_frontend(LABEL, self, upstream_transport)
         self.disconnect_monitor = DisconnectMonitor(engine.loop)
         self.shared = Shared(
-            engine, self.frontend_binding, self.clients, Grammar(engine.settings), self.disconnect_monitor
+            engine,
+            self.frontend_binding,
+            self.clients,
+            RequestParser(engine.settings),
+            self.disconnect_monitor,
         )
         self.servers: list[Listening] = []
 
--- /dev/null
+++ b/ochreflow/http/request_parser.py
@@ -0,0 +1,152 @@
+"""What a request means: its class, deadline, key and the rest, parsed from its head.
+
+This is where the words of the wire for a request (`X-Deadline`, `X-Key` ...) become fields of an
+`IncomingRequest`.
+"""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass
+from hashlib import blake2b
+
+import httptools
+
+from ..core.body import Body
+from ..core.ports import IncomingRequest
+from ..errors import OchreflowError
+from ..policy.interface import Effect, RequestClass, Settings
+
+DEADLINE = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
+DEADLINE_UNITS_NS = {b"m": 1_000_000, b"u": 1_000}
+COST = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")  # in microseconds
+COST_UNIT_NS = 1000
+KEY_DIGEST_BYTES = 8
+
+
+class RequestError(OchreflowError):
+    """A request that is answered by the frontend and never reaches the decision module."""
+
+    def __init__(self, code: int, text: str, cls: int | None = None) -> None:
+        """`code` and `text` go to the client."""
+        super().__init__(text)
+        self.code = code
+        self.cls = cls  # where its class is known; only then it counts as a request
+        self.keep_alive = True
+
+
+@dataclass(slots=True, eq=False)
+class HttpRequest(IncomingRequest):
+    """A request as its client sent it."""
+
+    method: bytes
+    target: bytes
+    headers: list[bytes]  # whole lines, as they are forwarded
+    keep_alive: bool
+    reserved_bytes: int = 0  # of memory, for it without its body
+    is_http_1_0: bool = False  # its client knows no chunks
+
+
+class RequestParser:
+    """Knows from the settings which classes and tenants there are."""
+
+    def __init__(self, settings: Settings) -> None:
+        """Take the classes and tenants over from the settings."""
+        self.specs = settings.classes
+        self.classes = {spec.name.encode(): number for number, spec in enumerate(settings.classes)}
+        self.tenants = {tenant.name.encode(): number for number, tenant in enumerate(settings.tenants)}
+
+    def parse(  # noqa: PLR0913  # a record of these would be one more object for each request
+        self,
+        now_ns: int,
+        method: bytes,
+        target: bytes,
+        headers: dict[bytes, bytes],
+        lines: list[bytes],
+        body: Body,
+        *,
+        keep_alive: bool,
+    ) -> HttpRequest:
+        """Parse a request's head; `headers` by lower-case names, `lines` those to forward.
+
+        RequestError if it can't be accepted.
+        """
+        cls = self._class_of(target)
+        spec = self.specs[cls]
+        request_id = _request_id(spec, cls, method, headers)
+        timeout_ns = spec.deadline_ns
+        if (value := headers.get(b"x-deadline")) is not None:
+            # The class's deadline covers all attempts; a client that states more does not wait for it.
+            timeout_ns = min(timeout_ns, _parse_deadline(value))
+        tenant = self._parse_tenant(headers.get(b"x-tenant")) if self.tenants else 0
+        cost = _parse_cost(headers.get(b"x-cost-hint"))
+        value = headers.get(b"x-key")
+        return HttpRequest(
+            request_id,
+            cls,
+            tenant,
+            _hash_key(value) if value else 0,
+            timeout_ns,
+            now_ns + timeout_ns,
+            cost,
+            headers.get(b"x-retry") == b"1",
+            method == b"POST",
+            body,
+            method,
+            target,
+            lines,
+            keep_alive,
+        )
+
+    def _class_of(self, target: bytes) -> int:
+        path = target
+        if not path.startswith(b"/"):  # the absolute form, as to a proxy
+            try:
+                path = httptools.parse_url(target).path or b"/"
+            except httptools.HttpParserInvalidURLError:
+                raise RequestError(400, "the target is no path") from None
+        name = path[1:].split(b"/", 1)[0].split(b"?", 1)[0]
+        cls = self.classes.get(name)
+        if cls is None:
+            raise RequestError(404, "unknown class")
+        return cls
+
+    def _parse_tenant(self, value: bytes | None) -> int:
+        if value is None:
+            return 0
+        if value not in self.tenants:
+            raise RequestError(400, "unknown tenant")
+        return self.tenants[value]
+
+
+def _request_id(spec: RequestClass, cls: int, method: bytes, headers: dict[bytes, bytes]) -> bytes:
+    """Its id, if it has the method and the headers that its class demands."""
+    if method != (b"GET" if spec.effect is Effect.IDEMPOTENT else b"POST"):
+        raise RequestError(405, "the method is not that of the class", cls)
+    request_id = headers.get(b"x-request-id")
+    if not request_id:
+        raise RequestError(400, "X-Request-Id is missing", cls)
+    # Guards the rule on effects: without the key no server could drop a repeat.
+    if spec.effect is Effect.IDEMPOTENT_WITH_KEY and not headers.get(b"idempotency-key"):
+        raise RequestError(400, "Idempotency-Key is missing", cls)
+    return request_id
+
+
+def _parse_deadline(value: bytes) -> int:
+    """The time in nanoseconds."""
+    match = DEADLINE.fullmatch(value.strip())
+    if match is None:
+        raise RequestError(400, "X-Deadline is no number with a unit m or u")
+    return int(float(match[1]) * DEADLINE_UNITS_NS[match[2]])
+
+
+def _parse_cost(value: bytes | None) -> int:
+    if value is None:
+        return 0
+    if COST.fullmatch(value) is None:
+        raise RequestError(400, "X-Cost-Hint is no number")
+    return int(float(value) * COST_UNIT_NS)
+
+
+def _hash_key(value: bytes) -> int:
+    return int.from_bytes(blake2b(value, digest_size=KEY_DIGEST_BYTES).digest(), "little")
--- a/ochreflow/http/upstream_transport.py
+++ b/ochreflow/http/upstream_transport.py
@@ -8,8 +8,8 @@
 from ..core.ports import Address, AttemptObserver, IncomingRequest, UpstreamAttempt
 from ..policy.interface import State, Status
 from .exchange import Exchange
-from .grammar import HttpRequest
 from .load_reports import LoadReportParser
+from .request_parser import HttpRequest
 from .response import Response
 from .upstream import Upstreams
 
