--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -13,15 +13,21 @@
 import httptools
 
 from ..core.body import MAX_BUFFERED_BYTES, Body
-from ..core.clock import NS_PER_S
 from ..core.engine import Engine
 from ..core.frontend_binding import FrontendBinding
 from ..core.ports import FinalResponse, IncomingRequest, Pause, Reason
-from ..core.stats import Disposition
 from .clients import Clients
 from .request_parser import HttpRequest, RequestError, RequestParser
-from .response import HOP_BY_HOP
-from .response import Response as Answer
+from .response import HOP_BY_HOP, Response
+from .response_format import (
+    CLIENT_DISCONNECTED_RESPONSE,
+    OK,
+    disposition_of,
+    format_final_response,
+    format_head,
+    format_headers,
+    format_response,
+)
 from .socket_progress import DisconnectMonitor, StallTimer, peer_disconnected, unacknowledged, unread_bytes
 
 MAX_BODY_BYTES = 40 * 1024 * 1024  # messages reach 32 MB
@@ -29,20 +35,6 @@
 MAX_FRAMING_FACTOR = 8  # bytes on the socket for each one of a body, in the smallest of chunks
 MAX_PIPELINED_REQUESTS = 16  # that a client may send ahead of their answers before it is read no further
 DRAINING_CLOSE_TIMEOUT_S = 2.0  # in which a client may take nothing more of its last answers, and not close
-REASONS = {
-    200: b"OK",
-    400: b"Bad Request",
-    404: b"Not Found",
-    405: b"Method Not Allowed",
-    408: b"Request Timeout",
-    409: b"Conflict",
-    413: b"Content Too Large",
-    431: b"Request Header Fields Too Large",
-    501: b"Not Implemented",
-    502: b"Bad Gateway",
-    503: b"Service Unavailable",
-    504: b"Gateway Timeout",
-}
 READY_TARGET = b"/-/ready"
 # Twice or in two forms, each reader may believe another one.
 SINGLE = frozenset(
@@ -57,19 +49,6 @@
     )
 )
 NOT_PASSED_ON = HOP_BY_HOP | {b"expect", b"x-deadline"}
-# How a response without a server's answer is worded, by whether trying again is harmless.
-WORDED = {
-    (Disposition.DECLINED, Reason.BALANCER_DECISION): (503, b"refused\n"),
-    (Disposition.ABORTED, Reason.BALANCER_DECISION): (502, b"failed\n"),
-    (Disposition.DECLINED, Reason.DEADLINE_EXCEEDED): (503, b"refused: out of time\n"),
-    (Disposition.ABORTED, Reason.DEADLINE_EXCEEDED): (504, b"failed: out of time\n"),
-    (Disposition.DECLINED, Reason.OVERLOADED): (503, b"too many open requests\n"),
-    (Disposition.DECLINED, Reason.DRAINING): (503, b"draining\n"),
-    (Disposition.ABORTED, Reason.DUPLICATE_REQUEST_ID): (
-        409,
-        b"a request with this id is open or has just been\n",
-    ),
-}
 
 
 @dataclass(slots=True)
@@ -88,49 +67,6 @@
     keep_alive: bool
 
 
-def disposition(code: int) -> Disposition:
-    """What a client takes an answer for."""
-    if code == 200:
-        return Disposition.SUCCEEDED
-    return Disposition.DECLINED if code in (429, 503) else Disposition.ABORTED
-
-
-def _head(code: int, headers: bytes, keep_alive: bool) -> bytes:
-    return b"HTTP/1.1 %d %s\r\n%s%s\r\n" % (
-        code,
-        REASONS.get(code, b"Unknown"),
-        headers,
-        b"" if keep_alive else b"Connection: close\r\n",
-    )
-
-
-def _lines(answer: Answer) -> bytes:
-    return b"".join(b"%s: %s\r\n" % header for header in answer.headers)
-
-
-def _worded(response: FinalResponse) -> tuple[int, bytes, bytes]:
-    """Code, header lines and body."""
-    answer = response.answer
-    if response.disposition is Disposition.SUCCEEDED:
-        assert isinstance(answer, Answer)
-        return 200, _lines(answer), answer.body
-    if response.reason is Reason.INVALID_BODY:
-        broken: tuple[int, bytes] = response.detail  # type: ignore[assignment]  # as `_reject` gave it
-        return broken[0], b"", broken[1]
-    code, body = WORDED[response.disposition, response.reason]
-    headers = b""
-    if response.retry_after_ns > 0:
-        headers = b"Retry-After: %.3f\r\n" % (response.retry_after_ns / NS_PER_S)
-    return code, headers, body
-
-
-def _answer(code: int, headers: bytes, body: bytes, keep_alive: bool) -> bytes:
-    return _head(code, headers + b"Content-Length: %d\r\n" % len(body), keep_alive) + body
-
-
-CLIENT_LEFT = _answer(502, b"", b"failed: the client has ended its sending\n", keep_alive=False)
-
-
 @dataclass(frozen=True, slots=True)
 class Shared:
     """What all connections of the front have in common."""
@@ -261,7 +197,7 @@
         still reads, a close without an answer is taken for one of a request that was not read.
         """
         if self.current is not None and self.passing is None:
-            self._write(CLIENT_LEFT)
+            self._write(CLIENT_DISCONNECTED_RESPONSE)
         self.close()
 
     # The transport's calls
@@ -510,7 +446,7 @@
             self.waiting.append(RequestError(code, text))
         elif request is not None and request is self.current:
             request.keep_alive = False
-            self.engine.requests.body_failed(request, disposition(code), (code, f"{text}\n".encode()))
+            self.engine.requests.body_failed(request, disposition_of(code), (code, f"{text}\n".encode()))
         elif request is not None and request in self.waiting:
             self._release(request.reserved_bytes)
             self.waiting[self.waiting.index(request)] = RequestError(code, text, request.cls)
@@ -537,7 +473,7 @@
                 else:
                     if item.cls is not None:
                         self.engine.requests.record_rejection(
-                            self.shared.frontend_binding, item.cls, disposition(item.code)
+                            self.shared.frontend_binding, item.cls, disposition_of(item.code)
                         )
                     keep_alive = item.keep_alive and not self.deaf
                     self._respond(item.code, b"", f"{item}\n".encode(), keep_alive)
@@ -559,7 +495,7 @@
         self.current = None
         self._let_go(current)
         keep_alive = current.keep_alive and response.reason is not Reason.DRAINING
-        self._respond(*_worded(response), keep_alive)
+        self._respond(*format_final_response(response), keep_alive)
         self._pump()
         self.clients.place(self)
 
@@ -568,8 +504,8 @@
         current = self.current
         if current is not request or current is None:
             return
-        assert isinstance(head, Answer)
-        headers = _lines(head)
+        assert isinstance(head, Response)
+        headers = format_headers(head)
         chunked = length is None and not current.is_http_1_0
         self.end_delimits = length is None and not chunked
         keep_alive = self._keeps(current.keep_alive) and not self.end_delimits
@@ -578,7 +514,7 @@
             headers += b"Transfer-Encoding: chunked\r\n"
         elif length is not None:
             headers += b"Content-Length: %d\r\n" % length
-        self._write(_head(200, headers, keep_alive))
+        self._write(format_head(OK, headers, keep_alive=keep_alive))
 
     def part(self, request: IncomingRequest, data: bytes) -> None:
         if self.current is request and self.passing is not None:
@@ -623,7 +559,7 @@
 
     def _respond(self, code: int, headers: bytes, body: bytes, keep_alive: bool) -> None:
         keep_alive = self._keeps(keep_alive)
-        self._write(_answer(code, headers, body, keep_alive))
+        self._write(format_response(code, headers, body, keep_alive=keep_alive))
         if not keep_alive:
             self._leave()
 
--- /dev/null
+++ b/ochreflow/http/response_format.py
@@ -0,0 +1,89 @@
+"""Formats what is written to clients: heads, header lines, and responses that no server gave.
+
+This is where the reasons of a final response become codes and texts of the wire.
+"""
+
+from __future__ import annotations
+
+from ..core.clock import NS_PER_S
+from ..core.ports import FinalResponse, Reason
+from ..core.stats import Disposition
+from .response import Response
+
+OK = 200
+DECLINED_CODES = (429, 503)  # a client may send the request again
+REASON_PHRASES = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    431: b"Request Header Fields Too Large",
+    501: b"Not Implemented",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
+# Code and body of a response without a server's, by whether trying again is harmless.
+LOCAL_RESPONSES = {
+    (Disposition.DECLINED, Reason.BALANCER_DECISION): (503, b"refused\n"),
+    (Disposition.ABORTED, Reason.BALANCER_DECISION): (502, b"failed\n"),
+    (Disposition.DECLINED, Reason.DEADLINE_EXCEEDED): (503, b"refused: out of time\n"),
+    (Disposition.ABORTED, Reason.DEADLINE_EXCEEDED): (504, b"failed: out of time\n"),
+    (Disposition.DECLINED, Reason.OVERLOADED): (503, b"too many open requests\n"),
+    (Disposition.DECLINED, Reason.DRAINING): (503, b"draining\n"),
+    (Disposition.ABORTED, Reason.DUPLICATE_REQUEST_ID): (
+        409,
+        b"a request with this id is open or has just been\n",
+    ),
+}
+
+
+def disposition_of(code: int) -> Disposition:
+    """What a client takes a response with this code for."""
+    if code == OK:
+        return Disposition.SUCCEEDED
+    return Disposition.DECLINED if code in DECLINED_CODES else Disposition.ABORTED
+
+
+def format_head(code: int, headers: bytes, *, keep_alive: bool) -> bytes:
+    """Status line and header lines, with the empty line that ends them."""
+    return b"HTTP/1.1 %d %s\r\n%s%s\r\n" % (
+        code,
+        REASON_PHRASES.get(code, b"Unknown"),
+        headers,
+        b"" if keep_alive else b"Connection: close\r\n",
+    )
+
+
+def format_headers(response: Response) -> bytes:
+    """The header lines of a server's response."""
+    return b"".join(b"%s: %s\r\n" % header for header in response.headers)
+
+
+def format_response(code: int, headers: bytes, body: bytes, *, keep_alive: bool) -> bytes:
+    """A complete response whose body has a stated length."""
+    return format_head(code, headers + b"Content-Length: %d\r\n" % len(body), keep_alive=keep_alive) + body
+
+
+def format_final_response(response: FinalResponse) -> tuple[int, bytes, bytes]:
+    """Code, header lines and body of a final response."""
+    answer = response.answer
+    if response.disposition is Disposition.SUCCEEDED:
+        assert isinstance(answer, Response)
+        return OK, format_headers(answer), answer.body
+    if response.reason is Reason.INVALID_BODY:
+        invalid: tuple[int, bytes] = response.detail  # type: ignore[assignment]  # as `reject` gave it
+        return invalid[0], b"", invalid[1]
+    code, body = LOCAL_RESPONSES[response.disposition, response.reason]
+    headers = b""
+    if response.retry_after_ns > 0:
+        headers = b"Retry-After: %.3f\r\n" % (response.retry_after_ns / NS_PER_S)
+    return code, headers, body
+
+
+CLIENT_DISCONNECTED_RESPONSE = format_response(
+    502, b"", b"failed: the client has ended its sending\n", keep_alive=False
+)
