--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -37,7 +37,7 @@
 DRAINING_CLOSE_TIMEOUT_S = 2.0  # in which a client may take nothing more of its last answers, and not close
 READY_TARGET = b"/-/ready"
 # Twice or in two forms, each reader may believe another one.
-SINGLE = frozenset(
+SINGLE_VALUE_HEADERS = frozenset(
     (
         b"host",
         b"x-request-id",
@@ -48,11 +48,11 @@
         b"transfer-encoding",
     )
 )
-NOT_PASSED_ON = HOP_BY_HOP | {b"expect", b"x-deadline"}
+NOT_FORWARDED = HOP_BY_HOP | {b"expect", b"x-deadline"}
 
 
 @dataclass(slots=True)
-class Passing:
+class StreamedResponse:
     """An answer on its way to the client while it comes."""
 
     chunked: bool
@@ -61,14 +61,14 @@
 
 
 @dataclass(slots=True)
-class Ready:
+class ReadinessCheck:
     """A question whether this sidecar takes requests."""
 
     keep_alive: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Shared:
+class ConnectionContext:
     """What all connections of the front have in common."""
 
     engine: Engine
@@ -81,44 +81,48 @@
 class ClientConnection(asyncio.Protocol):
     """One request after another, one answer to each in their order. It is what the core owes them to."""
 
-    def __init__(self, shared: Shared) -> None:
-        self.shared = shared
-        self.engine = shared.engine
-        self.clients = shared.clients
+    def __init__(self, context: ConnectionContext) -> None:
+        self.context = context
+        self.engine = context.engine
+        self.clients = context.clients
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.waiting: deque[HttpRequest | Ready | RequestError] = deque()
+        self.queue: deque[HttpRequest | ReadinessCheck | RequestError] = deque()
         self.current: HttpRequest | None = None
-        self.flowing: HttpRequest | None = None  # taken up before its body had come
-        self.passing: Passing | None = None
-        self.ending = False  # closes when the message that is still coming is through
-        self.pumping = False
-        self.deaf = False  # nothing more is read: what follows an error cannot be told apart
+        self.uploading: HttpRequest | None = None  # taken up before its body had come
+        self.streamed: StreamedResponse | None = None
+        self.closes_after_message = False  # closes when the message that is still coming is through
+        self.serving_queue = False
+        self.reading_ended = False  # nothing more is read: what follows an error cannot be told apart
         self.closed = False
         self.paused = False  # no more is read until some of what waits goes on
         self.was_paused = False  # since `Clients` last looked
-        self.unread = False  # the client leaves answers unread
-        self.slow: StallTimer | None = None
-        self.linger: asyncio.TimerHandle | None = None  # sending has ended, the client's close is awaited
-        self.undelivered = 0  # bytes that its client's machine had not got when it began to linger
+        self.write_paused = False  # the client leaves answers unread
+        self.write_stall: StallTimer | None = None
+        self.draining_timer: asyncio.TimerHandle | None = (
+            None  # sending has ended, the client's close is awaited
+        )
+        self.unacknowledged_at_check = (
+            0  # bytes that its client's machine had not got when it began to linger
+        )
         self.end_delimits = False  # only its end delimits the answer that was last begun
         self.head_ended = False  # since `Clients` last looked
         self.looked_at = 0  # size of the body when `Clients` last looked
         self.asked = False  # whether it has ever sent a whole message
-        self.held_size = 0
+        self.reserved_bytes = 0
         self._begin()
 
     def _begin(self) -> None:
         self.begun = False  # a message has begun and not ended
-        self.doubled = False
+        self.duplicate_header = False
         self.target = b""
         self.headers: dict[bytes, bytes] = {}
-        self.lines: list[bytes] = []
+        self.forwarded_lines: list[bytes] = []
         self.body: Body | None = None  # from the end of the headers on
         self.size = 0  # of all that came of this message
-        self.header_size = 0
-        self.message_size = 0  # of what is held of its headers
-        self.skipping = False  # answered already: the rest is read and thrown away
+        self.headers_bytes = 0
+        self.message_reserved_bytes = 0  # of what is held of its headers
+        self.discarding = False  # answered already: the rest is read and thrown away
 
     @property
     def in_body(self) -> bool:
@@ -127,12 +131,12 @@
     @property
     def idle(self) -> bool:
         """Whether it can be closed without harm: no request waits, no answer is still on its way out."""
-        return self.current is None and not self.waiting and not self.unread and not self.deaf
+        return self.current is None and not self.queue and not self.write_paused and not self.reading_ended
 
     @property
     def serving(self) -> bool:
         """Whether its client is owed an answer, or the rest of one that it has not read yet."""
-        return self.current is not None or bool(self.waiting) or not self.delivered
+        return self.current is not None or bool(self.queue) or not self.delivered
 
     @property
     def delivered(self) -> bool:
@@ -148,7 +152,7 @@
     @property
     def lingering(self) -> bool:
         """Whether its sending has ended, and only its client's close is waited for."""
-        return self.linger is not None
+        return self.draining_timer is not None
 
     @property
     def nothing_begun(self) -> bool:
@@ -175,7 +179,7 @@
         paused, self.was_paused = self.was_paused, False
         return None if paused else came
 
-    def close_if_gone(self) -> bool:
+    def close_if_disconnected(self) -> bool:
         """Close it if its client has left, as far as can be read at this instant; whether it has.
 
         The end may lie unread in the socket, behind other bytes or not: since the loop was busy, or since
@@ -187,16 +191,16 @@
             return True
         if not peer_disconnected(self.transport):
             return False
-        self._client_left()
+        self._close_after_disconnect()
         return True
 
-    def _client_left(self) -> None:
+    def _close_after_disconnect(self) -> None:
         """Close after its client has ended its sending.
 
         Guards a request that may run against being sent again: by a client that only ended its sending and
         still reads, a close without an answer is taken for one of a request that was not read.
         """
-        if self.current is not None and self.passing is None:
+        if self.current is not None and self.streamed is None:
             self._write(CLIENT_DISCONNECTED_RESPONSE)
         self.close()
 
@@ -209,10 +213,10 @@
         self.clients.add(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.deaf or self.closed:
+        if self.reading_ended or self.closed:
             return
         # Guards a server against the rest of a body that flows into it, and whose client has left by then.
-        if self.flowing is not None and self.close_if_gone():
+        if self.uploading is not None and self.close_if_disconnected():
             return
         self.size += len(data)
         try:
@@ -227,68 +231,68 @@
         # Guards the memory: the parser itself holds a header line of any length.
         if self.size > (MAX_BODY_BYTES * MAX_FRAMING_FACTOR if self.in_body else MAX_HEADERS_BYTES):
             self._reject(431, "headers are too long")
-        self._pump()
+        self._serve_queue()
         self.clients.place(self)
 
     def expire(self) -> None:
         """Its next message has not come to an end in time; what was taken before it is answered first."""
         if self.begun:
             self._reject(408, "the request took too long to come")
-            self._pump()
+            self._serve_queue()
         elif self.quiet:
             self.close()
         elif self.nothing_begun:
-            self._leave()  # what its client has not taken yet keeps the time that it needs
+            self._close_gracefully()  # what its client has not taken yet keeps the time that it needs
 
     def eof_received(self) -> None:
-        self._client_left()
+        self._close_after_disconnect()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        if self.slow is not None:
-            self.slow.stop()
-        if self.linger is not None:
-            self.linger.cancel()
-        self.engine.memory.release(self.held_size)
-        self.held_size = 0
+        if self.write_stall is not None:
+            self.write_stall.stop()
+        if self.draining_timer is not None:
+            self.draining_timer.cancel()
+        self.engine.memory.release(self.reserved_bytes)
+        self.reserved_bytes = 0
         request, self.current = self.current, None
         for body in (
             self.body,
-            *(item.body for item in (request, *self.waiting) if isinstance(item, HttpRequest)),
+            *(item.body for item in (request, *self.queue) if isinstance(item, HttpRequest)),
         ):
             if body is not None:
                 body.discard()
-        self.waiting.clear()
-        self.flowing = self.passing = self.body = None
+        self.queue.clear()
+        self.uploading = self.streamed = self.body = None
         # Guards the memory: the two refer to each other, and a day of ever new connections would leave
         # them all to the collector, which comes seldom.
         del self.parser
         self.clients.remove(self)
         if self.transport is not None:
-            self.shared.disconnect_monitor.remove(self.transport)
+            self.context.disconnect_monitor.remove(self.transport)
         if request is not None:
             self.engine.requests.client_disconnected(request)
         self.engine.lifecycle.client_disconnected()
 
     def pause_writing(self) -> None:
         # Guards the memory against clients that ask and do not read.
-        self.unread = True
-        if self.slow is None and self.transport is not None:
+        self.write_paused = True
+        if self.write_stall is None and self.transport is not None:
             pending_bytes = partial(unacknowledged, self.transport)
-            self.slow = StallTimer(
+            self.write_stall = StallTimer(
                 self.engine.loop, pending_bytes, self.clients.times.slow_reader, self.close
             )
-        if self.passing is not None:
-            self.passing.pause(paused=True)
+        if self.streamed is not None:
+            self.streamed.pause(paused=True)
 
     def resume_writing(self) -> None:
-        self.unread = False
-        if self.slow is not None:
-            self.slow.stop()
-            self.slow = None
-        if self.passing is not None:
-            self.passing.pause(paused=False)
-        self._pump()
+        self.write_paused = False
+        if self.write_stall is not None:
+            self.write_stall.stop()
+            self.write_stall = None
+        if self.streamed is not None:
+            self.streamed.pause(paused=False)
+        self._serve_queue()
         self.clients.place(self)
         if self.engine.lifecycle.closing_idle_connections and self.quiet:
             self.close()
@@ -304,13 +308,13 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.in_body:  # a trailer
             return
-        self.header_size += len(name) + len(value) + len(b": \r\n")
+        self.headers_bytes += len(name) + len(value) + len(b": \r\n")
         low, value = name.lower(), value.strip(b" \t")  # white space round a value is not part of it
-        if low in SINGLE and low in self.headers:
-            self.doubled = True
+        if low in SINGLE_VALUE_HEADERS and low in self.headers:
+            self.duplicate_header = True
         self.headers[low] = value
-        if low not in NOT_PASSED_ON:
-            self.lines.append(name + b": " + value + b"\r\n")
+        if low not in NOT_FORWARDED:
+            self.forwarded_lines.append(name + b": " + value + b"\r\n")
 
     def on_headers_complete(self) -> None:
         length = self.headers.get(b"content-length")
@@ -323,7 +327,7 @@
         self.body.on_reading_change = self._update_reading
         self.head_ended = True
         self.looked_at = 0
-        if self.header_size + len(self.target) > MAX_HEADERS_BYTES:
+        if self.headers_bytes + len(self.target) > MAX_HEADERS_BYTES:
             self._reject(431, "headers are too long")
         elif chunked and self.parser.get_http_version() == "1.0":
             # Such a message's framing is faulty (RFC 9112, 6.1): where it ends can't be believed.
@@ -332,87 +336,87 @@
             self._reject(501, "Transfer-Encoding must be chunked")
         elif stated > MAX_BODY_BYTES:
             self._reject(413, "the body is too large")
-        elif not self._hold(self.header_size):
+        elif not self._reserve(self.headers_bytes):
             self._reject(503, "too much is held")
         elif self.headers.get(b"expect", b"").lower() == b"100-continue" and self.idle:
             self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        if self.deaf or self.skipping or self.body is None:
+        if self.reading_ended or self.discarding or self.body is None:
             return
         if self.body.size + len(data) > MAX_BODY_BYTES:
             self._reject(413, "the body is too large")
         elif not self.body.add(data):
             self._reject(503, "too much is held")
-        elif self.flowing is None and len(self.body.buffered) > MAX_BUFFERED_BYTES:
-            self._take_up()  # too long to be held whole: it goes on while it comes
+        elif self.uploading is None and len(self.body.buffered) > MAX_BUFFERED_BYTES:
+            self._enqueue_message()  # too long to be held whole: it goes on while it comes
 
-    def _hold(self, size: int) -> bool:
+    def _reserve(self, size: int) -> bool:
         if not self.engine.memory.reserve(size):
             return False
-        self.held_size += size
-        self.message_size += size
+        self.reserved_bytes += size
+        self.message_reserved_bytes += size
         return True
 
     def on_message_complete(self) -> None:
-        if self.deaf or self.body is None:
+        if self.reading_ended or self.body is None:
             return
         if self.parser.should_upgrade():
             self._reject(400, "upgrades are not known here")
             return
         self.asked = True
-        request = self.flowing
+        request = self.uploading
         if request is not None:
-            self.flowing = None
+            self.uploading = None
             request.deadline_ns = self.engine.clock.now() + request.timeout_ns
             self.body.end()
             self.engine.requests.body_ended(request)
-        elif not self.skipping:
+        elif not self.discarding:
             self.body.end()
-            self._take_up()
+            self._enqueue_message()
         self._begin()
-        if self.ending:
-            self._leave()
+        if self.closes_after_message:
+            self._close_gracefully()
         self._update_reading()
 
-    def _take_up(self) -> None:
+    def _enqueue_message(self) -> None:
         """Queue the message that has come, or whose body is still coming."""
         assert self.body is not None
         keep_alive = self.parser.should_keep_alive()
-        item: HttpRequest | Ready | RequestError
+        item: HttpRequest | ReadinessCheck | RequestError
         if self.target == READY_TARGET:
-            item = Ready(keep_alive)
+            item = ReadinessCheck(keep_alive)
         else:
             try:
-                if self.doubled:
+                if self.duplicate_header:
                     raise RequestError(400, "a header came twice")
-                item = self.shared.request_parser.parse(
+                item = self.context.request_parser.parse(
                     self.engine.clock.now(),
                     self.parser.get_method(),
                     self.target,
                     self.headers,
-                    self.lines,
+                    self.forwarded_lines,
                     self.body,
                     keep_alive=keep_alive,
                 )
-                item.reserved_bytes = self.message_size
+                item.reserved_bytes = self.message_reserved_bytes
                 item.is_http_1_0 = self.parser.get_http_version() == "1.0"
             except RequestError as problem:
                 problem.keep_alive = keep_alive
                 item = problem
-        self.waiting.append(item)
+        self.queue.append(item)
         if not isinstance(item, HttpRequest):
-            self._release(self.message_size)
-            self.skipping = True
+            self._release(self.message_reserved_bytes)
+            self.discarding = True
             self.body.discard()
         elif not self.body.complete:
-            self.flowing = item
+            self.uploading = item
 
     def _update_reading(self) -> None:
         """Read on only while what is read can be taken up: backpressure towards the client."""
-        if self.transport is None or self.transport.is_closing() or self.deaf:
+        if self.transport is None or self.transport.is_closing() or self.reading_ended:
             return
-        stop = len(self.waiting) >= MAX_PIPELINED_REQUESTS or (
+        stop = len(self.queue) >= MAX_PIPELINED_REQUESTS or (
             self.body is not None and self.body.reading_paused
         )
         if stop == self.paused:
@@ -421,71 +425,71 @@
         if stop:
             self.was_paused = True
             self.transport.pause_reading()
-            self.shared.disconnect_monitor.add(self.transport, self.close_if_gone)
+            self.context.disconnect_monitor.add(self.transport, self.close_if_disconnected)
         else:
-            self.shared.disconnect_monitor.remove(self.transport)
+            self.context.disconnect_monitor.remove(self.transport)
             self.transport.resume_reading()
 
     def _release(self, size: int) -> None:
         self.engine.memory.release(size)
-        self.held_size -= size
+        self.reserved_bytes -= size
 
     # Answers
 
     def _reject(self, code: int, text: str) -> None:
         """Answer what was sent before it, then this, and close: where a next request begins is not known."""
-        if self.deaf:
+        if self.reading_ended:
             return
-        self.deaf = True
+        self.reading_ended = True
         self.begun = False
-        request, self.flowing = self.flowing, None
+        request, self.uploading = self.uploading, None
         if self.body is not None:
             self.body.discard()
-        if request is None and not self.skipping:
-            self._release(self.message_size)
-            self.waiting.append(RequestError(code, text))
+        if request is None and not self.discarding:
+            self._release(self.message_reserved_bytes)
+            self.queue.append(RequestError(code, text))
         elif request is not None and request is self.current:
             request.keep_alive = False
             self.engine.requests.body_failed(request, disposition_of(code), (code, f"{text}\n".encode()))
-        elif request is not None and request in self.waiting:
+        elif request is not None and request in self.queue:
             self._release(request.reserved_bytes)
-            self.waiting[self.waiting.index(request)] = RequestError(code, text, request.cls)
-        elif self.current is None and not self.waiting:
-            self._leave()  # it has had its answer
+            self.queue[self.queue.index(request)] = RequestError(code, text, request.cls)
+        elif self.current is None and not self.queue:
+            self._close_gracefully()  # it has had its answer
 
-    def _pump(self) -> None:
+    def _serve_queue(self) -> None:
         """Take up what waits, one at a time."""
-        if self.pumping:
+        if self.serving_queue:
             return
-        self.pumping = True
+        self.serving_queue = True
         try:
-            while self.waiting and self.current is None and not self.unread and not self.closed:
-                if isinstance(self.waiting[0], HttpRequest) and self.close_if_gone():
+            while self.queue and self.current is None and not self.write_paused and not self.closed:
+                if isinstance(self.queue[0], HttpRequest) and self.close_if_disconnected():
                     break  # its end may lie behind what has just been read, or was not read at all
-                item = self.waiting.popleft()
+                item = self.queue.popleft()
                 if isinstance(item, HttpRequest):
                     self.current = item
-                    self.engine.requests.accept(self.shared.frontend_binding, self, item)
-                elif isinstance(item, Ready):
+                    self.engine.requests.accept(self.context.frontend_binding, self, item)
+                elif isinstance(item, ReadinessCheck):
                     ok = self.engine.lifecycle.ready
                     text = b"ready\n" if ok else b"not ready\n"
                     self._respond(200 if ok else 503, b"", text, item.keep_alive)
                 else:
                     if item.cls is not None:
                         self.engine.requests.record_rejection(
-                            self.shared.frontend_binding, item.cls, disposition_of(item.code)
+                            self.context.frontend_binding, item.cls, disposition_of(item.code)
                         )
-                    keep_alive = item.keep_alive and not self.deaf
+                    keep_alive = item.keep_alive and not self.reading_ended
                     self._respond(item.code, b"", f"{item}\n".encode(), keep_alive)
         finally:
-            self.pumping = False
+            self.serving_queue = False
         self._update_reading()
 
     # What the core owes: see `Owed`
 
     def is_disconnected(self, request: IncomingRequest) -> bool:
         """Whether its client has left: a request over HTTP/1.1 can't be cancelled but with its connection."""
-        return self.current is not request or self.close_if_gone()
+        return self.current is not request or self.close_if_disconnected()
 
     def respond(self, request: IncomingRequest, response: FinalResponse) -> None:
         """The final answer to the request that is being served."""
@@ -493,10 +497,10 @@
         if current is not request or current is None:
             return
         self.current = None
-        self._let_go(current)
+        self._release_request(current)
         keep_alive = current.keep_alive and response.reason is not Reason.DRAINING
         self._respond(*format_final_response(response), keep_alive)
-        self._pump()
+        self._serve_queue()
         self.clients.place(self)
 
     def begin(self, request: IncomingRequest, head: object, length: int | None, pause: Pause) -> None:
@@ -508,8 +512,8 @@
         headers = format_headers(head)
         chunked = length is None and not current.is_http_1_0
         self.end_delimits = length is None and not chunked
-        keep_alive = self._keeps(current.keep_alive) and not self.end_delimits
-        self.passing = Passing(chunked, keep_alive, pause)
+        keep_alive = self._keeps_alive(current.keep_alive) and not self.end_delimits
+        self.streamed = StreamedResponse(chunked, keep_alive, pause)
         if chunked:
             headers += b"Transfer-Encoding: chunked\r\n"
         elif length is not None:
@@ -517,112 +521,114 @@
         self._write(format_head(OK, headers, keep_alive=keep_alive))
 
     def part(self, request: IncomingRequest, data: bytes) -> None:
-        if self.current is request and self.passing is not None:
-            self._write(b"%x\r\n%s\r\n" % (len(data), data) if self.passing.chunked else data)
+        if self.current is request and self.streamed is not None:
+            self._write(b"%x\r\n%s\r\n" % (len(data), data) if self.streamed.chunked else data)
 
     def end(self, request: IncomingRequest, *, complete: bool) -> None:
         """The answer has ended; one that is not whole must not look as if it were."""
-        current, passing = self.current, self.passing
-        if current is not request or current is None or passing is None:
+        current, streamed = self.current, self.streamed
+        if current is not request or current is None or streamed is None:
             return
-        self.current = self.passing = None
-        self._let_go(current)
+        self.current = self.streamed = None
+        self._release_request(current)
         if not complete:
-            self._break_off()
+            self._truncate()
             return
-        if passing.chunked:
+        if streamed.chunked:
             self._write(b"0\r\n\r\n")
-        if not passing.keep_alive:
-            self._leave()
-        self._pump()
+        if not streamed.keep_alive:
+            self._close_gracefully()
+        self._serve_queue()
         self.clients.place(self)
 
-    def _break_off(self) -> None:
+    def _truncate(self) -> None:
         """Close after a part of an answer, so that its client sees that it is not whole."""
         if self.end_delimits:
             self._reset()
         else:
             # Its framing tells. A reset would take away what went before it, and its own beginning: a client
             # that has read nothing of an answer sends its request again.
-            self._end_sending()
+            self._start_draining_close()
 
-    def _let_go(self, request: HttpRequest) -> None:
+    def _release_request(self, request: HttpRequest) -> None:
         """Of what was held of a request; what still comes of it is read and thrown away."""
         self._release(request.reserved_bytes)
         request.body.discard()
-        if request is self.flowing:
-            self.flowing = None
-            self.skipping = True
+        if request is self.uploading:
+            self.uploading = None
+            self.discarding = True
 
-    def _keeps(self, keep_alive: bool) -> bool:
-        return keep_alive and not (self.engine.lifecycle.responses_announce_close and not self.waiting)
+    def _keeps_alive(self, keep_alive: bool) -> bool:
+        return keep_alive and not (self.engine.lifecycle.responses_announce_close and not self.queue)
 
     def _respond(self, code: int, headers: bytes, body: bytes, keep_alive: bool) -> None:
-        keep_alive = self._keeps(keep_alive)
+        keep_alive = self._keeps_alive(keep_alive)
         self._write(format_response(code, headers, body, keep_alive=keep_alive))
         if not keep_alive:
-            self._leave()
+            self._close_gracefully()
 
-    def _leave(self) -> None:
+    def _close_gracefully(self) -> None:
         """Close once what was written has gone, in a way that lets the client read it."""
         if self.transport is None or self.transport.is_closing():
             return
-        if not self.deaf and self.skipping and self.begun:
-            self._drop_waiting()
-            self.ending = True
+        if not self.reading_ended and self.discarding and self.begun:
+            self._discard_queue()
+            self.closes_after_message = True
         else:
-            self._end_sending()
+            self._start_draining_close()
 
-    def _drop_waiting(self) -> None:
+    def _discard_queue(self) -> None:
         """Let go of the requests that are not taken up any more."""
-        for item in self.waiting:
+        for item in self.queue:
             if isinstance(item, HttpRequest):
                 item.body.discard()
-        self.waiting.clear()
+        self.queue.clear()
 
-    def _end_sending(self) -> None:
+    def _start_draining_close(self) -> None:
         """End the own sending, and close when the client does.
 
         Guards the last answers against being lost: closing with input unread resets the connection. The rest
         of a message that was answered before its end is read and thrown away, or its client might never come
         to read. What else a client sends is left unread: it was never taken, so it can be sent again.
         """
-        if self.transport is None or self.transport.is_closing() or self.linger is not None:
+        if self.transport is None or self.transport.is_closing() or self.draining_timer is not None:
             return
-        self._drop_waiting()
-        rest_comes = self.deaf or (self.skipping and self.begun)
-        self.deaf = True
+        self._discard_queue()
+        rest_comes = self.reading_ended or (self.discarding and self.begun)
+        self.reading_ended = True
         if rest_comes:
-            self.shared.disconnect_monitor.remove(self.transport)
+            self.context.disconnect_monitor.remove(self.transport)
             self.transport.resume_reading()
         else:
             self.transport.pause_reading()
-            self.shared.disconnect_monitor.add(self.transport, self.close_if_gone)
+            self.context.disconnect_monitor.add(self.transport, self.close_if_disconnected)
         self.transport.write_eof()
-        self._linger()
+        self._schedule_draining_check()
         self.clients.place(self)
 
-    def _linger(self) -> None:
+    def _schedule_draining_check(self) -> None:
         assert self.transport is not None
-        self.undelivered = unacknowledged(self.transport)
-        self.linger = self.engine.loop.call_later(DRAINING_CLOSE_TIMEOUT_S, self._linger_no_more)
+        self.unacknowledged_at_check = unacknowledged(self.transport)
+        self.draining_timer = self.engine.loop.call_later(
+            DRAINING_CLOSE_TIMEOUT_S, self._check_draining_close
+        )
 
-    def _linger_no_more(self) -> None:
+    def _check_draining_close(self) -> None:
         assert self.transport is not None
         # A slow client may go on reading. One that takes nothing of what waits to be written has a time of
         # its own, `Times.slow_reader`.
-        if self.unread or 0 < unacknowledged(self.transport) < self.undelivered:
-            self._linger()
+        if self.write_paused or 0 < unacknowledged(self.transport) < self.unacknowledged_at_check:
+            self._schedule_draining_check()
         else:
             self.close()
 
     def _write(self, data: bytes) -> None:
-        if self.transport is not None and not self.transport.is_closing() and self.linger is None:
+        if self.transport is not None and not self.transport.is_closing() and self.draining_timer is None:
             self.transport.write(data)
 
     def close(self) -> None:
         """Close at once: what its client's machine has not got of its answers may be lost."""
-        if self.end_delimits and (self.passing is not None or self.unread):
+        if self.end_delimits and (self.streamed is not None or self.write_paused):
             self._reset()  # the end alone would look like that of a whole answer
         elif self.transport is not None:
             self.transport.abort()
--- a/ochreflow/http/frontend.py
+++ b/ochreflow/http/frontend.py
@@ -7,7 +7,7 @@
 from ..core.engine import Engine
 from ..core.ports import UpstreamTransport
 from .clients import Clients
-from .connection import ClientConnection, Shared
+from .connection import ClientConnection, ConnectionContext
 from .request_parser import RequestParser
 from .socket_progress import DisconnectMonitor
 
@@ -23,7 +23,7 @@
         self.clients = Clients(engine.descriptors)
         self.frontend_binding = engine.bind_frontend(LABEL, self, upstream_transport)
         self.disconnect_monitor = DisconnectMonitor(engine.loop)
-        self.shared = Shared(
+        self.context = ConnectionContext(
             engine,
             self.frontend_binding,
             self.clients,
@@ -34,7 +34,7 @@
 
     def connection(self) -> ClientConnection:
         """The protocol for a new connection."""
-        return ClientConnection(self.shared)
+        return ClientConnection(self.context)
 
     def listen(self, server: Listening) -> None:
         """Own a listening socket, whose connections `connection` makes."""
--- a/tests/test_answered_at_the_end.py
+++ b/tests/test_answered_at_the_end.py
@@ -280,10 +280,10 @@
             taken = await server.accept()
             await taken.has(b"first")
             front = front_of(sidecar, client)
-            if not front.deaf:
+            if not front.reading_ended:
                 await until(lambda: front.begun)
                 front.expire()
-            assert front.current is not None and len(front.waiting) == 2
+            assert front.current is not None and len(front.queue) == 2
             reader, writer = await asyncio.open_connection(sock=client)
             taken.answer()
             assert (await read_message(reader)).code == 200
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -127,7 +127,7 @@
         server = Server()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
             client, taken = await behind_one(sidecar, server, message("order", "gone"))
-            await until(lambda: front_of(sidecar, client).waiting)
+            await until(lambda: front_of(sidecar, client).queue)
             if first == "answer":
                 taken.answer()
             leave_unseen(sidecar, client, how)
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -238,14 +238,14 @@
             await until(lambda: sidecar.http.clients.all)
             (one,) = sidecar.http.clients.all
             asked = 0
-            while not one.unread:
+            while not one.write_paused:
                 writer.write(message("order", f"{asked}"))
                 asked += 1
                 await until(lambda asked=asked: len(server.got) == asked and one.current is None)
             if ahead:
                 writer.write(message("order", f"{asked}"))
                 asked += 1
-                await until(lambda: one.waiting)
+                await until(lambda: one.queue)
             writer.write(message("order", "next")[:20])
             await until(lambda: one in sidecar.http.clients.heard)
             assert not sidecar.engine.descriptors.evict_idle_connection()
@@ -278,7 +278,7 @@
             await until(lambda: sidecar.http.clients.all)
             (client,) = sidecar.http.clients.all
             sent = 0
-            while not client.unread:  # until the kernel holds no more for it
+            while not client.write_paused:  # until the kernel holds no more for it
                 await loop.sock_sendall(sock, message("lookup", f"id{sent}"))
                 sent += 1
                 await until(lambda: len(fake.got) == sent and client.current is None)  # noqa: B023
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -283,13 +283,13 @@
             client.sendall(b"")
             await until(lambda: sidecar.http.clients.all)
             front = front_of(sidecar, client)
-            leave = front._leave
+            leave = front._close_gracefully
 
             def send_and_leave():
                 client.sendall(message("order", "crossing"))
                 leave()
 
-            front._leave = send_and_leave
+            front._close_gracefully = send_and_leave
             last = ["Connection: close"] if why == "asked" else []
             client.sendall(message("order", "first", "3000m", b"", *last))
             data, _ = await receive(client)
@@ -350,13 +350,13 @@
             front = front_of(sidecar, client)
             front.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW)
             client.sendall(message("order", "first") + message("order", "second", "3000m", bytes(1000)))
-            await until(lambda: front.unread)
-            (attempt,) = sidecar.engine.attempts.in_flight.values()
+            await until(lambda: front.write_paused)
+            (attempt,) = sidecar.engine.attempts.values()
             attempt.upstream_attempt.give_up(Status.CANCELLED)
-            assert front.unread and not front.current
+            assert front.write_paused and not front.current
             data, _ = await receive(client)
             assert data.count(b"HTTP/1.1") == 1 and len(data) < 1_000_000
-            assert not front.current and not front.waiting
+            assert not front.current and not front.queue
             client.close()
             await until(lambda: not sidecar.http.clients.all)
             assert [ident for fake in fakes for ident in ids(fake)] == ["first"]
@@ -418,7 +418,7 @@
             client.sendall(message("order", "first") + behind)
             taken = await server.accept()
             await taken.has(b"first")
-            await until(lambda: len(front_of(sidecar, client).waiting) == 4)
+            await until(lambda: len(front_of(sidecar, client).queue) == 4)
             sidecar.engine.lifecycle.final_answers_given = True
             taken.answer()
             data, _ = await receive(client)
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -135,7 +135,7 @@
             await until(lambda: sidecar.http.clients.all)
             (front,) = sidecar.http.clients.all
             await until(lambda: any(one.stream.unsent for one in sidecar.upstreams.connections))
-            await until(lambda: front.paused and front.flowing is not None)
+            await until(lambda: front.paused and front.uploading is not None)
             (connection,) = sidecar.upstreams.connections
             assert connection.unwritten
             assert len(connection.stream.unsent) < 2 * MB
