--- a/ochreflow/http/frontend.py
+++ b/ochreflow/http/frontend.py
@@ -7,8 +7,9 @@
 from ..core.engine import Engine
 from ..core.ports import UpstreamTransport
 from .clients import Clients
-from .connection import ClientConnection, ConnectionContext
+from .connection import ClientConnection
 from .request_parser import RequestParser
+from .request_reader import ConnectionContext
 from .socket_progress import DisconnectMonitor
 
 LABEL = "http"
--- /dev/null
+++ b/ochreflow/http/request_reader.py
@@ -0,0 +1,318 @@
+"""Reads requests from a client's connection, checks their framing, and queues them.
+
+Backpressure: nothing more is read while too many requests are queued, or while a body that is streamed to a
+server waits for that server. Limits on sizes are checked here, before anything is kept.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from abc import abstractmethod
+from collections import deque
+from dataclasses import dataclass
+
+import httptools
+
+from ..core.body import MAX_BUFFERED_BYTES, Body
+from ..core.engine import Engine
+from ..core.frontend_binding import FrontendBinding
+from .clients import Client, Clients
+from .request_parser import HttpRequest, RequestError, RequestParser
+from .response import HOP_BY_HOP
+from .response_format import disposition_of
+from .socket_progress import DisconnectMonitor
+
+MAX_BODY_BYTES = 40 * 1024 * 1024  # messages reach 32 MB
+MAX_HEADERS_BYTES = 32 * 1024
+MAX_FRAMING_FACTOR = 8  # bytes on the socket for each one of a body, in the smallest of chunks
+MAX_PIPELINED_REQUESTS = 16  # that a client may send ahead of their answers before it is read no further
+READY_TARGET = b"/-/ready"
+# Twice or in two forms, each reader may believe another one.
+SINGLE_VALUE_HEADERS = frozenset(
+    (
+        b"host",
+        b"x-request-id",
+        b"idempotency-key",
+        b"x-deadline",
+        b"x-key",
+        b"x-tenant",
+        b"transfer-encoding",
+    )
+)
+NOT_FORWARDED = HOP_BY_HOP | {b"expect", b"x-deadline"}
+
+
+@dataclass(slots=True)
+class ReadinessCheck:
+    """A question whether this sidecar takes requests."""
+
+    keep_alive: bool
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionContext:
+    """What all connections of the front have in common."""
+
+    engine: Engine
+    frontend_binding: FrontendBinding
+    clients: Clients
+    request_parser: RequestParser
+    disconnect_monitor: DisconnectMonitor  # of those that are not read at present
+
+
+class RequestReader(asyncio.Protocol, Client):
+    """The reading part of a client's connection. It owns the parser, the coming message, and the queue."""
+
+    def __init__(self, context: ConnectionContext) -> None:
+        """Expect the first message."""
+        self.context = context
+        self.engine: Engine = context.engine
+        self.clients: Clients = context.clients
+        self.parser = httptools.HttpRequestParser(self)
+        self.transport: asyncio.Transport | None = None
+        self.queue: deque[HttpRequest | ReadinessCheck | RequestError] = deque()
+        self.current: HttpRequest | None = None  # the request that is being served
+        self.uploading: HttpRequest | None = None  # queued or served before its body had come
+        self.closes_after_message = False  # closes when the message that is still coming is through
+        self.reading_ended = False  # nothing more is read: what follows an error cannot be told apart
+        self.closed = False
+        self.paused = False  # no more is read until some of the queue has been served
+        self.was_paused = False  # since `Clients` last looked
+        self.head_ended = False  # since `Clients` last looked
+        self.looked_at = 0  # size of the body when `Clients` last looked
+        self.asked = False  # whether it has ever sent a whole message
+        self.reserved_bytes = 0  # of memory, for the heads of queued requests
+        self._begin()
+
+    def _begin(self) -> None:
+        self.begun = False  # a message has begun and not ended
+        self.duplicate_header = False
+        self.target = b""
+        self.headers: dict[bytes, bytes] = {}
+        self.forwarded_lines: list[bytes] = []
+        self.body: Body | None = None  # from the end of the headers on
+        self.size = 0  # of all that came of this message
+        self.headers_bytes = 0
+        self.message_reserved_bytes = 0  # of what is held of its headers
+        self.discarding = False  # answered already: the rest is read and thrown away
+
+    @property
+    def in_body(self) -> bool:
+        """Whether the headers of the message are complete."""
+        return self.body is not None
+
+    def came_since_look(self) -> int | None:
+        """Bytes of the body that is coming; None if some of the time nothing was read."""
+        size = self.body.size if self.body is not None else 0
+        came, self.looked_at = size - self.looked_at, size
+        paused, self.was_paused = self.was_paused, False
+        return None if paused else came
+
+    def data_received(self, data: bytes) -> None:
+        """Parse what has come, then serve what it has completed."""
+        if self.reading_ended or self.closed:
+            return
+        # Guards a server against the rest of a body that flows into it, and whose client has left by then.
+        if self.uploading is not None and self.close_if_disconnected():
+            return
+        self.size += len(data)
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserUpgrade:
+            self._reject(400, "upgrades are not known here")
+        except httptools.HttpParserCallbackError:
+            self.engine.log_fault("a request could not be read")
+            self._reject(400, "unreadable request")
+        except httptools.HttpParserError:
+            self._reject(400, "malformed request")
+        # Guards the memory: the parser itself holds a header line of any length.
+        if self.size > (MAX_BODY_BYTES * MAX_FRAMING_FACTOR if self.in_body else MAX_HEADERS_BYTES):
+            self._reject(431, "headers are too long")
+        self._serve_queue()
+        self.clients.place(self)
+
+    # The parser's calls
+
+    def on_message_begin(self) -> None:
+        """Note that a message has begun."""
+        self.begun = True
+
+    def on_url(self, url: bytes) -> None:
+        """Take a part of the target."""
+        self.target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header line; those of a trailer are ignored."""
+        if self.in_body:  # a trailer
+            return
+        self.headers_bytes += len(name) + len(value) + len(b": \r\n")
+        low, value = name.lower(), value.strip(b" \t")  # white space round a value is not part of it
+        if low in SINGLE_VALUE_HEADERS and low in self.headers:
+            self.duplicate_header = True
+        self.headers[low] = value
+        if low not in NOT_FORWARDED:
+            self.forwarded_lines.append(name + b": " + value + b"\r\n")
+
+    def on_headers_complete(self) -> None:
+        """Check the framing, and expect the body."""
+        length = self.headers.get(b"content-length")
+        chunked = b"transfer-encoding" in self.headers
+        stated = int(length[:12]) if length is not None and length.isdigit() else 0
+        if length is not None and not length.isdigit():
+            self._reject(400, "Content-Length is no number")
+            return
+        self.body = Body(self.engine.memory, None if chunked else stated)
+        self.body.on_reading_change = self._update_reading
+        self.head_ended = True
+        self.looked_at = 0
+        if self.headers_bytes + len(self.target) > MAX_HEADERS_BYTES:
+            self._reject(431, "headers are too long")
+        elif chunked and self.parser.get_http_version() == "1.0":
+            # Such a message's framing is faulty (RFC 9112, 6.1): where it ends can't be believed.
+            self._reject(400, "HTTP/1.0 knows no Transfer-Encoding")
+        elif self.headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
+            self._reject(501, "Transfer-Encoding must be chunked")
+        elif stated > MAX_BODY_BYTES:
+            self._reject(413, "the body is too large")
+        elif not self._reserve(self.headers_bytes):
+            self._reject(503, "too much is held")
+        elif self.headers.get(b"expect", b"").lower() == b"100-continue" and self.idle:
+            self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    def on_body(self, data: bytes) -> None:
+        """Take a part of the body."""
+        if self.reading_ended or self.discarding or self.body is None:
+            return
+        if self.body.size + len(data) > MAX_BODY_BYTES:
+            self._reject(413, "the body is too large")
+        elif not self.body.add(data):
+            self._reject(503, "too much is held")
+        elif self.uploading is None and len(self.body.buffered) > MAX_BUFFERED_BYTES:
+            self._enqueue_message()  # too long to be held whole: it goes on while it comes
+
+    def on_message_complete(self) -> None:
+        """Queue the request, or end the body of one that is under way already."""
+        if self.reading_ended or self.body is None:
+            return
+        if self.parser.should_upgrade():
+            self._reject(400, "upgrades are not known here")
+            return
+        self.asked = True
+        request = self.uploading
+        if request is not None:
+            self.uploading = None
+            request.deadline_ns = self.engine.clock.now() + request.timeout_ns
+            self.body.end()
+            self.engine.requests.body_ended(request)
+        elif not self.discarding:
+            self.body.end()
+            self._enqueue_message()
+        self._begin()
+        if self.closes_after_message:
+            self._close_gracefully()
+        self._update_reading()
+
+    def _enqueue_message(self) -> None:
+        """Queue the message that has come, or whose body is still coming."""
+        assert self.body is not None
+        keep_alive = self.parser.should_keep_alive()
+        item: HttpRequest | ReadinessCheck | RequestError
+        if self.target == READY_TARGET:
+            item = ReadinessCheck(keep_alive)
+        else:
+            try:
+                if self.duplicate_header:
+                    raise RequestError(400, "a header came twice")
+                item = self.context.request_parser.parse(
+                    self.engine.clock.now(),
+                    self.parser.get_method(),
+                    self.target,
+                    self.headers,
+                    self.forwarded_lines,
+                    self.body,
+                    keep_alive=keep_alive,
+                )
+                item.reserved_bytes = self.message_reserved_bytes
+                item.is_http_1_0 = self.parser.get_http_version() == "1.0"
+            except RequestError as problem:
+                problem.keep_alive = keep_alive
+                item = problem
+        self.queue.append(item)
+        if not isinstance(item, HttpRequest):
+            self._release(self.message_reserved_bytes)
+            self.discarding = True
+            self.body.discard()
+        elif not self.body.complete:
+            self.uploading = item
+
+    def _reject(self, code: int, text: str) -> None:
+        """Answer what was sent before it, then this, and close: where a next request begins is not known."""
+        if self.reading_ended:
+            return
+        self.reading_ended = True
+        self.begun = False
+        request, self.uploading = self.uploading, None
+        if self.body is not None:
+            self.body.discard()
+        if request is None and not self.discarding:
+            self._release(self.message_reserved_bytes)
+            self.queue.append(RequestError(code, text))
+        elif request is not None and request is self.current:
+            request.keep_alive = False
+            self.engine.requests.body_failed(request, disposition_of(code), (code, f"{text}\n".encode()))
+        elif request is not None and request in self.queue:
+            self._release(request.reserved_bytes)
+            self.queue[self.queue.index(request)] = RequestError(code, text, request.cls)
+        elif self.current is None and not self.queue:
+            self._close_gracefully()  # it has had its answer
+
+    def _discard_queue(self) -> None:
+        """Let go of the requests that are not taken up any more."""
+        for item in self.queue:
+            if isinstance(item, HttpRequest):
+                item.body.discard()
+        self.queue.clear()
+
+    def _update_reading(self) -> None:
+        """Read on only while what is read can be taken up: backpressure towards the client."""
+        if self.transport is None or self.transport.is_closing() or self.reading_ended:
+            return
+        stop = len(self.queue) >= MAX_PIPELINED_REQUESTS or (
+            self.body is not None and self.body.reading_paused
+        )
+        if stop == self.paused:
+            return
+        self.paused = stop
+        if stop:
+            self.was_paused = True
+            self.transport.pause_reading()
+            self.context.disconnect_monitor.add(self.transport, self.close_if_disconnected)
+        else:
+            self.context.disconnect_monitor.remove(self.transport)
+            self.transport.resume_reading()
+
+    def _reserve(self, size: int) -> bool:
+        if not self.engine.memory.reserve(size):
+            return False
+        self.reserved_bytes += size
+        self.message_reserved_bytes += size
+        return True
+
+    def _release(self, size: int) -> None:
+        self.engine.memory.release(size)
+        self.reserved_bytes -= size
+
+    # What the connection does with it
+
+    @abstractmethod
+    def close_if_disconnected(self) -> bool:
+        """Close it if its client has left; whether it has."""
+
+    @abstractmethod
+    def _serve_queue(self) -> None: ...
+
+    @abstractmethod
+    def _write(self, data: bytes) -> None: ...
+
+    @abstractmethod
+    def _close_gracefully(self) -> None: ...
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -13,9 +13,9 @@
 from net_helpers import HOST, Sidecar, ask, config, entry, message, news, reply, run, until
 
 from ochreflow.core.body import MAX_BUFFERED_BYTES
-from ochreflow.http import connection
+from ochreflow.http import closing_connection
 from ochreflow.http.acceptor import Acceptor
-from ochreflow.http.connection import MAX_PIPELINED_REQUESTS
+from ochreflow.http.request_reader import MAX_PIPELINED_REQUESTS
 from ochreflow.http.socket_progress import DISCONNECT_POLL_INTERVAL_S, DisconnectMonitor
 
 pytestmark = pytest.mark.xdist_group("real-time")
@@ -262,7 +262,9 @@
 
 def test_a_client_that_asks_for_the_end_and_reads_nothing_is_let_go(tmp_path, monkeypatch):
     """Its connection closes once its answer has been written, which it never is."""
-    monkeypatch.setattr(connection, "DRAINING_CLOSE_TIMEOUT_S", 1000.0)  # it goes for being slow alone
+    monkeypatch.setattr(
+        closing_connection, "DRAINING_CLOSE_TIMEOUT_S", 1000.0
+    )  # it goes for being slow alone
 
     async def play():
         server = Server()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,7 @@
 )
 
 from ochreflow.core import lifecycle
-from ochreflow.http.connection import MAX_PIPELINED_REQUESTS
+from ochreflow.http.request_reader import MAX_PIPELINED_REQUESTS
 
 SOON = 2.0  # seconds: the rule wants 0.3 from the leaving to the last send, the deadline would end all at 3
 
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -50,7 +50,7 @@
         (raw(b"GET /lookup", ID + b"X-Cost-Hint: much\r\n"), 400),
         (raw(b"POST /hold", ID + b"Content-Length: 0\r\n"), 400),
         (raw(b"POST /order", ID + b"Content-Length: x\r\n"), 400),
-        (raw(b"POST /order", ID + b"Content-Length: %d\r\n" % (connection.MAX_BODY_BYTES + 1)), 413),
+        (raw(b"POST /order", ID + b"Content-Length: %d\r\n" % (request_reader.MAX_BODY_BYTES + 1)), 413),
         (raw(b"POST /order", ID + b"Content-Length: 99999999999999999999999\r\n"), 400),
         (raw(b"POST /order", ID + b"Transfer-Encoding: chunked\r\n", b"zz\r\n"), 400),
         (raw(b"GET /lookup", ID + b"Connection: Upgrade\r\nUpgrade: h2c\r\n"), 400),
@@ -78,7 +78,7 @@
             assert (await read_message(reader)).code == 200
             writer.close()
             assert [got.headers["x-request-id"] for got in fake.got] == ["before"]
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
             assert (
                 sidecar.engine.memory.reserved_bytes == 0
                 and not sidecar.engine.descriptors.in_use - fake.connections
@@ -120,7 +120,7 @@
             chunks = b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Deadline: bad\r\n\r\n"
             data = raw(b"POST /order", ID + b"Transfer-Encoding: chunked\r\n", chunks)
             assert (await ask(sidecar.port, data)).body == b"abcde"
-            body = b"x" * connection.MAX_BODY_BYTES
+            body = b"x" * request_reader.MAX_BODY_BYTES
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             whole = message("order", "big", "3000m", body, "Expect: 100-continue")
             writer.write(whole[: -len(body)])
@@ -159,7 +159,7 @@
                 for n in range(2000):
                     writer.write(message("lookup", f"id{n}"))
                     await writer.drain()
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
             assert len(fake.got) < 1000
             writer.transport.abort()
             assert (await ask(sidecar.port, message("lookup", "other"))).code == 200
@@ -186,7 +186,7 @@
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
             assert (await ask(sidecar.port, message("order", "a", "900m", b"x" * 3001))).code == 503
             assert (await ask(sidecar.port, message("order", "b", "900m", b"x" * 1000))).code == 200
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
             assert sidecar.engine.memory.reserved_bytes == 0
 
     run(play())
@@ -235,8 +235,8 @@
             sock.setblocking(False)
             await loop.sock_connect(sock, (HOST, sidecar.port))
             reader, writer = await asyncio.open_connection(sock=sock, limit=1024)
-            await until(lambda: sidecar.http.clients.all)
-            (one,) = sidecar.http.clients.all
+            await until(lambda: sidecar.http.clients.connections)
+            (one,) = sidecar.http.clients.connections
             asked = 0
             while not one.write_paused:
                 writer.write(message("order", f"{asked}"))
@@ -247,7 +247,7 @@
                 asked += 1
                 await until(lambda: one.queue)
             writer.write(message("order", "next")[:20])
-            await until(lambda: one in sidecar.http.clients.heard)
+            await until(lambda: one in sidecar.http.clients.last_received)
             assert not sidecar.engine.descriptors.evict_idle_connection()
             for _ in range(asked):
                 assert len((await read_message(reader)).body) == 60 * 1024
@@ -275,8 +275,8 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             sock.setblocking(False)
             await loop.sock_connect(sock, (HOST, sidecar.port))
-            await until(lambda: sidecar.http.clients.all)
-            (client,) = sidecar.http.clients.all
+            await until(lambda: sidecar.http.clients.connections)
+            (client,) = sidecar.http.clients.connections
             sent = 0
             while not client.write_paused:  # until the kernel holds no more for it
                 await loop.sock_sendall(sock, message("lookup", f"id{sent}"))
@@ -347,10 +347,12 @@
                     writer.write(message("lookup", f"id{number}-{place}"))
                     assert (await read_message(reader)).code == 200
                 flood = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(60)]
-                await until(lambda: len(sidecar.http.clients.all) == sidecar.engine.descriptors.max_clients)
+                await until(
+                    lambda: len(sidecar.http.clients.connections) == sidecar.engine.descriptors.max_clients
+                )
                 for _, writer in flood:
                     writer.close()
-                await until(lambda: len(sidecar.http.clients.all) == len(usual))
+                await until(lambda: len(sidecar.http.clients.connections) == len(usual))
             assert fake.connections == 1 and not sidecar.engine.descriptors.full
             for _, writer in usual:
                 writer.close()
@@ -405,7 +407,7 @@
             assert (await read_message(held_reader)).code == 200
             assert (await read_message(held_reader)).code == 408
             held_writer.close()
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
             assert not sidecar.engine.memory.reserved_bytes and len(fake.got) == 1
 
     run(play())
@@ -422,8 +424,8 @@
             assert (await read_message(reader)).code == 200
             assert await reader.read() == b""
             writer.close()
-            await until(lambda: not sidecar.http.clients.all)
-            assert not sidecar.http.clients.idle and not sidecar.http.clients.waited
+            await until(lambda: not sidecar.http.clients.connections)
+            assert not sidecar.http.clients.idle and not sidecar.http.clients.incomplete
 
     run(play())
 
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -28,8 +28,9 @@
 )
 
 from ochreflow.core.body import MAX_BUFFERED_BYTES
-from ochreflow.http import connection
-from ochreflow.http.connection import MAX_PIPELINED_REQUESTS, ClientConnection
+from ochreflow.http import closing_connection, connection
+from ochreflow.http.connection import ClientConnection
+from ochreflow.http.request_reader import MAX_PIPELINED_REQUESTS
 from ochreflow.http.socket_progress import unacknowledged
 from ochreflow.policy.interface import Status
 
@@ -367,7 +368,7 @@
 
 def test_a_client_that_does_not_close_after_its_last_answer_is_let_go(tmp_path, monkeypatch):
     """One look is enough where its machine has all: the time to linger does not begin anew."""
-    monkeypatch.setattr(connection, "DRAINING_CLOSE_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(closing_connection, "DRAINING_CLOSE_TIMEOUT_S", 0.3)
 
     async def play():
         fake = await Fake(answer_ok).start()
@@ -378,7 +379,7 @@
             rang = asyncio.get_running_loop().create_future()
             # Bells ring in the order of their times, and its own was set before.
             asyncio.get_running_loop().call_later(
-                connection.DRAINING_CLOSE_TIMEOUT_S + 0.05, rang.set_result, None
+                closing_connection.DRAINING_CLOSE_TIMEOUT_S + 0.05, rang.set_result, None
             )
             await rang
             assert not sidecar.http.clients.all
