--- a/ochreflow/app/reload.py
+++ b/ochreflow/app/reload.py
@@ -78,10 +78,10 @@
         if file is None:
             return
         log.use(sink, file.log.level, file.log.per_second)
-        times = self.sidecar.http.clients.times
-        times.head = file.clients.head_within
-        times.idle = file.clients.idle
-        times.slow_reader = file.clients.slow_reader
+        timeouts = self.sidecar.http.clients.timeouts
+        timeouts.head_s = file.clients.head_within
+        timeouts.idle_s = file.clients.idle
+        timeouts.slow_reader_s = file.clients.slow_reader
         if file.admission.on:
             self._apply_admission(file.admission)
 
--- a/ochreflow/http/acceptor.py
+++ b/ochreflow/http/acceptor.py
@@ -25,20 +25,20 @@
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
-        made: Callable[[], ClientConnection],
+        connection_factory: Callable[[], ClientConnection],
         clients: Clients,
     ) -> None:
         self.loop = loop
         self.sock = sock
-        self.made = made
+        self.connection_factory = connection_factory
         self.clients = clients
         self.accept_throttle = AcceptThrottle()
         self.connecting: set[asyncio.Task[None]] = set()
-        self.resuming: asyncio.TimerHandle | None = None
+        self.resume_timer: asyncio.TimerHandle | None = None
         sock.setblocking(False)
-        loop.add_reader(sock, self._come)
+        loop.add_reader(sock, self._on_readable)
 
-    def _come(self) -> None:
+    def _on_readable(self) -> None:
         """Connections wait."""
         count = 0
         for _ in range(self.accept_throttle.accepts_allowed(monotonic())):
@@ -52,16 +52,16 @@
                 self._pause(error)
                 return
             count += 1
-            self._take(sock, str(address[0]))
+            self._admit(sock, str(address[0]))
         self.accept_throttle.accepted(count)
 
-    def _take(self, sock: socket.socket, host: str) -> None:
+    def _admit(self, sock: socket.socket, host: str) -> None:
         # Guards the places of those that stay: a client that has left would keep its place for some turns of
         # the loop, and those behind it in the backlog would be refused.
-        if _left_unasked(sock):
+        if _disconnected_without_data(sock):
             sock.close()
             return
-        client = self.made()
+        client = self.connection_factory()
         if not self.clients.admit(client, host):
             sock.close()
             return
@@ -73,36 +73,36 @@
         try:
             await self.loop.connect_accepted_socket(lambda: client, sock)
         except OSError:  # it left meanwhile
-            self.clients.never_came(client)
+            self.clients.withdraw(client)
             sock.close()
 
     def _pause(self, error: OSError) -> None:
         """Let what waits for nothing make room, and leave the rest in the backlog for a while."""
         wait = self.accept_throttle.out_of_descriptors(monotonic())
-        gone = 0
+        evicted = 0
         if error.errno in DESCRIPTOR_ERRNOS:
-            while gone < MAX_EVICTIONS_PER_PAUSE and self.clients.give_way_to_newcomer():
-                gone += 1
-        log.warning("accept_paused", reason=error.strerror or str(error), seconds=wait, closed=gone)
+            while evicted < MAX_EVICTIONS_PER_PAUSE and self.clients.evict_for_new_connection():
+                evicted += 1
+        log.warning("accept_paused", reason=error.strerror or str(error), seconds=wait, closed=evicted)
         self.loop.remove_reader(self.sock)
-        self.resuming = self.loop.call_later(wait, self._resume)
+        self.resume_timer = self.loop.call_later(wait, self._resume)
 
     def _resume(self) -> None:
-        self.resuming = None
-        self.loop.add_reader(self.sock, self._come)
+        self.resume_timer = None
+        self.loop.add_reader(self.sock, self._on_readable)
 
     def close(self) -> None:
         """Close the own descriptor only: another process may go on listening on the same socket."""
         if self.sock.fileno() < 0:
             return
-        if self.resuming is not None:
-            self.resuming.cancel()
+        if self.resume_timer is not None:
+            self.resume_timer.cancel()
         else:
             self.loop.remove_reader(self.sock)
         self.sock.close()
 
 
-def _left_unasked(sock: socket.socket) -> bool:
+def _disconnected_without_data(sock: socket.socket) -> bool:
     """Whether the peer has ended its sending or reset the connection, and nothing that it sent is unread."""
     try:
         return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -24,22 +24,22 @@
 
 
 @dataclass(slots=True)
-class Times:
+class ClientTimeouts:
     """How long clients may take, in seconds. What changes here holds from the next look on."""
 
-    head: float = field(default_factory=lambda: HEAD_TIMEOUT_S)
-    idle: float = field(default_factory=lambda: IDLE_TIMEOUT_S)
-    slow_reader: float = field(default_factory=lambda: SLOW_READER_TIMEOUT_S)
+    head_s: float = field(default_factory=lambda: HEAD_TIMEOUT_S)
+    idle_s: float = field(default_factory=lambda: IDLE_TIMEOUT_S)
+    slow_reader_s: float = field(default_factory=lambda: SLOW_READER_TIMEOUT_S)
 
 
 class Client(Protocol):
     """What is asked of a client's connection here."""
 
-    begun: bool  # a message has begun and not ended
-    head_ended: bool  # since `Clients` last looked
-    asked: bool  # whether it has ever sent a whole message
+    message_begun: bool  # a message has begun and not ended
+    head_completed: bool  # since `Clients` last looked
+    has_sent_request: bool  # whether it has ever sent a whole message
     paused: bool
-    size: int
+    message_size: int
 
     @property
     def serving(self) -> bool: ...
@@ -48,22 +48,22 @@
     def idle(self) -> bool: ...
 
     @property
-    def quiet(self) -> bool: ...
+    def closable(self) -> bool: ...
 
     @property
-    def lingering(self) -> bool: ...
+    def draining(self) -> bool: ...
 
     @property
     def host(self) -> str: ...
 
-    def came_since_look(self) -> int | None: ...
+    def recent_body_bytes(self) -> int | None: ...
 
     def expire(self) -> None: ...
 
     def close(self) -> None: ...
 
 
-class Refusal(Protocol):
+class Rejection(Protocol):
     @property
     def value(self) -> Any: ...
 
@@ -71,7 +71,7 @@
 class ConnectionAdmission(Protocol):
     """What decides on connections by their addresses, where that is asked for; see `ochreflow.admission`."""
 
-    def admit(self, now: float, key: Client, address: str) -> Refusal | None: ...
+    def admit(self, now: float, key: Client, address: str) -> Rejection | None: ...
 
     def message_begun(self, now: float, key: Client) -> Client | None: ...
 
@@ -91,112 +91,113 @@
 
 
 class Clients:
-    """Every connection is in `waited` while a message is owed, in `idle` when nothing is, in `lingering` when
-    only its client's close is waited for, or in none of them.
+    """Owns the lists of connections and their count; evicts some where descriptors are short.
 
-    Those in `waited` are in `heard` too, by their latest byte. All are in the order of time, so that
-    looking after them costs nothing for those that are in time.
+    Every connection is in `incomplete` while its client owes a message, in `idle` when nothing is open, in
+    `draining` when only its client's close is waited for, or in none of them. Those in `incomplete` are in
+    `last_received` too, by their latest byte. All are in the order of time, so that a sweep costs nothing for
+    those that are in time.
     """
 
     def __init__(self, descriptors: Descriptors) -> None:
         self.descriptors = descriptors
-        self.total = descriptors.total  # as the clients were last cut down to their share of it
-        self.times = Times()
+        self.applied_total = descriptors.total  # as the clients were last cut down to their share of it
+        self.timeouts = ClientTimeouts()
         self.admission: ConnectionAdmission | None = None
-        self.all: dict[Client, None] = {}
-        self.waited: dict[Client, float] = {}
-        self.heard: dict[Client, float] = {}
+        self.connections: dict[Client, None] = {}
+        self.incomplete: dict[Client, float] = {}
+        self.last_received: dict[Client, float] = {}
         self.idle: dict[Client, float] = {}
-        self.lingering: dict[Client, None] = {}
-        self.let_in: set[Client] = set()  # by the connection admission, and not added yet
-        descriptors.evictors.append(self.give_way)
+        self.draining: dict[Client, None] = {}
+        self.admitted: set[Client] = set()  # by the connection admission, and not added yet
+        descriptors.evictors.append(self.evict_one)
 
     def admit(self, client: Client, host: str) -> bool:
         """Whether the connection admission, if there is one, lets in a connection from this address."""
-        refusal = self.admission.admit(monotonic(), client, host) if self.admission is not None else None
-        if refusal is not None:
-            log.info("connection_rejected", address=host, reason=refusal.value)
+        rejection = self.admission.admit(monotonic(), client, host) if self.admission is not None else None
+        if rejection is not None:
+            log.info("connection_rejected", address=host, reason=rejection.value)
             return False
-        self.let_in.add(client)
+        self.admitted.add(client)
         return True
 
-    def never_came(self, client: Client) -> None:
-        """It was let in, and ended before it was added."""
-        self.let_in.discard(client)
+    def withdraw(self, client: Client) -> None:
+        """It was admitted, and ended before it was added."""
+        self.admitted.discard(client)
         if self.admission is not None:
             self.admission.connection_closed(client)
 
     def add(self, client: Client) -> None:
-        """Take up a new connection, if it is let in; over the clients' share, one of them goes."""
-        if client not in self.let_in and not self.admit(client, client.host):
+        """Add a new connection, if it is admitted; over the clients' quota, one of them is evicted."""
+        if client not in self.admitted and not self.admit(client, client.host):
             client.close()
             return
-        self.let_in.discard(client)
-        self.all[client] = None
+        self.admitted.discard(client)
+        self.connections[client] = None
         self.descriptors.in_use += 1
         self.descriptors.connected += 1
-        self.waited[client] = self.heard[client] = monotonic()
-        if len(self.all) > self.descriptors.max_clients:
-            other = self._one_to_leave(client)
+        self.incomplete[client] = self.last_received[client] = monotonic()
+        if len(self.connections) > self.descriptors.max_clients:
+            other = self._choose_eviction(client)
             self._forget(other)
             other.close()
 
     def remove(self, client: Client) -> None:
         self._forget(client)
-        if client in self.all:
-            del self.all[client]
+        if client in self.connections:
+            del self.connections[client]
             self.descriptors.in_use -= 1
             self.descriptors.connected -= 1
         if self.admission is not None:
             self.admission.connection_closed(client)
 
     def _forget(self, client: Client) -> None:
-        for places in (self.waited, self.heard, self.idle):
+        for places in (self.incomplete, self.last_received, self.idle):
             places.pop(client, None)
-        self.lingering.pop(client, None)
+        self.draining.pop(client, None)
 
-    def place(self, client: Client) -> None:
+    def reclassify(self, client: Client) -> None:
         """Note what a connection does now: after it was read, and after an answer."""
         self.idle.pop(client, None)
-        if client not in self.all:
+        if client not in self.connections:
             return
-        if client.lingering:
+        if client.draining:
             self._forget(client)
-            self.lingering[client] = None
-            if client.asked:
-                self._owes_nothing(client)
-        elif client.begun:
-            if client.head_ended:
-                client.head_ended = False
-                self.waited.pop(client, None)  # a body has a time of its own
+            self.draining[client] = None
+            if client.has_sent_request:
+                self._record_message_complete(client)
+        elif client.message_begun:
+            if client.head_completed:
+                client.head_completed = False
+                self.incomplete.pop(client, None)  # a body has a time of its own
             now = monotonic()
-            self.waited.setdefault(client, now)
-            self.heard.pop(client, None)
-            self.heard[client] = now
+            self.incomplete.setdefault(client, now)
+            self.last_received.pop(client, None)
+            self.last_received[client] = now
             if self.admission is not None:
-                self._too_many(self.admission, now, client)
-        elif client.asked:
-            self.waited.pop(client, None)
-            self.heard.pop(client, None)
+                self._record_message_begun(self.admission, now, client)
+        elif client.has_sent_request:
+            self.incomplete.pop(client, None)
+            self.last_received.pop(client, None)
             if client.idle:
                 self.idle[client] = monotonic()
-            self._owes_nothing(client)
+            self._record_message_complete(client)
 
-    def _owes_nothing(self, client: Client) -> None:
+    def _record_message_complete(self, client: Client) -> None:
         """Tell the connection admission that its messages have come to their end."""
         if self.admission is not None:
             self.admission.message_complete(client)
             if client.idle:
                 self.admission.request_completed(monotonic(), client)
 
-    def _too_many(self, admission: ConnectionAdmission, now: float, client: Client) -> None:
+    def _record_message_begun(self, admission: ConnectionAdmission, now: float, client: Client) -> None:
         """A message has begun: its address may owe too many of them, and the oldest goes."""
         late = admission.message_begun(now, client)
         if late is not None and late is not client:
             self._forget(late)
             late.expire()
 
-    def _one_to_leave(self, new: Client) -> Client:
+    def _choose_eviction(self, new: Client) -> Client:
         """Guards the usual clients, slow ones too, against those that connect by hundreds and say nothing.
 
         First goes who has had the last answer and only does not close; then who owes a message and has long
@@ -205,94 +206,102 @@
         """
         now = monotonic()
         if self.admission is not None:
-            could = [one for one in self.all if self._can_go(one)]
+            could = [one for one in self.connections if self._is_evictable(one)]
             return self.admission.eviction_candidate(now, could or [new])
-        lingering = next((client for client in self.lingering if not client.serving), None)
-        if lingering is not None:
-            return lingering
-        owing = [client for client in self.heard if not client.serving]  # the new one at the latest
-        if self.heard[owing[0]] <= now - STALE_AFTER_S:
-            return owing[0]
-        mute = [client for client in owing if not client.size and not client.asked]
-        if len(mute) > self.descriptors.max_clients * MAX_SILENT_SHARE:
-            return mute[0]
-        quiet = next((client for client in self.idle if client.quiet), None)
-        if quiet is not None:
-            return quiet
-        return mute[0] if self.heard[mute[0]] <= now - FIRST_REQUEST_DELAY_S else owing[0]
-
-    def give_way(self) -> bool:
+        draining = next((client for client in self.draining if not client.serving), None)
+        if draining is not None:
+            return draining
+        incomplete = [
+            client for client in self.last_received if not client.serving
+        ]  # the new one is the last
+        if self.last_received[incomplete[0]] <= now - STALE_AFTER_S:
+            return incomplete[0]
+        silent = [client for client in incomplete if not client.message_size and not client.has_sent_request]
+        if len(silent) > self.descriptors.max_clients * MAX_SILENT_SHARE:
+            return silent[0]
+        closable = next((client for client in self.idle if client.closable), None)
+        if closable is not None:
+            return closable
+        return silent[0] if self.last_received[silent[0]] <= now - FIRST_REQUEST_DELAY_S else incomplete[0]
+
+    def evict_one(self) -> bool:
         """Close one that waits for nothing, for what has been taken; False if every one is owed an answer.
 
         Guards what was taken against a lack of descriptors: its attempts need some, and so do answers.
         """
-        return self._let_go(1) > 0
+        return self._evict(1) > 0
 
-    def give_way_to_newcomer(self) -> bool:
+    def evict_for_new_connection(self) -> bool:
         """The same for a connection that is not accepted yet: no known client goes for one that is not known.
 
         Those accepted in this turn are not among the clients yet, so a known one may be all that could go.
         """
         now = monotonic()
-        if self.admission is not None and all(self.admission.is_known(now, one) for one in self._could_go()):
+        if self.admission is not None and all(self.admission.is_known(now, one) for one in self._evictable()):
             return False
-        return self.give_way()
+        return self.evict_one()
 
-    def _could_go(self) -> Iterable[Client]:
+    def _evictable(self) -> Iterable[Client]:
         """Those that wait for nothing, the oldest first."""
-        quiet = (one for one in self.idle if one.quiet)
+        closable = (one for one in self.idle if one.closable)
         return chain(
-            (one for one in self.lingering if not one.serving),
-            quiet,
-            (one for one in self.heard if not one.serving),
+            (one for one in self.draining if not one.serving),
+            closable,
+            (one for one in self.last_received if not one.serving),
         )
 
-    def _can_go(self, client: Client) -> bool:
+    def _is_evictable(self, client: Client) -> bool:
         """Whether it is one of those that wait for nothing."""
-        if client in self.heard or client.lingering:
+        if client in self.last_received or client.draining:
             return not client.serving
-        return client.quiet
+        return client.closable
 
-    def _let_go(self, most: int) -> int:
+    def _evict(self, limit: int) -> int:
         """Close up to so many that wait for nothing; how many they were."""
         if self.admission is None:
-            going = list(islice(self._could_go(), most))
+            going = list(islice(self._evictable(), limit))
         else:
-            left, going = dict.fromkeys(self._could_go()), []
-            while left and len(going) < most:
-                going.append(self.admission.eviction_candidate(monotonic(), left))
-                del left[going[-1]]
+            remaining, going = dict.fromkeys(self._evictable()), []
+            while remaining and len(going) < limit:
+                going.append(self.admission.eviction_candidate(monotonic(), remaining))
+                del remaining[going[-1]]
         for one in going:
             self._forget(one)
             one.close()
         return len(going)
 
-    def _keep_to_share(self) -> None:
+    def _enforce_quota(self) -> None:
         """Cut down to a share that has become smaller, as soon as enough of them wait for nothing.
 
         Guards operators, discovery and requests: a new connection takes the place of one client, so clients
         that are over their share stay over it, and with no descriptor left every new connection is ended.
         """
         self.descriptors.apply_system_limit()
-        if self.descriptors.total < self.total:
-            self._let_go(min(max(len(self.all) - self.descriptors.max_clients, 0), MAX_EVICTIONS_PER_SWEEP))
-            if len(self.all) <= self.descriptors.max_clients:
-                self.total = self.descriptors.total
+        if self.descriptors.total < self.applied_total:
+            self._evict(
+                min(max(len(self.connections) - self.descriptors.max_clients, 0), MAX_EVICTIONS_PER_SWEEP)
+            )
+            if len(self.connections) <= self.descriptors.max_clients:
+                self.applied_total = self.descriptors.total
 
     def sweep(self) -> None:
         """Guards descriptors and memory against clients that never end a message or never come back."""
-        self._keep_to_share()
+        self._enforce_quota()
         now = monotonic()
-        for client in _since(self.waited, now - self.times.head):
-            came = client.came_since_look()
+        for client in _since(self.incomplete, now - self.timeouts.head_s):
+            received = client.recent_body_bytes()
             # What is not being read may have come long ago.
-            if client.paused or came is None or came >= MIN_BODY_BYTES_PER_S * (now - self.waited[client]):
-                del self.waited[client]
-                self.waited[client] = now
+            if (
+                client.paused
+                or received is None
+                or received >= MIN_BODY_BYTES_PER_S * (now - self.incomplete[client])
+            ):
+                del self.incomplete[client]
+                self.incomplete[client] = now
             else:
                 self._forget(client)
                 client.expire()
-        for client in _since(self.idle, now - self.times.idle):
+        for client in _since(self.idle, now - self.timeouts.idle_s):
             client.expire()
 
     def close_idle_connections(self) -> None:
@@ -300,8 +309,8 @@
 
         Not one that has never asked: its first request may be on its way, and its time is short anyway.
         """
-        for client in list(self.all):
-            if client.asked and client.quiet:
+        for client in list(self.connections):
+            if client.has_sent_request and client.closable:
                 client.close()
 
 
--- a/ochreflow/http/closing_connection.py
+++ b/ochreflow/http/closing_connection.py
@@ -44,7 +44,7 @@
         self.unacknowledged_at_check = 0  # bytes, when the draining close was last checked
 
     @property
-    def lingering(self) -> bool:
+    def draining(self) -> bool:
         """Whether its sending has ended, and only its client's close is waited for."""
         return self.draining_timer is not None
 
@@ -77,7 +77,7 @@
         """Close once what was written has gone, in a way that lets the client read it."""
         if self.transport is None or self.transport.is_closing():
             return
-        if not self.reading_ended and self.discarding and self.begun:
+        if not self.reading_ended and self.discarding and self.message_begun:
             self._discard_queue()
             self.closes_after_message = True
         else:
@@ -93,7 +93,7 @@
         if self.transport is None or self.transport.is_closing() or self.draining_timer is not None:
             return
         self._discard_queue()
-        rest_comes = self.reading_ended or (self.discarding and self.begun)
+        rest_comes = self.reading_ended or (self.discarding and self.message_begun)
         self.reading_ended = True
         if rest_comes:
             self.context.disconnect_monitor.remove(self.transport)
@@ -103,7 +103,7 @@
             self.context.disconnect_monitor.add(self.transport, self.close_if_disconnected)
         self.transport.write_eof()
         self._schedule_draining_check()
-        self.clients.place(self)
+        self.clients.reclassify(self)
 
     def _schedule_draining_check(self) -> None:
         assert self.transport is not None
@@ -115,7 +115,7 @@
     def _check_draining_close(self) -> None:
         assert self.transport is not None
         # A slow client may go on reading. One that takes nothing of what waits to be written has a time of
-        # its own, `Times.slow_reader`.
+        # its own, `ClientTimeouts.slow_reader_s`.
         if self.write_paused or 0 < unacknowledged(self.transport) < self.unacknowledged_at_check:
             self._schedule_draining_check()
         else:
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -52,21 +52,21 @@
         Until then a close may take it away: one that crosses bytes from the client resets the connection, and
         the system throws away what it has not passed on.
         """
-        if self.closed or self.transport is None or not self.asked:
+        if self.closed or self.transport is None or not self.has_sent_request:
             return True
         return unacknowledged(self.transport) == 0
 
     @property
-    def nothing_begun(self) -> bool:
+    def no_message_begun(self) -> bool:
         """Whether its client owes no part of a message, not even in what the system holds unread."""
-        if not self.idle or self.begun or self.closed or self.transport is None:
+        if not self.idle or self.message_begun or self.closed or self.transport is None:
             return False
         return unread_bytes(self.transport) == 0
 
     @property
-    def quiet(self) -> bool:
+    def closable(self) -> bool:
         """Whether it can be closed at once: nothing has begun, and its client has all of its answers."""
-        return self.nothing_begun and self.delivered
+        return self.no_message_begun and self.delivered
 
     @property
     def host(self) -> str:
@@ -122,7 +122,7 @@
         if self.write_stall is None and self.transport is not None:
             pending_bytes = partial(unacknowledged, self.transport)
             self.write_stall = StallTimer(
-                self.engine.loop, pending_bytes, self.clients.times.slow_reader, self.close
+                self.engine.loop, pending_bytes, self.clients.timeouts.slow_reader_s, self.close
             )
         if self.streamed is not None:
             self.streamed.pause(paused=True)
@@ -136,18 +136,18 @@
         if self.streamed is not None:
             self.streamed.pause(paused=False)
         self._serve_queue()
-        self.clients.place(self)
-        if self.engine.lifecycle.closing_idle_connections and self.quiet:
+        self.clients.reclassify(self)
+        if self.engine.lifecycle.closing_idle_connections and self.closable:
             self.close()
 
     def expire(self) -> None:
         """Its next message has not come to an end in time; what was taken before it is answered first."""
-        if self.begun:
+        if self.message_begun:
             self._reject(408, "the request took too long to come")
             self._serve_queue()
-        elif self.quiet:
+        elif self.closable:
             self.close()
-        elif self.nothing_begun:
+        elif self.no_message_begun:
             self._close_gracefully()  # what its client has not taken yet keeps the time that it needs
 
     # Requests and responses
@@ -213,7 +213,7 @@
         keep_alive = current.keep_alive and response.reason is not Reason.DRAINING
         self._respond(*format_final_response(response), keep_alive)
         self._serve_queue()
-        self.clients.place(self)
+        self.clients.reclassify(self)
 
     def begin(self, request: IncomingRequest, head: object, length: int | None, pause: Pause) -> None:
         """The final answer has begun to come, and goes on to the client from its first bytes."""
@@ -252,4 +252,4 @@
         if not streamed.keep_alive:
             self._close_gracefully()
         self._serve_queue()
-        self.clients.place(self)
+        self.clients.reclassify(self)
--- a/ochreflow/http/frontend.py
+++ b/ochreflow/http/frontend.py
@@ -43,7 +43,7 @@
 
     @property
     def connected(self) -> int:
-        return len(self.clients.all)
+        return len(self.clients.connections)
 
     def stop_accepting(self) -> None:
         for server in self.servers:
@@ -59,5 +59,5 @@
     def close(self) -> None:
         self.stop_accepting()
         self.disconnect_monitor.close()
-        for client in list(self.clients.all):
+        for client in list(self.clients.connections):
             client.close()
--- a/ochreflow/http/request_reader.py
+++ b/ochreflow/http/request_reader.py
@@ -77,21 +77,21 @@
         self.reading_ended = False  # nothing more is read: what follows an error cannot be told apart
         self.closed = False
         self.paused = False  # no more is read until some of the queue has been served
-        self.was_paused = False  # since `Clients` last looked
-        self.head_ended = False  # since `Clients` last looked
-        self.looked_at = 0  # size of the body when `Clients` last looked
-        self.asked = False  # whether it has ever sent a whole message
+        self.paused_recently = False  # since `Clients` last looked
+        self.head_completed = False  # since `Clients` last looked
+        self.body_size_at_sweep = 0  # size of the body when `Clients` last looked
+        self.has_sent_request = False  # whether it has ever sent a whole message
         self.reserved_bytes = 0  # of memory, for the heads of queued requests
         self._begin()
 
     def _begin(self) -> None:
-        self.begun = False  # a message has begun and not ended
+        self.message_begun = False  # a message has begun and not ended
         self.duplicate_header = False
         self.target = b""
         self.headers: dict[bytes, bytes] = {}
         self.forwarded_lines: list[bytes] = []
         self.body: Body | None = None  # from the end of the headers on
-        self.size = 0  # of all that came of this message
+        self.message_size = 0  # of all that came of this message
         self.headers_bytes = 0
         self.message_reserved_bytes = 0  # of what is held of its headers
         self.discarding = False  # answered already: the rest is read and thrown away
@@ -101,12 +101,12 @@
         """Whether the headers of the message are complete."""
         return self.body is not None
 
-    def came_since_look(self) -> int | None:
+    def recent_body_bytes(self) -> int | None:
         """Bytes of the body that is coming; None if some of the time nothing was read."""
         size = self.body.size if self.body is not None else 0
-        came, self.looked_at = size - self.looked_at, size
-        paused, self.was_paused = self.was_paused, False
-        return None if paused else came
+        received, self.body_size_at_sweep = size - self.body_size_at_sweep, size
+        paused, self.paused_recently = self.paused_recently, False
+        return None if paused else received
 
     def data_received(self, data: bytes) -> None:
         """Parse what has come, then serve what it has completed."""
@@ -115,7 +115,7 @@
         # Guards a server against the rest of a body that flows into it, and whose client has left by then.
         if self.uploading is not None and self.close_if_disconnected():
             return
-        self.size += len(data)
+        self.message_size += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -126,16 +126,16 @@
         except httptools.HttpParserError:
             self._reject(400, "malformed request")
         # Guards the memory: the parser itself holds a header line of any length.
-        if self.size > (MAX_BODY_BYTES * MAX_FRAMING_FACTOR if self.in_body else MAX_HEADERS_BYTES):
+        if self.message_size > (MAX_BODY_BYTES * MAX_FRAMING_FACTOR if self.in_body else MAX_HEADERS_BYTES):
             self._reject(431, "headers are too long")
         self._serve_queue()
-        self.clients.place(self)
+        self.clients.reclassify(self)
 
     # The parser's calls
 
     def on_message_begin(self) -> None:
         """Note that a message has begun."""
-        self.begun = True
+        self.message_begun = True
 
     def on_url(self, url: bytes) -> None:
         """Take a part of the target."""
@@ -163,8 +163,8 @@
             return
         self.body = Body(self.engine.memory, None if chunked else stated)
         self.body.on_reading_change = self._update_reading
-        self.head_ended = True
-        self.looked_at = 0
+        self.head_completed = True
+        self.body_size_at_sweep = 0
         if self.headers_bytes + len(self.target) > MAX_HEADERS_BYTES:
             self._reject(431, "headers are too long")
         elif chunked and self.parser.get_http_version() == "1.0":
@@ -197,7 +197,7 @@
         if self.parser.should_upgrade():
             self._reject(400, "upgrades are not known here")
             return
-        self.asked = True
+        self.has_sent_request = True
         request = self.uploading
         if request is not None:
             self.uploading = None
@@ -250,7 +250,7 @@
         if self.reading_ended:
             return
         self.reading_ended = True
-        self.begun = False
+        self.message_begun = False
         request, self.uploading = self.uploading, None
         if self.body is not None:
             self.body.discard()
@@ -284,7 +284,7 @@
             return
         self.paused = stop
         if stop:
-            self.was_paused = True
+            self.paused_recently = True
             self.transport.pause_reading()
             self.context.disconnect_monitor.add(self.transport, self.close_if_disconnected)
         else:
--- a/tests/leaving.py
+++ b/tests/leaving.py
@@ -35,7 +35,9 @@
     """The sidecar's end of a client's connection."""
     port = sock.getsockname()[1]
     (front,) = (
-        front for front in sidecar.http.clients.all if front.transport.get_extra_info("peername")[1] == port
+        front
+        for front in sidecar.http.clients.connections
+        if front.transport.get_extra_info("peername")[1] == port
     )
     return front
 
--- a/tests/test_accept_throttle.py
+++ b/tests/test_accept_throttle.py
@@ -99,7 +99,7 @@
             await until(lambda: node.got)
             silent = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(2)]
             clients = sidecar.http.clients
-            await until(lambda: len(clients.all) == 3)
+            await until(lambda: len(clients.connections) == 3)
             descriptors = clients.descriptors
             assert descriptors.evict_idle_connection() and descriptors.evict_idle_connection()
             for silent_reader, _ in silent:
@@ -120,14 +120,14 @@
             clients = sidecar.http.clients
             silent = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(5)]
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            await until(lambda: len(clients.all) == 6)
+            await until(lambda: len(clients.connections) == 6)
             descriptors = clients.descriptors
             descriptors.others_in_use = descriptors.limit - descriptors.in_use  # another process has the rest
             assert descriptors.full
             writer.write(message("order", "k"))
             got = await read_message(reader)
             assert got.code == 200 and len(node.got) == 1
-            assert len(clients.all) < 6
+            assert len(clients.connections) < 6
             for _, one in [*silent, (None, writer)]:
                 one.close()
 
--- a/tests/test_answered_at_the_end.py
+++ b/tests/test_answered_at_the_end.py
@@ -68,8 +68,8 @@
             accepted, _ = door.accept()
         sidecar.close()
         await loop.connect_accepted_socket(sidecar.http.connection, accepted)
-        (front,) = sidecar.http.clients.all
-        await until(lambda: front.asked)
+        (front,) = sidecar.http.clients.connections
+        await until(lambda: front.has_sent_request)
         await asyncio.sleep(AFTER_END)
         assert server.take_all() == b""
         front.close()
@@ -281,7 +281,7 @@
             await taken.has(b"first")
             front = front_of(sidecar, client)
             if not front.reading_ended:
-                await until(lambda: front.begun)
+                await until(lambda: front.message_begun)
                 front.expire()
             assert front.current is not None and len(front.queue) == 2
             reader, writer = await asyncio.open_connection(sock=client)
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -64,7 +64,7 @@
             end_can_be_read(front)
             assert front.is_disconnected(call) and front.transport.is_closing()
             assert front.is_disconnected(call)  # asked again before the loop has turned, too
-            await until(lambda: not sidecar.engine.requests.pending and not sidecar.http.clients.all)
+            await until(lambda: not sidecar.engine.requests.pending and not sidecar.http.clients.connections)
             assert front.is_disconnected(call)  # ... and by an attempt that comes later still
             client.close()
         server.close()
@@ -133,7 +133,9 @@
             leave_unseen(sidecar, client, how)
             if first == "end":
                 taken.answer()
-            await until(lambda: not sidecar.http.clients.all and not sidecar.engine.attempts.in_flight)
+            await until(
+                lambda: not sidecar.http.clients.connections and not sidecar.engine.attempts.in_flight
+            )
             assert b"gone" not in server.take_all()
             client.close()
         server.close()
@@ -161,7 +163,7 @@
             await taken.has(b"first")
             taken.answer()
             assert (await asked).code == 200
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
 
             client = connect(port)
             client.sendall(message("order", "gone"))
@@ -269,21 +271,21 @@
     async def play():
         server = Server()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
-            sidecar.http.clients.times.slow_reader = 0.1
+            sidecar.http.clients.timeouts.slow_reader_s = 0.1
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect((HOST, sidecar.port))
-            await until(lambda: sidecar.http.clients.all)
-            (front,) = sidecar.http.clients.all
+            await until(lambda: sidecar.http.clients.connections)
+            (front,) = sidecar.http.clients.connections
             front.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             client.sendall(message("order", "held", "3000m", b"", "Connection: close"))
             taken = await server.accept()
             await taken.has(b"held")
             taken.sock.setblocking(True)
             taken.sock.sendall(reply(200, bytes(MAX_BUFFERED_BYTES // 2)))
-            await until(lambda: front.lingering)
+            await until(lambda: front.draining)
             assert front.transport.get_write_buffer_size() > 0
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
             client.close()
         server.close()
 
--- a/tests/test_client_left_attempts.py
+++ b/tests/test_client_left_attempts.py
@@ -19,7 +19,7 @@
 
 async def nothing_open(sidecar):
     await until(lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight)
-    await until(lambda: not sidecar.http.clients.all)
+    await until(lambda: not sidecar.http.clients.connections)
 
 
 async def warm(sidecar, server):
@@ -29,7 +29,7 @@
     await taken.has(b"first")
     taken.answer()
     assert (await asked).code == 200
-    await until(lambda: not sidecar.http.clients.all)
+    await until(lambda: not sidecar.http.clients.connections)
 
 
 @pytest.mark.parametrize("body", ["none", "half"])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -53,13 +53,13 @@
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(b"".join(message("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS + 4)))
             clients = sidecar.http.clients
-            await until(lambda: fake.got and all(client.paused for client in clients.all))
+            await until(lambda: fake.got and all(client.paused for client in clients.connections))
             # More than is read of it now, so that the end is behind unread bytes in any case.
             writer.write(b"".join(message("order", f"more{n}") for n in range(400)))
             await writer.drain()
             await leave(writer, how)
             async with asyncio.timeout(SOON):
-                await until(lambda: not clients.all, "its client is known to have left")
+                await until(lambda: not clients.connections, "its client is known to have left")
             go.set()
             assert (await ask(sidecar.port, message("order", "other"))).code == 200
         assert [got.headers["x-request-id"] for got in fake.got] == ["id0", "other"]
@@ -142,7 +142,7 @@
             open_before = await asyncio.open_connection(HOST, sidecar.port)
             held = asyncio.create_task(ask(sidecar.port, message("order", "held")))
             await until(lambda: fake.got)
-            await until(lambda: len(sidecar.http.clients.all) == 2)
+            await until(lambda: len(sidecar.http.clients.connections) == 2)
             sidecar.engine.lifecycle.terminate()
             assert (await held).code in (502, 504)
             open_before[1].write(message("order", "again"))
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -202,7 +202,7 @@
             held = asyncio.create_task(ask(sidecar.port, message("order", "held")))
             whole = message("order", "half", "3000m", b"body")
             half_writer.write(whole[:30])
-            await until(lambda: any(front.begun for front in sidecar.http.clients.all))
+            await until(lambda: any(front.message_begun for front in sidecar.http.clients.connections))
             assert (await ask(port, call("POST", "/healthcheck/fail"))).code == 200
             assert (await ask(port, call("GET", "/healthcheck"))).code == 503
             assert (await ask(sidecar.port, READY)).code == 503
@@ -215,7 +215,7 @@
             assert (await ask(sidecar.port, message("order", "later"))).code == 503
             go.set()
             assert (await held).headers["connection"] == "close"
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
             assert (await ask(port, call("POST", "/healthcheck/ok"))).code == 200
             assert (await ask(sidecar.port, READY)).code == 200
             got = await ask(sidecar.port, message("order", "again"))
@@ -244,12 +244,12 @@
         fake = await Fake(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            await until(lambda: sidecar.http.clients.all)
-            (front,) = sidecar.http.clients.all
-            assert front.quiet
+            await until(lambda: sidecar.http.clients.connections)
+            (front,) = sidecar.http.clients.connections
+            assert front.closable
             front.transport.pause_reading()
             writer.write(message("order", "unread"))
-            await until(lambda: not front.quiet)
+            await until(lambda: not front.closable)
             sidecar.http.clients.close_idle_connections()
             front.transport.resume_reading()
             assert (await read_message(reader)).code == 200
--- a/tests/test_net_long_day.py
+++ b/tests/test_net_long_day.py
@@ -24,7 +24,7 @@
                     data = message("lookup", f"id{number}", "900m", b"", f"X-Key: key{number}")
                     assert (await ask(sidecar.port, data)).code == 200
                 assert len(sidecar.endpoint_ids.servers) <= 2
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
             assert len(module.endpoints.servers) <= 2 and len(sidecar.upstreams.targets) == 1
             assert len(sidecar.upstreams.connections) <= 2
             assert len(module.picker.groups) <= 4 and len(sidecar.endpoint_ids.zones) <= 256
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -264,7 +264,7 @@
                     and not engine.balancer.pending
                 )
             )
-            assert not sidecar.http.clients.all
+            assert not sidecar.http.clients.connections
             (server,) = engine.balancer.endpoints.servers.values()
             assert not server.in_flight  # the attempt's end was told as well
 
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -101,12 +101,12 @@
     """Have a resting connection closed."""
     clients = sidecar.http.clients
     if path == "idle":
-        clients.times.idle = 0.0
+        clients.timeouts.idle_s = 0.0
         clients.sweep()
     elif path == "drain":
         sidecar.http.close_idle_connections()
     else:
-        clients.give_way()
+        clients.evict_one()
 
 
 CLOSES = ["idle", "drain", "descriptors"]
@@ -144,7 +144,7 @@
 
     def close_others(front, data):
         read.append(front)
-        for other in list(front.clients.all):
+        for other in list(front.clients.connections):
             if other is not front:
                 other.close()
         received(front, data)
@@ -155,10 +155,10 @@
         fake = await Fake(answer_ok).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
             socks = [connect(sidecar.port) for _ in range(2)]
-            await until(lambda: len(sidecar.http.clients.all) == 2)
+            await until(lambda: len(sidecar.http.clients.connections) == 2)
             for number, sock in enumerate(socks):
                 sock.sendall(message("order", f"id{number}"))
-            await until(lambda: fake.got and len(sidecar.http.clients.all) == 1)
+            await until(lambda: fake.got and len(sidecar.http.clients.connections) == 1)
             assert len(read) == len(fake.got) == 1
             for sock in socks:
                 sock.close()
@@ -174,9 +174,9 @@
         fake = await Fake(answer_ok).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
             assert (await ask(sidecar.port, message("order", "warm"))).code == 200
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
             client = connect(sidecar.port)
-            await until(lambda: sidecar.http.clients.all)
+            await until(lambda: sidecar.http.clients.connections)
             front = front_of(sidecar, client)
             engine = sidecar.engine
             take, complete = engine.requests.accept, front.on_message_complete
@@ -197,7 +197,7 @@
             client.sendall(b"".join(message("order", f"id{n}") for n in range(3)))
             await until(
                 lambda: (
-                    not sidecar.http.clients.all
+                    not sidecar.http.clients.connections
                     and not engine.requests.pending
                     and not engine.attempts.in_flight
                 )
@@ -230,9 +230,9 @@
 async def answered(sidecar, sock, sent):
     """Send, and wait until the sidecar has written an answer that the client's machine can't take whole."""
     sock.sendall(sent)
-    await until(lambda: sidecar.http.clients.all)
+    await until(lambda: sidecar.http.clients.connections)
     front = front_of(sidecar, sock)
-    await until(lambda: front.asked and front.idle and unacknowledged(front.transport))
+    await until(lambda: front.has_sent_request and front.idle and unacknowledged(front.transport))
     assert unacknowledged(front.transport) > NARROW
     return front
 
@@ -262,9 +262,9 @@
             client = connect_narrow(sidecar.port)
             front = await answered(sidecar, client, message("order", "first"))
             client.sendall(b"POST /order")
-            await until(lambda: front.begun)
+            await until(lambda: front.message_begun)
             client.sendall(b"/part")  # unread as the connection closes
-            sidecar.http.clients.give_way()
+            sidecar.http.clients.evict_one()
             data, _ = await receive(client, whole(LONG))
             assert data.endswith(LONG)
             client.close()
@@ -282,7 +282,7 @@
             sidecar.engine.lifecycle.announcing_close = why == "leaving"
             client = connect_narrow(sidecar.port)
             client.sendall(b"")
-            await until(lambda: sidecar.http.clients.all)
+            await until(lambda: sidecar.http.clients.connections)
             front = front_of(sidecar, client)
             leave = front._close_gracefully
 
@@ -296,7 +296,7 @@
             data, _ = await receive(client)
             assert data.endswith(LONG) and ids(fake) == ["first"]
             client.close()
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
 
     run(play())
 
@@ -328,7 +328,7 @@
                 framing.lower() in rest.lower() and len(rest) < 1_000_000 and not rest.endswith(b"0\r\n\r\n")
             )
             client.close()
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
 
     run(play())
 
@@ -347,7 +347,7 @@
         fakes = [await Fake(answer_in_part).start() for _ in range(4)]  # so that one is left to send to
         async with sidecar_before(tmp_path, *fakes) as sidecar:
             client = connect_narrow(sidecar.port)
-            await until(lambda: sidecar.http.clients.all)
+            await until(lambda: sidecar.http.clients.connections)
             front = front_of(sidecar, client)
             front.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW)
             client.sendall(message("order", "first") + message("order", "second", "3000m", bytes(1000)))
@@ -359,7 +359,7 @@
             assert data.count(b"HTTP/1.1") == 1 and len(data) < 1_000_000
             assert not front.current and not front.queue
             client.close()
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
             assert [ident for fake in fakes for ident in ids(fake)] == ["first"]
             assert sidecar.engine.memory.reserved_bytes == 0
 
@@ -375,14 +375,14 @@
         async with sidecar_before(tmp_path, fake) as sidecar:
             client = connect(sidecar.port)
             client.sendall(message("order", "last", "3000m", b"", "Connection: close"))
-            await until(lambda: any(front.lingering for front in sidecar.http.clients.all))
+            await until(lambda: any(front.draining for front in sidecar.http.clients.connections))
             rang = asyncio.get_running_loop().create_future()
             # Bells ring in the order of their times, and its own was set before.
             asyncio.get_running_loop().call_later(
                 closing_connection.DRAINING_CLOSE_TIMEOUT_S + 0.05, rang.set_result, None
             )
             await rang
-            assert not sidecar.http.clients.all
+            assert not sidecar.http.clients.connections
             client.close()
 
     run(play())
@@ -396,11 +396,11 @@
 
         fake = await Fake(endless).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
-            sidecar.http.clients.times.slow_reader = 0.1
+            sidecar.http.clients.timeouts.slow_reader_s = 0.1
             client = connect_narrow(sidecar.port)
             client.sendall(message("order", "old").replace(b"HTTP/1.1", b"HTTP/1.0"))
             await until(lambda: fake.got)
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
             _, was_reset = await receive(client)
             assert was_reset
             client.close()
@@ -425,7 +425,7 @@
             data, _ = await receive(client)
             assert data.count(b"HTTP/1.1 200") == data.count(b"HTTP/1.1 503") == 1
             client.close()
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
             assert sidecar.engine.memory.reserved_bytes == 0
             assert b"id" not in server.take_all()
         server.close()
@@ -458,7 +458,7 @@
                 assert front.is_disconnected(front.current)
             data, _ = await receive(client)
             assert data.startswith(b"HTTP/1.1 502") and data.count(b"HTTP/1.1") == 1
-            await until(lambda: not sidecar.http.clients.all and not sidecar.engine.requests.pending)
+            await until(lambda: not sidecar.http.clients.connections and not sidecar.engine.requests.pending)
             assert server.take_all().count(b"X-Request-Id") == 1
             client.close()
         server.close()
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -551,8 +551,8 @@
 class Silent:
     """A client's connection without a socket, which has said nothing."""
 
-    begun = head_ended = asked = paused = idle = quiet = known = False
-    size, host = 0, HOST
+    message_begun = head_completed = has_sent_request = paused = idle = closable = known = False
+    message_size, host = 0, HOST
 
     def __init__(self, clients, serving):
         self.clients = clients
@@ -586,20 +586,20 @@
     for one in come:
         clients.add(one)
     clients.sweep()
-    assert list(clients.all) == come
+    assert list(clients.connections) == come
     clients.descriptors.system_limit = lambda: LOWERED
     clients.sweep()
-    assert len(clients.all) == len(come) - MAX_EVICTIONS_PER_SWEEP
+    assert len(clients.connections) == len(come) - MAX_EVICTIONS_PER_SWEEP
     for _ in range(len(come) // MAX_EVICTIONS_PER_SWEEP):
         clients.sweep()
     share = Descriptors(LOWERED).max_clients
     served, silent = ([one for one in come if one.serving is serving] for serving in (True, False))
     left = share - len(served)
-    assert set(clients.all) == {*served, *(silent[:left] if gate else silent[-left:])}
+    assert set(clients.connections) == {*served, *(silent[:left] if gate else silent[-left:])}
     for one in served:
         one.serving = False
     clients.sweep()
-    assert len(clients.all) == clients.descriptors.connected == share
+    assert len(clients.connections) == clients.descriptors.connected == share
 
 
 def test_no_known_client_gives_way_to_a_connection_that_is_not_accepted_yet():
@@ -610,10 +610,10 @@
     for one in come:
         clients.add(one)
     come[0].known = True
-    while clients.give_way_to_newcomer():
+    while clients.evict_for_new_connection():
         pass
-    assert list(clients.all) == [come[0]]
-    assert clients.give_way()  # for what has been taken it does
+    assert list(clients.connections) == [come[0]]
+    assert clients.evict_one()  # for what has been taken it does
 
 
 def test_the_count_goes_by_what_the_system_gives(monkeypatch):
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -132,8 +132,8 @@
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.transport.set_write_buffer_limits(high=0)
             writer.write(message("order", "big", "3000m", bytes(BIG)))
-            await until(lambda: sidecar.http.clients.all)
-            (front,) = sidecar.http.clients.all
+            await until(lambda: sidecar.http.clients.connections)
+            (front,) = sidecar.http.clients.connections
             await until(lambda: any(one.stream.unsent for one in sidecar.upstreams.connections))
             await until(lambda: front.paused and front.uploading is not None)
             (connection,) = sidecar.upstreams.connections
@@ -330,10 +330,10 @@
             await loop.sock_connect(sock, (HOST, sidecar.port))
             await loop.sock_sendall(sock, message("order", "ab"))
             await until(lambda: any(c.response_paused for c in sidecar.upstreams.connections))
-            (client,) = sidecar.http.clients.all
+            (client,) = sidecar.http.clients.connections
             assert client.transport.get_write_buffer_size() < MB
             assert sidecar.engine.memory.reserved_bytes < MB
-            await until(lambda: not sidecar.http.clients.all)
+            await until(lambda: not sidecar.http.clients.connections)
             sock.close()
             await until(lambda: not sidecar.engine.requests.pending)
 
