--- a/ochreflow/http/acceptor.py
+++ b/ochreflow/http/acceptor.py
@@ -28,6 +28,7 @@
         connection_factory: Callable[[], ClientConnection],
         clients: Clients,
     ) -> None:
+        """Start to accept on `sock`; `connection_factory` makes the protocol of each connection."""
         self.loop = loop
         self.sock = sock
         self.connection_factory = connection_factory
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -42,52 +42,90 @@
     message_size: int
 
     @property
-    def serving(self) -> bool: ...
+    def serving(self) -> bool:
+        """Whether its client is owed a response, or the rest of one."""
+        ...
 
     @property
-    def idle(self) -> bool: ...
+    def idle(self) -> bool:
+        """Whether no request is queued or served, and no response is on its way out."""
+        ...
 
     @property
-    def closable(self) -> bool: ...
+    def closable(self) -> bool:
+        """Whether it can be closed at once without harm."""
+        ...
 
     @property
-    def draining(self) -> bool: ...
+    def draining(self) -> bool:
+        """Whether its sending has ended, and only its client's close is waited for."""
+        ...
 
     @property
-    def host(self) -> str: ...
+    def host(self) -> str:
+        """The address of its client; empty where that can't be told."""
+        ...
 
-    def recent_body_bytes(self) -> int | None: ...
+    def recent_body_bytes(self) -> int | None:
+        """Bytes of the body since the last call; None if some of the time nothing was read."""
+        ...
 
-    def expire(self) -> None: ...
+    def expire(self) -> None:
+        """End it: its next message has not come in time."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close it at once."""
+        ...
 
 
 class Rejection(Protocol):
+    """Why a connection was rejected."""
+
     @property
-    def value(self) -> Any: ...
+    def value(self) -> Any:
+        """The reason as it is logged."""
+        ...
 
 
 class ConnectionAdmission(Protocol):
     """What decides on connections by their addresses, where that is asked for; see `ochreflow.admission`."""
 
-    def admit(self, now: float, key: Client, address: str) -> Rejection | None: ...
+    def admit(self, now: float, key: Client, address: str) -> Rejection | None:
+        """Decide on a new connection; None: it is admitted."""
+        ...
 
-    def message_begun(self, now: float, key: Client) -> Client | None: ...
+    def message_begun(self, now: float, key: Client) -> Client | None:
+        """Record a message that has begun; the connection that is to be ended for it, if any."""
+        ...
 
-    def message_complete(self, key: Client) -> None: ...
+    def message_complete(self, key: Client) -> None:
+        """Record that a connection has no unfinished message any more."""
+        ...
 
-    def request_completed(self, now: float, key: Client) -> None: ...
+    def request_completed(self, now: float, key: Client) -> None:
+        """Record a request that has had its response."""
+        ...
 
-    def connection_closed(self, key: Client) -> None: ...
+    def connection_closed(self, key: Client) -> None:
+        """Forget a connection."""
+        ...
 
-    def snapshot(self, now: float) -> Sequence[tuple[str, float]]: ...
+    def snapshot(self, now: float) -> Sequence[tuple[str, float]]:
+        """What is known of addresses, for the next process."""
+        ...
 
-    def restore(self, now: float, snapshot: object) -> None: ...
+    def restore(self, now: float, snapshot: object) -> None:
+        """Take over what another process knew of addresses."""
+        ...
 
-    def eviction_candidate(self, now: float, keys: Iterable[Client]) -> Client: ...
+    def eviction_candidate(self, now: float, keys: Iterable[Client]) -> Client:
+        """Which of these connections is to be closed first."""
+        ...
 
-    def is_known(self, now: float, key: Client) -> bool: ...
+    def is_known(self, now: float, key: Client) -> bool:
+        """Whether a connection's address is a known one."""
+        ...
 
 
 class Clients:
@@ -100,6 +138,7 @@
     """
 
     def __init__(self, descriptors: Descriptors) -> None:
+        """Take part in the count of descriptors, with no connection yet."""
         self.descriptors = descriptors
         self.applied_total = descriptors.total  # as the clients were last cut down to their share of it
         self.timeouts = ClientTimeouts()
@@ -143,6 +182,7 @@
             other.close()
 
     def remove(self, client: Client) -> None:
+        """Forget a connection that is lost."""
         self._forget(client)
         if client in self.connections:
             del self.connections[client]
@@ -211,9 +251,7 @@
         draining = next((client for client in self.draining if not client.serving), None)
         if draining is not None:
             return draining
-        incomplete = [
-            client for client in self.last_received if not client.serving
-        ]  # the new one is the last
+        incomplete = [client for client in self.last_received if not client.serving]  # at least the new one
         if self.last_received[incomplete[0]] <= now - STALE_AFTER_S:
             return incomplete[0]
         silent = [client for client in incomplete if not client.message_size and not client.has_sent_request]
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -14,9 +14,8 @@
 from .closing_connection import ClosingConnection, StreamedResponse
 from .request_parser import HttpRequest
 from .request_reader import ConnectionContext, ReadinessCheck
-from .response import Response
+from .response import OK, Response
 from .response_format import (
-    OK,
     disposition_of,
     format_final_response,
     format_head,
@@ -87,7 +86,7 @@
         """Close: the client has ended its sending."""
         self._close_after_disconnect()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Release all that the connection holds, and tell the core that its client is gone."""
         self.closed = True
         if self.write_stall is not None:
@@ -168,25 +167,25 @@
                 elif isinstance(item, ReadinessCheck):
                     ok = self.engine.lifecycle.ready
                     text = b"ready\n" if ok else b"not ready\n"
-                    self._respond(200 if ok else 503, b"", text, item.keep_alive)
+                    self._respond(200 if ok else 503, b"", text, keep_alive=item.keep_alive)
                 else:
                     if item.cls is not None:
                         self.engine.requests.record_rejection(
                             self.context.frontend_binding, item.cls, disposition_of(item.code)
                         )
                     keep_alive = item.keep_alive and not self.reading_ended
-                    self._respond(item.code, b"", f"{item}\n".encode(), keep_alive)
+                    self._respond(item.code, b"", f"{item}\n".encode(), keep_alive=keep_alive)
         finally:
             self.serving_queue = False
         self._update_reading()
 
-    def _respond(self, code: int, headers: bytes, body: bytes, keep_alive: bool) -> None:
-        keep_alive = self._keeps_alive(keep_alive)
+    def _respond(self, code: int, headers: bytes, body: bytes, *, keep_alive: bool) -> None:
+        keep_alive = self._keeps_alive(keep_alive=keep_alive)
         self._write(format_response(code, headers, body, keep_alive=keep_alive))
         if not keep_alive:
             self._close_gracefully()
 
-    def _keeps_alive(self, keep_alive: bool) -> bool:
+    def _keeps_alive(self, *, keep_alive: bool) -> bool:
         return keep_alive and not (self.engine.lifecycle.responses_announce_close and not self.queue)
 
     def _release_request(self, request: HttpRequest) -> None:
@@ -211,7 +210,7 @@
         self.current = None
         self._release_request(current)
         keep_alive = current.keep_alive and response.reason is not Reason.DRAINING
-        self._respond(*format_final_response(response), keep_alive)
+        self._respond(*format_final_response(response), keep_alive=keep_alive)
         self._serve_queue()
         self.clients.reclassify(self)
 
@@ -224,7 +223,7 @@
         headers = format_headers(head)
         chunked = length is None and not current.is_http_1_0
         self.end_delimits = length is None and not chunked
-        keep_alive = self._keeps_alive(current.keep_alive) and not self.end_delimits
+        keep_alive = self._keeps_alive(keep_alive=current.keep_alive) and not self.end_delimits
         self.streamed = StreamedResponse(chunked, keep_alive, pause)
         if chunked:
             headers += b"Transfer-Encoding: chunked\r\n"
--- a/ochreflow/http/discovery_transport.py
+++ b/ochreflow/http/discovery_transport.py
@@ -24,6 +24,7 @@
     """A connection pool of its own: the cap on connections to servers must not keep the list unread."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address) -> None:
+        """Connect to `address` as requests need it."""
         self.host = f"{address[0]}:{address[1]}"
         descriptors, memory = Descriptors(MAX_DESCRIPTORS), Memory(MAX_MEMORY_BYTES)
         self.upstreams = Upstreams(loop, descriptors, memory, CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S)
--- a/ochreflow/http/exchange.py
+++ b/ochreflow/http/exchange.py
@@ -52,7 +52,7 @@
         """Have the system discard what it still holds when the connection is closed."""
         ...
 
-    def pause_response(self, paused: bool) -> None:
+    def pause_response(self, *, paused: bool) -> None:
         """Stop reading the response for now, or read on."""
         ...
 
@@ -158,7 +158,7 @@
         """Backpressure: read the response no further until its relay can take more."""
         self.paused = paused
         if self.connection is not None and not self.ended:
-            self.connection.pause_response(paused)
+            self.connection.pause_response(paused=paused)
 
     def limit_write_time(self, seconds: float) -> None:
         """Cut it off if the server's machine has not got all of it after so long."""
--- a/ochreflow/http/frontend.py
+++ b/ochreflow/http/frontend.py
@@ -16,11 +16,18 @@
 
 
 class Listening(Protocol):
-    def close(self) -> None: ...
+    """A listening socket, or a server of the loop."""
+
+    def close(self) -> None:
+        """Accept nothing any more."""
+        ...
 
 
 class HttpFrontend:
+    """The frontend of HTTP/1.1: it owns the listening sockets and the clients' connections."""
+
     def __init__(self, engine: Engine, upstream_transport: UpstreamTransport) -> None:
+        """Bind the frontend to the core; nothing listens yet."""
         self.clients = Clients(engine.descriptors)
         self.frontend_binding = engine.bind_frontend(LABEL, self, upstream_transport)
         self.disconnect_monitor = DisconnectMonitor(engine.loop)
@@ -43,20 +50,25 @@
 
     @property
     def connected(self) -> int:
+        """The number of clients that are connected."""
         return len(self.clients.connections)
 
     def stop_accepting(self) -> None:
+        """Close the listening sockets."""
         for server in self.servers:
             server.close()
         self.servers.clear()
 
     def close_idle_connections(self) -> None:
+        """Close every connection on which nothing is open."""
         self.clients.close_idle_connections()
 
     def sweep(self) -> None:
+        """Enforce the time limits on clients."""
         self.clients.sweep()
 
     def close(self) -> None:
+        """Close everything, at once."""
         self.stop_accepting()
         self.disconnect_monitor.close()
         for client in list(self.clients.connections):
--- a/ochreflow/http/load_reports.py
+++ b/ochreflow/http/load_reports.py
@@ -13,6 +13,7 @@
     """Parses load reports by the names of their fields, in the order that the module expects."""
 
     def __init__(self, columns: tuple[str, ...]) -> None:
+        """Expect the fields named `columns`, in this order."""
         self.columns = columns
         self.indexes = {column.encode(): index for index, column in enumerate(columns)}
 
--- a/ochreflow/http/management.py
+++ b/ochreflow/http/management.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from typing import Protocol
 
 import httptools
@@ -30,31 +31,43 @@
 }
 
 
+Route = tuple[bytes, Callable[[], tuple[int, str]]]  # the method, and what gives code and body
+
+
 class Operations(Protocol):
     """What can be asked of a sidecar, by whatever protocol."""
 
-    def healthy(self) -> bool: ...
+    def healthy(self) -> bool:
+        """Whether clients may be sent to this sidecar."""
+        ...
 
-    def report(self) -> str: ...
+    def report(self) -> str:
+        """The figures, a line for each."""
+        ...
 
-    def drain(self) -> bool: ...
+    def drain(self) -> bool:
+        """Begin a drain; False if the process is ending."""
+        ...
 
-    def undrain(self) -> bool: ...
+    def undrain(self) -> bool:
+        """End a drain; False if the process is ending."""
+        ...
 
 
 class Management:
     """All calls together."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, operations: Operations) -> None:
+        """Know the routes; nothing listens yet."""
         self.loop = loop
         self.connections: dict[ManagementConnection, None] = {}  # in the order they came
         self.server: asyncio.Server | None = None
         self.address: Address | None = None  # as it was asked for
-        self.routes = {
-            b"/healthcheck": (b"GET", lambda: _yes_or_no(operations.healthy())),
+        self.routes: dict[bytes, Route] = {
+            b"/healthcheck": (b"GET", lambda: _yes_or_no(yes=operations.healthy())),
             b"/stats": (b"GET", lambda: (200, operations.report())),
-            b"/healthcheck/fail": (b"POST", lambda: _yes_or_no(operations.drain())),
-            b"/healthcheck/ok": (b"POST", lambda: _yes_or_no(operations.undrain())),
+            b"/healthcheck/fail": (b"POST", lambda: _yes_or_no(yes=operations.drain())),
+            b"/healthcheck/ok": (b"POST", lambda: _yes_or_no(yes=operations.undrain())),
         }
 
     async def listen(self, address: Address | None) -> None:
@@ -75,6 +88,7 @@
         return ManagementConnection(self)
 
     def admit(self, connection: ManagementConnection) -> None:
+        """Count a new connection; over the limit, an older one is dropped."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             # Who has been silent longest goes first. A new caller is not yet known to be silent.
@@ -93,13 +107,14 @@
         return code, body, ""
 
     def close(self) -> None:
+        """Stop listening, and drop all connections."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
             connection.drop()
 
 
-def _yes_or_no(yes: bool) -> tuple[int, str]:
+def _yes_or_no(*, yes: bool) -> tuple[int, str]:
     return (200, "yes\n") if yes else (503, "no\n")
 
 
@@ -107,6 +122,7 @@
     """One connection: reads one call, answers it, closes."""
 
     def __init__(self, management: Management) -> None:
+        """Expect one call."""
         self.management = management
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
@@ -117,11 +133,13 @@
         self.answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start the time limit for the call."""
         self.transport = transport  # type: ignore[assignment]
         self.timer = self.management.loop.call_later(READ_TIMEOUT_S, self._expire)
         self.management.admit(self)
 
     def data_received(self, data: bytes) -> None:
+        """Parse what has come, and answer once the call is complete, invalid or too long."""
         if self.answered:
             return  # one call per connection: what follows is not read
         self.size += len(data)
@@ -142,12 +160,15 @@
             self._write(400, "the call is too long\n")
 
     def on_url(self, url: bytes) -> None:
+        """Take a part of the target."""
         self.target += url
 
     def on_message_complete(self) -> None:
+        """Note that the call is complete."""
         self.complete = True
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Release the connection's place and timer."""
         self.management.connections.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
@@ -173,6 +194,7 @@
         self.transport.close()  # once what was written has gone
 
     def drop(self) -> None:
+        """Close at once."""
         if self.transport is not None:
             self.transport.abort()
         self.management.connections.pop(self, None)
--- a/ochreflow/http/request_reader.py
+++ b/ochreflow/http/request_reader.py
@@ -219,10 +219,11 @@
         item: HttpRequest | ReadinessCheck | RequestError
         if self.target == READY_TARGET:
             item = ReadinessCheck(keep_alive)
+        elif self.duplicate_header:
+            item = RequestError(400, "a header came twice")
+            item.keep_alive = keep_alive
         else:
             try:
-                if self.duplicate_header:
-                    raise RequestError(400, "a header came twice")
                 item = self.context.request_parser.parse(
                     self.engine.clock.now(),
                     self.parser.get_method(),
--- a/ochreflow/http/response.py
+++ b/ochreflow/http/response.py
@@ -19,8 +19,10 @@
 MAX_HEADERS_BYTES = 32 * 1024  # bytes of a response's head and of all its framing
 MAX_RELAYED_BODY_BYTES = 40 * 1024 * 1024  # of the body of a response that is relayed; messages reach 32 MB
 MAX_FRAMING_FACTOR = 8  # bytes on the socket for each one of a body, in the smallest of chunks
-REFUSALS = (503, 504)  # the codes with which a server may say that it did not run the request
-TRUE = b"1"  # the value of the header that says so
+OK = 200
+MIN_FINAL_CODE = 200  # a response below is an interim one
+REJECTION_CODES = (503, 504)  # the codes with which a server may say that it did not run the request
+NOT_RUN = b"1"  # the value of the header that says so
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -50,9 +52,9 @@
 
 def classify(response: Response) -> Status:
     """What a response proves. Only the header proves that a request never ran, not the code alone."""
-    if response.code == 200:
+    if response.code == OK:
         return Status.OK
-    if response.code in REFUSALS and response.not_run:
+    if response.code in REJECTION_CODES and response.not_run:
         return Status.REJECTED
     return Status.ERROR
 
@@ -61,6 +63,7 @@
     """Parses a response at a time: `start` for each request, then `feed`, and `end` at the end of stream."""
 
     def __init__(self, memory: Memory) -> None:
+        """Reserve what is buffered in `memory`."""
         self._memory = memory
         self._parser = httptools.HttpResponseParser(self)
         self._reserved = 0  # bytes of the body that the memory is reserved for
@@ -68,7 +71,7 @@
 
     # What the connection calls
 
-    def start(self, buffer_limit: int, may_relay: bool) -> None:
+    def start(self, buffer_limit: int, *, may_relay: bool) -> None:
         """Expect the response to the next request, of which at most `buffer_limit` bytes are buffered."""
         self._buffer_limit = buffer_limit
         self._may_relay = may_relay
@@ -115,7 +118,7 @@
         """Whether the response is of use to its client, and too long to buffer or of a length not told."""
         if not self._may_relay or not self._in_body or not self._body:
             return False
-        return self._parser.get_status_code() == 200 and (
+        return self._parser.get_status_code() == OK and (
             bool(self._encoding) or self._until_end or int(self._length) > self._buffer_limit
         )
 
@@ -152,7 +155,7 @@
     @property
     def _says_not_run(self) -> bool:
         """Whether the server says so without contradicting itself."""
-        return self._not_run == {TRUE}
+        return self._not_run == {NOT_RUN}
 
     def _note_surplus(self) -> None:
         """More has come after the complete response: one of the two belongs to another request."""
@@ -167,15 +170,17 @@
     # What the underlying parser calls
 
     def on_message_begin(self) -> None:
+        """Note a surplus message."""
         if self.complete is not None:
             self._note_surplus()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header line of the head or a trailer."""
         if self.complete is not None:
             return
         low, value = name.lower(), value.strip(b" \t")
         if low == b"x-not-run":
-            if not self._in_body or value != TRUE:  # a trailer can contradict the head, but proves nothing
+            if not self._in_body or value != NOT_RUN:  # a trailer can contradict the head, but proves nothing
                 self._not_run.add(value)
         elif self._in_body:
             return  # another trailer
@@ -189,22 +194,24 @@
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
+        """Find out how the body is delimited, and whether it can fit."""
         code = self._parser.get_status_code()
-        if self.complete is not None or code < 200:
+        if self.complete is not None or code < MIN_FINAL_CODE:
             return
         self._in_body = True
-        most = MAX_RELAYED_BODY_BYTES if self._may_relay and code == 200 else self._buffer_limit
+        max_body_bytes = MAX_RELAYED_BODY_BYTES if self._may_relay and code == OK else self._buffer_limit
         # What can't fit is known to be of no use before it comes.
         if self._encoding:
             self.invalid = self._encoding.lower() != b"chunked"
         elif self._length:
-            self.invalid = not self._length.isdigit() or int(self._length) > most
-        elif code == 200 or (code in REFUSALS and self._says_not_run):
+            self.invalid = not self._length.isdigit() or int(self._length) > max_body_bytes
+        elif code == OK or (code in REJECTION_CODES and self._says_not_run):
             self._until_end = True  # only a whole response is of use to a client, or proves anything
         else:
             self._complete()  # the head says all; its body has no end but the connection's
 
     def on_body(self, data: bytes) -> None:
+        """Buffer a part of the body."""
         if self.complete is not None or self.invalid:
             return
         if self._relayed + self._reserved + len(data) > MAX_RELAYED_BODY_BYTES or not self._memory.reserve(
@@ -216,10 +223,13 @@
         self._body.append(data)
 
     def on_message_complete(self) -> None:
+        """Complete the response; an interim one is dropped."""
         if self.complete is not None:
             return
         code = self._parser.get_status_code()
-        if code < 200:  # an interim response, the final one follows; its size counts on, or it had no bound
+        if (
+            code < MIN_FINAL_CODE
+        ):  # an interim response, the final one follows; its size counts on, or it had no bound
             self._start_message()
             return
         if self.invalid:
--- a/ochreflow/http/response_format.py
+++ b/ochreflow/http/response_format.py
@@ -8,9 +8,8 @@
 from ..core.clock import NS_PER_S
 from ..core.ports import FinalResponse, Reason
 from ..core.stats import Disposition
-from .response import Response
+from .response import OK, Response
 
-OK = 200
 DECLINED_CODES = (429, 503)  # a client may send the request again
 REASON_PHRASES = {
     200: b"OK",
--- a/ochreflow/http/socket_progress.py
+++ b/ochreflow/http/socket_progress.py
@@ -54,6 +54,7 @@
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Watch nothing yet."""
         self.loop = loop
         self.poller = select.poll()
         self.fds: dict[asyncio.Transport, int] = {}
@@ -107,6 +108,7 @@
         timeout_s: float,
         give_up: Callable[[], None],
     ) -> None:
+        """Start at once; `give_up` is called at most once."""
         self.loop = loop
         self.pending_bytes = pending_bytes  # how many the peer's machine has not acknowledged
         self.timeout_s = timeout_s
--- a/ochreflow/http/socket_stream.py
+++ b/ochreflow/http/socket_stream.py
@@ -21,7 +21,9 @@
 class StreamOwner(Protocol):
     """Whoever is told of what comes in on a stream, and of its state. Called with the stream open."""
 
-    def data_received(self, data: bytes) -> None: ...
+    def data_received(self, data: bytes) -> None:
+        """Take bytes that have come."""
+        ...
 
     def eof_received(self) -> None:
         """The peer has ended its sending."""
@@ -48,6 +50,7 @@
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, owner: StreamOwner) -> None:
+        """Own a connected, non-blocking socket; nothing is read until `resume_reading`."""
         self.loop = loop
         self.sock = sock
         self.owner: StreamOwner | None = owner  # None: closed, so that the two don't refer to each other
--- a/ochreflow/http/upstream.py
+++ b/ochreflow/http/upstream.py
@@ -40,6 +40,7 @@
         connect_timeout: float,
         idle_timeout: float,
     ) -> None:
+        """Know no server yet. Times in seconds."""
         self.loop = loop
         self.descriptors = descriptors
         self.memory = memory
--- a/ochreflow/http/upstream_connection.py
+++ b/ochreflow/http/upstream_connection.py
@@ -45,6 +45,7 @@
     """A server's address, and the connections to it."""
 
     def __init__(self, address: tuple[str, int], since_ms: int) -> None:
+        """A server at `address` that started at `since_ms`."""
         self.address = address
         self.since_ms = since_ms
         self.generation = 0  # grows with each restart or move; connections of an earlier one are not reused
@@ -58,6 +59,7 @@
     """A connection to a server, with at most one exchange on it."""
 
     def __init__(self, pool: ConnectionPool, target: Target, sock: socket.socket) -> None:
+        """Own a socket that is being connected."""
         self.pool = pool
         self.target = target
         self.generation = target.generation
@@ -137,7 +139,7 @@
         if not self.unwritten:
             self._notify_written()
 
-    def pause_response(self, paused: bool) -> None:
+    def pause_response(self, *, paused: bool) -> None:
         """Stop reading for now, or read on. A server is not blamed for the time in which it was not read."""
         if self.closed or paused == self.response_paused:
             return
@@ -250,7 +252,7 @@
         unproven = status is Status.REJECTED and not self.arrived
         self.exchange = None
         self.answered_at = monotonic()
-        self.pause_response(False)
+        self.pause_response(paused=False)
         self._release_response()
         if self.response.keep_alive and not self.unwritten and not self.response.surplus and not unproven:
             self.pool.keep(self)
--- a/ochreflow/http/upstream_transport.py
+++ b/ochreflow/http/upstream_transport.py
@@ -17,7 +17,10 @@
 
 
 class HttpUpstreamTransport:
+    """The upstream transport of HTTP/1.1: attempts and health checks on pooled connections."""
+
     def __init__(self, upstreams: Upstreams, report_columns: tuple[str, ...]) -> None:
+        """Use a pool; `report_columns` are the fields of a load report."""
         self.upstreams = upstreams
         self.load_report_parser = LoadReportParser(report_columns)
         self.probe_path = b"/-/load" if report_columns else b"/-/healthy"
@@ -25,6 +28,7 @@
     def start(
         self, server: int, request: IncomingRequest, timeout: float | None, watcher: AttemptObserver
     ) -> UpstreamAttempt:
+        """Begin an attempt; `timeout` in seconds, None: until its observer ends it."""
         assert isinstance(request, HttpRequest)
         payload = self._payload(request)
         body: Body | None = request.body
@@ -60,6 +64,8 @@
         return b"%s %s HTTP/1.1\r\n%s" % (request.method, request.target, b"".join(request.headers))
 
     def probe(self, server: int, timeout: float, done: Callable[[Status, tuple[float, ...]], None]) -> None:
+        """Check a server's health; `done` gets the status and the load report."""
+
         def ended(_: Exchange, status: Status, response: Response | None) -> None:
             report: tuple[float, ...] = ()
             if response is not None and self.load_report_parser.columns:
@@ -70,16 +76,21 @@
         self.upstreams.start(server, Exchange(lambda: head, ended, MAX_BUFFERED_BYTES), timeout)
 
     def update(self, server: int, address: Address, since_ms: int, state: State) -> None:
+        """Take a server's entry of the endpoint list."""
         self.upstreams.update(server, address, since_ms, state)
 
     def forget(self, server: int) -> None:
+        """Drop a server that is gone from the list."""
         self.upstreams.forget(server)
 
     def close_idle(self, server: int) -> None:
+        """Close the idle connections to a server."""
         self.upstreams.close_idle(server)
 
     def sweep(self) -> None:
+        """Close connections that have been idle for too long."""
         self.upstreams.sweep()
 
     def close(self) -> None:
+        """Close all connections."""
         self.upstreams.close()
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -256,8 +256,8 @@
             connection = type(rig.http.connection())
             respond = connection._respond
 
-            def closing(self, *args):
-                respond(self, *args)
+            def closing(self, *args, **named):
+                respond(self, *args, **named)
                 self.close()
 
             monkeypatch.setattr(connection, "_respond", closing)
