--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -14,10 +14,10 @@
 HEAD_TIMEOUT_S = 2.6  # seconds from connecting, or from a message's first byte, until its head has come
 MIN_BODY_BYTES_PER_S = 32_000  # measured over one `HEAD_TIMEOUT_S` at a time: clients may send 64 kB a second
 IDLE_TIMEOUT_S = 2.0  # seconds that a connection is kept with no request open
-SLOW_READER_TIMEOUT_S = 5.0  # seconds in which a client may take nothing of an answer
+SLOW_READER_TIMEOUT_S = 5.0  # in which a client may read nothing of a response
 # Of the clients' quota of descriptors: when more have sent nothing, it is no burst of the usual ones.
 MAX_SILENT_SHARE = 0.25
-STALE_AFTER_S = 0.5  # seconds without a byte, with a message owed: slow clients write a piece more often
+STALE_AFTER_S = 0.5  # without a byte of an unfinished message: slow clients write a piece more often
 # Clients closed in one sweep for a quota that has become smaller: a turn of the loop must not be long.
 MAX_EVICTIONS_PER_SWEEP = 32
 FIRST_REQUEST_DELAY_S = 0.02  # seconds in which a new connection's first request may well be on its way
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class ClientTimeouts:
-    """How long clients may take, in seconds. What changes here holds from the next look on."""
+    """How long clients may take, in seconds. A change holds from the next sweep on."""
 
     head_s: float = field(default_factory=lambda: HEAD_TIMEOUT_S)
     idle_s: float = field(default_factory=lambda: IDLE_TIMEOUT_S)
@@ -36,14 +36,14 @@
     """What is asked of a client's connection here."""
 
     message_begun: bool  # a message has begun and not ended
-    head_completed: bool  # since `Clients` last looked
+    head_completed: bool  # since `Clients` last reclassified it
     has_sent_request: bool  # whether it has ever sent a whole message
     paused: bool
     message_size: int
 
     @property
     def serving(self) -> bool:
-        """Whether its client is owed a response, or the rest of one."""
+        """Whether a response is pending, or not yet acknowledged by the client's machine."""
         ...
 
     @property
@@ -131,7 +131,7 @@
 class Clients:
     """Owns the lists of connections and their count; evicts some where descriptors are short.
 
-    Every connection is in `incomplete` while its client owes a message, in `idle` when nothing is open, in
+    Every connection is in `incomplete` while a message is to be completed, in `idle` when nothing is open, in
     `draining` when only its client's close is waited for, or in none of them. Those in `incomplete` are in
     `last_received` too, by their latest byte. All are in the order of time, so that a sweep costs nothing for
     those that are in time.
@@ -197,7 +197,7 @@
         self.draining.pop(client, None)
 
     def reclassify(self, client: Client) -> None:
-        """Note what a connection does now: after it was read, and after an answer."""
+        """Note what a connection does now: after it was read, and after a response."""
         self.idle.pop(client, None)
         if client not in self.connections:
             return
@@ -231,18 +231,20 @@
                 self.admission.request_completed(monotonic(), client)
 
     def _record_message_begun(self, admission: ConnectionAdmission, now: float, client: Client) -> None:
-        """A message has begun: its address may owe too many of them, and the oldest goes."""
+        """Record that a message has begun; with too many of its address unfinished, the oldest is ended."""
         late = admission.message_begun(now, client)
         if late is not None and late is not client:
             self._forget(late)
             late.expire()
 
     def _choose_eviction(self, new: Client) -> Client:
-        """Guards the usual clients, slow ones too, against those that connect by hundreds and say nothing.
+        """The connection to close for a new one over the quota.
 
-        First goes who has had the last answer and only does not close; then who owes a message and has long
-        sent no byte of it; then, where many have sent nothing at all, one of these; then who was answered
-        longest ago and can come again.
+        Guards the usual clients, slow ones too, against those that connect by hundreds and send nothing.
+
+        First goes one that has its last response and only does not close; then one with an unfinished message
+        and no byte of it for long; then, where many have sent nothing at all, one of these; then the one that
+        was served longest ago, which can connect again.
         """
         now = monotonic()
         if self.admission is not None:
@@ -263,9 +265,9 @@
         return silent[0] if self.last_received[silent[0]] <= now - FIRST_REQUEST_DELAY_S else incomplete[0]
 
     def evict_one(self) -> bool:
-        """Close one that waits for nothing, for what has been taken; False if every one is owed an answer.
+        """Close one that waits for nothing, in favour of accepted requests; False if each has one pending.
 
-        Guards what was taken against a lack of descriptors: its attempts need some, and so do answers.
+        Guards accepted requests against a lack of descriptors: their attempts need some.
         """
         return self._evict(1) > 0
 
--- a/ochreflow/http/closing_connection.py
+++ b/ochreflow/http/closing_connection.py
@@ -17,12 +17,12 @@
 from .response_format import CLIENT_DISCONNECTED_RESPONSE
 from .socket_progress import peer_disconnected, unacknowledged
 
-DRAINING_CLOSE_TIMEOUT_S = 2.0  # in which a client may take nothing more of its last answers, and not close
+DRAINING_CLOSE_TIMEOUT_S = 2.0  # in which a client may read nothing more of its last responses
 
 
 @dataclass(slots=True)
 class StreamedResponse:
-    """An answer on its way to the client while it comes."""
+    """A response that is forwarded to the client while it comes from the server."""
 
     chunked: bool
     keep_alive: bool
@@ -36,8 +36,8 @@
         """Open, with nothing written."""
         super().__init__(context)
         self.streamed: StreamedResponse | None = None
-        self.end_delimits = False  # only its end delimits the answer that was last begun
-        self.write_paused = False  # the client leaves answers unread
+        self.end_delimits = False  # only its end delimits the response that was last begun
+        self.write_paused = False  # the client leaves responses unread
         self.draining_timer: asyncio.TimerHandle | None = (
             None  # sending has ended, the client's close is awaited
         )
@@ -67,7 +67,7 @@
         """Close after its client has ended its sending.
 
         Guards a request that may run against being sent again: by a client that only ended its sending and
-        still reads, a close without an answer is taken for one of a request that was not read.
+        still reads, a close without a response is taken for one of a request that was not read.
         """
         if self.current is not None and self.streamed is None:
             self._write(CLIENT_DISCONNECTED_RESPONSE)
@@ -86,9 +86,10 @@
     def _start_draining_close(self) -> None:
         """End the own sending, and close when the client does.
 
-        Guards the last answers against being lost: closing with input unread resets the connection. The rest
-        of a message that was answered before its end is read and thrown away, or its client might never come
-        to read. What else a client sends is left unread: it was never taken, so it can be sent again.
+        Guards the last responses against being lost: closing with input unread resets the connection. The
+        rest of a message that had its response before its end is read and discarded, or its client might
+        never come to read. Whatever else a client sends is left unread: it was never accepted, so the client
+        can send it again.
         """
         if self.transport is None or self.transport.is_closing() or self.draining_timer is not None:
             return
@@ -122,12 +123,12 @@
             self.close()
 
     def _truncate(self) -> None:
-        """Close after a part of an answer, so that its client sees that it is not whole."""
+        """Close after a part of a response, so that its client sees that it is truncated."""
         if self.end_delimits:
             self._reset()
         else:
             # Its framing tells. A reset would take away what went before it, and its own beginning: a client
-            # that has read nothing of an answer sends its request again.
+            # that has read nothing of a response sends its request again.
             self._start_draining_close()
 
     def _write(self, data: bytes) -> None:
@@ -135,9 +136,9 @@
             self.transport.write(data)
 
     def close(self) -> None:
-        """Close at once: what its client's machine has not got of its answers may be lost."""
+        """Close at once: what its client's machine has not received of the responses may be lost."""
         if self.end_delimits and (self.streamed is not None or self.write_paused):
-            self._reset()  # the end alone would look like that of a whole answer
+            self._reset()  # the end alone would look like that of a complete response
         elif self.transport is not None:
             self.transport.abort()
 
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -36,7 +36,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether it can be closed without harm: no request waits, no answer is still on its way out."""
+        """Whether no request is queued or served, and no response is still being written."""
         return (
             self.current is None
             and not self.queue
@@ -46,7 +46,7 @@
 
     @property
     def serving(self) -> bool:
-        """Whether its client is owed an answer, or the rest of one that it has not read yet."""
+        """Whether a response is pending, or written and not yet acknowledged by the client's machine."""
         return self.current is not None or bool(self.queue) or not self.delivered
 
     @property
@@ -62,14 +62,14 @@
 
     @property
     def no_message_begun(self) -> bool:
-        """Whether its client owes no part of a message, not even in what the system holds unread."""
+        """Whether no message has begun to arrive, not even in what the system holds unread."""
         if not self.idle or self.message_begun or self.closed or self.transport is None:
             return False
         return unread_bytes(self.transport) == 0
 
     @property
     def closable(self) -> bool:
-        """Whether it can be closed at once: nothing has begun, and its client has all of its answers."""
+        """Whether it can be closed at once: nothing has begun, and its client has all responses."""
         return self.no_message_begun and self.delivered
 
     @property
@@ -145,7 +145,7 @@
             self.close()
 
     def expire(self) -> None:
-        """Its next message has not come to an end in time; what was taken before it is answered first."""
+        """End it: its next message is late. Requests that were queued before it get their responses first."""
         if self.message_begun:
             self._reject(408, "the request took too long to come")
             self._serve_queue()
@@ -208,7 +208,7 @@
         return self.current is not request or self.close_if_disconnected()
 
     def respond(self, request: IncomingRequest, response: FinalResponse) -> None:
-        """The final answer to the request that is being served."""
+        """Write the final response to the request that is being served."""
         current = self.current
         if current is not request or current is None:
             return
@@ -220,7 +220,7 @@
         self.clients.reclassify(self)
 
     def begin(self, request: IncomingRequest, head: object, length: int | None, pause: Pause) -> None:
-        """The final answer has begun to come, and goes on to the client from its first bytes."""
+        """Begin to stream a server's response to the client, from its first bytes."""
         current = self.current
         if current is not request or current is None:
             return
@@ -242,7 +242,7 @@
             self._write(b"%x\r\n%s\r\n" % (len(data), data) if self.streamed.chunked else data)
 
     def end(self, request: IncomingRequest, *, complete: bool) -> None:
-        """The answer has ended; one that is not whole must not look as if it were."""
+        """End the streamed response; a truncated one must not look complete."""
         current, streamed = self.current, self.streamed
         if current is not request or current is None or streamed is None:
             return
--- a/ochreflow/http/frontend.py
+++ b/ochreflow/http/frontend.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 front as a whole: where clients connect, and how all of their connections are looked after."""
+"""The frontend of HTTP/1.1: its listening sockets, and all connections of clients."""
 
 from __future__ import annotations
 
--- a/ochreflow/http/request_parser.py
+++ b/ochreflow/http/request_parser.py
@@ -67,10 +67,7 @@
         *,
         keep_alive: bool,
     ) -> HttpRequest:
-        """Parse a request's head; `headers` by lower-case names, `lines` those to forward.
-
-        RequestError if it can't be accepted.
-        """
+        """Parse a head: `headers` by lower-case names, `lines` to forward. RequestError if invalid."""
         cls = self._class_of(target)
         spec = self.specs[cls]
         request_id = _request_id(spec, cls, method, headers)
--- a/ochreflow/http/request_reader.py
+++ b/ochreflow/http/request_reader.py
@@ -26,7 +26,7 @@
 MAX_BODY_BYTES = 40 * 1024 * 1024  # messages reach 32 MB
 MAX_HEADERS_BYTES = 32 * 1024
 MAX_FRAMING_FACTOR = 8  # bytes on the socket for each one of a body, in the smallest of chunks
-MAX_PIPELINED_REQUESTS = 16  # that a client may send ahead of their answers before it is read no further
+MAX_PIPELINED_REQUESTS = 16  # queued before a client is read no further
 READY_TARGET = b"/-/ready"
 # Twice or in two forms, each reader may believe another one.
 SINGLE_VALUE_HEADERS = frozenset(
@@ -90,9 +90,9 @@
         self.read_state = ReadState.OPEN
         self.closed = False
         self.paused = False  # no more is read until some of the queue has been served
-        self.paused_recently = False  # since `Clients` last looked
-        self.head_completed = False  # since `Clients` last looked
-        self.body_size_at_sweep = 0  # size of the body when `Clients` last looked
+        self.paused_recently = False  # since the last call of `recent_body_bytes`
+        self.head_completed = False  # since `Clients` last reclassified it
+        self.body_size_at_sweep = 0  # at the last call of `recent_body_bytes`
         self.has_sent_request = False  # whether it has ever sent a whole message
         self.reserved_bytes = 0  # of memory, for the heads of queued requests
         self._begin()
@@ -107,7 +107,7 @@
         self.message_size = 0  # of all that came of this message
         self.headers_bytes = 0
         self.message_reserved_bytes = 0  # of what is held of its headers
-        self.discarding = False  # answered already: the rest is read and thrown away
+        self.discarding = False  # its response is written: the rest is read and thrown away
 
     @property
     def in_body(self) -> bool:
@@ -201,7 +201,7 @@
         elif not self.body.add(data):
             self._reject(503, "too much is held")
         elif self.uploading is None and len(self.body.buffered) > MAX_BUFFERED_BYTES:
-            self._enqueue_message()  # too long to be held whole: it goes on while it comes
+            self._enqueue_message()  # too long to be buffered: it is forwarded while it comes
 
     def on_message_complete(self) -> None:
         """Queue the request, or end the body of one that is under way already."""
@@ -260,7 +260,7 @@
             self.uploading = item
 
     def _reject(self, code: int, text: str) -> None:
-        """Answer what was sent before it, then this, and close: where a next request begins is not known."""
+        """Respond to the requests before it, then with this, and close: the next one can't be found."""
         if self.read_state is READ_ENDED:
             return
         self.read_state = READ_ENDED
@@ -278,17 +278,17 @@
             self._release(request.reserved_bytes)
             self.queue[self.queue.index(request)] = RequestError(code, text, request.cls)
         elif self.current is None and not self.queue:
-            self._close_gracefully()  # it has had its answer
+            self._close_gracefully()  # it has had its response
 
     def _discard_queue(self) -> None:
-        """Let go of the requests that are not taken up any more."""
+        """Discard the requests that will not be served any more."""
         for item in self.queue:
             if isinstance(item, HttpRequest):
                 item.body.discard()
         self.queue.clear()
 
     def _update_reading(self) -> None:
-        """Read on only while what is read can be taken up: backpressure towards the client."""
+        """Read only while what is read can be queued or forwarded: backpressure on the client."""
         if self.transport is None or self.transport.is_closing() or self.read_state is READ_ENDED:
             return
         stop = len(self.queue) >= MAX_PIPELINED_REQUESTS or (
--- a/ochreflow/http/upstream_transport.py
+++ b/ochreflow/http/upstream_transport.py
@@ -36,8 +36,8 @@
             body = None
 
         def head() -> bytes:
-            left = max(watcher.remaining_time_ns() // MS, 1)
-            return b"%sX-Deadline: %dm\r\n%s" % (payload, left, b"\r\n" if body is None else b"")
+            remaining_ms = max(watcher.remaining_time_ns() // MS, 1)
+            return b"%sX-Deadline: %dm\r\n%s" % (payload, remaining_ms, b"\r\n" if body is None else b"")
 
         def done(_: Exchange, status: Status, response: Response | None) -> None:
             report: tuple[float, ...] = ()
