--- a/ochreflow/http/acceptor.py
+++ b/ochreflow/http/acceptor.py
@@ -36,7 +36,7 @@
         self.accept_throttle = AcceptThrottle()
         self.connecting: set[asyncio.Task[None]] = set()
         self.resume_timer: asyncio.TimerHandle | None = None
-        sock.setblocking(False)
+        sock.setblocking(False)  # noqa: FBT003  # the signature is that of `socket`
         loop.add_reader(sock, self._on_readable)
 
     def _on_readable(self) -> None:
--- a/ochreflow/http/exchange.py
+++ b/ochreflow/http/exchange.py
@@ -154,7 +154,7 @@
             self.timer.cancel()
             self.timer = None
 
-    def pause(self, paused: bool) -> None:
+    def pause(self, *, paused: bool) -> None:
         """Backpressure: read the response no further until its relay can take more."""
         self.paused = paused
         if self.connection is not None and not self.ended:
--- a/ochreflow/http/upstream.py
+++ b/ochreflow/http/upstream.py
@@ -115,7 +115,7 @@
         """The most recently used connection that is settled, else the one that has been idle longest."""
         if target.idle[-1].settled:
             return target.idle.pop()
-        settled = bisect.bisect_right(target.idle, False, key=lambda idle: not idle.settled)
+        settled = bisect.bisect_right(target.idle, 0, key=lambda idle: not idle.settled)
         return target.idle.pop(max(settled - 1, 0))
 
     @staticmethod
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -13,7 +13,6 @@
 import pytest
 from helpers import START, settings
 from net_helpers import HOST, entry, news
-from ochreflow.http.discovery_transport import CONNECT_TIMEOUT_S
 
 from ochreflow import Balancer
 from ochreflow.core.endpoints import EndpointIds
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -24,7 +24,7 @@
 
 from ochreflow.core import request_ids
 from ochreflow.core.limits import MB, Descriptors, Memory
-from ochreflow.http import clients, connection
+from ochreflow.http import clients, request_reader
 from ochreflow.membership.gossip import Gossip
 
 ID = b"X-Request-Id: ab\r\n"
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -352,7 +352,7 @@
             front.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW)
             client.sendall(message("order", "first") + message("order", "second", "3000m", bytes(1000)))
             await until(lambda: front.write_paused)
-            (attempt,) = sidecar.engine.attempts.values()
+            (attempt,) = sidecar.engine.attempts.in_flight.values()
             attempt.upstream_attempt.give_up(Status.CANCELLED)
             assert front.write_paused and not front.current
             data, _ = await receive(client)
