--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -68,7 +68,7 @@
     run(play())
 
 
-def test_what_was_left_behind_does_no_harm(tmp_path):
+def test_stale_sockets_and_invalid_messages_do_no_harm(tmp_path):
     """A file whose process was killed, a file that is none, and a peer that talks nonsense."""
 
     async def play():
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: whatever goes wrong with a call is news of a failure, and the next watch works again."""
+"""The discovery client: whatever goes wrong with a poll is passed on as a failure, and the next one works."""
 
 import asyncio
 import json
@@ -32,25 +32,32 @@
 from ochreflow.policy.interface import State
 
 
-def calls(address):
+def connect(address):
     return HttpDiscoveryTransport(asyncio.get_running_loop(), address)
 
 
-def names():
+def endpoint_ids():
     return EndpointIds(["a", "b"], ["std"])
 
 
-USUAL = long_poll_timeouts(2_500_000_000)
-SHORT = LongPollTimeouts(
+DEFAULT_TIMEOUTS = long_poll_timeouts(2_500_000_000)
+SHORT_TIMEOUTS = LongPollTimeouts(
     wait_ms=50, poll_stall_s=0.05, complete_list_stall_s=0.1, resync_stall_s=0.1, agent_retry_s=1.0
 )
-SLACK = 0.05  # seconds by which every limit grows on sockets
+SLACK_S = 0.05  # by which every limit grows on sockets
 
 
-def asking(fake, version, heard, times=USUAL, pushed=False):
+def discovery_client(fake, version, updates, times=DEFAULT_TIMEOUTS, pushed=False):
     loop = asyncio.get_running_loop()
     return DiscoveryClient(
-        loop, calls, (HOST, fake.port), names(), version, heard.append, pushed=pushed, timeouts=times
+        loop,
+        connect,
+        (HOST, fake.port),
+        endpoint_ids(),
+        version,
+        updates.append,
+        pushed=pushed,
+        timeouts=times,
     )
 
 
@@ -58,21 +65,21 @@
     return reply(200, json.dumps(news(index, *entries, snapshot=snapshot)).encode())
 
 
-async def cut_off(message, reader, writer):
+async def truncated(message, reader, writer):
     writer.write(listing(9, entry("s1", f"{HOST}:7"))[:-20])
     await writer.drain()
     writer.close()
 
 
-async def break_it(message, reader, writer):
+async def reset_connection(message, reader, writer):
     reset(writer)
 
 
-async def hang(message, reader, writer):
+async def never_answer(message, reader, writer):
     await reader.read()
 
 
-def say(data):
+def answer_with(data):
     async def act(message, reader, writer):
         writer.write(data)
 
@@ -80,47 +87,47 @@
 
 
 @pytest.mark.parametrize(
-    "trouble",
+    "failure",
     [
-        say(reply(503, b"")),
-        say(reply(200, b"{")),
-        say(reply(200, b"[" * 50_000)),
-        say(reply(200, b'{"index":1,"snapshot":true,"endpoints":[{"name":"s1"}]}')),
-        say(reply(200, b'{"index":1,"snapshot":true,"endpoints":7}')),
-        cut_off,
-        break_it,
+        answer_with(reply(503, b"")),
+        answer_with(reply(200, b"{")),
+        answer_with(reply(200, b"[" * 50_000)),
+        answer_with(reply(200, b'{"index":1,"snapshot":true,"endpoints":[{"name":"s1"}]}')),
+        answer_with(reply(200, b'{"index":1,"snapshot":true,"endpoints":7}')),
+        truncated,
+        reset_connection,
     ],
     ids=["503", "bad-json", "deep-json", "bad-entry", "bad-list", "cut-off", "reset"],
 )
-def test_a_broken_call_is_told_as_failed_and_the_next_watch_works(trouble):
+def test_a_failed_poll_is_passed_on_as_failed_and_the_next_watch_works(failure):
     async def play():
         async def act(message, reader, writer):
-            await (trouble if len(fake.got) == 1 else say(listing(41, entry("s1", f"{HOST}:7"))))(
+            await (failure if len(fake.got) == 1 else answer_with(listing(41, entry("s1", f"{HOST}:7"))))(
                 message, reader, writer
             )
 
         fake = await Fake(act).start()
-        heard = []
-        watcher = asking(fake, 40, heard)
-        watcher.watch(on=True)
-        await until(lambda: heard)
-        assert heard == [None] and not watcher.watching and watcher.version == 40
-        watcher.watch(on=True)
-        await until(lambda: len(heard) > 1)
-        assert heard[1].version == 41 and heard[1].complete
-        watcher.close()
+        updates = []
+        client = discovery_client(fake, 40, updates)
+        client.watch(on=True)
+        await until(lambda: updates)
+        assert updates == [None] and not client.watching and client.version == 40
+        client.watch(on=True)
+        await until(lambda: len(updates) > 1)
+        assert updates[1].version == 41 and updates[1].complete
+        client.close()
 
     run(play())
 
 
 @pytest.mark.parametrize("grace_ns", [0, 50_000_000, 500_000_000, 2_500_000_000, 25_000_000_000])
-def test_after_a_silence_the_next_call_leaves_discovery_its_time_within_the_grace(grace_ns):
+def test_after_a_stall_the_next_poll_leaves_discovery_its_time_in_the_drain_grace(grace_ns):
     times = long_poll_timeouts(grace_ns)
     for wait, overdue in ((times.wait_ms / 1000, times.poll_stall_s), (0.0, times.complete_list_stall_s)):
         told = max(wait + NOTIFIED_AFTER_S, 6.0)  # from the call on, where silence begins with it
-        assert wait + overdue + NOTIFIED_AFTER_S <= told + grace_ns / 1e9 + SLACK
+        assert wait + overdue + NOTIFIED_AFTER_S <= told + grace_ns / 1e9 + SLACK_S
     answer = times.resync_stall_s  # as much is left for an answer where the call beside is silent as well
-    assert times.poll_stall_s + times.resync_stall_s + answer <= NOTIFIED_AFTER_S + grace_ns / 1e9 + SLACK
+    assert times.poll_stall_s + times.resync_stall_s + answer <= NOTIFIED_AFTER_S + grace_ns / 1e9 + SLACK_S
     assert answer >= (NOTIFIED_AFTER_S - timeouts.MIN_STALL_TIMEOUT_S) / 2
     assert (
         times.poll_stall_s < discovery.ANSWER_TIMEOUT_S
@@ -129,8 +136,8 @@
     assert times.agent_retry_s <= max(grace_ns / 1e9 / 2, 0.05)
 
 
-def test_a_watch_that_falls_silent_is_opened_anew_before_its_call_times_out():
-    """The stand-in takes the watch and never answers it: the next call is another one, beside it."""
+def test_a_poll_that_stalls_is_followed_by_another_before_it_times_out():
+    """The fake discovery accepts the poll and never answers it: the next request is sent beside it."""
 
     async def play():
         async def act(message, reader, writer):
@@ -142,23 +149,23 @@
                 await reader.read()
 
         fake = await Fake(act).start()
-        heard = []
-        watcher = asking(fake, 40, heard, SHORT)
-        watcher.watch(on=True)
-        watcher.timeouts = USUAL  # only the first call is overdue soon
-        await until(lambda: heard)
-        assert heard[0].entries[0].endpoint.state is State.DRAINING and watcher.watching
+        updates = []
+        client = discovery_client(fake, 40, updates, SHORT_TIMEOUTS)
+        client.watch(on=True)
+        client.timeouts = DEFAULT_TIMEOUTS  # only the first call is overdue soon
+        await until(lambda: updates)
+        assert updates[0].entries[0].endpoint.state is State.DRAINING and client.watching
         assert fake.connections >= 2 and fake.ended == 0  # the silent call is out still
         await until(lambda: len(fake.got) >= 3)
         assert "after=41&" in fake.got[2].first
-        watcher.close()
+        client.close()
 
     run(play())
 
 
 @pytest.mark.parametrize("late_first", [True, False], ids=["late-before-new", "new-before-late"])
-def test_what_an_overdue_call_still_tells_is_news(late_first):
-    """Both calls are held by the stand-in and let go in either order; nothing told is lost or set back."""
+def test_the_late_answer_of_a_stalled_poll_is_applied(late_first):
+    """The fake discovery answers both in either order; no change is lost or set back."""
 
     async def play():
         async def act(message, reader, writer):
@@ -175,28 +182,28 @@
 
         late, new = asyncio.Event(), asyncio.Event()
         fake = await Fake(act).start()
-        heard = []
-        watcher = asking(fake, 40, heard, SHORT)
-        watcher.watch(on=True)
-        watcher.timeouts = USUAL  # only the first call is overdue soon
+        updates = []
+        client = discovery_client(fake, 40, updates, SHORT_TIMEOUTS)
+        client.watch(on=True)
+        client.timeouts = DEFAULT_TIMEOUTS  # only the first call is overdue soon
         await until(lambda: len(fake.got) == 2)
         for event in (late, new) if late_first else (new, late):
-            count = len(heard)
+            count = len(updates)
             event.set()
-            await until(lambda: len(heard) > count)  # noqa: B023
-        drained = {listed.name for told in heard for listed in told.entries}
-        assert drained == {"s1", "s2"} and watcher.version == 42
-        assert [told.version for told in heard] == ([41, 42] if late_first else [42, 42])
+            await until(lambda: len(updates) > count)  # noqa: B023
+        drained = {listed.name for told in updates for listed in told.entries}
+        assert drained == {"s1", "s2"} and client.version == 42
+        assert [told.version for told in updates] == ([41, 42] if late_first else [42, 42])
         await until(lambda: len(fake.got) > 2)
         assert "after=42&" in fake.got[2].first
-        watcher.close()
+        client.close()
 
     run(play())
 
 
 @pytest.mark.parametrize("late", [False, True], ids=["asked-again", "answered-late"])
-def test_a_whole_list_that_does_not_come_is_told_as_failed_and_asked_for_again(late):
-    """The module says when, as after any failure; what the late call still says is taken until then."""
+def test_a_complete_list_that_does_not_come_counts_as_failed_and_is_fetched_again(late):
+    """The balancer says when, as after any failure; a late answer is applied until then."""
 
     async def play():
         async def act(message, reader, writer):
@@ -209,26 +216,26 @@
 
         go = asyncio.Event()
         fake = await Fake(act).start()
-        heard = []
-        watcher = asking(fake, None, heard, SHORT)
-        watcher.watch(on=True)
-        watcher.timeouts = USUAL  # only the first call is overdue soon
-        await until(lambda: heard)
-        assert heard == [None] and not watcher.watching and len(fake.got) == 1
+        updates = []
+        client = discovery_client(fake, None, updates, SHORT_TIMEOUTS)
+        client.watch(on=True)
+        client.timeouts = DEFAULT_TIMEOUTS  # only the first call is overdue soon
+        await until(lambda: updates)
+        assert updates == [None] and not client.watching and len(fake.got) == 1
         if late:
             go.set()
         else:
-            watcher.watch(on=True)
-        await until(lambda: len(heard) > 1)
-        assert heard[1].complete and watcher.version == 3 and watcher.watching
+            client.watch(on=True)
+        await until(lambda: len(updates) > 1)
+        assert updates[1].complete and client.version == 3 and client.watching
         await until(lambda: "after=3&" in fake.got[-1].first)
-        watcher.close()
+        client.close()
 
     run(play())
 
 
-def test_a_fault_in_taking_what_a_late_call_says_leaves_a_watch_or_a_failure():
-    """The module has the news by then and takes it for watching: without either it would never ask again."""
+def test_a_fault_in_applying_a_late_answer_leaves_a_watch_or_a_failure():
+    """The balancer has the update by then and counts on a watch: without either it would never poll again."""
 
     async def play():
         async def act(message, reader, writer):
@@ -239,38 +246,38 @@
                 await reader.read()
 
         def take(told):
-            heard.append(told)
+            updates.append(told)
             if told is not None:
                 raise RuntimeError("as if a carrier had a fault")
 
         go = asyncio.Event()
         fake = await Fake(act).start()
-        heard = []
-        watcher = DiscoveryClient(
+        updates = []
+        client = DiscoveryClient(
             asyncio.get_running_loop(),
-            calls,
+            connect,
             (HOST, fake.port),
-            names(),
+            endpoint_ids(),
             None,
             take,
             pushed=False,
-            timeouts=SHORT,
+            timeouts=SHORT_TIMEOUTS,
         )
-        watcher.watch(on=True)
-        watcher.timeouts = USUAL  # only the first call is overdue soon
-        await until(lambda: heard)
+        client.watch(on=True)
+        client.timeouts = DEFAULT_TIMEOUTS  # only the first call is overdue soon
+        await until(lambda: updates)
         go.set()
-        await until(lambda: len(heard) > 1)
+        await until(lambda: len(updates) > 1)
         # The fault ends the connection as well, and so the call that has just begun on it: that is told.
-        await until(lambda: watcher.watching or heard[-1] is None)
-        assert len(heard) == 2 or heard[2:] == [None]
-        watcher.close()
+        await until(lambda: client.watching or updates[-1] is None)
+        assert len(updates) == 2 or updates[2:] == [None]
+        client.close()
 
     run(play())
 
 
-def test_a_call_beside_a_silent_watch_that_is_silent_too_is_followed_by_another_at_once():
-    """The first two calls are never answered: the third is made before the module is asked for a time."""
+def test_a_resync_beside_a_stalled_poll_that_stalls_too_is_followed_by_another_at_once():
+    """The first two polls are never answered: the third is sent before the balancer schedules one."""
 
     async def play():
         async def act(message, reader, writer):
@@ -280,17 +287,17 @@
                 writer.write(listing(41, entry("s1", f"{HOST}:7", "DRAINING")))
 
         fake = await Fake(act).start()
-        heard = []
-        watcher = asking(fake, 40, heard, SHORT)
-        watcher.watch(on=True)
-        await until(lambda: heard)
-        watcher.timeouts = USUAL  # only the first two calls are overdue soon
+        updates = []
+        client = discovery_client(fake, 40, updates, SHORT_TIMEOUTS)
+        client.watch(on=True)
+        await until(lambda: updates)
+        client.timeouts = DEFAULT_TIMEOUTS  # only the first two calls are overdue soon
         await until(lambda: len(fake.got) == 4)
-        assert [told and told.version for told in heard] == [None, 41] and watcher.watching
+        assert [told and told.version for told in updates] == [None, 41] and client.watching
         targets = [got.first.split()[1] for got in fake.got]
         assert targets[1:3] == ["/api/targets"] * 2
         assert "after=40&" in targets[0] and "after=41&" in targets[3]
-        watcher.close()
+        client.close()
 
     run(play())
 
@@ -301,17 +308,17 @@
             writer.write(reply(503, b"") if len(fake.got) < 4 else listing(41))
 
         fake = await Fake(act).start()
-        heard = []
-        asker = asking(fake, 0, heard)
+        updates = []
+        client = discovery_client(fake, 0, updates)
         for count in range(1, 6):
-            asker.fetch()
-            await until(lambda: len(heard) == count)  # noqa: B023
-        asker.close()
+            client.fetch()
+            await until(lambda: len(updates) == count)  # noqa: B023
+        client.close()
 
-    said = []
-    monkeypatch.setattr(log, "sink", lambda level, event, fields: said.append((level, event, fields)))
+    logged = []
+    monkeypatch.setattr(log, "sink", lambda level, event, fields: logged.append((level, event, fields)))
     run(play())
-    assert said == [
+    assert logged == [
         ("warning", "discovery_failed", {"reason": "answer 503"}),
         ("info", "discovery_recovered", {}),
     ]
@@ -328,32 +335,32 @@
 
         times = []
         fake = await Fake(act).start()
-        heard = []
-        watcher = asking(fake, 40, heard)
-        watcher.watch(on=True)
-        watcher.watch(on=True)  # no second one beside it
+        updates = []
+        client = discovery_client(fake, 40, updates)
+        client.watch(on=True)
+        client.watch(on=True)  # no second one beside it
         await until(lambda: len(fake.got) == 4)
         assert [got.first.split("after=")[1].split("&")[0] for got in fake.got] == ["40", "41", "42", "43"]
-        assert not any(news.complete for news in heard)
-        watcher.close()
+        assert not any(news.complete for news in updates)
+        client.close()
 
     run(play())
 
 
-def test_a_fetch_asks_for_the_whole_list():
+def test_a_fetch_gets_the_complete_list():
     async def play():
-        fake = await Fake(say(listing(7))).start()
-        heard = []
-        asker = asking(fake, 0, heard)
-        asker.fetch()
-        await until(lambda: heard)
-        assert heard[0].complete and fake.got[0].first == "GET /api/targets HTTP/1.1"
-        asker.close()
+        fake = await Fake(answer_with(listing(7))).start()
+        updates = []
+        client = discovery_client(fake, 0, updates)
+        client.fetch()
+        await until(lambda: updates)
+        assert updates[0].complete and fake.got[0].first == "GET /api/targets HTTP/1.1"
+        client.close()
 
     run(play())
 
 
-def test_pushed_lists_are_watched_again_after_a_failure_unasked(tmp_path, monkeypatch):
+def test_pushed_lists_are_watched_again_after_a_failure_without_the_balancer(tmp_path, monkeypatch):
     monkeypatch.setattr(timeouts, "MAX_RETRY_DELAY_S", 0.01)
 
     async def play():
@@ -374,9 +381,9 @@
     run(play())
 
 
-def test_a_drain_that_discovery_tells_stops_sends_and_ends_no_request(tmp_path):
+def test_a_drain_from_discovery_stops_sends_and_ends_no_request(tmp_path):
     async def play():
-        async def tell(message, reader, writer):
+        async def serve_discovery(message, reader, writer):
             if "after=1&" in message.first:
                 await go.wait()
                 change = entry("s1", old.address, "DRAINING"), entry("s2", new.address)
@@ -390,9 +397,9 @@
 
         go, finish = asyncio.Event(), asyncio.Event()
         old, new = await Fake(slow).start(), await Fake(answer_ok).start()
-        teller = await Fake(tell).start()
+        discovery_server = await Fake(serve_discovery).start()
         async with Sidecar(
-            tmp_path / "c", config(news(1, entry("s1", old.address)), teller.address)
+            tmp_path / "c", config(news(1, entry("s1", old.address)), discovery_server.address)
         ) as sidecar:
             held = asyncio.create_task(ask(sidecar.port, message("order", "ab")))
             await until(lambda: old.got)
@@ -407,7 +414,7 @@
     run(play())
 
 
-def test_a_server_that_left_the_list_is_forgotten(tmp_path):
+def test_a_server_removed_from_the_list_is_forgotten(tmp_path):
     async def play():
         fake = await Fake(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
@@ -422,8 +429,8 @@
     run(play())
 
 
-def test_entries_of_tomorrow_are_read_with_care():
-    got = parse_endpoint_update(news(1, entry("s1", f"{HOST}:7", "STARTING", zone="c")), names())
+def test_unknown_statuses_and_zones_are_read_as_draining_and_new():
+    got = parse_endpoint_update(news(1, entry("s1", f"{HOST}:7", "STARTING", zone="c")), endpoint_ids())
     assert got.entries[0].endpoint.state is State.DRAINING
     assert got.entries[0].endpoint.zone == 2
 
@@ -431,11 +438,11 @@
 @pytest.mark.parametrize(
     "text", ["", "host:1", "127.0.0.1", "127.0.0.1:", "127.0.0.1:x", "127.0.0.1:70000", None]
 )
-def test_what_is_no_address_is_refused(text):
+def test_what_is_no_address_is_rejected(text):
     with pytest.raises(ValueError):
         split_address(text)
     with pytest.raises(EndpointListError):
-        parse_endpoint_update(news(1, entry("s1", text)), names())
+        parse_endpoint_update(news(1, entry("s1", text)), endpoint_ids())
 
 
 def test_an_older_answer_sets_nothing_back():
@@ -453,15 +460,15 @@
 
         go = asyncio.Event()
         fake = await Fake(act).start()
-        heard = []
-        both = asking(fake, 40, heard)
+        updates = []
+        both = discovery_client(fake, 40, updates)
         both.watch(on=True)
         await until(lambda: fake.got)
         both.fetch()
-        await until(lambda: heard)
+        await until(lambda: updates)
         go.set()
-        await until(lambda: len(heard) == 2)
-        assert heard[1].version == both.version == 43 and not heard[1].entries and not heard[1].complete
+        await until(lambda: len(updates) == 2)
+        assert updates[1].version == both.version == 43 and not updates[1].entries and not updates[1].complete
         await until(lambda: len(fake.got) == 3)
         assert "after=43&" in fake.got[2].first
         both.close()
@@ -469,26 +476,26 @@
     run(play())
 
 
-def test_an_index_that_goes_back_asks_for_the_whole_list():
+def test_an_index_that_goes_back_leads_to_a_complete_list():
     async def play():
         async def act(message, reader, writer):
             writer.write(listing(3, entry("s1", f"{HOST}:7"), snapshot="after" not in message.first))
 
         fake = await Fake(act).start()
-        heard = []
-        watcher = asking(fake, 40, heard)
-        watcher.watch(on=True)
-        await until(lambda: heard)
-        watcher.watch(on=True)
-        await until(lambda: len(heard) > 1)
-        assert heard[0] is None and heard[1].complete and watcher.version == 3
-        watcher.close()
+        updates = []
+        client = discovery_client(fake, 40, updates)
+        client.watch(on=True)
+        await until(lambda: updates)
+        client.watch(on=True)
+        await until(lambda: len(updates) > 1)
+        assert updates[0] is None and updates[1].complete and client.version == 3
+        client.close()
 
     run(play())
 
 
 def test_an_unreadable_list_leaves_no_names_and_new_zones_are_bounded():
-    known = names()
+    known = endpoint_ids()
     with pytest.raises(EndpointListError):
         parse_endpoint_update(news(1, entry("s1", f"{HOST}:7", zone="new"), entry("s2", "nowhere")), known)
     assert not known.servers and len(known.zones) == 2
@@ -514,5 +521,5 @@
 def test_the_text_of_an_unreadable_list_is_that_of_earlier_versions(data, text):
     """Recorded from commit e51ca60: operators look for them in the log and in the line of a failed start."""
     with pytest.raises(EndpointListError) as caught:
-        parse_endpoint_update(data, names())
+        parse_endpoint_update(data, endpoint_ids())
     assert str(caught.value) == text
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -45,7 +45,7 @@
 }
 
 
-def test_every_fault_is_told_at_once_with_its_key_and_what_is_allowed(tmp_path):
+def test_every_error_is_reported_at_once_with_its_key_and_what_is_allowed(tmp_path):
     for text, fault in FAULTS.items():
         path = tmp_path / "one.toml"
         path.write_text(text)
@@ -128,7 +128,7 @@
         self.arguments = ["--config", str(self.file)]
 
 
-def test_orders_and_figures_by_the_command(tmp_path):
+def test_drain_and_statistics_by_the_command(tmp_path):
     async def play():
         async with Configured(
             tmp_path / "c", config(news(1)), f'[operators]\nlisten = "{HOST}:0"'
@@ -143,7 +143,7 @@
     run(play())
 
 
-def test_a_reload_is_taken_whole_or_not_at_all(tmp_path):
+def test_a_reload_is_applied_completely_or_not_at_all(tmp_path):
     async def play():
         fake = await Fake(silent).start()
         data = config(news(1, entry("s1", fake.address)))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -61,9 +61,9 @@
         if self.descriptors is not None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (self.descriptors, self.descriptors))
 
-    def _handed_over(self):
-        handed = {"GW_FD": str(self.inherited.fileno())} if self.inherited else {}
-        return {**handed, "TMPDIR": str(self.folder)} if self.folder else handed
+    def _inherited_environment(self):
+        environment = {"GW_FD": str(self.inherited.fileno())} if self.inherited else {}
+        return {**environment, "TMPDIR": str(self.folder)} if self.folder else environment
 
     async def __aenter__(self):
         self.process = await asyncio.create_subprocess_exec(
@@ -72,7 +72,7 @@
             "ochreflow",
             *self.arguments,
             cwd=ROOT,
-            env={**os.environ, "GW_CONFIG": str(self.path), **self._handed_over()},
+            env={**os.environ, "GW_CONFIG": str(self.path), **self._inherited_environment()},
             stderr=asyncio.subprocess.PIPE,
             preexec_fn=self._limit,
             pass_fds=[self.inherited.fileno()] if self.inherited else [],
@@ -114,7 +114,7 @@
         await self.process.wait()
 
 
-def test_a_planned_end_answers_what_is_held_and_what_still_comes(tmp_path):
+def test_a_graceful_shutdown_answers_pending_and_late_requests(tmp_path):
     async def play():
         async def act(message, reader, writer):
             if message.headers["x-request-id"] == "held":
@@ -328,7 +328,7 @@
 
 
 @pytest.mark.parametrize("kind", [Refusing, Unconnected, Discovery, Silent, Resetting, Unavailable])
-def test_readiness_waits_for_no_discovery(tmp_path, kind):
+def test_readiness_does_not_depend_on_discovery(tmp_path, kind):
     """Ready, and serving from the list of its configuration, with its first call open or broken."""
 
     async def play():
@@ -347,13 +347,13 @@
     run(play())
 
 
-@pytest.mark.parametrize("told", [False, True])
-def test_a_start_loads_nothing_that_only_other_configurations_need(tmp_path, told):
+@pytest.mark.parametrize("linked", [False, True])
+def test_a_start_loads_nothing_that_only_other_configurations_need(tmp_path, linked):
     """Guards the processor time of a start: what links to other processes is loaded where there are any."""
     with socket.socket(type=socket.SOCK_DGRAM) as sock:
         sock.bind((HOST, 0))
         port = sock.getsockname()[1]
-    data = config(news(1), **({"peer_listen": f"{HOST}:{port}"} if told else {}))
+    data = config(news(1), **({"peer_listen": f"{HOST}:{port}"} if linked else {}))
     (tmp_path / "c").write_text(json.dumps(data))
     code = """
 import os, signal, sys
@@ -369,7 +369,7 @@
 """
     env = {**os.environ, "GW_CONFIG": str(tmp_path / "c")}
     listening = socket.create_server((HOST, 0))
-    if told:
+    if linked:
         env |= {"GW_FD": str(listening.fileno()), "TMPDIR": str(tmp_path)}
     done = subprocess.run(
         [sys.executable, "-c", code],
@@ -386,8 +386,8 @@
     loaded = set(done.stdout.split())
     hot_restart = {f"ochreflow.app.hot_restart{part}" for part in ("", "_form", "_link")}
     links = hot_restart | {"ochreflow.membership.gossip"}
-    assert loaded & links == (links if told else set())
-    assert told or not loaded & {"pathlib", "urllib.parse", "ipaddress"}
+    assert loaded & links == (links if linked else set())
+    assert linked or not loaded & {"pathlib", "urllib.parse", "ipaddress"}
 
 
 def test_the_build_leaves_the_bytecode_of_all_that_a_start_loads(tmp_path):
@@ -456,7 +456,7 @@
     assert nested_settings(nested) == parse_settings(text)
 
 
-def test_a_new_configuration_turns_to_the_new_discovery_and_keeps_serving(tmp_path):
+def test_a_new_configuration_switches_to_the_new_discovery_and_keeps_serving(tmp_path):
     """Guards SIGHUP, which ended the process: whole list first, the old one let go, bad files ignored."""
 
     async def play():
@@ -500,7 +500,7 @@
     run(play())
 
 
-def test_the_listening_socket_is_taken_over_and_outlives_its_processes(tmp_path):
+def test_the_listening_socket_is_inherited_and_outlives_its_processes(tmp_path):
     """Two processes on the platform's socket: the old one ends, and no connection is refused."""
 
     async def play():
@@ -545,7 +545,7 @@
     assert done.stderr.startswith("ochreflow: GW_FD") and done.stderr.count("\n") == 1
 
 
-def test_operators_are_heard_at_their_own_address(tmp_path):
+def test_the_management_interface_has_its_own_address(tmp_path):
     async def play():
         data = config(news(1), management=f"{HOST}:0")
         async with Process(tmp_path / "c", data) as sidecar:
