--- a/ochreflow/cli/lab.py
+++ b/ochreflow/cli/lab.py
@@ -84,7 +84,7 @@
     """Play builds A and B on the same scenarios and seeds, and tell whether B is better.
 
     A build is "." (this checkout), a git revision, or either with constants changed, such as
-    ".,policy/outlier_detection.py:STRIKES=3.0".
+    ".,policy/slow_start.py:BURST_S=0.5".
     """
     try:
         from ..lab.compare import compare
