--- a/tests/duplicate_model.py
+++ b/tests/duplicate_model.py
@@ -128,7 +128,7 @@
         self.settings = settings
         self.requests = {}
         self.groups = {}  # server -> its groups by scope, as last published
-        self.findings = []  # one a violation; not raised, since the engine survives exceptions of what it calls
+        self.findings = []  # violations; not raised, since the engine survives exceptions of what it calls
 
     def first_byte(self, now, call, server):
         request = self.requests[call.request_id]
