--- /dev/null
+++ b/tests/engine_simulation.py
@@ -0,0 +1,122 @@
+"""The core and the decision module over a simulated loop, transport and clients, judged by a rule."""
+
+import itertools
+
+from duplicate_rule import DuplicateRule, RequestRecord
+from helpers import MS, SECOND
+from simulated_loop import SimulatedLoop
+from simulated_transport import SimulatedClients, SimulatedTransport
+
+from ochreflow.core.body import Body
+from ochreflow.core.endpoints import EndpointIds, EndpointRecord, EndpointUpdate
+from ochreflow.core.engine import Engine
+from ochreflow.core.limits import MB, Descriptors, Memory, Usage
+from ochreflow.core.ports import IncomingRequest
+from ochreflow.policy.interface import Effect, Endpoint, RequestClass, Scope, Settings, State
+
+CLASSES = {
+    "safe": (Effect.IDEMPOTENT, Scope.ALL),
+    "keyed everywhere": (Effect.IDEMPOTENT_WITH_KEY, Scope.ALL),
+    "keyed by zone": (Effect.IDEMPOTENT_WITH_KEY, Scope.ZONE),
+    "keyed by cell": (Effect.IDEMPOTENT_WITH_KEY, Scope.CELL),
+    "unsafe": (Effect.NON_IDEMPOTENT, Scope.ALL),
+}
+WINDOW_NS = 900 * MS
+DEADLINE_NS = 2 * SECOND
+ANSWER_SLACK_NS = 20 * MS  # after its deadline a request counts as not answered
+
+
+def simulated_settings(names, **more):
+    classes = [
+        RequestClass(name, 500 * MS, DEADLINE_NS, 1.0, 0.2, *CLASSES[name], window_ns=WINDOW_NS)
+        for name in names
+    ]
+    values = {
+        "classes": classes,
+        "zones": ["a", "b"],
+        "max_attempts": 4,
+        "hedging": True,
+        "can_cancel": True,
+        "start_capacity": 0.2,
+        "warm_up_ns": 10 * SECOND,
+        "retry_after": True,
+        "max_retry_after_ns": SECOND,
+    }
+    values.update(more)
+    return Settings(**values)
+
+
+class EngineSimulation:
+    """An engine over all of it, with servers 1 to `servers` in two zones and three cells."""
+
+    def __init__(self, classes=("unsafe",), servers=6, seed=1, **more):
+        self.settings = simulated_settings(classes, **more)
+        self.loop = SimulatedLoop()
+        self.rule = DuplicateRule(self.settings)
+        self.upstream_transport = SimulatedTransport(self.loop, self.rule)
+        self.clients = SimulatedClients(self.rule)
+        usage = Usage(Descriptors(1000), Memory(64 * MB))
+        self.engine = Engine(
+            self.loop, self.settings, usage, EndpointIds(["a", "b"], ["k"]), max_open=1000, seed=seed
+        )
+        self.engine.clock.now = lambda: self.loop.now
+        self.frontend_binding = self.engine.bind_frontend("simulated", self.clients, self.upstream_transport)
+        self.endpoints = {
+            number: Endpoint(number, number % 2, 0, number % 3, State.READY)
+            for number in range(1, servers + 1)
+        }
+        self.version = 0
+        self.names = itertools.count()
+        self.publish()
+
+    def publish(self):
+        """Send the complete endpoint list as it is now."""
+        self.version += 1
+        entries = []
+        for number, known in self.endpoints.items():
+            endpoint = Endpoint(
+                number, known.zone, known.kind, known.cell, known.state, 1.0, known.started_ns
+            )
+            since_ms = known.started_ns // MS
+            entries.append(EndpointRecord(f"s{number}", endpoint, ("host", number), since_ms))
+            self.engine.endpoints.ids.servers[f"s{number}"] = number
+            self.rule.groups[number] = {Scope.ZONE: known.zone, Scope.CELL: known.cell}
+        self.engine.on_endpoint_update(EndpointUpdate(self.version, True, entries))
+
+    def submit(self, cls=0, complete=True, name=None):
+        """A request comes; with `complete` false, its body goes on coming."""
+        name = next(self.names) if name is None else name
+        body = Body(self.engine.memory, None)
+        body.add(b"x")
+        if complete:
+            body.end()
+        spec = self.settings.classes[cls]
+        call = IncomingRequest(
+            name, cls, 0, 0, DEADLINE_NS, self.loop.now + DEADLINE_NS, 0, False, True, body
+        )
+        self.rule.requests[name] = RequestRecord(call, spec)
+        self.engine.requests.accept(self.frontend_binding, self.clients, call)
+        return call
+
+    def end_body(self, call):
+        call.deadline_ns = self.loop.now + call.timeout_ns
+        call.body.end()
+        self.engine.requests.body_ended(call)
+
+    def disconnect_client(self, call):
+        self.rule.requests[call.request_id].client_disconnected = True
+        self.clients.disconnected_ids.add(call.request_id)
+        call.body.discard()
+        self.engine.requests.client_disconnected(call)
+
+    def attempt(self, call, number=-1):
+        """An attempt of a request, by its place among those in flight."""
+        return [one for one in self.upstream_transport.out if one.call is call][number]
+
+    def run(self, ns):
+        self.loop.run_until(self.loop.now + ns)
+
+    def finish(self):
+        """Let all time pass that anyone may wait."""
+        self.run(DEADLINE_NS + ANSWER_SLACK_NS)
+        self.rule.check_at_end()
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -6,7 +6,7 @@
 from dataclasses import FrozenInstanceError
 
 import pytest
-from duplicate_model import WINDOW, EngineSimulation
+from engine_simulation import WINDOW_NS, EngineSimulation
 from helpers import MS, SECOND, kinds, make, play_timers, send_one
 
 from ochreflow.core.stats import Disposition
@@ -25,7 +25,7 @@
     StreamStarted,
 )
 
-AFTER = 300 * MS  # enough for a retry that is allowed to be scheduled and sent
+RETRY_TIME_NS = 300 * MS  # enough for a retry that is allowed to be scheduled and sent
 
 
 def dispositions(simulation, call):
@@ -60,7 +60,7 @@
     moved(simulation, attempt.server, how)
     simulation.upstream_transport.pooled = True
     attempt.answer(Status.RESET)
-    simulation.run(AFTER)
+    simulation.run(RETRY_TIME_NS)
     assert len(copies(simulation, call)) > 1
     simulation.finish()
 
@@ -74,7 +74,7 @@
     attempt.connect()
     simulation.upstream_transport.pooled = True
     attempt.answer(Status.RESET)
-    simulation.run(AFTER)
+    simulation.run(RETRY_TIME_NS)
     assert len(copies(simulation, call)) > 1
     simulation.finish()
 
@@ -87,7 +87,7 @@
     simulation.upstream_transport.blocked = True
     attempt = simulation.attempt(call)
     attempt.connect()
-    simulation.run(WINDOW - 100 * MS)
+    simulation.run(WINDOW_NS - 100 * MS)
     attempt.finish()
     simulation.upstream_transport.blocked = False
     simulation.upstream_transport.pooled = True
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -4,7 +4,7 @@
 """
 
 import pytest
-from duplicate_model import CLASSES, DEADLINE, EngineSimulation
+from engine_simulation import CLASSES, DEADLINE_NS, EngineSimulation
 from helpers import MS, kinds
 
 from ochreflow.core.ports import Reason
@@ -21,7 +21,7 @@
     name for name, (effect, scope) in CLASSES.items() if effect != Effect.IDEMPOTENT and scope != Scope.ALL
 ]
 UNINVITING.append("unsafe")
-AFTER = 300 * MS  # enough for a retry that is allowed to be scheduled and sent
+RETRY_TIME_NS = 300 * MS  # enough for a retry that is allowed to be scheduled and sent
 
 
 def responses(simulation, call):
@@ -67,7 +67,7 @@
     simulation.upstream_transport.starts_fail = "before"
     call = simulation.submit()
     failed_attempt = simulation.attempt(call)
-    simulation.run(AFTER)
+    simulation.run(RETRY_TIME_NS)
     failed_attempt.connect()  # it was begun after all: what has been given up must not be written any more
     assert not copies(simulation, call)
     simulation.attempt(call).connect()
@@ -81,7 +81,7 @@
     simulation.upstream_transport.starts_fail = "before"
     call = simulation.submit()
     failed_attempt = simulation.attempt(call)
-    simulation.run(DEADLINE)
+    simulation.run(DEADLINE_NS)
     events = []
     handle = simulation.engine.balancer.handle
     simulation.engine.balancer.handle = lambda now, event: events.append(event) or handle(now, event)
@@ -170,7 +170,7 @@
         simulation.attempt(call).begin()
     if how == "SIGTERM":
         simulation.engine.lifecycle._give_final_answers()
-    simulation.run(DEADLINE + 50 * MS)
+    simulation.run(DEADLINE_NS + 50 * MS)
     if reached == "whole, then answered":
         assert not responses(simulation, call)  # its answer flows on, at its client's pace
         return
@@ -186,7 +186,7 @@
     for status in ends:
         simulation.attempt(call).connect()
         simulation.attempt(call).answer(status)
-        simulation.run(AFTER)
+        simulation.run(RETRY_TIME_NS)
         if not simulation.upstream_transport.out:
             break
     simulation.finish()
--- a/tests/test_duplicate_faults.py
+++ b/tests/test_duplicate_faults.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 import pytest
-from duplicate_model import CLASSES, EngineSimulation
+from engine_simulation import CLASSES, EngineSimulation
 from helpers import MS
 
 from ochreflow.policy import (
--- a/tests/test_duplicate_machine.py
+++ b/tests/test_duplicate_machine.py
@@ -6,7 +6,7 @@
 """
 
 import pytest
-from duplicate_model import CLASSES, EngineSimulation
+from engine_simulation import CLASSES, EngineSimulation
 from helpers import MS
 from hypothesis import settings
 from hypothesis import strategies as st
