--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -34,7 +34,7 @@
     parser.add_argument("--addresses", type=int, default=10_000_000)
     count = parser.parse_args().addresses
     admission: ConnectionAdmission[int] = ConnectionAdmission(Limits(), lambda: 1000)
-    figures: dict[str, float] = {"addresses": count, "before_kib": resident_kib()}
+    metrics: dict[str, float] = {"addresses": count, "before_kib": resident_kib()}
     began = perf_counter()
     admitted = 0
     for number in range(count):
@@ -46,9 +46,9 @@
                 admission.request_completed(now, number)
             admission.connection_closed(number)
         if number == count // 10:
-            figures["after_a_tenth_kib"] = resident_kib()
-    figures |= {"after_kib": resident_kib(), "let_in": admitted, "remembered": len(admission.absent)}
-    print(json.dumps({**figures, "us_for_each": round((perf_counter() - began) / count * 1e6, 2)}))
+            metrics["after_a_tenth_kib"] = resident_kib()
+    metrics |= {"after_kib": resident_kib(), "let_in": admitted, "remembered": len(admission.absent)}
+    print(json.dumps({**metrics, "us_for_each": round((perf_counter() - began) / count * 1e6, 2)}))
 
 
 if __name__ == "__main__":
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -94,13 +94,15 @@
         flood.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await flood
-    wanted = {name: spec.objective_s for name, spec in scenario.request_classes.items()}
-    took = [(kind, time) for kind, one in result.report.logical_requests.items() for time in one.values()]
-    in_time = sum(time is not None and time <= wanted[kind] for kind, time in took)
+    targets = {name: spec.objective_s for name, spec in scenario.request_classes.items()}
+    latencies = [
+        (kind, time) for kind, one in result.report.logical_requests.items() for time in one.values()
+    ]
+    in_time = sum(time is not None and time <= targets[name] for name, time in latencies)
     p99 = max(found.percentile(0.99) for found in result.report.latency.values())
     return {
-        "asked": len(took),
-        "in_time": round(in_time / len(took), 4),
+        "asked": len(latencies),
+        "in_time": round(in_time / len(latencies), 4),
         "p99_ms": round(p99 * 1000),
         "unanswered": sum(counts["lost"] for counts in result.report.by_class.values()),
         "crashed": result.crashes,
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -193,9 +193,9 @@
             return
         self.process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WEXITED | os.WNOWAIT)
-        self.hold(begin, self.times()[0] - before)
+        self.throttle(begin, self.times()[0] - before)
 
-    def hold(self, begin: float, used: float) -> None:
+    def throttle(self, begin: float, used: float) -> None:
         """Leave it stopped until `used` seconds of processor time are its share of the time since `begin`."""
         if (remaining := begin + used / self.share - perf_counter()) > 0.0:
             self.look(remaining)
@@ -209,7 +209,7 @@
         if share < 1:  # what it ran already counts
             process.send_signal(signal.SIGSTOP)
             os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WEXITED | os.WNOWAIT)
-            throttled.hold(begun, throttled.times()[0])
+            throttled.throttle(begun, throttled.times()[0])
         while not throttled.ready_at:
             if perf_counter() - begun > MAX_START_S:
                 return Start(float("inf"), *throttled.times())
--- a/benchmarks/worse_builds.py
+++ b/benchmarks/worse_builds.py
@@ -64,14 +64,14 @@
         for name, scenario in scenarios.items()
         for build, program in builds.items()
     ]
-    worth: dict[str, dict[tuple[str, int], float]] = defaultdict(dict)
+    scores: dict[str, dict[tuple[str, int], float]] = defaultdict(dict)
     broken: dict[str, int] = defaultdict(int)
     for result in play_jobs(simulate, work, jobs):
-        worth[result["build"]][result["scenario"], result["seed"]] = result["worth"]
+        scores[result["build"]][result["scenario"], result["seed"]] = result["worth"]
         broken[result["build"]] += result["verdict"] == "broken"
     ranking: dict[str, object] = {}
-    reference = worth["as it is"]
-    for build, found in worth.items():
+    reference = scores["as it is"]
+    for build, found in scores.items():
         differences = [found[key] - reference[key] for key in sorted(reference)]
         by_scenario = {
             name: round(sum(found[name, seed] for seed in range(1, seeds + 1)) / seeds, 4)
