--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -96,7 +96,7 @@
             await flood
     targets = {name: spec.objective_s for name, spec in scenario.request_classes.items()}
     latencies = [
-        (kind, time) for kind, one in result.report.logical_requests.items() for time in one.values()
+        (name, time) for name, one in result.report.logical_requests.items() for time in one.values()
     ]
     in_time = sum(time is not None and time <= targets[name] for name, time in latencies)
     p99 = max(found.percentile(0.99) for found in result.report.latency.values())
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
 """The tests that KNOWN-RED.txt lists are expected to fail; the list itself is tested too (see DEVELOPERS.md).
 
-A complete entry among the first `MOST` is pytest's own strict `xfail`: its test is run, its failure does
-not count, its passing does. No other test may be passed over so. The list is collected as a test file
+A complete entry among the first `MAX_ENTRIES` is pytest's own strict `xfail`: its test is run, its failure
+does not count, its passing does. No other test may be passed over so. The list is collected as a test file
 (`testpaths` names it), an entry a test: so the whole run judges it and ends in pytest's closing line, and a
 run of one test file does not judge entries of others.
 
@@ -16,13 +16,15 @@
 
 import pytest
 
-MOST = 3
+MAX_ENTRIES = 3
 COLLECTED_ID = pytest.StashKey[str]()  # a test's id; pytest-xdist appends the name of its group to `nodeid`
 WORKER_OUTPUT = "known_red_collected"  # the listed tests that a worker has collected
 
 
 @dataclass(frozen=True)
 class Entry:
+    """One line of the list."""
+
     line: int  # counted from 1
     test: str  # pytest's id of it
     cause: str
@@ -32,17 +34,18 @@
         return " | ".join((self.test, self.cause, self.issue))
 
     def missing(self) -> list[str]:
+        """Name the fields that are empty."""
         return [name for name in ("test", "cause", "issue") if not getattr(self, name)]
 
 
-def entries(text: str) -> list[Entry]:
-    """Split from the right: the id of a test may hold what separates."""
-    found = []
+def parse_entries(text: str) -> list[Entry]:
+    """Read all entries; each line is split from the right, as the id of a test may hold the separator."""
+    parsed = []
     for number, line in enumerate(text.splitlines(), 1):
         if line.strip() and not line.lstrip().startswith("#"):
             parts = [part.strip() for part in line.rsplit("|", 2)]
-            found.append(Entry(number, *parts, *[""] * (3 - len(parts))))
-    return found
+            parsed.append(Entry(number, *parts, *[""] * (3 - len(parts))))
+    return parsed
 
 
 class EntryError(Exception):
@@ -57,9 +60,10 @@
         self.entry, self.known_red = entry, known_red
 
     def runtest(self) -> None:
-        found = self.known_red.faults(self.entry)
-        if found:
-            raise EntryError(f"line {self.entry.line}: {'; '.join(found)}: {self.entry}")
+        """Raise EntryError with all faults of the entry."""
+        faults = self.known_red.faults(self.entry)
+        if faults:
+            raise EntryError(f"line {self.entry.line}: {'; '.join(faults)}: {self.entry}")
 
     def repr_failure(self, excinfo: pytest.ExceptionInfo[BaseException], style=None):
         return str(excinfo.value) if excinfo.errisinstance(EntryError) else super().repr_failure(excinfo)
@@ -69,6 +73,8 @@
 
 
 class ListFile(pytest.File):
+    """The list as a test file, with an item for each entry."""
+
     known_red: "KnownRed"
 
     def collect(self) -> Iterator[EntryItem]:
@@ -83,20 +89,21 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.entries = entries(path.read_text()) if path.exists() else []
-        self.expected = {entry.test: entry for entry in self.entries[:MOST] if not entry.missing()}
+        self.entries = parse_entries(path.read_text()) if path.exists() else []
+        self.expected = {entry.test: entry for entry in self.entries[:MAX_ENTRIES] if not entry.missing()}
         self.collected: set[str] = set()  # in this process, or listed ones in a worker
 
     def faults(self, entry: Entry) -> list[str]:
-        found = [f"no {name}" for name in entry.missing()]
-        place = self.entries.index(entry)
-        if place >= MOST:
-            found.append(f"entry {place + 1} of {MOST} at most")
-        if entry.test in [other.test for other in self.entries[:place]]:
-            found.append("listed before")
+        """Say all that is wrong with an entry, once all tests are collected."""
+        faults = [f"no {name}" for name in entry.missing()]
+        position = self.entries.index(entry)
+        if position >= MAX_ENTRIES:
+            faults.append(f"entry {position + 1} of {MAX_ENTRIES} at most")
+        if entry.test in [other.test for other in self.entries[:position]]:
+            faults.append("listed before")
         if entry.test and entry.test not in self.collected:
-            found.append("names no collected test")
-        return found
+            faults.append("names no collected test")
+        return faults
 
     def pytest_collect_file(self, file_path: Path, parent: pytest.Collector) -> pytest.Collector | None:
         if file_path != self.path:
@@ -138,8 +145,8 @@
         self.collected.update(getattr(node, "workeroutput", {}).get(WORKER_OUTPUT, ()))
 
     def pytest_terminal_summary(self, terminalreporter) -> None:
-        met = [entry for test, entry in self.expected.items() if test in self.collected]
-        if met:
+        listed = [entry for test, entry in self.expected.items() if test in self.collected]
+        if listed:
             terminalreporter.section(f"known red ({self.path.name})")
-        for entry in met:
+        for entry in listed:
             terminalreporter.write_line(str(entry))
