--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""The instants in which something is still owed: each crossing is held by a peer and let go by the test."""
+"""Clients that disconnect and the end of a process: a fake server holds each race open until its moment."""
 
 import asyncio
 import socket
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half-close"])
-def test_what_waits_behind_others_is_not_sent_once_its_client_has_left_unread(tmp_path, how):
+def test_a_queued_request_is_not_sent_once_its_client_has_disconnected_unread(tmp_path, how):
     """So many wait that the client is read no further: its end lies behind bytes that nobody reads."""
 
     async def play():
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "half-close"])
-def test_a_request_whose_client_left_before_it_was_accepted_is_not_sent(tmp_path, how):
+def test_a_request_whose_client_disconnected_before_it_was_accepted_is_not_sent(tmp_path, how):
     """It lies in the backlog of the listening socket, whole, with its client's end behind it."""
 
     async def play():
@@ -77,20 +77,20 @@
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
             # A connection to the server stands idle: what is taken is written at once.
             assert (await ask(sidecar.port, message("order", "first"))).code == 200
-            with socket.create_server((HOST, 0)) as door:
-                port = door.getsockname()[1]
+            with socket.create_server((HOST, 0)) as listener:
+                port = listener.getsockname()[1]
                 _, writer = await asyncio.open_connection(HOST, port)
                 writer.write(message("order", "gone"))
                 await writer.drain()
                 await leave(writer, how)
-                came = []
+                arrived = []
 
                 def connection():
-                    came.append(sidecar.http.connection())
-                    return came[-1]
+                    arrived.append(sidecar.http.connection())
+                    return arrived[-1]
 
-                server = await asyncio.get_running_loop().create_server(connection, sock=door)
-                await until(lambda: came and came[0].closed)
+                server = await asyncio.get_running_loop().create_server(connection, sock=listener)
+                await until(lambda: arrived and arrived[0].closed)
                 server.close()
             assert (await ask(sidecar.port, message("order", "other"))).code == 200
         assert [got.headers["x-request-id"] for got in fake.got] == ["first", "other"]
@@ -99,7 +99,9 @@
     run(play())
 
 
-def test_what_is_written_in_part_is_cut_when_its_client_leaves_even_where_nothing_may_be_called_off(tmp_path):
+def test_a_partly_written_request_is_truncated_when_its_client_disconnects_even_without_cancellation(
+    tmp_path,
+):
     async def play():
         server = await DualProtocolServer(lambda name: "ok").start()
         data = config(news(1, entry("s1", server.address)))
@@ -111,10 +113,10 @@
             lines.server = await loop.create_server(lambda: LineClient(lines), HOST, 0)
             _, writer = await asyncio.open_connection(HOST, lines.server.sockets[0].getsockname()[1])
             writer.write(b"order half 3000\n")
-            carriages = lines.upstream_transport.waiting
+            upstream_attempts = lines.upstream_transport.waiting
             await until(
                 lambda: any(
-                    upstream_attempt.begun for made in carriages.values() for upstream_attempt in made
+                    upstream_attempt.begun for made in upstream_attempts.values() for upstream_attempt in made
                 )
             )
             writer.close()
@@ -122,13 +124,13 @@
                 await until(
                     lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
                 )
-            (upstream_attempt,) = next(iter(carriages.values()))
+            (upstream_attempt,) = next(iter(upstream_attempts.values()))
             assert upstream_attempt.observer is None and upstream_attempt.transport.is_closing()
 
     run(play())
 
 
-def test_a_request_that_comes_after_all_held_ones_were_answered_gets_its_answer_too(tmp_path, monkeypatch):
+def test_a_request_that_comes_after_all_pending_ones_were_answered_gets_its_answer_too(tmp_path, monkeypatch):
     """The server hangs; the client whose answer the end gave at once sends again on another connection."""
     monkeypatch.setattr(lifecycle, "ANSWER_BEFORE_KILL_S", 4.6)  # 0.1 s after SIGTERM with deadlines of 4 s
     monkeypatch.setattr(lifecycle, "MAX_DEADLINE_S", 4.0)
@@ -140,11 +142,11 @@
         fake = await Fake(hang).start()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
             open_before = await asyncio.open_connection(HOST, sidecar.port)
-            held = asyncio.create_task(ask(sidecar.port, message("order", "held")))
+            pending = asyncio.create_task(ask(sidecar.port, message("order", "held")))
             await until(lambda: fake.got)
             await until(lambda: len(sidecar.http.clients.connections) == 2)
             sidecar.engine.lifecycle.terminate()
-            assert (await held).code in (502, 504)
+            assert (await pending).code in (502, 504)
             open_before[1].write(message("order", "again"))
             async with asyncio.timeout(WAIT):
                 got = await read_message(open_before[0])
@@ -156,17 +158,17 @@
     run(play())
 
 
-def test_an_answer_that_is_written_in_the_turn_of_the_end_still_reaches_its_client(tmp_path):
+def test_an_answer_that_is_written_in_the_last_loop_iteration_still_reaches_its_client(tmp_path):
     async def play():
         async def hang(message, reader, writer):
             await reader.read()
 
         fake = await Fake(hang).start()
         async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            held = asyncio.create_task(ask(sidecar.port, message("order", "held")))
+            pending = asyncio.create_task(ask(sidecar.port, message("order", "held")))
             await until(lambda: fake.got)
             sidecar.engine.lifecycle.answer_pending()  # what it writes waits for the turn to end
             sidecar.close()
-            assert (await held).code in (502, 504)
+            assert (await pending).code in (502, 504)
 
     run(play())
