--- a/tests/test_accept_throttle.py
+++ b/tests/test_accept_throttle.py
@@ -10,9 +10,9 @@
 import socket
 
 import pytest
+from disconnecting_clients import HOW, connect, leave
 from hypothesis import given
 from hypothesis import strategies as st
-from leaving import HOW, connect, leave
 from net_helpers import (
     HOST,
     Fake,
--- a/tests/test_answered_at_the_end.py
+++ b/tests/test_answered_at_the_end.py
@@ -9,7 +9,7 @@
 import socket
 
 import pytest
-from leaving import Server, connect, front_of
+from disconnecting_clients import Server, connect, front_of
 from net_helpers import (
     HOST,
     WAIT,
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -9,7 +9,17 @@
 import time
 
 import pytest
-from leaving import BLOCKED, HOW, RULE, Server, connect, end_can_be_read, front_of, leave, leave_unseen
+from disconnecting_clients import (
+    BLOCKED,
+    HOW,
+    RULE,
+    Server,
+    connect,
+    end_can_be_read,
+    front_of,
+    leave,
+    leave_unseen,
+)
 from net_helpers import HOST, Sidecar, ask, config, entry, message, news, reply, run, until
 
 from ochreflow.core.body import MAX_BUFFERED_BYTES
--- a/tests/test_client_left_attempts.py
+++ b/tests/test_client_left_attempts.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from leaving import BLOCKED, HOW, HeldLoop, Server, connect, front_of, leave, leave_unseen
+from disconnecting_clients import BLOCKED, HOW, HeldLoop, Server, connect, front_of, leave, leave_unseen
 from net_helpers import Sidecar, ask, config, entry, message, news, run, until
 
 from ochreflow.core.body import MAX_BUFFERED_BYTES
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -9,8 +9,8 @@
 from contextlib import asynccontextmanager
 
 import pytest
+from disconnecting_clients import Server, connect, end_can_be_read, front_of
 from httptools import HttpRequestParser
-from leaving import Server, connect, end_can_be_read, front_of
 from net_helpers import (
     HOST,
     WAIT,
