--- a/ochreflow/http/management.py
+++ b/ochreflow/http/management.py
@@ -8,7 +8,7 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Protocol
+from typing import Protocol, cast
 
 import httptools
 
@@ -134,7 +134,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start the time limit for the call."""
-        self.transport = transport  # type: ignore[assignment]
+        self.transport = cast(asyncio.Transport, transport)
         self.timer = self.management.loop.call_later(READ_TIMEOUT_S, self._expire)
         self.management.admit(self)
 
