--- a/tests/test_accept_throttle.py
+++ b/tests/test_accept_throttle.py
@@ -189,7 +189,7 @@
             flood = [from_address(f"127.1.{number}.1") for number in range(100)]
             for one in flood:
                 await loop.sock_connect(one, (HOST, process.port))
-            await process.heard(b"no descriptor")
+            await process.heard(b"no file descriptor")
             writer.write(message("order", "b"))
             assert (await read_message(reader)).code == 200
             process.process.send_signal(signal.SIGTERM)
@@ -214,7 +214,7 @@
             flood = [from_address(f"127.1.{number}.1") for number in range(100)]
             for one in flood:
                 await loop.sock_connect(one, (HOST, process.port))
-            await process.heard(b"no descriptor")
+            await process.heard(b"no file descriptor")
             for one in flood:
                 one.close()
             assert (await ask(process.port, message("order", "d"))).code == 200
