--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -81,9 +81,9 @@
         TROUBLED,
     ),
     "true answers": (
-        "http/connection.py",
-        "return 200, _lines(answer), answer.body",
-        "return 200, _lines(answer), answer.body[:-1]",
+        "http/response_format.py",
+        "return OK, format_headers(answer), answer.body",
+        "return OK, format_headers(answer), answer.body[:-1]",
         DRAINED,
     ),
 }
