--- a/ochreflow/lab/duplicates/report.py
+++ b/ochreflow/lab/duplicates/report.py
@@ -31,7 +31,7 @@
         self.runs += 1
         self.requests += result.requests
         self.copies += result.copies
-        self.answers += sum(result.unsafe_answers.values())
+        self.answers += sum(result.non_idempotent_answers.values())
         self.unproven += result.unproven
         self.needless_failures += result.needless_failures
         if result.broken:
@@ -41,7 +41,7 @@
 def format_result(result: RunResult) -> str:
     """The lines of a run."""
     outcome = "broken" if result.broken else "kept"
-    codes = ", ".join(f"{code}: {count}" for code, count in sorted(result.unsafe_answers.items()))
+    codes = ", ".join(f"{code}: {count}" for code, count in sorted(result.non_idempotent_answers.items()))
     text = (
         f"seed {result.seed:<5} {outcome:<6} {len(result.failures)} of {result.requests} requests broke it,"
         f" {result.copies} copies; unsafe {{{codes}}}, {result.needless_failures} of them failed needlessly"
--- a/ochreflow/lab/duplicates/result.py
+++ b/ochreflow/lab/duplicates/result.py
@@ -31,7 +31,7 @@
     crashed: list[str] = field(default_factory=list)
     requests: int = 0
     copies: int = 0
-    unsafe_answers: Counter[int] = field(
+    non_idempotent_answers: Counter[int] = field(
         default_factory=Counter
     )  # answers by code, to non-idempotent requests
     needless_failures: int = (
@@ -46,14 +46,16 @@
     @property
     def unproven(self) -> int:
         """Non-idempotent requests whose answer says neither that they ran nor that they did not."""
-        return sum(count for code, count in self.unsafe_answers.items() if code not in CONCLUSIVE_CODES)
+        return sum(
+            count for code, count in self.non_idempotent_answers.items() if code not in CONCLUSIVE_CODES
+        )
 
-    def count_unsafe(self, events: list[Event]) -> None:
+    def count_non_idempotent(self, events: list[Event]) -> None:
         """Count the answers to a non-idempotent request."""
         copies = {event.attempt for event in events if isinstance(event, CopyReceived)}
         rejected = {event.attempt for event in events if isinstance(event, AttemptRejected)}
         for event in events:
             if isinstance(event, ResponseReceived):
-                self.unsafe_answers[event.code] += 1
+                self.non_idempotent_answers[event.code] += 1
                 if event.code not in CONCLUSIVE_CODES and not copies - rejected:
                     self.needless_failures += 1
--- a/ochreflow/lab/duplicates/run.py
+++ b/ochreflow/lab/duplicates/run.py
@@ -167,7 +167,7 @@
             result.requests += 1
             result.copies += sum(isinstance(event, CopyReceived) for event in events)
             if request.cls.effect is Effect.NON_IDEMPOTENT:
-                result.count_unsafe(events)
+                result.count_non_idempotent(events)
             if violations := find_violations(
                 request.cls, events, self._placements, hedging=self.plan.hedging
             ):
--- a/ochreflow/lab/duplicates/sidecar_config.py
+++ b/ochreflow/lab/duplicates/sidecar_config.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from ..platform_config import HOST, NODE_TYPE, NS_PER_MS, RESOURCE_LIMITS, ZONES
+from .classes import RequestClass
 from .plan import Plan
 from .server import Server
 
@@ -51,20 +52,6 @@
 
 def _settings(plan: Plan, number: int) -> dict[str, object]:
     """The settings in the platform's form."""
-    classes = [
-        {
-            "name": cls.name,
-            "deadline-ns": round(cls.deadline * MS_PER_S) * NS_PER_MS,
-            "objective-ns": round(cls.deadline * OBJECTIVE_SHARE * MS_PER_S) * NS_PER_MS,
-            "repeat": cls.effect.value,
-            "key-scope": cls.scope.value,
-            "window-ns": round(cls.window * MS_PER_S) * NS_PER_MS,
-            "points": 1.0,
-            "late-value": 0.0,
-            "stream": False,
-        }
-        for cls in plan.classes
-    ]
     return {
         "accounts": [],
         "ceilings": {
@@ -76,7 +63,7 @@
             "second-copies": plan.hedging,
             "send-cap": plan.max_attempts,
         },
-        "classes": classes,
+        "classes": [_class_settings(cls) for cls in plan.classes],
         "dcs": ZONES,
         "kinds": [NODE_TYPE],
         "my-zone": number % len(ZONES),
@@ -93,3 +80,18 @@
         },
         "tick-ns": 5 * NS_PER_MS,
     }
+
+
+def _class_settings(cls: RequestClass) -> dict[str, object]:
+    """A request class in the platform's form."""
+    return {
+        "name": cls.name,
+        "deadline-ns": round(cls.deadline * MS_PER_S) * NS_PER_MS,
+        "objective-ns": round(cls.deadline * OBJECTIVE_SHARE * MS_PER_S) * NS_PER_MS,
+        "repeat": cls.effect.value,
+        "key-scope": cls.scope.value,
+        "window-ns": round(cls.window * MS_PER_S) * NS_PER_MS,
+        "points": 1.0,
+        "late-value": 0.0,
+        "stream": False,
+    }
--- a/tests/test_duplicate_search.py
+++ b/tests/test_duplicate_search.py
@@ -182,7 +182,7 @@
     result = run_plan(replace(ending, pairs=pairs), ROOT)
     assert [format_timeline(failure) for failure in result.failures] == []
     assert result.copies == len(ending.requests) + 2 * len(pairs)
-    assert result.unsafe_answers == {502: len(ending.requests), 200: len(pairs)}
+    assert result.non_idempotent_answers == {502: len(ending.requests), 200: len(pairs)}
 
 
 @pytest.mark.xdist_group("real-time")
