--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -190,7 +190,7 @@
         for event in (late, new) if late_first else (new, late):
             count = len(updates)
             event.set()
-            await until(lambda: len(updates) > count)  # noqa: B023
+            await until(lambda: len(updates) > count)  # noqa: B023 - awaited at once
         drained = {listed.name for told in updates for listed in told.entries}
         assert drained == {"s1", "s2"} and client.version == 42
         assert [told.version for told in updates] == ([41, 42] if late_first else [42, 42])
@@ -312,7 +312,7 @@
         client = discovery_client(fake, 0, updates)
         for count in range(1, 6):
             client.fetch()
-            await until(lambda: len(updates) == count)  # noqa: B023
+            await until(lambda: len(updates) == count)  # noqa: B023 - awaited at once
         client.close()
 
     logged = []
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -281,7 +281,7 @@
             while not client.write_paused:  # until the kernel holds no more for it
                 await loop.sock_sendall(sock, message("lookup", f"id{sent}"))
                 sent += 1
-                await until(lambda: len(fake.got) == sent and client.current is None)  # noqa: B023
+                await until(lambda: len(fake.got) == sent and client.current is None)  # noqa: B023 - awaited at once
             sidecar.engine.lifecycle.terminate()
             sidecar.engine.lifecycle._stop_accepting()
             got = bytearray()
