--- a/benchmarks/worse_builds.py
+++ b/benchmarks/worse_builds.py
@@ -33,7 +33,7 @@
     "random pick": (
         "endpoint_picker.py",
         "if best is None or delay < lowest:",
-        "if best is None or self.ctx.random.random() < 0.5:",
+        "if best is None or self.context.random.random() < 0.5:",
     ),
     "no retry budget": ("retry_policy.py", "RETRIES_PER_REQUEST = 0.1", "RETRIES_PER_REQUEST = 1e6"),
 }
--- a/ochreflow/core/lifecycle.py
+++ b/ochreflow/core/lifecycle.py
@@ -133,7 +133,7 @@
         self.phase = Phase.TERMINATING
         self._stop_closing_idle_connections()
         log.info("terminating", clients=self.connected)
-        taken_over = self.descriptors.others > 0
+        taken_over = self.descriptors.other_processes > 0
         self.loop.call_later(ACCEPT_AFTER_SIGTERM_S, self._stop_accepting)
         if taken_over:
             self.announcing_close = True
--- a/ochreflow/core/limits.py
+++ b/ochreflow/core/limits.py
@@ -24,7 +24,7 @@
         self.total = limit
         self.in_use = 0
         self.connected = 0  # of these, clients' connections
-        self.others = 0  # other processes of this sidecar
+        self.other_processes = 0  # of this sidecar
         self.others_in_use = 0
         self.others_connected = 0
         # Each closes one of its connections that is idle, and returns False if it has none.
@@ -51,7 +51,7 @@
     @property
     def limit(self) -> int:
         """What all processes of the sidecar together may use."""
-        return max(self.total - self.RESERVE * (1 + self.others), self.MIN_LIMIT)
+        return max(self.total - self.RESERVE * (1 + self.other_processes), self.MIN_LIMIT)
 
     @property
     def max_clients(self) -> int:
@@ -81,13 +81,13 @@
         """Allow the sidecar `limit` bytes in all, the program included."""
         self.limit = limit
         self.reserved_bytes = 0
-        self.others = 0  # other processes of this sidecar
+        self.other_processes = 0  # of this sidecar
         self.others_reserved_bytes = 0
 
     @property
     def max_bytes(self) -> int:
         """What all processes of the sidecar together may reserve for messages."""
-        rest = self.limit - self.PROGRAM_BYTES * (1 + self.others)
+        rest = self.limit - self.PROGRAM_BYTES * (1 + self.other_processes)
         return int(min(max(rest * self.MESSAGE_SHARE, self.MIN_BYTES), self.MAX_BYTES))
 
     def reserve(self, size: int) -> bool:
@@ -124,7 +124,7 @@
 
     def set_others(self, processes: int, descriptors: int, connected: int, memory: int) -> None:
         """Note how many other processes there are, and what they use together, as in `ProcessUsage`."""
-        self.descriptors.others = self.memory.others = processes
+        self.descriptors.other_processes = self.memory.other_processes = processes
         self.descriptors.others_in_use = descriptors
         self.descriptors.others_connected = connected
         self.memory.others_reserved_bytes = memory
--- a/ochreflow/core/ports.py
+++ b/ochreflow/core/ports.py
@@ -57,7 +57,7 @@
     """A request as its frontend read it. Each frontend's own class adds what its upstream transport needs."""
 
     request_id: Hashable  # as the client named it; unique within the frontend while it is open
-    cls: int
+    class_index: int
     tenant: int
     key: int
     timeout_ns: int  # how long its client waits, from its last byte
--- a/ochreflow/core/request_manager.py
+++ b/ochreflow/core/request_manager.py
@@ -84,7 +84,7 @@
         request = pending.request
         return api.Request(
             pending.id,
-            request.cls,
+            request.class_index,
             request.tenant,
             request.deadline_ns,
             request.key,
@@ -128,9 +128,11 @@
         self.attempts.abandon(pending)
         self.dispatcher.dispatch(api.RequestCancelled(pending.id))
 
-    def record_rejection(self, frontend_binding: FrontendBinding, cls: int, disposition: Disposition) -> None:
+    def record_rejection(
+        self, frontend_binding: FrontendBinding, class_index: int, disposition: Disposition
+    ) -> None:
         """Count a response that a frontend gave by itself, to what never became a request."""
-        self.stats.ended(cls, disposition, frontend_binding.counts)
+        self.stats.ended(class_index, disposition, frontend_binding.counts)
 
     def _reject_new(
         self,
@@ -140,7 +142,7 @@
         response: FinalResponse,
     ) -> None:
         """Respond to a request that is not accepted."""
-        self.stats.ended(request.cls, response.disposition, frontend_binding.counts)
+        self.stats.ended(request.class_index, response.disposition, frontend_binding.counts)
         if log.debugging:
             _log_final_response(frontend_binding, request, response)
         response_sink.respond(request, response)
@@ -165,7 +167,7 @@
     def finish(self, pending: PendingRequest, response: FinalResponse) -> None:
         """Give the one final response."""
         self._mark_answered(pending)
-        self.stats.ended(pending.request.cls, response.disposition, pending.frontend_binding.counts)
+        self.stats.ended(pending.request.class_index, response.disposition, pending.frontend_binding.counts)
         if log.debugging:
             _log_final_response(pending.frontend_binding, pending.request, response)
         pending.response_sink.respond(pending.request, response)
@@ -174,7 +176,7 @@
         """End the final response that was streamed to the client."""
         self._mark_answered(pending)
         disposition = Disposition.SUCCEEDED if complete else Disposition.ABORTED
-        self.stats.ended(pending.request.cls, disposition, pending.frontend_binding.counts)
+        self.stats.ended(pending.request.class_index, disposition, pending.frontend_binding.counts)
         if log.debugging:
             response = FinalResponse(disposition, Reason.ANSWERED if complete else Reason.TRUNCATED)
             _log_final_response(pending.frontend_binding, pending.request, response)
--- a/ochreflow/core/stats.py
+++ b/ochreflow/core/stats.py
@@ -41,9 +41,9 @@
         """Return the counts of one frontend, by disposition: requests of all classes."""
         return self.frontends.setdefault(label, [0] * len(Disposition))
 
-    def ended(self, cls: int, disposition: Disposition, frontend: list[int]) -> None:
+    def ended(self, class_index: int, disposition: Disposition, frontend: list[int]) -> None:
         """Count the one final response to a request."""
-        self.results[cls][disposition] += 1
+        self.results[class_index][disposition] += 1
         frontend[disposition] += 1
 
     def forwarded(self) -> None:
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -174,9 +174,9 @@
                     text = b"ready\n" if ok else b"not ready\n"
                     self._respond(200 if ok else 503, b"", text, keep_alive=item.keep_alive)
                 else:
-                    if item.cls is not None:
+                    if item.class_index is not None:
                         self.engine.requests.record_rejection(
-                            self.context.frontend_binding, item.cls, disposition_of(item.code)
+                            self.context.frontend_binding, item.class_index, disposition_of(item.code)
                         )
                     keep_alive = item.keep_alive and self.read_state is not READ_ENDED
                     self._respond(item.code, b"", f"{item}\n".encode(), keep_alive=keep_alive)
--- a/ochreflow/http/request_parser.py
+++ b/ochreflow/http/request_parser.py
@@ -27,11 +27,11 @@
 class RequestError(OchreflowError):
     """A request that is answered by the frontend and never reaches the decision module."""
 
-    def __init__(self, code: int, text: str, cls: int | None = None) -> None:
+    def __init__(self, code: int, text: str, class_index: int | None = None) -> None:
         """`code` and `text` go to the client."""
         super().__init__(text)
         self.code = code
-        self.cls = cls  # where its class is known; only then it counts as a request
+        self.class_index = class_index  # where its class is known; only then it counts as a request
         self.keep_alive = True
 
 
@@ -68,9 +68,9 @@
         keep_alive: bool,
     ) -> HttpRequest:
         """Parse a head: `headers` by lower-case names, `lines` to forward. RequestError if invalid."""
-        cls = self._class_of(target)
-        spec = self.specs[cls]
-        request_id = _request_id(spec, cls, method, headers)
+        class_index = self._class_of(target)
+        spec = self.specs[class_index]
+        request_id = _request_id(spec, class_index, method, headers)
         timeout_ns = spec.deadline_ns
         if (value := headers.get(b"x-deadline")) is not None:
             # The class's deadline covers all attempts; a client that states more does not wait for it.
@@ -80,7 +80,7 @@
         value = headers.get(b"x-key")
         return HttpRequest(
             request_id,
-            cls,
+            class_index,
             tenant,
             _hash_key(value) if value else 0,
             timeout_ns,
@@ -103,10 +103,10 @@
             except httptools.HttpParserInvalidURLError:
                 raise RequestError(400, "the target is no path") from None
         name = path[1:].split(b"/", 1)[0].split(b"?", 1)[0]
-        cls = self.classes.get(name)
-        if cls is None:
+        class_index = self.classes.get(name)
+        if class_index is None:
             raise RequestError(404, "unknown class")
-        return cls
+        return class_index
 
     def _parse_tenant(self, value: bytes | None) -> int:
         if value is None:
@@ -116,16 +116,16 @@
         return self.tenants[value]
 
 
-def _request_id(spec: RequestClass, cls: int, method: bytes, headers: dict[bytes, bytes]) -> bytes:
+def _request_id(spec: RequestClass, class_index: int, method: bytes, headers: dict[bytes, bytes]) -> bytes:
     """Its id, if it has the method and the headers that its class demands."""
     if method != (b"GET" if spec.effect is Effect.IDEMPOTENT else b"POST"):
-        raise RequestError(405, "the method is not that of the class", cls)
+        raise RequestError(405, "the method is not that of the class", class_index)
     request_id = headers.get(b"x-request-id")
     if not request_id:
-        raise RequestError(400, "X-Request-Id is missing", cls)
+        raise RequestError(400, "X-Request-Id is missing", class_index)
     # Guards the rule on effects: without the key no server could drop a repeat.
     if spec.effect is Effect.IDEMPOTENT_WITH_KEY and not headers.get(b"idempotency-key"):
-        raise RequestError(400, "Idempotency-Key is missing", cls)
+        raise RequestError(400, "Idempotency-Key is missing", class_index)
     return request_id
 
 
--- a/ochreflow/http/request_reader.py
+++ b/ochreflow/http/request_reader.py
@@ -276,7 +276,7 @@
             self.engine.requests.body_failed(request, disposition_of(code), (code, f"{text}\n".encode()))
         elif request is not None and request in self.queue:
             self._release(request.reserved_bytes)
-            self.queue[self.queue.index(request)] = RequestError(code, text, request.cls)
+            self.queue[self.queue.index(request)] = RequestError(code, text, request.class_index)
         elif self.current is None and not self.queue:
             self._close_gracefully()  # it has had its response
 
--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -34,7 +34,7 @@
     Attempt,
     Context,
     InFlightAttempt,
-    PendingRequest,
+    RequestState,
     ScheduledTimer,
     Server,
 )
@@ -51,19 +51,19 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Start without servers or requests; the same seed and events give the same actions."""
-        self.ctx = ctx = Context(settings, seed)
-        self.latency = LatencyEstimates(ctx)
-        self.endpoints = EndpointSet(ctx)
-        self.slow_start = SlowStart(ctx, self.latency, self.endpoints)
-        self.safety_rules = SafetyRules(ctx, self.slow_start)
-        self.picker = EndpointPicker(ctx, self.latency, self.endpoints, self.safety_rules)
-        self.tenant_quotas = TenantQuotas(ctx)
-        self.limiter = ConcurrencyLimiter(ctx, self.latency, self.tenant_quotas, self.endpoints)
+        self.context = context = Context(settings, seed)
+        self.latency = LatencyEstimates(context)
+        self.endpoints = EndpointSet(context)
+        self.slow_start = SlowStart(context, self.latency, self.endpoints)
+        self.safety_rules = SafetyRules(context, self.slow_start)
+        self.picker = EndpointPicker(context, self.latency, self.endpoints, self.safety_rules)
+        self.tenant_quotas = TenantQuotas(context)
+        self.limiter = ConcurrencyLimiter(context, self.latency, self.tenant_quotas, self.endpoints)
         self.outlier_detector = OutlierDetector(
-            ctx, self.latency, self.endpoints, self.safety_rules, self._retry_all_from
+            context, self.latency, self.endpoints, self.safety_rules, self._retry_all_from
         )
         self.outcome_recorder = OutcomeRecorder(
-            ctx,
+            context,
             self.latency,
             self.endpoints,
             self.slow_start,
@@ -71,24 +71,24 @@
             self.picker,
             self.outlier_detector,
         )
-        self.retry_policy = RetryPolicy(ctx, self.latency, self.safety_rules)
-        self.pending: dict[int, PendingRequest] = {}
+        self.retry_policy = RetryPolicy(context, self.latency, self.safety_rules)
+        self.pending: dict[int, RequestState] = {}
         self.timer_armed = self.timer_token = 0
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
         """Take one event at the given time; return what to do, in order."""
-        ctx = self.ctx
-        ctx.now, ctx.actions = now_ns, []
+        context = self.context
+        context.now, context.actions = now_ns, []
         self._dispatch(event)
-        if ctx.timers and (not self.timer_armed or ctx.timers[0].due_ns < self.timer_armed):
-            self.timer_armed = ctx.timers[0].due_ns
+        if context.timers and (not self.timer_armed or context.timers[0].due_ns < self.timer_armed):
+            self.timer_armed = context.timers[0].due_ns
             self.timer_token = (self.timer_token + 1) & MAX_TIMER_TOKEN
-            ctx.actions.append(api.SetTimer(max(self.timer_armed - now_ns, 1), self.timer_token))
-        return ctx.actions
+            context.actions.append(api.SetTimer(max(self.timer_armed - now_ns, 1), self.timer_token))
+        return context.actions
 
     def actions_before_fault(self) -> list[Action]:
         """Return what was decided for the latest event before `handle` raised; it is to be done still."""
-        return self.ctx.actions
+        return self.context.actions
 
     def _dispatch(self, event: Event) -> None:  # noqa: C901  # one case for each event of the union
         match event:
@@ -117,7 +117,7 @@
 
     def write_by(self, now_ns: int, ident: int, number: int) -> int:
         """Until when an attempt's last byte may go out, judged anew as its first one is to; 0: it may not."""
-        self.ctx.now = now_ns
+        self.context.now = now_ns
         if (request := self.pending.get(ident)) is None:
             return 0
         server = request.attempts[number].server
@@ -126,14 +126,14 @@
         return self.safety_rules.write_by(request, server, number)
 
     def _on_request(self, event: Request) -> None:
-        spec = self.ctx.settings.classes[event.cls]
-        request = PendingRequest(event, spec, self.ctx.now)
+        spec = self.context.settings.classes[event.class_index]
+        request = RequestState(event, spec, self.context.now)
         self.pending[request.id] = request
         self.retry_policy.earn()
         if self.tenant_quotas.request_rates and not event.is_retry:
             self.tenant_quotas.count(request.tenant)
         self.endpoints.count_request()
-        if event.deadline_ns <= self.ctx.now:
+        if event.deadline_ns <= self.context.now:
             self._end(request)
             return
         server = self._pick(request)
@@ -146,7 +146,7 @@
         else:
             self._end(request)
 
-    def _pick(self, request: PendingRequest) -> Server | None:
+    def _pick(self, request: RequestState) -> Server | None:
         if self.endpoints.ejected and (server := self.outlier_detector.half_open_server(request)):
             return server
         return self.picker.pick(request)
@@ -158,7 +158,9 @@
             return
         if server and request.uploading:
             # It ended before its body was through.
-            self.outcome_recorder.learn(server, self.ctx.now, request.cls, event, written_off=False)
+            self.outcome_recorder.learn(
+                server, self.context.now, request.class_index, event, written_off=False
+            )
         elif server and request.streaming and event.status is Status.RESET:
             # It began to answer, and broke.
             self.outlier_detector.record_failure(server, 1.0, MAX_EJECTED_SHARE)
@@ -197,7 +199,7 @@
         if request is None or not request.uploading:
             return
         request.uploading, request.deadline = False, event.deadline_ns
-        attempt = request.attempts[-1] = request.attempts[-1]._replace(sent=self.ctx.now)
+        attempt = request.attempts[-1] = request.attempts[-1]._replace(sent=self.context.now)
         server = attempt.server
         if self.endpoints.servers.get(server.id) is server:  # else it has left
             self._count_in_flight(request, server, len(request.attempts) - 1)
@@ -208,11 +210,11 @@
             self.picker.record_load_report(server, event.report)
 
     def _on_timer(self, event: api.Timer) -> None:
-        now = self.ctx.now
+        now = self.context.now
         if event.token == self.timer_token:
             self.timer_armed = 0
-        while self.ctx.timers and self.ctx.timers[0].due_ns <= now:
-            timer = heapq.heappop(self.ctx.timers)
+        while self.context.timers and self.context.timers[0].due_ns <= now:
+            timer = heapq.heappop(self.context.timers)
             if timer.kind is POLL:
                 self.endpoints.poll()
                 continue
@@ -225,73 +227,75 @@
                 request.retry_scheduled = False
                 self._retry(request)
 
-    def _send(self, request: PendingRequest, server: Server) -> None:
+    def _send(self, request: RequestState, server: Server) -> None:
         number = len(request.attempts)
-        self.slow_start.allows(server, request.cls, consume=True)
+        self.slow_start.allows(server, request.class_index, consume=True)
         # Both or, where something fails, neither: else its number means another attempt to whoever sends it.
-        request.attempts.append(Attempt(server, server.zone, server.cell, self.ctx.now, self.ctx.now))
+        request.attempts.append(Attempt(server, server.zone, server.cell, self.context.now, self.context.now))
         # No time-out of its own: an overdue attempt is judged by what its server did meanwhile.
-        self.ctx.actions.append(api.Send(request.id, server.id))
+        self.context.actions.append(api.Send(request.id, server.id))
         request.retry_paid = False
         if server.ejected:
             server.half_open_in_flight = True
         if not request.uploading:  # else its server has no work with it before the body is through
             self._count_in_flight(request, server, number)
 
-    def _count_in_flight(self, request: PendingRequest, server: Server, number: int) -> None:
+    def _count_in_flight(self, request: RequestState, server: Server, number: int) -> None:
         """Its server has the whole of an attempt: it is in flight from now on."""
-        overdue = self.outlier_detector.overdue_after(server, request.cls, request.deadline - self.ctx.now)
-        server.in_flight[request.id, number] = InFlightAttempt(self.ctx.now, request.cls)
+        overdue = self.outlier_detector.overdue_after(
+            server, request.class_index, request.deadline - self.context.now
+        )
+        server.in_flight[request.id, number] = InFlightAttempt(self.context.now, request.class_index)
         if not server.ejected:
             self.endpoints.inflight += 1
-        due_ns = self.ctx.now + overdue
-        self.ctx.schedule(ScheduledTimer(due_ns, OVERDUE, request.id, 0, number))
+        due_ns = self.context.now + overdue
+        self.context.schedule(ScheduledTimer(due_ns, OVERDUE, request.id, 0, number))
 
-    def _schedule_retry(self, request: PendingRequest) -> None:
+    def _schedule_retry(self, request: RequestState) -> None:
         """Retry after a backoff; or end the request."""
         delay = self.retry_policy.delay(request)
         if delay is not None:
             request.retry_scheduled = True
-            due_ns = self.ctx.now + max(delay, 1)
-            self.ctx.schedule(ScheduledTimer(due_ns, RETRY, request.id))
+            due_ns = self.context.now + max(delay, 1)
+            self.context.schedule(ScheduledTimer(due_ns, RETRY, request.id))
         elif not request.any_in_flight():  # an attempt in flight may yet be answered
             self._end(request)
 
-    def _retry(self, request: PendingRequest) -> None:
+    def _retry(self, request: RequestState) -> None:
         server = self._pick(request)
         if server is not None:
             self._send(request, server)
         elif not request.any_in_flight():
             self._schedule_retry(request)
 
-    def _end(self, request: PendingRequest) -> None:
+    def _end(self, request: RequestState) -> None:
         """Decide on the final response: a rejection, which invites a retry, or a failure."""
         if self.safety_rules.may_reject(request):
-            retry_after_ns = self._retry_after_ns(request) if self.ctx.settings.retry_after else 0
-            self.ctx.actions.append(api.Reject(request.id, retry_after_ns))
+            retry_after_ns = self._retry_after_ns(request) if self.context.settings.retry_after else 0
+            self.context.actions.append(api.Reject(request.id, retry_after_ns))
         else:
-            self.ctx.actions.append(api.Fail(request.id))
+            self.context.actions.append(api.Fail(request.id))
         self._forget(request)
 
-    def _retry_after_ns(self, request: PendingRequest) -> int:
-        remaining_ns: float = max(request.deadline - self.ctx.now, 0)
-        until_objective = request.spec.objective_ns - request.age - self.latency.baseline[request.cls]
+    def _retry_after_ns(self, request: RequestState) -> int:
+        remaining_ns: float = max(request.deadline - self.context.now, 0)
+        until_objective = request.spec.objective_ns - request.age - self.latency.baseline[request.class_index]
         if until_objective > 0.0:
             # A retry may still be answered within the objective; a later one hardly earns anything.
             remaining_ns = min(remaining_ns, until_objective)
-        ceiling = min(self.ctx.settings.max_retry_after_ns, remaining_ns * RETRY_AFTER_SHARE)
-        return int(ceiling * self.ctx.random.uniform(MIN_RETRY_AFTER_JITTER, 1.0))
+        ceiling = min(self.context.settings.max_retry_after_ns, remaining_ns * RETRY_AFTER_SHARE)
+        return int(ceiling * self.context.random.uniform(MIN_RETRY_AFTER_JITTER, 1.0))
 
-    def _forget(self, request: PendingRequest) -> None:
+    def _forget(self, request: RequestState) -> None:
         del self.pending[request.id]
         self._cancel_others(request, -1)
 
-    def _cancel_others(self, request: PendingRequest, keep: int) -> None:
+    def _cancel_others(self, request: RequestState, keep: int) -> None:
         for number, attempt in enumerate(request.attempts):
-            if attempt.state is IN_FLIGHT and number != keep and self.ctx.settings.can_cancel:
-                self.ctx.actions.append(api.Cancel(request.id, number))
+            if attempt.state is IN_FLIGHT and number != keep and self.context.settings.can_cancel:
+                self.context.actions.append(api.Cancel(request.id, number))
 
-    def _on_overdue(self, request: PendingRequest, timer: ScheduledTimer) -> None:
+    def _on_overdue(self, request: RequestState, timer: ScheduledTimer) -> None:
         """An attempt is late: evidence against a silent server, and a retry if that one is ejected.
 
         Guards against retry storms: at a server that is no outlier either the work is long, which a retry
@@ -308,15 +312,15 @@
                 self.outlier_detector.write_off(server, (request.id, number))
         elif not silent:
             # A latency that is known late is of no use.
-            self.limiter.record_latency(server, request.cls, self.ctx.now - sent)
+            self.limiter.record_latency(server, request.class_index, self.context.now - sent)
         else:  # one long piece of work must not condemn a server by itself
             server.answering = False
             self.outlier_detector.record_failure(server, OVERDUE_FAILURE_WEIGHT, MAX_EJECTED_SHARE_ON_SILENCE)
         if server.ejected:
             self._retry_elsewhere(request, number)
-        recheck_at = 2 * self.ctx.now - sent
+        recheck_at = 2 * self.context.now - sent
         if recheck_at < request.deadline:
-            self.ctx.schedule(ScheduledTimer(recheck_at, OVERDUE, request.id, 1, number))
+            self.context.schedule(ScheduledTimer(recheck_at, OVERDUE, request.id, 1, number))
 
     def _retry_all_from(self, server: Server) -> None:
         """What waits at a server that has just been ejected is likely lost: do not wait it out."""
@@ -325,7 +329,7 @@
             if request is not None:
                 self._retry_elsewhere(request, number)
 
-    def _retry_elsewhere(self, request: PendingRequest, number: int) -> None:
+    def _retry_elsewhere(self, request: RequestState, number: int) -> None:
         """Retry an attempt that its server seems to have lost, where the class and the site allow it."""
         unsafe = request.spec.effect is Effect.NON_IDEMPOTENT
         if (
@@ -335,7 +339,7 @@
             or not self.retry_policy.affordable(request)
         ):
             return
-        if self.ctx.settings.hedging:
+        if self.context.settings.hedging:
             self._schedule_retry(request)
-        elif self.ctx.settings.can_cancel:
-            self.ctx.actions.append(api.Cancel(request.id, number))
+        elif self.context.settings.can_cancel:
+            self.context.actions.append(api.Cancel(request.id, number))
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -10,7 +10,7 @@
 from .endpoint_set import EndpointSet
 from .interface import Request
 from .latency import LatencyEstimates
-from .state_records import SECOND, Context, PendingRequest, Server
+from .state_records import SECOND, Context, RequestState, Server
 from .tenant_quota import TenantQuotas
 
 TARGET_OBJECTIVE_SHARE = 0.45  # of the objective: with a mean of half of it about one answer in eight is late
@@ -58,10 +58,15 @@
     """Admits or rejects requests by a limit on the own requests in flight."""
 
     def __init__(
-        self, ctx: Context, latency: LatencyEstimates, tenant_quotas: TenantQuotas, endpoints: EndpointSet
+        self, context: Context, latency: LatencyEstimates, tenant_quotas: TenantQuotas, endpoints: EndpointSet
     ) -> None:
         """Start without a limit, until the first update."""
-        self.ctx, self.latency, self.tenant_quotas, self.endpoints = ctx, latency, tenant_quotas, endpoints
+        self.context, self.latency, self.tenant_quotas, self.endpoints = (
+            context,
+            latency,
+            tenant_quotas,
+            endpoints,
+        )
         # By class, ns that clients wait for one attempt.
         self.client_timeout = [0.0] * len(latency.class_mean)
         self.pressure = PRIOR_PRESSURE
@@ -71,20 +76,20 @@
         self.completed_units = 0.0  # target latencies of what was answered since the last update
         self.first_update_at = 0  # 0: none yet
         self.limit = 1e9  # until the first update
-        self.update_interval_ns = int(ctx.shortest * UPDATE_INTERVAL)
+        self.update_interval_ns = int(context.shortest * UPDATE_INTERVAL)
         self.class_share = [1.0] * len(latency.class_mean)
 
-    def record_answer(self, server: Server, cls: int, duration_ns: int) -> None:
+    def record_answer(self, server: Server, class_index: int, duration_ns: int) -> None:
         """Count an answer, and take its latency into the pressure."""
-        self.completed_units += self.target_latency(cls)
-        self.record_latency(server, cls, duration_ns)
+        self.completed_units += self.target_latency(class_index)
+        self.record_latency(server, class_index, duration_ns)
 
     def scale_down(self, part: float) -> None:
         """Scale the limit down with the servers, without waiting for late answers to show it."""
         self.limit *= part
         self.target_inflight *= part
 
-    def expected_value(self, event: Request, request: PendingRequest) -> float:
+    def expected_value(self, event: Request, request: RequestState) -> float:
         """Return the part of its priority weight that a request can still be expected to earn.
 
         Objective and deadline of a class run from the client's first attempt, and a retry is cut short at
@@ -92,15 +97,15 @@
         Guards against admitting what is answered too late anyway.
         """
         spec = request.spec
-        remaining_ns = event.deadline_ns - self.ctx.now
+        remaining_ns = event.deadline_ns - self.context.now
         # By its client: time spent in line here is not a retry's age.
         given = remaining_ns + event.waited_ns
-        baseline = self.latency.baseline[event.cls]
-        span = self.client_timeout[event.cls]
+        baseline = self.latency.baseline[event.class_index]
+        span = self.client_timeout[event.class_index]
         if not event.is_retry:
             span = max(given, span + CLIENT_TIMEOUT_SMOOTHING * (given - span))
-            self.client_timeout[event.cls] = span
-        if given < span - 2 * self.ctx.settings.tick_ns:
+            self.client_timeout[event.class_index] = span
+        if given < span - 2 * self.context.settings.tick_ns:
             request.age = spec.deadline_ns - remaining_ns
             in_time = _likelihood(spec.objective_ns - request.age, baseline)
         elif event.is_retry and spec.deadline_ns > span:
@@ -110,36 +115,38 @@
             in_time = 1.0
         return (in_time + (1.0 - in_time) * spec.late_priority_weight) * _likelihood(remaining_ns, baseline)
 
-    def admit(self, request: PendingRequest, expected_value: float) -> bool:
+    def admit(self, request: RequestState, expected_value: float) -> bool:
         """Reject early what would make the requests in flight outgrow what is answered in time.
 
         Guards against queues in which all is answered too late, and servers that turn slow when crowded.
         """
-        if self.ctx.now - self.updated_at >= self.update_interval_ns:
+        if self.context.now - self.updated_at >= self.update_interval_ns:
             self.update()
-        share = self.class_share[request.cls]
+        share = self.class_share[request.class_index]
         if (
             self.tenant_quotas.over_quota
-            and self.ctx.random.random() < self.tenant_quotas.over_quota[request.tenant]
+            and self.context.random.random() < self.tenant_quotas.over_quota[request.tenant]
         ):
-            share = MIN_CLASS_SHARE + (share - MIN_CLASS_SHARE) * self.ctx.settings.over_quota_weight
+            share = MIN_CLASS_SHARE + (share - MIN_CLASS_SHARE) * self.context.settings.over_quota_weight
         limit = self.limit * share * expected_value
         if self.endpoints.low_traffic and limit < 1.0 and not self.endpoints.inflight:
             # A thousand sidecars with a request each now and then are not held back by a limit of one.
-            natural = self.endpoints.request_rate * self.target_latency(request.cls) / SECOND
-            if self.ctx.random.random() < max(limit / natural, 2.0 - self.pressure, MIN_ADMIT_PROBABILITY):
+            natural = self.endpoints.request_rate * self.target_latency(request.class_index) / SECOND
+            if self.context.random.random() < max(
+                limit / natural, 2.0 - self.pressure, MIN_ADMIT_PROBABILITY
+            ):
                 return True
         elif self.endpoints.inflight + 1 <= max(limit, 1.0):
             return True
-        self.limited_at = self.ctx.now
+        self.limited_at = self.context.now
         return False
 
     def update(self) -> None:
         """Move the limit a step along the gradient, and the shares of the classes with it."""
-        self.first_update_at = self.first_update_at or self.ctx.now
-        passed = max(self.ctx.now - self.updated_at, 1)
-        self.updated_at = self.ctx.now
-        weight = min(passed / self.ctx.shortest, 1.0)
+        self.first_update_at = self.first_update_at or self.context.now
+        passed = max(self.context.now - self.updated_at, 1)
+        self.updated_at = self.context.now
+        weight = min(passed / self.context.shortest, 1.0)
         self.target_inflight += weight * (self.completed_units / passed - self.target_inflight)
         self.completed_units = 0.0
         self.peak_inflight = max(self.endpoints.inflight, self.peak_inflight * PEAK_DECAY)
@@ -147,17 +154,17 @@
         ceiling = self._ceiling()
         limit = self._step(min(self.limit, ceiling), ceiling, passed)
         # Every sidecar keeps its part of a floor, so that all together leave a tired fleet nearly idle.
-        floor = MIN_LIMIT_PER_SERVER * self.endpoints.ready_count / self.ctx.settings.fleet_size
+        floor = MIN_LIMIT_PER_SERVER * self.endpoints.ready_count / self.context.settings.fleet_size
         self.limit = max(limit, floor, 0.0 if self.endpoints.low_traffic else 1.0)
         self._update_class_shares()
 
     def _ceiling(self) -> float:
         """Return the highest limit that the answers seen so far justify."""
-        if self.ctx.now - self.first_update_at < self.ctx.shortest:
+        if self.context.now - self.first_update_at < self.context.shortest:
             # No answers to go by yet.
             return UNTESTED_HEADROOM * (self.peak_inflight + self.endpoints.ready_count)
         # A limit that follows what is in flight lets a surge in before the first late answer.
-        spread = IDLE_SERVER_ALLOWANCE * self.endpoints.ready_count / self.ctx.settings.fleet_size
+        spread = IDLE_SERVER_ALLOWANCE * self.endpoints.ready_count / self.context.settings.fleet_size
         return SURGE_FACTOR * self.target_inflight + SURGE_ALLOWANCE + spread
 
     def _step(self, limit: float, ceiling: float, passed: int) -> float:
@@ -165,7 +172,7 @@
         late = self.pressure > 1.0
         if late:  # what is above that binds nothing, and lowering it would not help
             limit = min(limit, max(self.peak_inflight, self.target_inflight))
-        recently_limited = self.ctx.now - self.limited_at < 2 * self.update_interval_ns
+        recently_limited = self.context.now - self.limited_at < 2 * self.update_interval_ns
         bound = recently_limited or self.endpoints.inflight > limit / 2
         if not (late or bound or self.endpoints.low_traffic):
             # In good times little in flight tells nothing of the limit, unless that is always so.
@@ -173,7 +180,7 @@
         # The gradient of latency, and room to queue for all sidecars together: where both are level the limit
         # stays. Guards against room made for many: with the traffic of many, a limit opened by 0.4 a second.
         regains = self.endpoints.low_traffic and not late
-        headroom = limit if regains else math.sqrt(limit / self.ctx.settings.fleet_size)
+        headroom = limit if regains else math.sqrt(limit / self.context.settings.fleet_size)
         max_gradient = min(max(PROBING_PRESSURE / self.pressure, 1.0), MAX_GRADIENT)
         found = limit * min(max(1.0 / self.pressure, MIN_GRADIENT), max_gradient) + headroom
         # A sidecar that rarely sends updates its limit rarely, and by more.
@@ -181,30 +188,30 @@
         return min(limit + step * (found - limit), ceiling)
 
     def _update_class_shares(self) -> None:
-        densities = [self.value_density(cls) for cls in range(len(self.latency.baseline))]
+        densities = [self.value_density(class_index) for class_index in range(len(self.latency.baseline))]
         highest = max(densities) or 1.0  # classes may all have no weight
         # What is shed first is soon the worst-served class, which the goal may weigh by itself.
-        levelled = min(CLASS_LEVELLING * self.ctx.settings.goal_worst_class, 1.0)
+        levelled = min(CLASS_LEVELLING * self.context.settings.goal_worst_class, 1.0)
         min_share = MIN_CLASS_SHARE + (1.0 - MIN_CLASS_SHARE) * levelled
         self.class_share = [min_share + (1.0 - min_share) * density / highest for density in densities]
 
-    def value_density(self, cls: int) -> float:
+    def value_density(self, class_index: int) -> float:
         """Return the priority weight of a class for the server time that it takes."""
-        weight = self.ctx.settings.classes[cls].priority_weight
-        return weight if self.ctx.settings.weight_by_work else weight / self.latency.baseline[cls]
+        weight = self.context.settings.classes[class_index].priority_weight
+        return weight if self.context.settings.weight_by_work else weight / self.latency.baseline[class_index]
 
-    def target_latency(self, cls: int) -> float:
+    def target_latency(self, class_index: int) -> float:
         """Return the latency of a class, in ns, at which the pressure is 1."""
-        aim = self.ctx.settings.classes[cls].objective_ns
+        aim = self.context.settings.classes[class_index].objective_ns
         return min(
-            max(TARGET_OBJECTIVE_SHARE * aim, TARGET_BASELINES * self.latency.baseline[cls]),
+            max(TARGET_OBJECTIVE_SHARE * aim, TARGET_BASELINES * self.latency.baseline[class_index]),
             MAX_TARGET_OBJECTIVE_SHARE * aim,
         )
 
-    def record_latency(self, server: Server, cls: int, latency: float) -> None:
+    def record_latency(self, server: Server, class_index: int, latency: float) -> None:
         """Take one attempt's latency into the pressure, a mean that fades with time to its prior."""
         if not server.ejected:
-            self.record_pressure(latency / self.target_latency(cls))
+            self.record_pressure(latency / self.target_latency(class_index))
 
     def record_pressure(self, pressure: float) -> None:
         """Take one sample, 1.0 at the target latency, into the pressure."""
@@ -215,9 +222,9 @@
     def decay(self) -> None:
         """Let what was seen fade with time towards the prior."""
         samples = MIN_PRESSURE_SAMPLES * SECOND / max(self.latency.answer_rate, 1.0)
-        span = min(max(PRESSURE_HALF_LIFE * self.ctx.shortest, samples), self.ctx.shortest)
-        decay = 0.5 ** ((self.ctx.now - self.pressure_at) / span)
-        self.pressure_at = self.ctx.now
+        span = min(max(PRESSURE_HALF_LIFE * self.context.shortest, samples), self.context.shortest)
+        decay = 0.5 ** ((self.context.now - self.pressure_at) / span)
+        self.pressure_at = self.context.now
         self.pressure_sum *= decay
         self.pressure_count *= decay
         prior = PRIOR_PRESSURE_SAMPLES
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -12,7 +12,7 @@
 from .endpoint_set import EndpointSet
 from .latency import LatencyEstimates
 from .safety_rules import SafetyRules
-from .state_records import SECOND, Context, EndpointGroup, PendingRequest, Server
+from .state_records import SECOND, Context, EndpointGroup, RequestState, Server
 
 SMOOTHING = 0.08  # weight of a new sample of one server: work varies far more than servers do
 # Estimates halve their distance to the mean in so many mean gaps between answers.
@@ -36,18 +36,23 @@
     """Chooses the server of an attempt."""
 
     def __init__(
-        self, ctx: Context, latency: LatencyEstimates, endpoints: EndpointSet, safety_rules: SafetyRules
+        self, context: Context, latency: LatencyEstimates, endpoints: EndpointSet, safety_rules: SafetyRules
     ) -> None:
         """Start without samples of any server."""
-        self.ctx, self.latency, self.endpoints, self.safety_rules = ctx, latency, endpoints, safety_rules
+        self.context, self.latency, self.endpoints, self.safety_rules = (
+            context,
+            latency,
+            endpoints,
+            safety_rules,
+        )
         self.groups: defaultdict[tuple[int, bool], EndpointGroup] = defaultdict(EndpointGroup)
         self.mean_relative_latency = 1.0
-        columns = ctx.settings.report_columns
+        columns = context.settings.report_columns
         load_columns = [columns.index(name) for name in ("inflight", "queue") if name in columns]
         self.load_column = load_columns[0] if load_columns else None
-        self.cross = ctx.settings.price_cross_zone * CROSS_ZONE_WEIGHT
+        self.cross = context.settings.price_cross_zone * CROSS_ZONE_WEIGHT
 
-    def delay(self, server: Server, cls: int) -> float:
+    def delay(self, server: Server, class_index: int) -> float:
         """Expected delay by the design: (in-flight + 1) x smoothed latency.
 
         With low traffic it is drawn about the estimate, the wider the older the estimate is: most of
@@ -57,25 +62,27 @@
         last_heard_at = server.last_heard_at
         if (
             self.endpoints.low_traffic
-            and self.ctx.now - server.load_reported_at < LOAD_REPORT_HALF_LIFE * self.ctx.shortest
+            and self.context.now - server.load_reported_at < LOAD_REPORT_HALF_LIFE * self.context.shortest
         ):
             group = self.group(server)
             known = 0.5 ** (
-                (self.ctx.now - server.load_reported_at) / (LOAD_REPORT_HALF_LIFE * self.ctx.shortest)
+                (self.context.now - server.load_reported_at) / (LOAD_REPORT_HALF_LIFE * self.context.shortest)
             )
             load = max(group.load + (server.load - group.load) * known, len(server.in_flight))
             delay = (
                 (load + 1.0)
                 * (server.latency_per_request or group.latency_per_request)
-                * self.latency.class_mean[cls]
+                * self.latency.class_mean[class_index]
             )
             delay = max(delay, self.silence(server))
             last_heard_at = server.load_reported_at
         else:
-            delay = (len(server.in_flight) + 1) * self.slowness(server) * self.latency.class_mean[cls]
+            delay = (len(server.in_flight) + 1) * self.slowness(server) * self.latency.class_mean[class_index]
         if self.endpoints.low_traffic:
-            stale = 1.0 - 0.5 ** ((self.ctx.now - last_heard_at) / (STALE_HALF_LIFE * self.ctx.shortest))
-            delay *= self.ctx.random.expovariate(1.0) ** (stale / STALE_SHARPNESS)
+            stale = 1.0 - 0.5 ** (
+                (self.context.now - last_heard_at) / (STALE_HALF_LIFE * self.context.shortest)
+            )
+            delay *= self.context.random.expovariate(1.0) ** (stale / STALE_SHARPNESS)
         return delay
 
     def slowness(self, server: Server) -> float:
@@ -89,18 +96,20 @@
         mean = self.group(server).relative_latency if self.endpoints.low_traffic else 1.0
         relative_latency: float = server.relative_latency if server.samples else mean
         relative_latency = mean + (relative_latency - mean) * 0.5 ** (
-            (self.ctx.now - server.last_heard_at) / forget
+            (self.context.now - server.last_heard_at) / forget
         )
         if server.in_flight:
-            _, cls = next(iter(server.in_flight.values()))
-            relative_latency = max(relative_latency, self.silence(server) / self.latency.class_mean[cls])
+            _, class_index = next(iter(server.in_flight.values()))
+            relative_latency = max(
+                relative_latency, self.silence(server) / self.latency.class_mean[class_index]
+            )
         return relative_latency
 
     def silence(self, server: Server) -> float:
         """Silence with work outstanding is evidence before any time-out: a hung server."""
         if not server.in_flight:
             return 0.0
-        return self.ctx.now - max(next(iter(server.in_flight.values()))[0], server.last_alive_at)
+        return self.context.now - max(next(iter(server.in_flight.values()))[0], server.last_alive_at)
 
     def record_load_report(
         self, server: Server, report: tuple[float, ...], relative_latency: float = 0.0
@@ -109,7 +118,7 @@
         column = self.load_column
         if column is None or len(report) <= column or not 0.0 <= (load := report[column]) < math.inf:
             return
-        server.load, server.load_reported_at = load, self.ctx.now
+        server.load, server.load_reported_at = load, self.context.now
         group = self.group(server)
         group.reports += 1
         weight = max(GROUP_SMOOTHING, 1.0 / group.reports)
@@ -121,7 +130,7 @@
                 server.latency_per_request or group.latency_per_request
             ) + SMOOTHING * (latency_per_request - (server.latency_per_request or group.latency_per_request))
 
-    def pick(self, request: PendingRequest) -> Server | None:
+    def pick(self, request: RequestState) -> Server | None:
         """Two sampled of the own zone against two sampled of the others, which pay for the crossing."""
         tried = {attempt.server for attempt in request.attempts}
         rounds: tuple[Collection[Server], ...] = (tried, ()) if tried else ((),)
@@ -129,7 +138,7 @@
             best: Server | None = None
             lowest = 0.0
             for server, extra in self.candidates(request, avoided):
-                delay = self.delay(server, request.cls) + extra
+                delay = self.delay(server, request.class_index) + extra
                 if best is None or delay < lowest:
                     best, lowest = server, delay
             if best is not None:
@@ -139,7 +148,7 @@
                 return server
         return None
 
-    def candidates(self, request: PendingRequest, tried: Collection[Server]) -> list[tuple[Server, float]]:
+    def candidates(self, request: RequestState, tried: Collection[Server]) -> list[tuple[Server, float]]:
         """Candidates, with what is added to their delay for crossing zones."""
         if not self.endpoints.low_traffic:
             cross = self.cross * request.spec.objective_ns
@@ -155,19 +164,19 @@
                 break
         if len(fit) > PAIR:
             weights = [self.weight(server) for server in fit]
-            first = self.ctx.random.choices(range(len(fit)), weights)[0]
+            first = self.context.random.choices(range(len(fit)), weights)[0]
             weights[first] = 0.0
-            fit = [fit[first], fit[self.ctx.random.choices(range(len(fit)), weights)[0]]]
+            fit = [fit[first], fit[self.context.random.choices(range(len(fit)), weights)[0]]]
         return [(server, 0.0) for server in fit]
 
     def weight(self, server: Server) -> float:
         """Return the weight with which a server is sampled."""
-        sampling_weight = self.endpoints.sampling_weight[server.zone != self.ctx.settings.zone]
+        sampling_weight = self.endpoints.sampling_weight[server.zone != self.context.settings.zone]
         return math.exp(self.group(server).weight_bias) * sampling_weight
 
     def group(self, server: Server) -> EndpointGroup:
         """Return the group of a server: its kind, on its side of the zone's border."""
-        return self.groups[(server.kind, server.zone != self.ctx.settings.zone)]
+        return self.groups[(server.kind, server.zone != self.context.settings.zone)]
 
     def update_weight_bias(self, server: Server, relative_latency: float) -> None:
         """Favour the groups that answer sooner than the mean, as integral control does.
@@ -181,22 +190,24 @@
         )
         excess = relative_latency - self.mean_relative_latency
         self.mean_relative_latency += GROUP_SMOOTHING * excess
-        if server.zone != self.ctx.settings.zone:
-            aims = sum(spec.objective_ns for spec in self.ctx.settings.classes) / sum(self.latency.class_mean)
-            excess += BIAS_CROSS_ZONE_WEIGHT * self.ctx.settings.price_cross_zone * aims
+        if server.zone != self.context.settings.zone:
+            aims = sum(spec.objective_ns for spec in self.context.settings.classes) / sum(
+                self.latency.class_mean
+            )
+            excess += BIAS_CROSS_ZONE_WEIGHT * self.context.settings.price_cross_zone * aims
         bias = group.weight_bias * (1.0 - BIAS_DECAY) - BIAS_STEP * min(max(excess, -1.0), MAX_BIAS_EXCESS)
         group.weight_bias = min(max(bias, -MAX_BIAS), MAX_BIAS)
 
     def sample_pair(
-        self, group: list[Server], request: PendingRequest, tried: Collection[Server]
+        self, group: list[Server], request: RequestState, tried: Collection[Server]
     ) -> list[Server]:
         """Return up to two different servers of the group that this request may be sent to now."""
         found: list[Server] = []
         size = len(group)
         if not size:
             return found
-        at = self.ctx.random.randrange(size)
-        step = self.ctx.random.randrange(1, size) if size > PAIR else 1
+        at = self.context.random.randrange(size)
+        step = self.context.random.randrange(1, size) if size > PAIR else 1
         for drawn in range(size + 1):
             # The first two are a uniform pair; the walk over all beyond them only replaces unfit ones.
             ahead = drawn * step if drawn < PAIR else drawn - 1
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -30,9 +30,9 @@
 class EndpointSet:
     """The servers of the list, the subset to sample from, and the polls of discovery."""
 
-    def __init__(self, ctx: Context) -> None:
+    def __init__(self, context: Context) -> None:
         """Start without a list."""
-        self.ctx = ctx
+        self.context = context
         self.servers: dict[int, Server] = {}
         self.local: list[Server] = []  # ready and not ejected, in the own zone
         self.remote: list[Server] = []
@@ -56,12 +56,12 @@
         ready = [server for server in self.servers.values() if server.ready and server.listed]
         self.ready_count = len(ready)
         self.ejected = [server for server in ready if server.ejected]
-        here = self.ctx.settings.zone
+        here = self.context.settings.zone
         local = [server for server in ready if server.zone == here and not server.ejected]
         remote = [server for server in ready if server.zone != here and not server.ejected]
         size = self.subset_size = self.needed_subset_size()
         # Where servers outnumber sidecars each makes much of a server's load, whatever it sends just now.
-        self.low_traffic = size < len(ready) < self.ctx.settings.fleet_size
+        self.low_traffic = size < len(ready) < self.context.settings.fleet_size
         if self.low_traffic:
             local.sort(key=lambda server: server.rank)  # the same ones as long as they are fit
             remote.sort(key=lambda server: server.rank)
@@ -76,20 +76,23 @@
 
     def needed_subset_size(self) -> int:
         """Servers of a side to sample from: so few that each is heard from about once a deadline."""
-        return max(MIN_SUBSET_SIZE, int(self.request_rate * SUBSET_DEADLINES * self.ctx.shortest / SECOND))
+        return max(
+            MIN_SUBSET_SIZE, int(self.request_rate * SUBSET_DEADLINES * self.context.shortest / SECOND)
+        )
 
     def count_request(self) -> None:
         """Count an own request, and size the subset by their rate."""
         if not self.first_request_at:
-            self.first_request_at = self.request_rate_at = self.ctx.now
+            self.first_request_at = self.request_rate_at = self.context.now
         span = min(
-            self.ctx.now - self.first_request_at + self.ctx.shortest,
-            REQUEST_RATE_DEADLINES * self.ctx.shortest,
+            self.context.now - self.first_request_at + self.context.shortest,
+            REQUEST_RATE_DEADLINES * self.context.shortest,
         )
         self.request_rate = (
-            self.request_rate * max(0.0, 1.0 - (self.ctx.now - self.request_rate_at) / span) + SECOND / span
+            self.request_rate * max(0.0, 1.0 - (self.context.now - self.request_rate_at) / span)
+            + SECOND / span
         )
-        self.request_rate_at = self.ctx.now
+        self.request_rate_at = self.context.now
         size = self.needed_subset_size()
         if size != self.subset_size and min(size, self.subset_size) < self.ready_count:
             self.rebuild()
@@ -105,7 +108,7 @@
         else:
             self.subscribed = True
             self.poll_spread_ns = 0.0
-            self.poll_started_at = self.ctx.now
+            self.poll_started_at = self.context.now
         if event.kind is not ListKind.DELTA:
             present = {entry.server for entry in event.entries}
             for known in self.servers.values():
@@ -113,11 +116,11 @@
         for entry in event.entries:
             server = self.servers.get(entry.server)
             if server is None:
-                self.servers[entry.server] = Server(entry, self.ctx.random.random(), self.ctx.now)
+                self.servers[entry.server] = Server(entry, self.context.random.random(), self.context.now)
             elif entry.started_ns != server.started or (entry.state is State.READY and not server.ready):
                 if server.ejected:
                     self.inflight += server.awaited_count()
-                server.restart(entry, self.ctx.now)
+                server.restart(entry, self.context.now)
             else:
                 server.ready = entry.state is State.READY
                 server.zone, server.cell = entry.zone, entry.cell
@@ -133,7 +136,7 @@
         Unspread, what had waited too long was worked on too, and none got a list. Discovery may be back since
         the failed call began: what that took, the span and an answer fit into LIST_DEADLINE_NS and the grace.
         """
-        settings, hung = self.ctx.settings, self.ctx.now - self.poll_started_at
+        settings, hung = self.context.settings, self.context.now - self.poll_started_at
         if not settings.polling_required:
             return
         first = settings.polling_interval_ns * max(
@@ -145,11 +148,13 @@
         span = min(backoff, settings.polling_interval_ns * MAX_POLL_SPREAD, max_spread)
         min_delay = MIN_STEADY_POLL_DELAY if self.poll_spread_ns >= span else MIN_POLL_DELAY
         self.poll_spread_ns = span
-        self.poll_at = self.ctx.now + int(span * self.ctx.random.uniform(min_delay, 1.0)) + 1
-        self.ctx.schedule(ScheduledTimer(self.poll_at, POLL))
+        self.poll_at = self.context.now + int(span * self.context.random.uniform(min_delay, 1.0)) + 1
+        self.context.schedule(ScheduledTimer(self.poll_at, POLL))
 
     def poll(self) -> None:
         """Ask discovery for the list, if no list or later failure has come since it was planned."""
-        if not self.subscribed and 0 < self.poll_at <= self.ctx.now:  # else a later failure has put it off
-            self.poll_at, self.poll_started_at = 0, self.ctx.now
-            self.ctx.actions.append(Watch(on=True))
+        if (
+            not self.subscribed and 0 < self.poll_at <= self.context.now
+        ):  # else a later failure has put it off
+            self.poll_at, self.poll_started_at = 0, self.context.now
+            self.context.actions.append(Watch(on=True))
--- a/ochreflow/policy/interface.py
+++ b/ochreflow/policy/interface.py
@@ -147,7 +147,7 @@
     """A client's request has arrived."""
 
     id: int
-    cls: int
+    class_index: int
     tenant: int
     deadline_ns: int  # on the clock
     key: int = 0
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -12,7 +12,7 @@
 from .interface import Effect
 from .latency import LatencyEstimates
 from .safety_rules import SafetyRules
-from .state_records import AttemptKey, Context, PendingRequest, Server
+from .state_records import AttemptKey, Context, RequestState, Server
 
 READMITTED_RELATIVE_LATENCY = 3.0  # class means that a server's estimate is at most when it is readmitted
 
@@ -36,7 +36,7 @@
 class OutlierDetector:
     """Decides which servers are ejected and when they are tried again; calls `on_eject` for each ejection."""
 
-    ctx: Context
+    context: Context
     latency: LatencyEstimates
     endpoints: EndpointSet
     safety_rules: SafetyRules
@@ -46,7 +46,7 @@
 
     def __post_init__(self) -> None:
         """Look up whether any class may be used for trials without harm."""
-        classes = self.ctx.settings.classes
+        classes = self.context.settings.classes
         self.has_idempotent_class = any(spec.effect is Effect.IDEMPOTENT for spec in classes)
 
     def record_failure(self, server: Server, weight: float, max_share: float) -> None:
@@ -67,18 +67,18 @@
         server.ejections = 0
         self.schedule_half_open(server)
         self.endpoints.rebuild()
-        self.ctx.log(f"ejected {server.id} after {server.consecutive_failures:.1f} strikes in a row")
+        self.context.log(f"ejected {server.id} after {server.consecutive_failures:.1f} strikes in a row")
         self.on_eject(server)
 
     def schedule_half_open(self, server: Server) -> None:
         """Put off the next trial of an ejected server, longer each time."""
         growth = min(BASE_EJECTION_DEADLINES * EJECTION_GROWTH**server.ejections, MAX_EJECTION_FACTOR)
-        wait = self.ctx.shortest * growth
+        wait = self.context.shortest * growth
         server.ejections += 1
-        jitter = self.ctx.random.uniform(1.0 - EJECTION_JITTER, 1.0 + EJECTION_JITTER)
-        server.half_open_at = self.ctx.now + int(wait * jitter)
+        jitter = self.context.random.uniform(1.0 - EJECTION_JITTER, 1.0 + EJECTION_JITTER)
+        server.half_open_at = self.context.now + int(wait * jitter)
 
-    def half_open_server(self, request: PendingRequest) -> Server | None:
+    def half_open_server(self, request: RequestState) -> Server | None:
         """Return an ejected server that is due for one request, idempotent where any class of the site is."""
         if request.attempts or (self.has_idempotent_class and request.spec.effect is not Effect.IDEMPOTENT):
             return None
@@ -86,7 +86,7 @@
         if self.requests_since_half_open < HALF_OPEN_REQUEST_INTERVAL:
             return None
         for server in self.endpoints.ejected:
-            due = server.half_open_at <= self.ctx.now and not server.half_open_in_flight
+            due = server.half_open_at <= self.context.now and not server.half_open_in_flight
             if due and self.safety_rules.may_send(request, server):
                 self.requests_since_half_open = 0
                 return server
@@ -109,14 +109,14 @@
             self.endpoints.inflight -= not server.ejected
             server.written_off.add(attempt)
 
-    def overdue_after(self, server: Server, cls: int, remaining_ns: int) -> int:
+    def overdue_after(self, server: Server, class_index: int, remaining_ns: int) -> int:
         """Return after how many ns an attempt is overdue: a slow server is given its time."""
-        class_mean = self.latency.class_mean[cls]
-        expected = class_mean + OVERDUE_DEVIATIONS * self.latency.deviation[cls]
+        class_mean = self.latency.class_mean[class_index]
+        expected = class_mean + OVERDUE_DEVIATIONS * self.latency.deviation[class_index]
         expected = max(expected, MIN_OVERDUE_CLASS_MEANS * class_mean) * max(server.relative_latency, 1.0)
         return int(min(expected, MAX_OVERDUE_SHARE * remaining_ns)) + 1
 
-    def fallback_server(self, request: PendingRequest) -> Server | None:
+    def fallback_server(self, request: RequestState) -> Server | None:
         """Return a server that is ejected for its errors, for a request that would otherwise be rejected.
 
         It gets no more than the others have in flight each, and nothing if it mostly fails or is silent.
--- a/ochreflow/policy/slow_start.py
+++ b/ochreflow/policy/slow_start.py
@@ -31,34 +31,34 @@
 class SlowStart:
     """Grants attempts at servers that are warming up."""
 
-    def __init__(self, ctx: Context, latency: LatencyEstimates, endpoints: EndpointSet) -> None:
+    def __init__(self, context: Context, latency: LatencyEstimates, endpoints: EndpointSet) -> None:
         """Start without knowing what warm servers carry."""
-        self.ctx, self.latency, self.endpoints = ctx, latency, endpoints
+        self.context, self.latency, self.endpoints = context, latency, endpoints
         # Own work a second of each warm server, in requests of mean work.
         self.side_loads: dict[bool, float] = {}  # of all local, of all remote ones
         self.kind_loads: dict[GroupKey, float] = {}
         self.cell_loads: dict[GroupKey, float] = {}  # as a part of what the kinds of its servers carry
         self.loads_at = 0
 
-    def record_answer(self, server: Server, cls: int) -> None:
+    def record_answer(self, server: Server, class_index: int) -> None:
         """Count an answer in the load of its server; where no load is known, it earns tokens."""
-        server.completed_work += self.latency.cost(cls)
+        server.completed_work += self.latency.cost(class_index)
         self.update_loads()
         if server.tokens_updated_at and not self.side_loads:
-            server.slow_start_tokens += TOKENS_PER_ANSWER * self.latency.cost(cls)
+            server.slow_start_tokens += TOKENS_PER_ANSWER * self.latency.cost(class_index)
 
     def update_loads(self) -> None:
         """Learn the load of warm servers by group, of a cell as a part of its kinds'. None warm: it stays."""
-        passed = self.ctx.now - max(self.loads_at, self.endpoints.first_request_at)
-        if passed < LOAD_UPDATE_INTERVAL * max(self.ctx.shortest, self.ctx.settings.warm_up_ns):
+        passed = self.context.now - max(self.loads_at, self.endpoints.first_request_at)
+        if passed < LOAD_UPDATE_INTERVAL * max(self.context.shortest, self.context.settings.warm_up_ns):
             return
-        span = min(self.ctx.now - self.endpoints.first_request_at, self.ctx.settings.warm_up_ns) + 1
+        span = min(self.context.now - self.endpoints.first_request_at, self.context.settings.warm_up_ns) + 1
         work_by_side: dict[bool, list[float]] = defaultdict(list)
         work_by_kind: dict[GroupKey, list[float]] = defaultdict(list)
         work_by_cell: dict[GroupKey, list[float]] = defaultdict(list)
         for server in self.endpoints.local + self.endpoints.remote:
             if self.warm_share(server) >= 1.0:
-                remote = server.zone != self.ctx.settings.zone
+                remote = server.zone != self.context.settings.zone
                 kind = (remote, server.kind)
                 work_by_side[remote].append(server.completed_work)
                 work_by_kind[kind].append(server.completed_work)
@@ -69,11 +69,11 @@
         _follow(self.side_loads, work_by_side, passed, weight)
         _follow(self.kind_loads, work_by_kind, passed, weight)
         _follow(self.cell_loads, work_by_cell, passed, weight)
-        self.loads_at = self.ctx.now
+        self.loads_at = self.context.now
 
     def baseline_load(self, server: Server) -> float:
         """Return what others of its kind carry, less where its cell carries less; of its side, if none."""
-        remote = server.zone != self.ctx.settings.zone
+        remote = server.zone != self.context.settings.zone
         load = self.kind_loads.get((remote, server.kind), self.side_loads.get(remote, 0.0))
         return load * min(self.cell_loads.get((remote, server.cell), 1.0), 1.0)
 
@@ -82,40 +82,44 @@
         if server.tokens_updated_at:
             server.slow_start_tokens = min(server.slow_start_tokens, 0.0)
 
-    def give_back(self, server: Server, cls: int, sent: int) -> None:
+    def give_back(self, server: Server, class_index: int, sent: int) -> None:
         """Return the tokens of an attempt decided at `sent` ns that no connection came up for."""
         if server.tokens_updated_at and sent >= server.start_learned_at:
-            server.slow_start_tokens += self.latency.cost(cls)
+            server.slow_start_tokens += self.latency.cost(class_index)
 
     def warm_share(self, server: Server) -> float:
         """Return the least part of its capacity that a server has by now, by the settings."""
-        start, warm = self.ctx.settings.start_capacity, self.ctx.settings.warm_up_ns
-        age = max(self.ctx.now - server.started, 0)
+        start, warm = self.context.settings.start_capacity, self.context.settings.warm_up_ns
+        age = max(self.context.now - server.started, 0)
         if not server.started or age >= warm:
             return 1.0
         return max(start + (1.0 - start) * age / warm, MIN_WARM_SHARE)
 
-    def allows(self, server: Server, cls: int, *, consume: bool) -> bool:
+    def allows(self, server: Server, class_index: int, *, consume: bool) -> bool:
         """Whether an attempt may go to a server now; `consume` takes its cost from the bucket."""
         warm_share = self.warm_share(server)
         if warm_share >= 1.0:
             return True
         # Where that is nothing, what a part of one core does is no push, from all sidecars together.
         alone = (
-            UNKNOWN_LOAD_CORE_SHARE * SECOND / (self.latency.mean_baseline() * self.ctx.settings.fleet_size)
+            UNKNOWN_LOAD_CORE_SHARE
+            * SECOND
+            / (self.latency.mean_baseline() * self.context.settings.fleet_size)
         )
         refill_rate = warm_share * max(
-            OVERLOAD_SHARE * self.ctx.settings.overload_factor * self.baseline_load(server), alone
+            OVERLOAD_SHARE * self.context.settings.overload_factor * self.baseline_load(server), alone
         )
         if server in self.endpoints.outside_subset:  # left to those who sample it
-            refill_rate /= max(self.endpoints.sampling_weight[server.zone != self.ctx.settings.zone], 1.0)
+            refill_rate /= max(self.endpoints.sampling_weight[server.zone != self.context.settings.zone], 1.0)
         limit = max(1.0, refill_rate * BURST_S)
-        earned = refill_rate * (self.ctx.now - (server.tokens_updated_at or server.start_learned_at)) / SECOND
+        earned = (
+            refill_rate * (self.context.now - (server.tokens_updated_at or server.start_learned_at)) / SECOND
+        )
         server.slow_start_tokens, server.tokens_updated_at = (
             min(limit, server.slow_start_tokens + earned),
-            self.ctx.now,
+            self.context.now,
         )
-        cost = self.latency.cost(cls)
+        cost = self.latency.cost(class_index)
         if consume:
             server.slow_start_tokens -= cost
             return True
@@ -123,7 +127,7 @@
         if 0.0 < server.slow_start_tokens < need:
             # By chance, all or nothing: else hundreds of sidecars each keep a part that is of no use.
             server.slow_start_tokens = (
-                need if self.ctx.random.random() * need < server.slow_start_tokens else 0.0
+                need if self.context.random.random() * need < server.slow_start_tokens else 0.0
             )
         return server.slow_start_tokens >= need
 
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -61,7 +61,7 @@
     """What a server's record holds of an attempt that is in flight."""
 
     since_ns: int
-    cls: int
+    class_index: int
 
 
 class Context:
@@ -148,12 +148,17 @@
     state: AttemptState = IN_FLIGHT
 
 
-class PendingRequest:
+class RequestState:
     """A request that has no final response yet."""
 
     def __init__(self, request: Request, spec: RequestClass, now: int) -> None:
         """Take up a request of the class `spec` at `now`."""
-        self.id, self.cls, self.tenant, self.spec = request.id, request.cls, request.tenant, spec
+        self.id, self.class_index, self.tenant, self.spec = (
+            request.id,
+            request.class_index,
+            request.tenant,
+            spec,
+        )
         self.deadline = request.deadline_ns
         self.first_send_by = now + int(MAX_UNSENT_SHARE * (self.deadline - now))
         self.reached_server = False  # some attempt has reached a server
--- a/ochreflow/policy/tenant_quota.py
+++ b/ochreflow/policy/tenant_quota.py
@@ -16,10 +16,10 @@
 class TenantQuotas:
     """Measures how much of each tenant's traffic is over its quota."""
 
-    def __init__(self, ctx: Context) -> None:
+    def __init__(self, context: Context) -> None:
         """Start without traffic."""
-        self.ctx = ctx
-        tenants = len(ctx.settings.tenants)
+        self.context = context
+        tenants = len(context.settings.tenants)
         self.counts = [0.0] * tenants  # first attempts since the quotas were judged
         self.request_rates = [0.0] * tenants  # first attempts per second, smoothed
         self.judged_at = 0
@@ -30,29 +30,29 @@
     def count(self, tenant: int) -> None:
         """Count a first attempt; now and then judge how much of each tenant's traffic is over its quota."""
         self.counts[tenant] += 1.0
-        passed = self.ctx.now - self.judged_at
-        if passed < QUOTA_UPDATE_INTERVAL * self.ctx.shortest:
+        passed = self.context.now - self.judged_at
+        if passed < QUOTA_UPDATE_INTERVAL * self.context.shortest:
             return
-        known, self.judged_at = self.judged_at, self.ctx.now
+        known, self.judged_at = self.judged_at, self.context.now
         if known:  # the first span has no beginning
             for number, counts in enumerate(self.counts):
                 self.request_rates[number] += REQUEST_RATE_SMOOTHING * (
                     counts * SECOND / passed - self.request_rates[number]
                 )
         self.counts = [0.0] * len(self.counts)
-        if self.ctx.settings.can_gossip and self.ctx.settings.fleet_size > 1:
+        if self.context.settings.can_gossip and self.context.settings.fleet_size > 1:
             steps = [
                 min(int(request_rate * RATE_STEPS_PER_S), 0xFFFFFFFF) for request_rate in self.request_rates
             ]
-            self.ctx.actions.append(PublishGossip(self.rates.pack(*steps)))
+            self.context.actions.append(PublishGossip(self.rates.pack(*steps)))
         self.judge()
 
     def judge(self) -> None:
         """Work out the part of each tenant's traffic that is over its quota."""
-        tenants = self.ctx.settings.tenants
-        fresh = self.ctx.now - PEER_RATE_LIFETIME * QUOTA_UPDATE_INTERVAL * self.ctx.shortest
+        tenants = self.context.settings.tenants
+        fresh = self.context.now - PEER_RATE_LIFETIME * QUOTA_UPDATE_INTERVAL * self.context.shortest
         peers = [rates for when, rates in self.peer_rates.values() if when >= fresh]
-        if len(peers) + 1 >= self.ctx.settings.fleet_size:
+        if len(peers) + 1 >= self.context.settings.fleet_size:
             # All are heard: the shares are known as they are stated, over all sidecars together.
             part = 1.0
             request_rates = [sum(rates) for rates in zip(self.request_rates, *peers, strict=True)]
@@ -75,6 +75,6 @@
 
     def record_gossip(self, event: GossipReceived) -> None:
         """A peer's rates by tenant; anything of another length is not ours and skipped."""
-        if len(event.data) == self.rates.size and event.sender < self.ctx.settings.fleet_size:
+        if len(event.data) == self.rates.size and event.sender < self.context.settings.fleet_size:
             rates = [value / RATE_STEPS_PER_S for value in self.rates.unpack(event.data)]
-            self.peer_rates[event.sender] = (self.ctx.now, rates)
+            self.peer_rates[event.sender] = (self.context.now, rates)
--- a/ochreflow/simulator_adapter/events.py
+++ b/ochreflow/simulator_adapter/events.py
@@ -99,10 +99,10 @@
 
 
 def _decode_inbound(body: bytes, at: int) -> api.Request:
-    request_id, cls, tenant, key, deadline_ns, cost_ns, options = INBOUND.unpack_from(body, at)
+    request_id, class_index, tenant, key, deadline_ns, cost_ns, options = INBOUND.unpack_from(body, at)
     return api.Request(
         request_id,
-        cls,
+        class_index,
         tenant,
         deadline_ns,
         key,
--- a/ochreflow/simulator_adapter/host.py
+++ b/ochreflow/simulator_adapter/host.py
@@ -72,8 +72,8 @@
         balancer = self.balancers.get(instance)
         if event is None or balancer is None:
             return
-        if isinstance(event, api.Request) and event.cls >= len(balancer.ctx.settings.classes):
-            raise UnknownClassError(event.id, event.cls)
+        if isinstance(event, api.Request) and event.class_index >= len(balancer.context.settings.classes):
+            raise UnknownClassError(event.id, event.class_index)
         encode_actions(instance, balancer.handle(batch.now_ns, event), reply)
 
 
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -53,7 +53,7 @@
                 else:
                     self.listed.discard(entry.server)
         elif isinstance(event, Request):
-            self.requests[event.id] = [event.cls, event.deadline_ns, False, []]
+            self.requests[event.id] = [event.class_index, event.deadline_ns, False, []]
         elif isinstance(event, Outcome):
             request = self.requests[event.id]
             request[3][event.attempt][2] = "never" if event.status in NEVER else "maybe"
@@ -71,10 +71,10 @@
                 self._check_send(now, action)
             elif isinstance(action, Reject | Fail):
                 need(action.id in self.requests, "answers an unknown request")
-                cls, _, ended, attempts = self.requests[action.id]
+                class_index, _, ended, attempts = self.requests[action.id]
                 need(not ended, "a second final answer")
                 if isinstance(action, Reject):
-                    self._check_rejection(self.settings.classes[cls], attempts)
+                    self._check_rejection(self.settings.classes[class_index], attempts)
                 self.requests[action.id][2] = True
             elif isinstance(action, Probe):
                 need(self.settings.can_probe, "probes where it may not")
@@ -91,8 +91,8 @@
 
     def _check_send(self, now, action):
         need(action.id in self.requests, "sends an unknown request")
-        cls, deadline, ended, attempts = self.requests[action.id]
-        spec = self.settings.classes[cls]
+        class_index, deadline, ended, attempts = self.requests[action.id]
+        spec = self.settings.classes[class_index]
         need(not ended and now <= deadline, "sends after the end")
         need(action.server in self.listed, "sends to a server that is not ready")
         need(len(attempts) < self.settings.max_attempts, "too many attempts")
--- a/tests/engine_simulation.py
+++ b/tests/engine_simulation.py
@@ -83,16 +83,16 @@
             self.rule.groups[number] = {Scope.ZONE: known.zone, Scope.CELL: known.cell}
         self.engine.on_endpoint_update(EndpointUpdate(self.version, True, entries))
 
-    def submit(self, cls=0, complete=True, name=None):
+    def submit(self, class_index=0, complete=True, name=None):
         """A request comes; with `complete` false, its body goes on coming."""
         name = next(self.names) if name is None else name
         body = Body(self.engine.memory, None)
         body.add(b"x")
         if complete:
             body.end()
-        spec = self.settings.classes[cls]
+        spec = self.settings.classes[class_index]
         call = IncomingRequest(
-            name, cls, 0, 0, DEADLINE_NS, self.loop.now + DEADLINE_NS, 0, False, True, body
+            name, class_index, 0, 0, DEADLINE_NS, self.loop.now + DEADLINE_NS, 0, False, True, body
         )
         self.rule.requests[name] = RequestRecord(call, spec)
         self.engine.requests.accept(self.frontend_binding, self.clients, call)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -53,12 +53,12 @@
     return balancer, START
 
 
-def request(ident, now, length=2 * SECOND, cls=0, tenant=0):
-    return Request(ident, cls, tenant, now + length)
+def request(ident, now, length=2 * SECOND, class_index=0, tenant=0):
+    return Request(ident, class_index, tenant, now + length)
 
 
-def send_one(balancer, now, ident, length=2 * SECOND, cls=0):
-    actions = balancer.handle(now, request(ident, now, length, cls))
+def send_one(balancer, now, ident, length=2 * SECOND, class_index=0):
+    actions = balancer.handle(now, request(ident, now, length, class_index))
     return next(a for a in actions if isinstance(a, Send))
 
 
--- a/tests/line_frontend.py
+++ b/tests/line_frontend.py
@@ -137,12 +137,21 @@
         for line in lines:
             name_of_class, name, wait = line.split()
             specs = engine.settings.classes
-            cls = [spec.name for spec in specs].index(name_of_class.decode())
+            class_index = [spec.name for spec in specs].index(name_of_class.decode())
             body = Body(engine.memory, 0)
             body.end()
             timeout_ns = int(wait) * 1_000_000
             request = IncomingRequest(
-                name, cls, 0, 0, timeout_ns, engine.clock.now() + timeout_ns, 0, False, cls > 0, body
+                name,
+                class_index,
+                0,
+                0,
+                timeout_ns,
+                engine.clock.now() + timeout_ns,
+                0,
+                False,
+                class_index > 0,
+                body,
             )
             self.open_requests.add(request)
             engine.requests.accept(self.frontend.frontend_binding, self, request)
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -117,7 +117,7 @@
     open_request = balancer.pending.get(1)
     if open_request is not None:
         server = next(iter(balancer.endpoints.servers.values()))
-        balancer.ctx.now = first + 4 * SECOND
+        balancer.context.now = first + 4 * SECOND
         assert not balancer.safety_rules.may_send(open_request, server)
 
 
@@ -135,7 +135,7 @@
     simulation = EngineSimulation()
     call = simulation.submit()
     simulation.attempt(call).connect()
-    simulation.engine.balancer.ctx.settings.classes[0] = EngineSimulation(["safe"]).settings.classes[0]
+    simulation.engine.balancer.context.settings.classes[0] = EngineSimulation(["safe"]).settings.classes[0]
     simulation.upstream_transport.pooled = True
     simulation.attempt(call).answer(Status.RESET)
     simulation.finish()
@@ -216,11 +216,11 @@
     balancer = simulation.engine.balancer
     allows = balancer.slow_start.allows
 
-    def fail_to_take(server, cls, *, consume):
+    def fail_to_take(server, class_index, *, consume):
         if consume:
             monkeypatch.setattr(balancer.slow_start, "allows", allows)
             raise RuntimeError("injected")
-        return allows(server, cls, consume=consume)
+        return allows(server, class_index, consume=consume)
 
     monkeypatch.setattr(balancer.slow_start, "allows", fail_to_take)
     call = simulation.submit()
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -175,7 +175,7 @@
 
         def failing(now, event):
             if isinstance(event, failing_events):
-                rig.engine.balancer.ctx.actions = []
+                rig.engine.balancer.context.actions = []
                 raise ZeroDivisionError("of the module")
             return handle(now, event)
 
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -131,7 +131,7 @@
     balancer.outcome_recorder.sample(server, 10.0)  # at once: one of many
     small = server.relative_latency - before
     server.relative_latency = before
-    balancer.ctx.now += 20 * SECOND
+    balancer.context.now += 20 * SECOND
     balancer.outcome_recorder.sample(server, 10.0)
     assert server.relative_latency - before > 4 * small
 
--- a/tests/test_net_long_day.py
+++ b/tests/test_net_long_day.py
@@ -30,7 +30,7 @@
             assert len(module.picker.groups) <= 4 and len(sidecar.endpoint_ids.zones) <= 256
             assert not (module.pending or engine.requests.pending or engine.attempts.in_flight)
             assert (
-                len(module.ctx.timers) <= DAYS_WORTH / 20
+                len(module.context.timers) <= DAYS_WORTH / 20
             )  # each goes with its deadline, whatever came of it
             assert module.endpoints.inflight == 0 and engine.memory.reserved_bytes == 0
 
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -196,8 +196,8 @@
             handle = sidecar.engine.balancer.handle
 
             def failing(now, event):
-                if isinstance(event, api.Request) and event.cls == 2:
-                    sidecar.engine.balancer.ctx.actions = []
+                if isinstance(event, api.Request) and event.class_index == 2:
+                    sidecar.engine.balancer.context.actions = []
                     raise ZeroDivisionError("of the module")
                 return handle(now, event)
 
@@ -219,7 +219,7 @@
 
             def deaf(now, event):
                 if isinstance(event, api.Outcome | api.Timer):
-                    sidecar.engine.balancer.ctx.actions = []
+                    sidecar.engine.balancer.context.actions = []
                     raise ZeroDivisionError("of the module")
                 return handle(now, event)
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -57,7 +57,7 @@
         seconds,
         per_second,
         duration_ns,
-        cls=lambda n: 0,
+        class_index=lambda n: 0,
         tenant=lambda n: 0,
         remaining_ns=lambda n: 2 * SECOND,
         is_retry=lambda n: False,
@@ -75,7 +75,7 @@
             self.ident += 1
             number = self.ident
             due = arrival + remaining_ns(number)
-            event = Request(number, cls(number), tenant(number), due, is_retry=is_retry(number))
+            event = Request(number, class_index(number), tenant(number), due, is_retry=is_retry(number))
             self._handle(event, duration_ns)
             arrival += gap
         return self.log
@@ -182,7 +182,7 @@
             1e9,
             now,
         )
-        balancer.ctx.now = now = now + balancer.limiter.update_interval_ns
+        balancer.context.now = now = now + balancer.limiter.update_interval_ns
         balancer.limiter.update()
         assert balancer.limiter.limit == pytest.approx(limit, rel=1e-6)
 
@@ -241,7 +241,7 @@
         RequestClass("dear", 500 * MS, 2 * SECOND, 9.0, 0.2, Effect.NON_IDEMPOTENT),
     ]
     feed = Feed(*make(servers=6, classes=classes, **more))
-    by_parity = {"cls": lambda n: n % 2}
+    by_parity = {"class_index": lambda n: n % 2}
     feed.run(5, 100, fast, **by_parity)
     log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.endpoints.inflight) * MS, **by_parity)
     refused = [a.id % 2 for _, a in log if isinstance(a, Reject)]
@@ -351,9 +351,14 @@
     balancer, now = make(servers=6, classes=classes)
     balancer.outlier_detector.record_failure(balancer.endpoints.servers[100], 5.0, 1.0)
     now += 30 * SECOND
-    sent = [a for n in range(3) for a in balancer.handle(now, request(n, now, cls=1)) if isinstance(a, Send)]
+    sent = [
+        a
+        for n in range(3)
+        for a in balancer.handle(now, request(n, now, class_index=1))
+        if isinstance(a, Send)
+    ]
     assert sent and all(action.server != 100 for action in sent)
-    actions = balancer.handle(now, request(99, now, cls=0))
+    actions = balancer.handle(now, request(99, now, class_index=0))
     assert [a.server for a in actions if isinstance(a, Send)] == [100]
 
 
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -20,15 +20,15 @@
     balancer, now = make(entries=[endpoint(1), endpoint(2)])
     server = restarted(balancer, now)
     slow_start = balancer.slow_start
-    sent = balancer.ctx.now = now + 10 * MS
+    sent = balancer.context.now = now + 10 * MS
     slow_start.allows(server, 0, consume=True)
     taken = server.slow_start_tokens
-    balancer.ctx.now += 200 * MS
+    balancer.context.now += 200 * MS
     slow_start.give_back(server, 0, sent)
     assert server.slow_start_tokens == taken + balancer.latency.cost(0)
     # Its pace was another life's: the new one owes nothing for it.
     server = restarted(balancer, now + SECOND)
-    balancer.ctx.now += SECOND
+    balancer.context.now += SECOND
     slow_start.allows(server, 0, consume=False)
     fresh = server.slow_start_tokens
     slow_start.give_back(server, 0, sent)
@@ -79,7 +79,7 @@
         at = now + tick * 10 * MS
         for number, rate in rates.items():
             if tick % (100 // rate) == 0:
-                balancer.ctx.now = at
+                balancer.context.now = at
                 balancer.slow_start.record_answer(balancer.endpoints.servers[number], 0)
     return now + seconds * SECOND
 
@@ -174,7 +174,7 @@
         now = carry(balancer, now, {1: 20, 2: 20})
         server, slow_start = restarted(balancer, now), balancer.slow_start
         for tick in range(300):
-            balancer.ctx.now = now + tick * 10 * MS
+            balancer.context.now = now + tick * 10 * MS
             budget += 2.5 * 20 * slow_start.warm_share(server) / 100
             if slow_start.allows(server, 0, consume=False):
                 slow_start.allows(server, 0, consume=True)
@@ -194,7 +194,7 @@
         if server in balancer.endpoints.outside_subset:
             continue
         for tick in range(500):
-            balancer.ctx.now = now + tick * 10 * MS
+            balancer.context.now = now + tick * 10 * MS
             budget += 2 * 2.5 * 2 * slow_start.warm_share(server) / 100
             if slow_start.allows(server, 0, consume=False):
                 slow_start.allows(server, 0, consume=True)
@@ -211,9 +211,9 @@
     balancer.endpoints.servers[0].ejected = True
     balancer.endpoints.rebuild()
     assert not balancer.endpoints.local and balancer.endpoints.outside_subset
-    balancer.ctx.now = now + 9 * SECOND
+    balancer.context.now = now + 9 * SECOND
     balancer.slow_start.allows(server, 0, consume=False)
-    balancer.ctx.now += SECOND // 2
+    balancer.context.now += SECOND // 2
     assert balancer.slow_start.allows(server, 0, consume=False)
 
 
@@ -221,11 +221,11 @@
     balancer, now = began([endpoint(1), endpoint(2)])
     now = carry(balancer, now, {1: 10, 2: 10})
     server, slow_start = restarted(balancer, now), balancer.slow_start
-    balancer.ctx.now = now + 2 * SECOND
+    balancer.context.now = now + 2 * SECOND
     assert slow_start.allows(server, 0, consume=False)
     slow_start.drain_tokens(server)
     assert not slow_start.allows(server, 0, consume=False)
-    balancer.ctx.now += 2 * SECOND
+    balancer.context.now += 2 * SECOND
     assert slow_start.allows(server, 0, consume=False)
 
 
@@ -243,14 +243,14 @@
     balancer, now = began([endpoint(1), endpoint(2)], fleet_size=200)
     now = carry(balancer, now, {1: 1, 2: 1})
     server = restarted(balancer, now)
-    balancer.ctx.now = now + 4 * SECOND
+    balancer.context.now = now + 4 * SECOND
     assert balancer.slow_start.allows(server, 0, consume=False)
 
 
 def test_a_sidecar_that_knows_no_warm_server_earns_by_answers():
     balancer, now = make(entries=[endpoint(9, started=START)], fleet_size=30)
     server = balancer.endpoints.servers[9]
-    balancer.ctx.now = now
+    balancer.context.now = now
     balancer.slow_start.allows(server, 0, consume=True)
     taken = server.slow_start_tokens
     balancer.slow_start.record_answer(server, 0)
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -104,7 +104,9 @@
         if ident % 50 == 0:
             entries = [endpoint(ident + n) for n in range(6)]
             balancer.handle(when, Membership(ListKind.FULL, ident, entries))
-            sizes.append((len(balancer.endpoints.servers), len(balancer.ctx.timers), len(balancer.pending)))
+            sizes.append(
+                (len(balancer.endpoints.servers), len(balancer.context.timers), len(balancer.pending))
+            )
 
     _drive(balancer, now, 4000, roll)
     assert max(size[0] for size in sizes) <= 60
@@ -142,7 +144,7 @@
     assert any(isinstance(action, Send) for action in sent)
 
     def fail_after_log(request):
-        balancer.ctx.log("decided before the fault")
+        balancer.context.log("decided before the fault")
         raise RuntimeError("injected")
 
     monkeypatch.setattr(balancer.picker, "pick", fail_after_log)
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -157,13 +157,13 @@
         return Outcome(ident, number, server, status, self.now - sent, ident in self.ended, self.report())
 
     def arrive(self, ident):
-        cls = self.rng.randrange(len(self.config.classes))
-        length = int(self.config.classes[cls].deadline_ns * self.rng.uniform(0.0, 1.0))
+        class_index = self.rng.randrange(len(self.config.classes))
+        length = int(self.config.classes[class_index].deadline_ns * self.rng.uniform(0.0, 1.0))
         tenant = self.rng.randrange(max(len(self.config.tenants), 1))
         self.deadlines[ident] = self.now + length
         if self.rng.random() < 0.02:
             self.later(self.now + int(length * self.rng.random()), lambda: self._drop(ident))
-        return Request(ident, cls, tenant, self.now + length)
+        return Request(ident, class_index, tenant, self.now + length)
 
     def _drop(self, ident):
         if ident in self.ended:
@@ -212,7 +212,11 @@
 
 def broken_send_rule(monkeypatch):
     def only_list_and_slow_start(self, request, server):
-        return server.listed and server.ready and self.slow_start.allows(server, request.cls, consume=False)
+        return (
+            server.listed
+            and server.ready
+            and self.slow_start.allows(server, request.class_index, consume=False)
+        )
 
     monkeypatch.setattr(SafetyRules, "may_send", only_list_and_slow_start)
 
@@ -243,7 +247,7 @@
 
 
 def broken_slow_start(monkeypatch):
-    monkeypatch.setattr(SlowStart, "allows", lambda self, server, cls, *, consume: True)
+    monkeypatch.setattr(SlowStart, "allows", lambda self, server, class_index, *, consume: True)
     monkeypatch.setattr(EndpointPicker, "slowness", lambda self, server: 1e-3 if server.started else 1.0)
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -69,8 +69,8 @@
     ),
     "no cold node pushed over": (
         "policy/safety_rules.py",
-        "        return self.slow_start.allows(server, request.cls, consume=False)",
-        "        return bool(server.started) or self.ctx.random.random() < 0.1",
+        "        return self.slow_start.allows(server, request.class_index, consume=False)",
+        "        return bool(server.started) or self.context.random.random() < 0.1",
         COLD,
     ),
     "within its means": (
