--- a/tests/checker.py
+++ b/tests/checker.py
@@ -16,14 +16,14 @@
     StreamStarted,
 )
 
-NEVER = (Status.REJECTED, Status.CONNECT_FAILED, Status.NOT_SENT)
+NEVER_RAN_STATUSES = (Status.REJECTED, Status.CONNECT_FAILED, Status.NOT_SENT)
 
 
 class BrokenRuleError(AssertionError):
     pass
 
 
-def need(truth, text):
+def require(truth, text):
     if not truth:
         raise BrokenRuleError(text)
 
@@ -39,7 +39,7 @@
         self.warming_up = {}  # id -> [sends, answers] since the start it was listed with
         self.answers = []
 
-    def event(self, now, event):
+    def observe_event(self, now, event):
         if isinstance(event, Membership):
             if event.kind.name in ("FULL", "CACHED"):
                 self.listed = set()
@@ -56,7 +56,7 @@
             self.requests[event.id] = [event.class_index, event.deadline_ns, False, []]
         elif isinstance(event, Outcome):
             request = self.requests[event.id]
-            request[3][event.attempt][2] = "never" if event.status in NEVER else "maybe"
+            request[3][event.attempt][2] = "never" if event.status in NEVER_RAN_STATUSES else "maybe"
             if event.final:
                 request[2] = True
             if event.status is Status.OK:
@@ -65,50 +65,50 @@
         elif isinstance(event, StreamStarted):
             self.requests[event.id][3][event.attempt][2] = "streaming"
 
-    def actions(self, now, actions):
+    def check_actions(self, now, actions):
         for action in actions:
             if isinstance(action, Send):
                 self._check_send(now, action)
             elif isinstance(action, Reject | Fail):
-                need(action.id in self.requests, "answers an unknown request")
+                require(action.id in self.requests, "answers an unknown request")
                 class_index, _, ended, attempts = self.requests[action.id]
-                need(not ended, "a second final answer")
+                require(not ended, "a second final answer")
                 if isinstance(action, Reject):
                     self._check_rejection(self.settings.classes[class_index], attempts)
                 self.requests[action.id][2] = True
             elif isinstance(action, Probe):
-                need(self.settings.can_probe, "probes where it may not")
-                need(action.server in self.servers, "probes an unknown server")
+                require(self.settings.can_probe, "probes where it may not")
+                require(action.server in self.servers, "probes an unknown server")
             elif isinstance(action, Cancel):
-                need(self.settings.can_cancel, "cancels where it may not")
-                need(action.attempt < len(self.requests[action.id][3]), "cancels what was never sent")
+                require(self.settings.can_cancel, "cancels where it may not")
+                require(action.attempt < len(self.requests[action.id][3]), "cancels what was never sent")
 
     def _check_rejection(self, spec, attempts):
         harmless = spec.effect is Effect.IDEMPOTENT or (
             spec.effect is Effect.IDEMPOTENT_WITH_KEY and spec.scope is Scope.ALL
         )
-        need(harmless or all(a[2] == "never" for a in attempts), "refuses what may have run")
+        require(harmless or all(a[2] == "never" for a in attempts), "refuses what may have run")
 
     def _check_send(self, now, action):
-        need(action.id in self.requests, "sends an unknown request")
+        require(action.id in self.requests, "sends an unknown request")
         class_index, deadline, ended, attempts = self.requests[action.id]
         spec = self.settings.classes[class_index]
-        need(not ended and now <= deadline, "sends after the end")
-        need(action.server in self.listed, "sends to a server that is not ready")
-        need(len(attempts) < self.settings.max_attempts, "too many attempts")
+        require(not ended and now <= deadline, "sends after the end")
+        require(action.server in self.listed, "sends to a server that is not ready")
+        require(len(attempts) < self.settings.max_attempts, "too many attempts")
         target = self.servers[action.server]
         for server, sent, state in attempts:
-            need(state != "streaming", "sends beside a stream")
+            require(state != "streaming", "sends beside a stream")
             if state == "never":
                 continue
-            need(state != "out" or self.settings.hedging, "two attempts out")
-            need(spec.effect is not Effect.NON_IDEMPOTENT, "an effect twice: unsafe")
+            require(state != "out" or self.settings.hedging, "two attempts out")
+            require(spec.effect is not Effect.NON_IDEMPOTENT, "an effect twice: unsafe")
             if spec.effect is Effect.IDEMPOTENT_WITH_KEY:
-                need(now < sent + spec.window_ns, "an effect twice: after the window")
+                require(now < sent + spec.window_ns, "an effect twice: after the window")
                 if spec.scope is Scope.CELL:
-                    need(server.cell == target.cell, "an effect twice: another cell")
+                    require(server.cell == target.cell, "an effect twice: another cell")
                 if spec.scope is Scope.ZONE:
-                    need(server.zone == target.zone, "an effect twice: another zone")
+                    require(server.zone == target.zone, "an effect twice: another zone")
         attempts.append([target, now, "out"])
         self._check_slow_start(now, target)
 
@@ -123,9 +123,9 @@
         start = self.settings.start_capacity
         part = start + (1 - start) * max(age, 0) / warm
         done = sum(when >= target.started_ns for when in self.answers) / max(len(self.listed), 1)
-        need(tally[0] <= 6 + 2 * tally[1] + 3 * part * done, "pushes a cold server over")
+        require(tally[0] <= 6 + 2 * tally[1] + 3 * part * done, "pushes a cold server over")
 
-    def at_the_end(self, now):
+    def check_all_answered(self, now):
         for ident, (_, deadline, ended, _) in self.requests.items():
             late = now > deadline + self.settings.answer_slack_ns
-            need(ended or not late, f"request {ident} was never answered")
+            require(ended or not late, f"request {ident} was never answered")
--- a/tests/disconnecting_clients.py
+++ b/tests/disconnecting_clients.py
@@ -10,11 +10,11 @@
 import time
 from dataclasses import dataclass, field
 
-from net_helpers import HOST, reply, until
+from net_helpers import HOST, http_response, wait_until
 
-HOW = ["close", "reset", "half-close"]
-RULE = 0.1  # seconds after which, by the protocol, no attempt may begin any more
-BLOCKED = 1.5 * RULE  # seconds in which the loop does not turn: what it then begins would break the rule
+DISCONNECT_MODES = ["close", "reset", "half-close"]
+ATTEMPT_START_LIMIT_S = 0.1  # after a client's disconnect, by the protocol, no attempt may begin later
+LOOP_BLOCK_S = 1.5 * ATTEMPT_START_LIMIT_S  # the loop is blocked so long that a later attempt breaks the rule
 
 
 def connect(port):
@@ -22,7 +22,7 @@
     return socket.create_connection((HOST, port))
 
 
-def leave(sock, how):
+def disconnect(sock, how):
     if how == "half-close":
         sock.shutdown(socket.SHUT_WR)
         return
@@ -31,7 +31,7 @@
     sock.close()
 
 
-def front_of(sidecar, sock):
+def sidecar_connection(sidecar, sock):
     """The sidecar's end of a client's connection."""
     port = sock.getsockname()[1]
     (front,) = (
@@ -42,19 +42,19 @@
     return front
 
 
-def end_can_be_read(front):
+def block_until_eof_readable(front):
     """Block until the end of its client is there to be read."""
     poll = select.poll()
     poll.register(front.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
     assert poll.poll(20_000), "the end has come"
 
 
-def leave_unseen(sidecar, sock, how):
+def disconnect_while_loop_blocked(sidecar, sock, how):
     """Leave, and block the loop until the end could have been read for longer than the rule allows."""
-    front = front_of(sidecar, sock)
-    leave(sock, how)
-    end_can_be_read(front)
-    time.sleep(BLOCKED)
+    front = sidecar_connection(sidecar, sock)
+    disconnect(sock, how)
+    block_until_eof_readable(front)
+    time.sleep(LOOP_BLOCK_S)
 
 
 @dataclass
@@ -75,10 +75,10 @@
         """The next connection."""
         sock, _ = await asyncio.get_running_loop().sock_accept(self.listening)
         sock.setblocking(False)
-        self.connections.append(Taken(sock))
+        self.connections.append(ServerConnection(sock))
         return self.connections[-1]
 
-    def take_all(self):
+    def read_all(self):
         """All that has been written to it, on any connection, in bytes."""
         while True:
             try:
@@ -86,10 +86,10 @@
             except BlockingIOError:
                 break
             sock.setblocking(False)
-            self.connections.append(Taken(sock))
+            self.connections.append(ServerConnection(sock))
         for taken in self.connections:
-            taken.take()
-        return b"".join(bytes(taken.got) for taken in self.connections)
+            taken.read_available()
+        return b"".join(bytes(taken.received) for taken in self.connections)
 
     def close(self):
         self.listening.close()
@@ -98,14 +98,14 @@
 
 
 @dataclass
-class Taken:
+class ServerConnection:
     """A connection to the server."""
 
     sock: socket.socket
-    got: bytearray = field(default_factory=bytearray)
+    received: bytearray = field(default_factory=bytearray)
     ended: bool = False
 
-    def take(self):
+    def read_available(self):
         """Read what has come."""
         while not self.ended:
             try:
@@ -114,29 +114,29 @@
                 return
             except ConnectionResetError:
                 data = b""
-            self.got += data
+            self.received += data
             self.ended = not data
 
-    async def has(self, part):
+    async def wait_for(self, part):
         """Wait until it has come."""
 
         def came():
-            self.take()
-            return part in self.got
+            self.read_available()
+            return part in self.received
 
-        await until(came)
+        await wait_until(came)
 
     def answer(self, code=200, *lines):
         """On its way within this call."""
-        self.sock.send(reply(code, b"", *lines))
+        self.sock.send(http_response(code, b"", *lines))
 
 
-class HeldLoop:
+class DelayedConnectLoop:
     """The loop as the pool uses it, with connections that come up when the test lets them."""
 
     def __init__(self, loop):
         self.loop = loop
-        self.go = asyncio.Event()
+        self.connect_allowed = asyncio.Event()
         self.before_use = lambda: None  # in the very turn in which a connection that came up is put to use
 
     def __getattr__(self, name):
@@ -144,5 +144,5 @@
 
     async def sock_connect(self, sock, address):
         await self.loop.sock_connect(sock, address)
-        await self.go.wait()
+        await self.connect_allowed.wait()
         self.before_use()
--- a/tests/engine_simulation.py
+++ b/tests/engine_simulation.py
@@ -111,7 +111,7 @@
 
     def attempt(self, call, number=-1):
         """An attempt of a request, by its place among those in flight."""
-        return [one for one in self.upstream_transport.out if one.call is call][number]
+        return [one for one in self.upstream_transport.in_flight if one.call is call][number]
 
     def run(self, ns):
         self.loop.run_until(self.loop.now + ns)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -45,7 +45,7 @@
     return Endpoint(server, zone, 0, cell, state, 1.0, started)
 
 
-def make(servers=6, seed=1, entries=None, **more):
+def make_balancer(servers=6, seed=1, entries=None, **more):
     balancer = Balancer(settings(**more), seed)
     if entries is None:
         entries = [endpoint(100 + n, zone=n % 2, cell=n // 3) for n in range(servers)]
@@ -62,7 +62,7 @@
     return next(a for a in actions if isinstance(a, Send))
 
 
-def serve(balancer, now, idents, duration_ns):
+def serve_requests(balancer, now, idents, duration_ns):
     """Requests one after another, each answered in time; the time after the last, and the servers used."""
     used = set()
     for ident in idents:
@@ -73,13 +73,13 @@
     return now, used
 
 
-def kinds(actions, *types):
+def actions_of_type(actions, *types):
     return [action for action in actions if isinstance(action, types)]
 
 
-def play_timers(balancer, now, actions, until):
+def fire_timers(balancer, now, actions, until):
     """All actions of the timers that fall due before a time, in order."""
-    due = [(now + a.after_ns, a.token) for a in kinds(actions, SetTimer)]
+    due = [(now + a.after_ns, a.token) for a in actions_of_type(actions, SetTimer)]
     done = []
     while due:
         due.sort()
@@ -87,6 +87,6 @@
         if when >= until:
             break
         new = balancer.handle(when, Timer(token))
-        due += [(when + a.after_ns, a.token) for a in kinds(new, SetTimer)]
+        due += [(when + a.after_ns, a.token) for a in actions_of_type(new, SetTimer)]
         done += [(when, a) for a in new]
     return done
--- a/tests/line_frontend.py
+++ b/tests/line_frontend.py
@@ -7,13 +7,13 @@
 import asyncio
 from dataclasses import dataclass
 
-from net_helpers import HOST, Fake, read_message, reply, reset
+from net_helpers import HOST, FakePeer, http_response, read_message, reset
 
 from ochreflow.core.body import Body
 from ochreflow.core.ports import IncomingRequest
 from ochreflow.policy.interface import State, Status
 
-ENDS = {"ok": Status.OK, "full": Status.REJECTED, "error": Status.ERROR}
+STATUS_BY_WORD = {"ok": Status.OK, "full": Status.REJECTED, "error": Status.ERROR}
 
 
 class LineAttempt(asyncio.Protocol):
@@ -48,7 +48,7 @@
             self.end(Status.NOT_SENT)
             return
         self.begun = True
-        if self.upstream_transport.writes_in_part:
+        if self.upstream_transport.partial_writes:
             transport.write(self.request.request_id)
             return
         transport.write(b"%s\n" % self.request.request_id)
@@ -57,7 +57,7 @@
 
     def data_received(self, data):
         word, _, rest = data.decode().strip().partition(" ")
-        self.end(ENDS[word], rest)
+        self.end(STATUS_BY_WORD[word], rest)
 
     def connection_lost(self, exc):
         self.end(Status.RESET)
@@ -88,7 +88,7 @@
         self.loop = loop
         self.addresses = {}
         self.waiting = {}
-        self.writes_in_part = False  # for tests that want an attempt whose last byte has not gone out
+        self.partial_writes = False  # for tests that want an attempt whose last byte has not gone out
         self.connecting_allowed = asyncio.Event()
         self.connecting_allowed.set()
 
@@ -204,8 +204,8 @@
 
 
 @dataclass
-class DualProtocolServer(Fake):
-    """A server that speaks both protocols. `act` names what becomes of each request, by its name."""
+class DualProtocolServer(FakePeer):
+    """A server that speaks both protocols. `handler` names what becomes of each request, by its name."""
 
     async def _serve(self, reader, writer):
         self.connections += 1
@@ -222,11 +222,11 @@
                     name = (await read_message(rest)).headers["x-request-id"]
                 else:
                     name = line.decode().strip()
-                self.got.append(name)
-                await self.respond(self.act(name), http, reader, writer)
+                self.received.append(name)
+                await self.respond(self.handler(name), http, reader, writer)
         except (OSError, asyncio.IncompleteReadError):
             pass
-        self.ended += 1
+        self.ended_connections += 1
         writer.close()
 
     @staticmethod
@@ -237,6 +237,6 @@
             reset(writer)
         elif http:
             code, *lines = {"ok": (200,), "full": (503, "X-Not-Run: 1"), "error": (500,)}[what]
-            writer.write(reply(code, b"", *lines))
+            writer.write(http_response(code, b"", *lines))
         else:
             writer.write(what.encode() + b"\n")
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -10,51 +10,51 @@
 import uvloop
 
 from ochreflow.app.config import read_config
-from ochreflow.app.sidecar import Sidecar as Parts
+from ochreflow.app.sidecar import Sidecar as AppSidecar
 
 HOST = "127.0.0.1"
 MS = 1_000_000
-WAIT = 20.0  # seconds until a test that waits for an event gives up
+WAIT_TIMEOUT_S = 20.0  # a test that waits for an event fails after this time
 
 
 def run(coroutine):
     """Run a test on the loop that the sidecar uses, with an end in any case."""
 
     async def bounded():
-        async with asyncio.timeout(3 * WAIT):
+        async with asyncio.timeout(3 * WAIT_TIMEOUT_S):
             return await coroutine
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(bounded())
 
 
-async def until(true, what="the condition"):
+async def wait_until(true, what="the condition"):
     """Wait for something that shows only in state."""
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not true():
             await asyncio.sleep(0.005)
     assert true(), what
 
 
 @dataclass
-class Got:
+class ReceivedMessage:
     """A message as a fake peer or client received it."""
 
-    first: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
     connection: int = 0
 
     @property
     def code(self):
-        return int(self.first.split()[1])
+        return int(self.start_line.split()[1])
 
 
 async def read_message(reader, connection=0):
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = dict(_header(line) for line in head[1:] if line)
     body = await reader.readexactly(int(headers.get("content-length", 0)))
-    return Got(head[0], headers, body, connection)
+    return ReceivedMessage(head[0], headers, body, connection)
 
 
 def _header(line):
@@ -62,7 +62,7 @@
     return name.lower(), value.strip()
 
 
-def reply(code=200, body=b"ok", *lines):
+def http_response(code=200, body=b"ok", *lines):
     head = [f"HTTP/1.1 {code} X", f"Content-Length: {len(body)}", *lines]
     return "\r\n".join(head).encode() + b"\r\n\r\n" + body
 
@@ -75,13 +75,13 @@
 
 
 @dataclass
-class Fake:
-    """A peer that does with each message what `act` says, a coroutine of (message, reader, writer)."""
+class FakePeer:
+    """A peer that does with each message what `handler` says, a coroutine of (message, reader, writer)."""
 
-    act: object
-    got: list[Got] = field(default_factory=list)
+    handler: object
+    received: list[ReceivedMessage] = field(default_factory=list)
     connections: int = 0
-    ended: int = 0
+    ended_connections: int = 0
     server: asyncio.Server | None = None
     port: int = 0
 
@@ -96,9 +96,9 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             while not writer.is_closing():
                 message = await read_message(reader, number)
-                self.got.append(message)
-                await self.act(message, reader, writer)
-        self.ended += 1
+                self.received.append(message)
+                await self.handler(message, reader, writer)
+        self.ended_connections += 1
         writer.close()
 
     @property
@@ -107,10 +107,10 @@
 
 
 async def answer_ok(message, reader, writer):
-    writer.write(reply(200, b"served " + message.body))
+    writer.write(http_response(200, b"served " + message.body))
 
 
-async def silent(message, reader, writer):
+async def never_answer(message, reader, writer):
     await reader.read()
 
 
@@ -127,7 +127,7 @@
     }
 
 
-def news(index, *entries, snapshot=True):
+def endpoint_update(index, *entries, snapshot=True):
     return {"index": index, "snapshot": snapshot, "endpoints": list(entries)}
 
 
@@ -186,7 +186,7 @@
     return data
 
 
-class Sidecar(Parts):
+class Sidecar(AppSidecar):
     """A sidecar with its listening socket in the test's loop."""
 
     def __init__(self, path, data):
@@ -205,7 +205,7 @@
         self.close()
 
 
-def message(cls, ident="9b1f03aa5c7e2d41", deadline="3000m", body=b"", *lines):
+def http_request(cls, ident="9b1f03aa5c7e2d41", deadline="3000m", body=b"", *lines):
     method = "GET" if cls == "lookup" else "POST"
     head = [f"{method} /{cls}/part?x=1 HTTP/1.1", "Host: origin.svc", f"X-Request-Id: {ident}"]
     if deadline:
@@ -217,12 +217,12 @@
     return "\r\n".join([*head, *lines]).encode() + b"\r\n\r\n" + body
 
 
-async def ask(port, data):
+async def send_request(port, data):
     """One message on a connection of its own: its answer."""
     reader, writer = await asyncio.open_connection(HOST, port)
     try:
         writer.write(data)
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             return await read_message(reader)
     finally:
         writer.close()
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -28,17 +28,17 @@
 
     def __init__(self) -> None:
         self.now = 1_000_000_000_000
-        self.since = 1_700_000_000_000_000_000  # of the Unix epoch
+        self.epoch_offset_ns = 1_700_000_000_000_000_000  # of the Unix epoch
 
-    def leap(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.now += math.ceil(seconds * 1e9)
 
     def install(self) -> None:
         """Before anything of the program is imported: it takes the functions by their names."""
         time.monotonic_ns = lambda: self.now
         time.monotonic = lambda: self.now / 1e9
-        time.time_ns = lambda: self.since + self.now
-        time.time = lambda: (self.since + self.now) / 1e9
+        time.time_ns = lambda: self.epoch_offset_ns + self.now
+        time.time = lambda: (self.epoch_offset_ns + self.now) / 1e9
 
 
 class SimulatedTimeSelector(selectors.DefaultSelector):
@@ -59,7 +59,7 @@
             return found
         found = super().select(MIN_WAIT_S)
         if not found:
-            self.clock.leap(timeout)
+            self.clock.advance(timeout)
         return found
 
 
@@ -72,11 +72,11 @@
     requests: int  # attempts that clients sent
 
     @property
-    def broken(self):
+    def broken_rules(self):
         return {rule for rule, _ in self.findings}
 
 
-def play(scenario, run_dir, seed, program=None):
+def run_scenario(scenario, run_dir, seed, program=None):
     """Play it with a build of the program, this one without `program`; the event logs are in `run_dir`."""
     import msgspec
 
--- a/tests/simulated_loop.py
+++ b/tests/simulated_loop.py
@@ -19,13 +19,13 @@
 
 
 class SimulatedLoop:
-    """Timers in simulated time. What a real loop reports of a callback that failed is kept in `failed`."""
+    """Timers in simulated time. Exceptions that callbacks raise are kept in `callback_errors`."""
 
     def __init__(self):
         self.now = START
         self.timers = []
         self.order = itertools.count()
-        self.failed = []
+        self.callback_errors = []
 
     def create_future(self):
         return Future()
@@ -38,11 +38,11 @@
     def call_soon(self, callback, *args):
         return self.call_later(0, callback, *args)
 
-    def due(self):
+    def due_timers(self):
         """The timers that are due by now, in their order."""
         return [entry for entry in sorted(self.timers) if entry[0] <= self.now and not entry[2].cancelled]
 
-    def ring(self, entry):
+    def fire(self, entry):
         """Run one timer, whatever its place is among those that are due."""
         self.timers.remove(entry)
         heapq.heapify(self.timers)
@@ -50,7 +50,7 @@
         try:
             handle.callback(*handle.args)
         except Exception as error:
-            self.failed.append(error)
+            self.callback_errors.append(error)
 
     def run_until(self, end):
         """Run all timers up to a time, in order."""
@@ -60,5 +60,5 @@
             if entry[2].cancelled:
                 heapq.heappop(self.timers)
             else:
-                self.ring(entry)
+                self.fire(entry)
         self.now = max(self.now, end)
--- a/tests/simulated_transport.py
+++ b/tests/simulated_transport.py
@@ -41,7 +41,7 @@
             self.write_timer = self.upstream_transport.loop.call_later(write_timeout_s, self._too_late)
         if not self.call.body.complete:
             self.call.body.stream_to(self)
-        elif not self.upstream_transport.blocked:
+        elif not self.upstream_transport.socket_full:
             self.finish()
 
     def finish(self):
@@ -59,7 +59,7 @@
         pass
 
     def body_end(self):
-        if not self.upstream_transport.blocked:
+        if not self.upstream_transport.socket_full:
             self.finish()
 
     def answer(self, status):
@@ -72,7 +72,7 @@
             status = Status.CONNECT_FAILED
         self.end(status)
 
-    def begin(self):
+    def begin_response(self):
         """Its server's answer begins to flow."""
         if self.has_ended or not self.may_run:
             return
@@ -115,7 +115,7 @@
             self.write_timer.cancel()
         if self.copy is not None:
             self.copy.ended = True
-        self.upstream_transport.out.remove(self)
+        self.upstream_transport.in_flight.remove(self)
         observer.ended(status, "answer" if status is Status.OK else None, ())
 
 
@@ -124,22 +124,22 @@
 
     def __init__(self, loop, rule):
         self.loop, self.rule = loop, rule
-        self.out = []
+        self.in_flight = []
         self.states = {}
-        self.pooled = False  # a connection stands idle: attempts are written within their start
-        self.blocked = False  # the socket takes no last byte
-        self.starts_fail = None  # "before" or "after" the writing, for the next start
+        self.has_idle_connection = False  # a connection stands idle: attempts are written within their start
+        self.socket_full = False  # the socket takes no last byte
+        self.fail_next_start = None  # "before" or "after" the writing, for the next start
         self.on_start = None
 
     def start(self, server, call, timeout, observer):
         attempt = SimulatedAttempt(self, server, call, observer)
-        self.out.append(attempt)
-        fails, self.starts_fail = self.starts_fail, None
+        self.in_flight.append(attempt)
+        fails, self.fail_next_start = self.fail_next_start, None
         if fails == "before":
             raise RuntimeError("injected before anything was written")
         if self.states.get(server) is not State.READY:
             self.loop.call_soon(attempt.fail_to_connect)
-        elif self.pooled or fails == "after":
+        elif self.has_idle_connection or fails == "after":
             if timeout is not None:
                 attempt.set_timeout(timeout)
             self._connect_in_start(attempt)
@@ -165,7 +165,7 @@
     def update(self, server, address, since_ms, state):
         self.states[server] = state
         if state is not State.READY:
-            for attempt in [one for one in self.out if one.server == server and not one.begun]:
+            for attempt in [one for one in self.in_flight if one.server == server and not one.begun]:
                 attempt.give_up(Status.CONNECT_FAILED)
 
     def forget(self, server):
--- a/tests/test_accept_throttle.py
+++ b/tests/test_accept_throttle.py
@@ -10,23 +10,23 @@
 import socket
 
 import pytest
-from disconnecting_clients import HOW, connect, leave
+from disconnecting_clients import DISCONNECT_MODES, connect, disconnect
 from hypothesis import given
 from hypothesis import strategies as st
 from net_helpers import (
     HOST,
-    Fake,
+    FakePeer,
     Sidecar,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
+    http_request,
+    never_answer,
     read_message,
     run,
-    silent,
-    until,
+    send_request,
+    wait_until,
 )
 from test_operator_file import command
 from test_process import Process
@@ -92,14 +92,14 @@
             await answer_ok(got, reader, writer)
 
         go = asyncio.Event()
-        node = await Fake(act).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("a", node.address)))) as sidecar:
+        node = await FakePeer(act).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("a", node.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("lookup", "owed"))
-            await until(lambda: node.got)
+            writer.write(http_request("lookup", "owed"))
+            await wait_until(lambda: node.received)
             silent = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(2)]
             clients = sidecar.http.clients
-            await until(lambda: len(clients.connections) == 3)
+            await wait_until(lambda: len(clients.connections) == 3)
             descriptors = clients.descriptors
             assert descriptors.evict_idle_connection() and descriptors.evict_idle_connection()
             for silent_reader, _ in silent:
@@ -114,19 +114,19 @@
 
 def test_an_attempt_gets_a_descriptor_though_silent_clients_hold_all(tmp_path):
     async def play():
-        node = await Fake(answer_ok).start()
-        given = config(news(1, entry("a", node.address)))
+        node = await FakePeer(answer_ok).start()
+        given = config(endpoint_update(1, entry("a", node.address)))
         async with Sidecar(tmp_path / "c", given) as sidecar:
             clients = sidecar.http.clients
             silent = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(5)]
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            await until(lambda: len(clients.connections) == 6)
+            await wait_until(lambda: len(clients.connections) == 6)
             descriptors = clients.descriptors
             descriptors.others_in_use = descriptors.limit - descriptors.in_use  # another process has the rest
             assert descriptors.full
-            writer.write(message("order", "k"))
+            writer.write(http_request("order", "k"))
             got = await read_message(reader)
-            assert got.code == 200 and len(node.got) == 1
+            assert got.code == 200 and len(node.received) == 1
             assert len(clients.connections) < 6
             for _, one in [*silent, (None, writer)]:
                 one.close()
@@ -150,14 +150,14 @@
 
     Its call to the directory stays open.
     """
-    node = await Fake(answer_ok).start()
-    directory = await Fake(silent).start()
+    node = await FakePeer(answer_ok).start()
+    directory = await FakePeer(never_answer).start()
     (tmp_path / "o.toml").write_text(ADMISSION_ON)
-    known = config(news(1, entry("a", node.address)), directory.address)
+    known = config(endpoint_update(1, entry("a", node.address)), directory.address)
     process = Process(tmp_path / "c", known)
     process.arguments = ["--config", str(tmp_path / "o.toml")]
     async with process:
-        await until(lambda: directory.got)
+        await wait_until(lambda: directory.received)
         yield process
 
 
@@ -182,7 +182,7 @@
         async with process_with_admission(tmp_path) as process:
             reader, writer = await asyncio.open_connection(HOST, process.port)
             for number in range(int(MIN_KNOWN_REPUTATION) + 1):
-                writer.write(message("lookup", f"a{number}"))
+                writer.write(http_request("lookup", f"a{number}"))
                 assert (await read_message(reader)).code == 200
             leave_few(process)
             loop = asyncio.get_running_loop()
@@ -190,11 +190,11 @@
             for one in flood:
                 await loop.sock_connect(one, (HOST, process.port))
             await process.heard(b"no file descriptor")
-            writer.write(message("order", "b"))
+            writer.write(http_request("order", "b"))
             assert (await read_message(reader)).code == 200
             process.process.send_signal(signal.SIGTERM)
             await process.heard(b"terminating|asked to end")
-            writer.write(message("order", "c"))
+            writer.write(http_request("order", "c"))
             assert (await read_message(reader)).code == 200
             for one in flood:
                 one.close()
@@ -217,7 +217,7 @@
             await process.heard(b"no file descriptor")
             for one in flood:
                 one.close()
-            assert (await ask(process.port, message("order", "d"))).code == 200
+            assert (await send_request(process.port, http_request("order", "d"))).code == 200
 
     run(play())
 
@@ -226,22 +226,22 @@
 CAPACITY = 4  # of them three for unknown addresses
 
 
-@pytest.mark.parametrize("how", HOW)
+@pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_clients_that_disconnected_in_the_backlog_take_no_capacity_from_those_that_stay(tmp_path, how):
     """All are connected before the loop turns, so they are found in the backlog at once, in their order."""
 
     async def play():
-        node = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("a", node.address)))) as sidecar:
+        node = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("a", node.address)))) as sidecar:
             clients = sidecar.http.clients
             clients.admission = ConnectionAdmission(Limits(), lambda: CAPACITY)
             listening = socket.create_server((HOST, 0))
             port = listening.getsockname()[1]
             disconnected = [connect(port) for _ in range(DISCONNECTED)]
             for one in disconnected:
-                leave(one, how)
+                disconnect(one, how)
             stays = connect(port)
-            stays.sendall(message("order", "stays"))
+            stays.sendall(http_request("order", "stays"))
             loop = asyncio.get_running_loop()
             sidecar.http.listen(Acceptor(loop, listening, sidecar.http.connection, clients))
             reader, writer = await asyncio.open_connection(sock=stays)
@@ -287,20 +287,20 @@
 
 def test_the_next_process_knows_the_clients_of_this_one(tmp_path):
     async def play():
-        node = await Fake(answer_ok).start()
+        node = await FakePeer(answer_ok).start()
         (tmp_path / "o.toml").write_text(ADMISSION_ON)
         folder = tmp_path / "shared"
         folder.mkdir()
         with contextlib.closing(socket.create_server((HOST, 0))) as listening:
             port = listening.getsockname()[1]
-            known = config(news(1, entry("a", node.address)))
+            known = config(endpoint_update(1, entry("a", node.address)))
             first = Process(tmp_path / "c", known, inherited=listening, folder=folder)
             second = Process(tmp_path / "d", known, inherited=listening, folder=folder)
             for process in (first, second):
                 process.arguments = ["--config", str(tmp_path / "o.toml")]
             async with first:
                 for number in range(2 * int(MIN_KNOWN_REPUTATION)):
-                    assert (await ask(port, message("lookup", f"a{number}"))).code == 200
+                    assert (await send_request(port, http_request("lookup", f"a{number}"))).code == 200
                 async with second:
                     status = await asyncio.to_thread(
                         command, "admission", "show", f"{HOST}:{second.operators}"
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,19 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from net_helpers import HOST, WAIT, Fake, Sidecar, answer_ok, ask, config, entry, message, news, run
+from net_helpers import (
+    HOST,
+    WAIT_TIMEOUT_S,
+    FakePeer,
+    Sidecar,
+    answer_ok,
+    config,
+    endpoint_update,
+    entry,
+    http_request,
+    run,
+    send_request,
+)
 from test_operator_file import command
 from test_process import Process
 
@@ -197,8 +209,8 @@
 @pytest.mark.xdist_group("processes")
 def test_a_flood_of_silent_sockets_leaves_the_known_clients_their_capacity(tmp_path):
     async def play():
-        node = await Fake(answer_ok).start()
-        given = config(news(1, entry("a", node.address)))
+        node = await FakePeer(answer_ok).start()
+        given = config(endpoint_update(1, entry("a", node.address)))
         given["limits"]["sockets"] = 200
         async with Sidecar(tmp_path / "c", given) as sidecar:
             clients = sidecar.http.clients
@@ -207,16 +219,18 @@
                 Limits(max_new_per_s=1e6, reserved_share=0.3), lambda: capacity
             )
             for n in range(8):  # so that the address of the good client is known
-                assert (await ask(sidecar.port, message("lookup", f"k{n}"))).code == 200
+                assert (await send_request(sidecar.port, http_request("lookup", f"k{n}"))).code == 200
             loop = asyncio.get_running_loop()
             flood = [connected(sidecar.port, f"127.0.{n % 40 + 2}.1") for n in range(4 * capacity)]
             for one in flood:
                 await loop.sock_connect(one, (HOST, sidecar.port))
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 while clients.admission.rejected.total() < 2 * capacity:
                     await asyncio.sleep(0.005)
             assert clients.admission.unknown_connections(loop.time()) <= capacity * 0.7
-            got = await asyncio.gather(*(ask(sidecar.port, message("lookup", f"g{n}")) for n in range(5)))
+            got = await asyncio.gather(
+                *(send_request(sidecar.port, http_request("lookup", f"g{n}")) for n in range(5))
+            )
             assert [one.code for one in got] == [200] * 5
             output = format_status(clients.admission, loop.time())
             assert RejectionReason.RESERVED.value in output and f"\n{HOST} " in output
@@ -231,12 +245,12 @@
     async def play():
         file = tmp_path / "o.toml"
         file.write_text('[operators]\nlisten = "127.0.0.1:0"\n[admission]\non = true\nopen = 3\n')
-        node = await Fake(answer_ok).start()
-        process = Process(tmp_path / "c", config(news(1, entry("s1", node.address))))
+        node = await FakePeer(answer_ok).start()
+        process = Process(tmp_path / "c", config(endpoint_update(1, entry("s1", node.address))))
         process.arguments = ["--config", str(file)]
         async with process:
             operators = f"{HOST}:{process.operators}"
-            assert (await ask(process.port, message("lookup", "a"))).code == 200
+            assert (await send_request(process.port, http_request("lookup", "a"))).code == 200
             connections = [await asyncio.open_connection(HOST, process.port) for _ in range(4)]
             await process.heard(b"rejected: address has too many open")
             output = await asyncio.to_thread(command, "admission", "show", operators)
@@ -245,13 +259,13 @@
             file.write_text(file.read_text().replace("open = 3", "open = 30"))
             process.process.send_signal(signal.SIGHUP)
             await process.heard(b"reload applied: admission.open")
-            assert (await ask(process.port, message("lookup", "b"))).code == 200
+            assert (await send_request(process.port, http_request("lookup", "b"))).code == 200
             file.write_text(file.read_text().replace("on = true", "on = false"))
             process.process.send_signal(signal.SIGHUP)
             await process.heard(b"can't change while running: admission.on")
             for _, writer in connections:
                 writer.close()
-        off = Process(tmp_path / "c", config(news(1, entry("s1", node.address))))
+        off = Process(tmp_path / "c", config(endpoint_update(1, entry("s1", node.address))))
         file.write_text('[operators]\nlisten = "127.0.0.1:0"\n')
         off.arguments = ["--config", str(file)]
         async with off:
--- a/tests/test_answered_at_the_end.py
+++ b/tests/test_answered_at_the_end.py
@@ -9,22 +9,22 @@
 import socket
 
 import pytest
-from disconnecting_clients import Server, connect, front_of
+from disconnecting_clients import Server, connect, sidecar_connection
 from net_helpers import (
     HOST,
-    WAIT,
-    Fake,
+    WAIT_TIMEOUT_S,
+    FakePeer,
     Sidecar,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
+    http_request,
+    http_response,
     read_message,
-    reply,
     run,
-    until,
+    send_request,
+    wait_until,
 )
 from test_first_byte import Stage
 from test_process import Process
@@ -36,19 +36,19 @@
 
 
 def ids(fake):
-    return [got.headers["x-request-id"] for got in fake.got]
+    return [got.headers["x-request-id"] for got in fake.received]
 
 
 def test_a_request_that_is_read_once_the_end_has_come_is_turned_away(tmp_path):
     """The end is decided, and the process has not come to close its sockets yet."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            assert (await ask(sidecar.port, message("order", "warm"))).code == 200
+            assert (await send_request(sidecar.port, http_request("order", "warm"))).code == 200
             sidecar.engine.lifecycle._stop()
-            writer.write(message("order", "late"))
+            writer.write(http_request("order", "late"))
             got = await read_message(reader)
             assert got.code == 503 and got.headers["connection"] == "close"
             assert ids(fake) == ["warm"]
@@ -63,21 +63,21 @@
     async def play():
         server = Server()
         loop = asyncio.get_running_loop()
-        sidecar = Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address))))
+        sidecar = Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", server.address))))
         with socket.create_server((HOST, 0)) as door:
             client = connect(door.getsockname()[1])
-            client.sendall(message("order", "late"))
+            client.sendall(http_request("order", "late"))
             accepted, _ = door.accept()
         sidecar.close()
         await loop.connect_accepted_socket(sidecar.http.connection, accepted)
         (front,) = sidecar.http.clients.connections
-        await until(lambda: front.has_sent_request)
+        await wait_until(lambda: front.has_sent_request)
         await asyncio.sleep(AFTER_END)
-        assert server.take_all() == b""
+        assert server.read_all() == b""
         front.close()
         client.close()
         server.close()
-        await until(lambda: front.closed)
+        await wait_until(lambda: front.closed)
 
     run(play())
 
@@ -86,13 +86,15 @@
 def test_what_may_have_run_is_answered_before_its_connection_closes(tmp_path, end):
     async def play():
         server = Server()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
-            held = asyncio.create_task(ask(sidecar.port, message("order", "held")))
+        async with Sidecar(
+            tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
+        ) as sidecar:
+            held = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
             taken = await server.accept()
-            await taken.has(b"held")
+            await taken.wait_for(b"held")
             (sidecar if end == "sidecar" else sidecar.engine).close()
             assert (await held).code in (502, 504)
-            assert server.take_all().count(b"X-Request-Id") == 1
+            assert server.read_all().count(b"X-Request-Id") == 1
         server.close()
 
     run(play())
@@ -103,19 +105,19 @@
     """Its attempt waits for a connection: given up, it never ran, and another server could be tried."""
 
     async def play():
-        fakes = {name: await Fake(answer_ok).start() for name in ("s1", "s2")}
+        fakes = {name: await FakePeer(answer_ok).start() for name in ("s1", "s2")}
         stage = Stage(tmp_path, [entry(name, fake.address) for name, fake in fakes.items()])
         async with stage.sidecar as sidecar:
             number = 0
-            while not all(fake.got for fake in fakes.values()):
+            while not all(fake.received for fake in fakes.values()):
                 number += 1
-                assert (await ask(sidecar.port, message("order", f"warm{number}"))).code == 200
+                assert (await send_request(sidecar.port, http_request("order", f"warm{number}"))).code == 200
             sidecar.upstreams.close_idle(stage.names.server("s1"))
             stage.hold()
             while not sidecar.engine.requests.pending:  # a connection to the other server stands ready
                 number += 1
-                asked = asyncio.create_task(ask(sidecar.port, message("order", f"id{number}")))
-                await until(lambda asked=asked: asked.done() or stage.loop.held)
+                asked = asyncio.create_task(send_request(sidecar.port, http_request("order", f"id{number}")))
+                await wait_until(lambda asked=asked: asked.done() or stage.loop.held)
             if end == "close":
                 sidecar.close()
             else:
@@ -147,7 +149,7 @@
                 try:
                     if writer is None:
                         reader, writer = await asyncio.open_connection(HOST, self.port)
-                    writer.write(message("order", ident, "3000m", ident.encode()))
+                    writer.write(http_request("order", ident, "3000m", ident.encode()))
                     got = await read_message(reader)
                 except (OSError, asyncio.IncompleteReadError):
                     writer = None
@@ -168,13 +170,13 @@
     async def play():
         async def act(message, reader, writer):
             await asyncio.sleep(0.002)
-            writer.write(reply(200, message.body))
+            writer.write(http_response(200, message.body))
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         listening = socket.create_server((HOST, 0))
         folder = tmp_path / "run"
         folder.mkdir()
-        data = config(news(1, entry("s1", fake.address)))
+        data = config(endpoint_update(1, entry("s1", fake.address)))
         handed = {"inherited": listening, "folder": folder}
         clients = [Resending(listening.getsockname()[1], f"c{n}") for n in range(CLIENTS)]
         async with Process(tmp_path / "p0", data, **handed) as first:
@@ -183,9 +185,9 @@
             for number in (1, 2):
                 new = await Process(tmp_path / f"p{number}", data, **handed).__aenter__()
                 enough = {client: len(client.codes) + 20 for client in clients}
-                await until(lambda least=enough: all(len(one.codes) > least[one] for one in clients))
+                await wait_until(lambda least=enough: all(len(one.codes) > least[one] for one in clients))
                 old.process.send_signal(signal.SIGTERM)
-                async with asyncio.timeout(WAIT):
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     assert await old.process.wait() == 0
                 old = new
             for client in clients:
@@ -208,19 +210,21 @@
 
     async def play():
         server = Server()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
+        async with Sidecar(
+            tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
+        ) as sidecar:
             client = connect(sidecar.port)
-            client.sendall(message("order", "same"))
+            client.sendall(http_request("order", "same"))
             taken = await server.accept()
-            await taken.has(b"same")
+            await taken.wait_for(b"same")
             if end == "left":
                 client.close()
             elif end == "answered":
                 taken.answer()
             if end != "open":
-                await until(lambda: not sidecar.engine.requests.pending)
-            assert (await ask(sidecar.port, message("order", "same"))).code == 409
-            assert server.take_all().count(b"X-Request-Id") == 1
+                await wait_until(lambda: not sidecar.engine.requests.pending)
+            assert (await send_request(sidecar.port, http_request("order", "same"))).code == 409
+            assert server.read_all().count(b"X-Request-Id") == 1
             client.close()
         server.close()
 
@@ -246,10 +250,10 @@
             writer.transport.abort()
 
         opened, go = asyncio.Event(), asyncio.Event()
-        fakes = [await Fake(reset_unless).start() for _ in range(2)]
-        data = config(news(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes))))
+        fakes = [await FakePeer(reset_unless).start() for _ in range(2)]
+        data = config(endpoint_update(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes))))
         async with Process(tmp_path / "c", data) as sidecar:
-            held = asyncio.create_task(ask(sidecar.port, message("order", "open")))
+            held = asyncio.create_task(send_request(sidecar.port, http_request("order", "open")))
             await opened.wait()
             changed = {**changed_effects(data), "discovery": f"{HOST}:10"}
             sidecar.path.write_text(json.dumps(changed))
@@ -257,10 +261,10 @@
             await sidecar.heard(b"discovery is now at")
             go.set()
             assert (await held).code == 502
-            assert (await ask(sidecar.port, message("order", "later"))).code == 502
-            as_safe = message("order", "safe").replace(b"POST", b"GET")
-            assert (await ask(sidecar.port, as_safe)).code == 405
-            assert (await ask(sidecar.port, message("lookup", "look"))).code in (502, 503)
+            assert (await send_request(sidecar.port, http_request("order", "later"))).code == 502
+            as_safe = http_request("order", "safe").replace(b"POST", b"GET")
+            assert (await send_request(sidecar.port, as_safe)).code == 405
+            assert (await send_request(sidecar.port, http_request("lookup", "look"))).code in (502, 503)
         assert sorted(ids(fakes[0]) + ids(fakes[1])).count("open") == 1
         assert sorted(ids(fakes[0]) + ids(fakes[1])).count("later") == 1
 
@@ -276,26 +280,28 @@
 
     async def play():
         server = Server()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
+        async with Sidecar(
+            tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
+        ) as sidecar:
             client = connect(sidecar.port)
-            client.sendall(message("order", "first") + message("order", "second") + behind)
+            client.sendall(http_request("order", "first") + http_request("order", "second") + behind)
             taken = await server.accept()
-            await taken.has(b"first")
-            front = front_of(sidecar, client)
+            await taken.wait_for(b"first")
+            front = sidecar_connection(sidecar, client)
             if front.read_state is not ReadState.ENDED:
-                await until(lambda: front.message_begun)
+                await wait_until(lambda: front.message_begun)
                 front.expire()
             assert front.current is not None and len(front.queue) == 2
             reader, writer = await asyncio.open_connection(sock=client)
             taken.answer()
             assert (await read_message(reader)).code == 200
-            await taken.has(b"second")
+            await taken.wait_for(b"second")
             taken.answer()
             assert (await read_message(reader)).code == 200
             assert (await read_message(reader)).code in (400, 408)
             assert await reader.read() == b""
             writer.close()
-            assert server.take_all().count(b"X-Request-Id") == 2
+            assert server.read_all().count(b"X-Request-Id") == 2
         server.close()
 
     run(play())
@@ -307,22 +313,24 @@
 
     async def play():
         server = Server()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
+        async with Sidecar(
+            tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
+        ) as sidecar:
             client = connect(sidecar.port)
-            head = message("order", "big", "3000m", b"", "Transfer-Encoding: chunked")
+            head = http_request("order", "big", "3000m", b"", "Transfer-Encoding: chunked")
             head = head.replace(b"Content-Length: 0\r\n", b"")
             piece = bytes(100_000)
             client.sendall(head + b"%x\r\n%s\r\n" % (len(piece), piece))
             taken = await server.accept()
-            await until(lambda: taken.take() or taken.got.count(b"\0") == len(piece))
-            front = front_of(sidecar, client)
+            await wait_until(lambda: taken.read_available() or taken.received.count(b"\0") == len(piece))
+            front = sidecar_connection(sidecar, client)
             if why == "time":
                 front.expire()
             elif why == "memory":
                 sidecar.engine.memory.limit = 0
                 client.sendall(b"%x\r\n%s\r\n0\r\n\r\n" % (len(piece), piece))
                 taken.sock.setblocking(False)
-                await until(lambda: taken.take() or taken.got.endswith(b"0\r\n\r\n"))
+                await wait_until(lambda: taken.read_available() or taken.received.endswith(b"0\r\n\r\n"))
                 taken.answer()
             else:
                 client.sendall(b"zz\r\n")
@@ -331,9 +339,9 @@
             assert got.code == {"time": 408, "malformed": 400, "memory": 200}[why]
             writer.close()
             if why != "memory":
-                await until(lambda: taken.take() or taken.ended)
-                assert not taken.got.endswith(b"0\r\n\r\n") and sidecar.engine.stats.forwards == 0
-            assert server.take_all().count(b"X-Request-Id") == 1
+                await wait_until(lambda: taken.read_available() or taken.ended)
+                assert not taken.received.endswith(b"0\r\n\r\n") and sidecar.engine.stats.forwards == 0
+            assert server.read_all().count(b"X-Request-Id") == 1
         server.close()
 
     run(play())
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -10,17 +10,28 @@
 
 import pytest
 from disconnecting_clients import (
-    BLOCKED,
-    HOW,
-    RULE,
+    ATTEMPT_START_LIMIT_S,
+    DISCONNECT_MODES,
+    LOOP_BLOCK_S,
     Server,
+    block_until_eof_readable,
     connect,
-    end_can_be_read,
-    front_of,
-    leave,
-    leave_unseen,
+    disconnect,
+    disconnect_while_loop_blocked,
+    sidecar_connection,
+)
+from net_helpers import (
+    HOST,
+    Sidecar,
+    config,
+    endpoint_update,
+    entry,
+    http_request,
+    http_response,
+    run,
+    send_request,
+    wait_until,
 )
-from net_helpers import HOST, Sidecar, ask, config, entry, message, news, reply, run, until
 
 from ochreflow.core.body import MAX_BUFFERED_BYTES
 from ochreflow.http import closing_connection
@@ -31,50 +42,55 @@
 pytestmark = pytest.mark.xdist_group("real-time")
 
 FLOWING = 2 * MAX_BUFFERED_BYTES  # bytes of a body that goes on to its server while it comes
-PIPELINED = b"".join(message("order", f"more{n}") for n in range(400))  # more than is read while one waits
+# more than is read while one waits
+PIPELINED = b"".join(http_request("order", f"more{n}") for n in range(400))
 
 
 async def behind_one(sidecar, server, sent=b""):
     """A client whose first request the server holds, with what it sent after that, and the server's side."""
     client = connect(sidecar.port)
-    client.sendall(message("order", "held") + sent)
+    client.sendall(http_request("order", "held") + sent)
     taken = await server.accept()
-    await taken.has(b"held")
+    await taken.wait_for(b"held")
     return client, taken
 
 
 async def paused(sidecar, server):
     """The same with so many behind it that the client is read no further."""
     client, taken = await behind_one(sidecar, server)
-    front = front_of(sidecar, client)
-    client.sendall(b"".join(message("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS)))
-    await until(lambda: front.paused)
+    front = sidecar_connection(sidecar, client)
+    client.sendall(b"".join(http_request("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS)))
+    await wait_until(lambda: front.paused)
     client.sendall(PIPELINED)
     return client, taken, front
 
 
-@pytest.mark.parametrize("how", HOW)
+@pytest.mark.parametrize("how", DISCONNECT_MODES)
 @pytest.mark.parametrize("where", ["unread", "behind bytes", "paused"])
 def test_whether_a_client_has_left_is_known_in_the_instant_of_asking(tmp_path, where, how):
     """The loop has not turned since: the end lies in the socket, and nothing has told of it."""
 
     async def play():
         server = Server()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
+        async with Sidecar(
+            tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
+        ) as sidecar:
             if where == "paused":
                 client, _, front = await paused(sidecar, server)
             else:
                 client, _ = await behind_one(sidecar, server)
-                front = front_of(sidecar, client)
+                front = sidecar_connection(sidecar, client)
             call = front.current
             if where == "behind bytes":
                 client.sendall(PIPELINED)
             assert not front.is_disconnected(call) and not front.transport.is_closing()  # it is there still
-            leave(client, how)
-            end_can_be_read(front)
+            disconnect(client, how)
+            block_until_eof_readable(front)
             assert front.is_disconnected(call) and front.transport.is_closing()
             assert front.is_disconnected(call)  # asked again before the loop has turned, too
-            await until(lambda: not sidecar.engine.requests.pending and not sidecar.http.clients.connections)
+            await wait_until(
+                lambda: not sidecar.engine.requests.pending and not sidecar.http.clients.connections
+            )
             assert front.is_disconnected(call)  # ... and by an attempt that comes later still
             client.close()
         server.close()
@@ -84,7 +100,7 @@
 
 @pytest.mark.parametrize("after", ["look", "sweep"])
 @pytest.mark.parametrize("turn", [0.0, 0.02], ids=["idle", "busy"])
-@pytest.mark.parametrize("how", HOW)
+@pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_the_end_of_a_client_that_is_not_read_is_seen_within_half_of_the_time(tmp_path, how, turn, after):
     """Before a bell that is set as the end can be read has rung, also where each turn of the loop is long.
 
@@ -100,7 +116,9 @@
             time.sleep(turn)
             loop.call_soon(work)
 
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
+        async with Sidecar(
+            tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
+        ) as sidecar:
             client, taken, front = await paused(sidecar, server)
             if turn:
                 work()
@@ -113,40 +131,44 @@
             def look_and_leave():
                 look()
                 setattr(looking, name, look)
-                leave(client, how)
-                end_can_be_read(front)
-                loop.call_later(RULE / 2, lambda: left.set_result(front.transport.is_closing()))
+                disconnect(client, how)
+                block_until_eof_readable(front)
+                loop.call_later(
+                    ATTEMPT_START_LIMIT_S / 2, lambda: left.set_result(front.transport.is_closing())
+                )
 
             setattr(looking, name, look_and_leave)
             assert await left
-            await until(lambda: not sidecar.engine.requests.pending)
+            await wait_until(lambda: not sidecar.engine.requests.pending)
             client.close()
-            taken.take()
-            assert taken.got.count(b"X-Request-Id") == 1
+            taken.read_available()
+            assert taken.received.count(b"X-Request-Id") == 1
         server.close()
 
     run(play())
 
 
 @pytest.mark.parametrize("first", ["answer", "end"])
-@pytest.mark.parametrize("how", HOW)
+@pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_what_waits_behind_others_is_not_sent_once_its_client_has_left(tmp_path, how, first):
     """The answer before it and the end come in one turn, in either order."""
 
     async def play():
         server = Server()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
-            client, taken = await behind_one(sidecar, server, message("order", "gone"))
-            await until(lambda: front_of(sidecar, client).queue)
+        async with Sidecar(
+            tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
+        ) as sidecar:
+            client, taken = await behind_one(sidecar, server, http_request("order", "gone"))
+            await wait_until(lambda: sidecar_connection(sidecar, client).queue)
             if first == "answer":
                 taken.answer()
-            leave_unseen(sidecar, client, how)
+            disconnect_while_loop_blocked(sidecar, client, how)
             if first == "end":
                 taken.answer()
-            await until(
+            await wait_until(
                 lambda: not sidecar.http.clients.connections and not sidecar.engine.attempts.in_flight
             )
-            assert b"gone" not in server.take_all()
+            assert b"gone" not in server.read_all()
             client.close()
         server.close()
 
@@ -154,13 +176,15 @@
 
 
 @pytest.mark.parametrize("accepts", ["loop", "own"])
-@pytest.mark.parametrize("how", HOW)
+@pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_a_request_that_was_left_while_the_loop_was_blocked_is_not_sent(tmp_path, how, accepts):
     """It lies in the backlog with its client's end behind it; a connection to the server stands ready."""
 
     async def play():
         server = Server()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
+        async with Sidecar(
+            tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
+        ) as sidecar:
             port = sidecar.port
             if accepts == "own":
                 sock = Server().listening
@@ -168,44 +192,48 @@
                 clients = sidecar.http.clients
                 loop = asyncio.get_running_loop()
                 sidecar.http.listen(Acceptor(loop, sock, sidecar.http.connection, clients))
-            asked = asyncio.create_task(ask(port, message("order", "first")))
+            asked = asyncio.create_task(send_request(port, http_request("order", "first")))
             taken = await server.accept()
-            await taken.has(b"first")
+            await taken.wait_for(b"first")
             taken.answer()
             assert (await asked).code == 200
-            await until(lambda: not sidecar.http.clients.connections)
+            await wait_until(lambda: not sidecar.http.clients.connections)
 
             client = connect(port)
-            client.sendall(message("order", "gone"))
-            leave(client, how)
-            time.sleep(BLOCKED)
-            after = asyncio.create_task(ask(port, message("order", "other")))
-            await taken.has(b"other")  # accepted after it
+            client.sendall(http_request("order", "gone"))
+            disconnect(client, how)
+            time.sleep(LOOP_BLOCK_S)
+            after = asyncio.create_task(send_request(port, http_request("order", "other")))
+            await taken.wait_for(b"other")  # accepted after it
             taken.answer()
             assert (await after).code == 200
-            assert b"gone" not in server.take_all()
+            assert b"gone" not in server.read_all()
             client.close()
         server.close()
 
     run(play())
 
 
-@pytest.mark.parametrize("how", HOW)
+@pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_a_body_that_flows_is_not_completed_once_its_client_has_left(tmp_path, how):
     """Its last piece and the end come in one turn: what never was whole at the server has not run."""
 
     async def play():
         server = Server()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
+        async with Sidecar(
+            tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
+        ) as sidecar:
             client = connect(sidecar.port)
-            client.sendall(message("order", "big", "3000m", b"a" * FLOWING + b"last")[: -len(b"last")])
+            client.sendall(http_request("order", "big", "3000m", b"a" * FLOWING + b"last")[: -len(b"last")])
             taken = await server.accept()
-            await until(lambda: taken.take() or taken.got.endswith(b"a" * FLOWING))
+            await wait_until(lambda: taken.read_available() or taken.received.endswith(b"a" * FLOWING))
             client.sendall(b"last")
-            leave_unseen(sidecar, client, how)
-            await until(lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight)
-            await until(lambda: taken.take() or taken.ended)
-            assert b"big" in taken.got and b"last" not in taken.got
+            disconnect_while_loop_blocked(sidecar, client, how)
+            await wait_until(
+                lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
+            )
+            await wait_until(lambda: taken.read_available() or taken.ended)
+            assert b"big" in taken.received and b"last" not in taken.received
             assert sidecar.engine.stats.forwards == 0
             client.close()
         server.close()
@@ -218,18 +246,20 @@
 
     async def play():
         server = Server()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
+        async with Sidecar(
+            tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
+        ) as sidecar:
             watch = sidecar.http.disconnect_monitor
             client, _ = await behind_one(sidecar, server)
             assert watch.timer is None and not watch.fds
-            front = front_of(sidecar, client)
-            client.sendall(b"".join(message("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS)))
-            await until(lambda: front.paused)
+            front = sidecar_connection(sidecar, client)
+            client.sendall(b"".join(http_request("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS)))
+            await wait_until(lambda: front.paused)
             assert len(watch.fds) == len(watch.callbacks) == 1
             await asyncio.sleep(3 * DISCONNECT_POLL_INTERVAL_S)
             assert watch.timer is not None and not front.transport.is_closing()
             client.close()
-            await until(lambda: watch.timer is None)
+            await wait_until(lambda: watch.timer is None)
             assert not watch.fds and not watch.callbacks and not watch.poller.poll(0)
         server.close()
 
@@ -257,12 +287,12 @@
             watch.add(transport, lambda transport=transport: tell(transport))
         for end in ends[:2]:
             end.close()
-        await until(lambda: told)
+        await wait_until(lambda: told)
         await asyncio.sleep(2 * DISCONNECT_POLL_INTERVAL_S)
         assert len(told) == 1 and told[0] in transports[:2]
         assert list(watch.fds) == transports[2:]
         ends[2].close()
-        await until(lambda: transports[2] in told)
+        await wait_until(lambda: transports[2] in told)
         watch.close()
         assert watch.timer is None
         for transport in transports:
@@ -280,22 +310,24 @@
 
     async def play():
         server = Server()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)))) as sidecar:
+        async with Sidecar(
+            tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
+        ) as sidecar:
             sidecar.http.clients.timeouts.slow_reader_s = 0.1
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect((HOST, sidecar.port))
-            await until(lambda: sidecar.http.clients.connections)
+            await wait_until(lambda: sidecar.http.clients.connections)
             (front,) = sidecar.http.clients.connections
             front.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            client.sendall(message("order", "held", "3000m", b"", "Connection: close"))
+            client.sendall(http_request("order", "held", "3000m", b"", "Connection: close"))
             taken = await server.accept()
-            await taken.has(b"held")
+            await taken.wait_for(b"held")
             taken.sock.setblocking(True)
-            taken.sock.sendall(reply(200, bytes(MAX_BUFFERED_BYTES // 2)))
-            await until(lambda: front.draining)
+            taken.sock.sendall(http_response(200, bytes(MAX_BUFFERED_BYTES // 2)))
+            await wait_until(lambda: front.draining)
             assert front.transport.get_write_buffer_size() > 0
-            await until(lambda: not sidecar.http.clients.connections)
+            await wait_until(lambda: not sidecar.http.clients.connections)
             client.close()
         server.close()
 
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -18,18 +18,18 @@
 import pytest
 from net_helpers import (
     HOST,
-    Fake,
+    FakePeer,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
+    http_request,
+    http_response,
     read_message,
-    reply,
     reset,
     run,
-    until,
+    send_request,
+    wait_until,
 )
 from test_process import READY, Process
 
@@ -109,7 +109,7 @@
     async def __aenter__(self):
         for number in range(CROWD):
             self.begin((b"", HALF, READY)[number % 3])
-        await until(lambda: self.came >= CROWD)
+        await wait_until(lambda: self.came >= CROWD)
         return self
 
     async def __aexit__(self, *_):
@@ -126,7 +126,7 @@
     def __init__(self, listed):
         self.listed = listed
         self.changed = asyncio.Event()
-        self.fake = Fake(self._answer)
+        self.fake = FakePeer(self._answer)
         self.writers = set()
         self.told = []  # when the present list was written, each time
         self.port = 0
@@ -138,9 +138,9 @@
 
     async def _answer(self, got, reader, writer):
         self.writers.add(writer)
-        if f"after={self.listed['index']}&" in got.first:
+        if f"after={self.listed['index']}&" in got.start_line:
             await self.changed.wait()
-        writer.write(reply(200, json.dumps(self.listed).encode()))
+        writer.write(http_response(200, json.dumps(self.listed).encode()))
         self.told.append(monotonic())
 
     def down(self):
@@ -163,7 +163,7 @@
 
     def __init__(self, takes):
         self.takes = takes
-        self.fake = Fake(self._answer)
+        self.fake = FakePeer(self._answer)
         self.came = {}  # when each request came, by its id
         self.twice = []
 
@@ -189,7 +189,7 @@
             ident = f"{number:016x}"
             self.codes[ident] = None
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                self.codes[ident] = (await ask(self.port, message("order", ident))).code
+                self.codes[ident] = (await send_request(self.port, http_request("order", ident))).code
             await asyncio.sleep(0.02)
 
     @property
@@ -199,7 +199,7 @@
     async def go_on(self, times):
         """Wait until so many more have been answered."""
         goal = self.answered + times
-        await until(lambda: self.answered >= goal)
+        await wait_until(lambda: self.answered >= goal)
 
     async def end(self):
         self.task.cancel()
@@ -219,7 +219,7 @@
 
     def list(self, index, status):
         second = entry("b", self.drains.fake.address, status=status)
-        return news(index, entry("a", self.stays.fake.address), second)
+        return endpoint_update(index, entry("a", self.stays.fake.address), second)
 
     def config(self, sockets):
         data = config(self.list(1, "SERVING"), self.discovery.address, management=f"{HOST}:0")
@@ -253,7 +253,7 @@
     """Whether the operators' address answers in time, ten times."""
     for _ in range(10):
         async with asyncio.timeout(OPERATORS_WITHIN):
-            got = await ask(process.operators, HEALTHY)
+            got = await send_request(process.operators, HEALTHY)
         if got.code != 200:
             return False
     return True
@@ -346,7 +346,7 @@
         process = Process(tmp_path / "c", stage.config(said), descriptors=system)
         process.arguments = ["--config", str(tmp_path / "o.toml")]
         async with process:
-            await until(lambda: stage.discovery.fake.got)
+            await wait_until(lambda: stage.discovery.fake.received)
             async with Crowd(process.port), Peak(process) as peak:
                 asking = Asking(process.port)
                 await asking.go_on(20)
@@ -354,7 +354,7 @@
                 await process.heard(b"discovery failed")
                 assert await operators_heard(process)
                 await asking.go_on(20)
-                await until(lambda: len(stage.drains.came) >= 10)
+                await wait_until(lambda: len(stage.drains.came) >= 10)
                 back = await stage.drain_unseen_and_come_back(process)
                 assert await stage.drain_kept(back, asking)
                 assert await operators_heard(process)
@@ -383,7 +383,7 @@
                 for name in ("old", "new")
             )
             async with old, Crowd(port):
-                await until(lambda: stage.discovery.fake.got)
+                await wait_until(lambda: stage.discovery.fake.received)
                 asking = Asking(port)
                 stage.discovery.down()
                 await old.heard(b"discovery failed")
@@ -392,7 +392,7 @@
                         for process in (old, new):
                             assert await operators_heard(process)
                         await asking.go_on(20)
-                        await until(lambda: len(stage.drains.came) >= 10)
+                        await wait_until(lambda: len(stage.drains.came) >= 10)
                         back = await stage.drain_unseen_and_come_back(old, new)
                         assert await stage.drain_kept(back, asking)
                     assert peak.most < LEAST
@@ -412,7 +412,7 @@
     async def play():
         stage = await Stage().start()
         async with Process(tmp_path / "c", stage.config(LEAST), descriptors=LEAST) as process:
-            await until(lambda: stage.discovery.fake.got)
+            await wait_until(lambda: stage.discovery.fake.received)
             before = held(process)
             process.process.send_signal(signal.SIGSTOP)
             crowd = [socket.socket() for _ in range(CROWD)]
@@ -420,7 +420,7 @@
                 one.setblocking(False)
                 one.connect_ex((HOST, process.port))
             calls = []
-            for port, said in ((process.operators, HEALTHY), (process.port, message("order", "a"))):
+            for port, said in ((process.operators, HEALTHY), (process.port, http_request("order", "a"))):
                 calls.append(socket.create_connection((HOST, port)))
                 calls[-1].sendall(said)
             peak, over = 0, threading.Event()
@@ -439,7 +439,7 @@
                     assert (await read_message(reader)).code == 200
                 writer.close()
             share = Descriptors(LEAST).max_clients
-            await until(lambda: peak > before + share // 2)  # it may not have looked yet
+            await wait_until(lambda: peak > before + share // 2)  # it may not have looked yet
             over.set()
             looking.join()
             assert peak < before + share + 20
@@ -470,7 +470,7 @@
         process = kind(tmp_path / "c", stage.config(LEAST), descriptors=LEAST)
         process.arguments = ["--config", str(tmp_path / "o.toml")]
         async with process:
-            await until(lambda: stage.discovery.fake.got)
+            await wait_until(lambda: stage.discovery.fake.received)
             empty = await used(process)
             share = Descriptors(LEAST).max_clients
 
@@ -483,11 +483,11 @@
                 return {number for number, (_, other) in ports if other == stage.discovery.port}
 
             async with Crowd(process.port, again=False) as crowd:
-                await until(is_full)
+                await wait_until(is_full)
                 clients = set(crowd.here)
                 assert not short or len(clients) < share
                 full = await used(process)
-                await until(of_discovery)
+                await wait_until(of_discovery)
                 calling = of_discovery()
                 assert set(crowd.here) == clients
                 stage.discovery.down()
@@ -520,16 +520,18 @@
             return sum(own == process.port for own, _ in connections(process).values())
 
         async with process:
-            await until(lambda: stage.discovery.fake.got)
+            await wait_until(lambda: stage.discovery.fake.received)
             async with Crowd(process.port):
                 stage.stays.takes = stage.drains.takes = 2.0
-                owed = asyncio.create_task(ask(process.port, message("order", "f" * 16, "30000m")))
-                await until(lambda: stage.stays.came or stage.drains.came)
+                owed = asyncio.create_task(
+                    send_request(process.port, http_request("order", "f" * 16, "30000m"))
+                )
+                await wait_until(lambda: stage.stays.came or stage.drains.came)
                 stage.stays.takes, stage.drains.takes = 0.02, 0.0
-                await until(lambda: taken_in() >= Descriptors(LEAST).max_clients)
+                await wait_until(lambda: taken_in() >= Descriptors(LEAST).max_clients)
                 assert held(process) > LOWERED
                 resource.prlimit(pid_of(process), resource.RLIMIT_NOFILE, (LOWERED, LOWERED))
-                await until(
+                await wait_until(
                     lambda: taken_in() <= Descriptors(LOWERED).max_clients, "clients keep what they had"
                 )
                 async with Peak(process) as peak:
@@ -641,33 +643,35 @@
 
         go = asyncio.Event()
         share = Descriptors(LEAST).max_clients
-        servers = [await Fake(hold).start() for _ in range(share)]
+        servers = [await FakePeer(hold).start() for _ in range(share)]
         listed = [entry(f"s{number}", server.address) for number, server in enumerate(servers)]
-        discovery = await Discovery(news(1, *listed)).start()
-        data = config(news(1, *listed), discovery.address, management=f"{HOST}:0")
+        discovery = await Discovery(endpoint_update(1, *listed)).start()
+        data = config(endpoint_update(1, *listed), discovery.address, management=f"{HOST}:0")
         data["limits"]["sockets"] = LEAST
         async with Process(tmp_path / "c", data, descriptors=LEAST) as process:
-            await until(lambda: discovery.fake.got)
+            await wait_until(lambda: discovery.fake.received)
             ports = {server.port for server in servers}
             asked = [
-                asyncio.create_task(ask(process.port, message("order", f"{number:016x}", "30000m")))
+                asyncio.create_task(
+                    send_request(process.port, http_request("order", f"{number:016x}", "30000m"))
+                )
                 for number in range(share)
             ]
-            await until(lambda: sum(len(server.got) for server in servers) == share)
+            await wait_until(lambda: sum(len(server.received) for server in servers) == share)
 
             def held_each():
                 """Connections to clients, and attempts."""
                 ends = connections(process).values()
                 return sum(own == process.port for own, _ in ends), sum(other in ports for _, other in ends)
 
-            await until(lambda: held_each() == (share, share))
+            await wait_until(lambda: held_each() == (share, share))
             async with Crowd(process.port), Peak(process) as peak:
                 discovery.down()
                 await process.heard(b"discovery failed")
                 assert await operators_heard(process)
                 back = monotonic()
-                await discovery.up(news(2, *listed))
-                await until(lambda: discovery.told)
+                await discovery.up(endpoint_update(2, *listed))
+                await wait_until(lambda: discovery.told)
                 assert discovery.told[0] - back < TOLD_WITHIN + GRACE + SLACK
                 assert await operators_heard(process)
             assert peak.most < LEAST
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -12,7 +12,7 @@
 
 import pytest
 from helpers import START, settings
-from net_helpers import HOST, entry, news
+from net_helpers import HOST, endpoint_update, entry
 
 from ochreflow import Balancer
 from ochreflow.core.endpoints import EndpointIds
@@ -152,11 +152,11 @@
     def _expire(self, request):
         if request in self.waiting:
             self.waiting.remove(request)
-            request.end(json.dumps(news(self.index, snapshot=False)).encode(), "")
+            request.end(json.dumps(endpoint_update(self.index, snapshot=False)).encode(), "")
 
     def _body(self, snapshot):
         drained = [entry(f"s{n}", f"{HOST}:7", "DRAINING") for n in range(SERVERS)]
-        return json.dumps(news(self.index, *drained, snapshot=snapshot)).encode()
+        return json.dumps(endpoint_update(self.index, *drained, snapshot=snapshot)).encode()
 
     def change(self):
         self.index += 1
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -7,7 +7,7 @@
 
 import pytest
 from engine_simulation import WINDOW_NS, EngineSimulation
-from helpers import MS, SECOND, kinds, make, play_timers, send_one
+from helpers import MS, SECOND, actions_of_type, fire_timers, make_balancer, send_one
 
 from ochreflow.core.stats import Disposition
 from ochreflow.policy.interface import (
@@ -58,7 +58,7 @@
     attempt = simulation.attempt(call)
     attempt.connect()
     moved(simulation, attempt.server, how)
-    simulation.upstream_transport.pooled = True
+    simulation.upstream_transport.has_idle_connection = True
     attempt.answer(Status.RESET)
     simulation.run(RETRY_TIME_NS)
     assert len(copies(simulation, call)) > 1
@@ -72,7 +72,7 @@
     attempt = simulation.attempt(call)
     moved(simulation, attempt.server, "in place")
     attempt.connect()
-    simulation.upstream_transport.pooled = True
+    simulation.upstream_transport.has_idle_connection = True
     attempt.answer(Status.RESET)
     simulation.run(RETRY_TIME_NS)
     assert len(copies(simulation, call)) > 1
@@ -84,13 +84,13 @@
     simulation = EngineSimulation(["keyed everywhere"], warm_up_ns=0)
     call = simulation.submit(complete=False)
     simulation.end_body(call)
-    simulation.upstream_transport.blocked = True
+    simulation.upstream_transport.socket_full = True
     attempt = simulation.attempt(call)
     attempt.connect()
     simulation.run(WINDOW_NS - 100 * MS)
     attempt.finish()
-    simulation.upstream_transport.blocked = False
-    simulation.upstream_transport.pooled = True
+    simulation.upstream_transport.socket_full = False
+    simulation.upstream_transport.has_idle_connection = True
     simulation.run(200 * MS)
     attempt.answer(Status.RESET)
     simulation.finish()
@@ -99,14 +99,16 @@
 @pytest.mark.parametrize("unproven", [Status.TIMEOUT, Status.RESET, Status.CANCELLED])
 def test_a_first_copy_that_may_have_run_bounds_all_later_ones_by_its_window(unproven):
     """Whatever ends in between: attempts proven not to have run move no window."""
-    balancer, now = make(effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.ALL, max_attempts=9, hedging=False)
+    balancer, now = make_balancer(
+        effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.ALL, max_attempts=9, hedging=False
+    )
     sent = send_one(balancer, now, 1, 20 * SECOND)
     first = now
     actions = balancer.handle(now + MS, Outcome(1, 0, sent.server, unproven, MS, False))
     when = now + MS
     for number in range(1, 9):
         later = [
-            one for one in play_timers(balancer, when, actions, when + SECOND) if isinstance(one[1], Send)
+            one for one in fire_timers(balancer, when, actions, when + SECOND) if isinstance(one[1], Send)
         ]
         if not later:
             break
@@ -136,7 +138,7 @@
     call = simulation.submit()
     simulation.attempt(call).connect()
     simulation.engine.balancer.context.settings.classes[0] = EngineSimulation(["safe"]).settings.classes[0]
-    simulation.upstream_transport.pooled = True
+    simulation.upstream_transport.has_idle_connection = True
     simulation.attempt(call).answer(Status.RESET)
     simulation.finish()
     assert dispositions(simulation, call) == [Disposition.ABORTED]
@@ -148,64 +150,64 @@
 
 @pytest.mark.parametrize("second", [Status.CONNECT_FAILED, Status.NOT_SENT, Status.REJECTED])
 def test_a_second_outcome_of_an_attempt_takes_nothing_back(second):
-    balancer, now = make(effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.CELL, entries=None)
+    balancer, now = make_balancer(effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.CELL, entries=None)
     sent = send_one(balancer, now, 1)
     balancer.handle(now, Outcome(1, 0, sent.server, Status.RESET, MS, False))
     actions = balancer.handle(now, Outcome(1, 0, sent.server, second, MS, False))
     assert not balancer.pending[1].never_ran()
-    assert not kinds(actions, Reject)
+    assert not actions_of_type(actions, Reject)
 
 
 def test_an_outcome_of_an_attempt_that_was_never_decided_sends_nothing():
-    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     send_one(balancer, now, 1)
     actions = balancer.handle(now, Outcome(1, 5, 100, Status.CONNECT_FAILED, MS, False))
-    done = actions + [action for _, action in play_timers(balancer, now, actions, now + 3 * SECOND)]
-    assert not kinds(done, Send, Reject)
+    done = actions + [action for _, action in fire_timers(balancer, now, actions, now + 3 * SECOND)]
+    assert not actions_of_type(done, Send, Reject)
 
 
 @pytest.mark.parametrize("status", list(Status))
 def test_an_outcome_after_a_drop_sends_nothing(status):
-    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     sent = send_one(balancer, now, 1)
     balancer.handle(now, RequestCancelled(1))
     actions = balancer.handle(now, Outcome(1, 0, sent.server, status, MS, False))
-    done = actions + [action for _, action in play_timers(balancer, now, actions, now + 3 * SECOND)]
-    assert not kinds(done, Send, Reject)
+    done = actions + [action for _, action in fire_timers(balancer, now, actions, now + 3 * SECOND)]
+    assert not actions_of_type(done, Send, Reject)
 
 
 @pytest.mark.parametrize("status", list(Status))
 def test_nothing_follows_an_answer_that_has_begun_whatever_its_end(status):
-    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     sent = send_one(balancer, now, 1)
     balancer.handle(now, StreamStarted(1, 0, sent.server, MS))
     actions = balancer.handle(now, Outcome(1, 0, sent.server, status, MS, False))
-    done = actions + [action for _, action in play_timers(balancer, now, actions, now + 3 * SECOND)]
-    assert not kinds(done, Send)
+    done = actions + [action for _, action in fire_timers(balancer, now, actions, now + 3 * SECOND)]
+    assert not actions_of_type(done, Send)
 
 
 def test_an_upload_that_is_through_is_counted_from_the_attempt_that_made_it():
-    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     actions = balancer.handle(now, Request(1, 0, 0, now + 2 * SECOND, uploading=True))
-    first = kinds(actions, Send)[0]
+    first = actions_of_type(actions, Send)[0]
     actions = balancer.handle(now, Outcome(1, 0, first.server, Status.CONNECT_FAILED, MS, False))
     (when, second), *_ = [
-        one for one in play_timers(balancer, now, actions, now + SECOND) if isinstance(one[1], Send)
+        one for one in fire_timers(balancer, now, actions, now + SECOND) if isinstance(one[1], Send)
     ]
     balancer.handle(when, BodyUploaded(1, when + 2 * SECOND))
     assert (1, 1) in balancer.endpoints.servers[second.server].in_flight
     actions = balancer.handle(when, Outcome(1, 1, second.server, Status.RESET, MS, False))
-    assert not kinds(actions, Reject, Send)
+    assert not actions_of_type(actions, Reject, Send)
 
 
 def test_a_drained_list_does_not_free_a_request_that_may_have_run():
-    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     sent = send_one(balancer, now, 1)
     gone = balancer.endpoints.servers[sent.server]
     balancer.handle(now, Membership(ListKind.FULL, 2, []))
     assert gone.ready and not gone.listed and gone.id in balancer.endpoints.servers
     actions = balancer.handle(now, Outcome(1, 0, sent.server, Status.RESET, MS, False))
-    assert not kinds(actions, Send, Reject)
+    assert not actions_of_type(actions, Send, Reject)
 
 
 # A fault as an attempt is decided
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -5,7 +5,7 @@
 
 import pytest
 from engine_simulation import CLASSES, DEADLINE_NS, EngineSimulation
-from helpers import MS, kinds
+from helpers import MS, actions_of_type
 
 from ochreflow.core.ports import Reason
 from ochreflow.core.stats import Disposition
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("how", ["guard", "SIGTERM"])
 def test_an_attempt_that_failed_in_its_start_after_it_was_written_is_not_rejected(cls, how):
     simulation = EngineSimulation([cls])
-    simulation.upstream_transport.starts_fail = "after"
+    simulation.upstream_transport.fail_next_start = "after"
     call = simulation.submit()
     assert len(copies(simulation, call)) == 1
     simulation.attempt(call).clear_timeout()  # its time-out was not set yet
@@ -55,7 +55,7 @@
 
 def test_an_answer_to_an_attempt_that_failed_in_its_start_after_it_was_written_still_counts():
     simulation = EngineSimulation()
-    simulation.upstream_transport.starts_fail = "after"
+    simulation.upstream_transport.fail_next_start = "after"
     call = simulation.submit()
     simulation.attempt(call).answer(Status.OK)
     simulation.finish()
@@ -64,7 +64,7 @@
 
 def test_an_attempt_that_failed_in_its_start_with_nothing_written_is_made_anew():
     simulation = EngineSimulation()
-    simulation.upstream_transport.starts_fail = "before"
+    simulation.upstream_transport.fail_next_start = "before"
     call = simulation.submit()
     failed_attempt = simulation.attempt(call)
     simulation.run(RETRY_TIME_NS)
@@ -78,7 +78,7 @@
 
 def test_no_attempt_reports_its_end_twice():
     simulation = EngineSimulation()
-    simulation.upstream_transport.starts_fail = "before"
+    simulation.upstream_transport.fail_next_start = "before"
     call = simulation.submit()
     failed_attempt = simulation.attempt(call)
     simulation.run(DEADLINE_NS)
@@ -86,7 +86,7 @@
     handle = simulation.engine.balancer.handle
     simulation.engine.balancer.handle = lambda now, event: events.append(event) or handle(now, event)
     failed_attempt.end(Status.CONNECT_FAILED)
-    assert not kinds(events, Outcome)
+    assert not actions_of_type(events, Outcome)
 
 
 def test_an_attempt_that_fails_to_give_up_leaves_its_request_an_answer():
@@ -118,7 +118,7 @@
     simulation.engine.balancer.handle = fail
     simulation.engine.dispatcher.dispatch(RequestCancelled(9999))
     simulation.engine.balancer.handle = handle
-    assert len([one for one in simulation.upstream_transport.out if one.call is call]) == 1
+    assert len([one for one in simulation.upstream_transport.in_flight if one.call is call]) == 1
 
 
 # Refusals after something may have run
@@ -162,12 +162,12 @@
 @pytest.mark.parametrize("reached", ["decided", "in part", "whole", "whole, then answered"])
 def test_the_deadline_watchdog_rejects_only_what_cannot_have_run(how, reached):
     simulation = EngineSimulation()
-    simulation.upstream_transport.blocked = reached == "in part"
+    simulation.upstream_transport.socket_full = reached == "in part"
     call = simulation.submit()
     if reached != "decided":
         simulation.attempt(call).connect()
     if reached == "whole, then answered":
-        simulation.attempt(call).begin()
+        simulation.attempt(call).begin_response()
     if how == "SIGTERM":
         simulation.engine.lifecycle._give_final_answers()
     simulation.run(DEADLINE_NS + 50 * MS)
@@ -187,7 +187,7 @@
         simulation.attempt(call).connect()
         simulation.attempt(call).answer(status)
         simulation.run(RETRY_TIME_NS)
-        if not simulation.upstream_transport.out:
+        if not simulation.upstream_transport.in_flight:
             break
     simulation.finish()
     assert dispositions(simulation, call) == [Disposition.ABORTED]
@@ -227,7 +227,7 @@
     call = simulation.submit()
     attempt = simulation.attempt(call)
     attempt.connect()
-    simulation.upstream_transport.pooled = True
+    simulation.upstream_transport.has_idle_connection = True
     attempt.end(lie)
     simulation.finish()
     assert dispositions(simulation, call) == [Disposition.ABORTED]
--- a/tests/test_duplicate_faults.py
+++ b/tests/test_duplicate_faults.py
@@ -84,7 +84,7 @@
     "error": lambda attempt: attempt.answer(Status.ERROR),
     "reset": lambda attempt: attempt.answer(Status.RESET),
     "ok": lambda attempt: attempt.answer(Status.OK),
-    "flows": lambda attempt: attempt.begin(),
+    "flows": lambda attempt: attempt.begin_response(),
     "silent": lambda attempt: None,
 }
 # What becomes of the attempts of each request, in their order; the last goes on. "refused": no connection.
@@ -135,7 +135,7 @@
             script(simulation, attempt, scripted[min(number, len(scripted) - 1)])
 
         simulation.upstream_transport.on_start = start
-        simulation.upstream_transport.blocked = True
+        simulation.upstream_transport.socket_full = True
         injector.armed = True
         for number in range(len(SCRIPTS)):
             simulation.loop.call_later(number * 0.004, simulation.submit)
@@ -144,7 +144,7 @@
         simulation.loop.call_later(0.045, submit_and_disconnect, simulation)
         simulation.run(200 * MS)
         simulation.finish()
-        assert not simulation.loop.failed
+        assert not simulation.loop.callback_errors
 
 
 def submit_with_body(simulation):
--- a/tests/test_duplicate_machine.py
+++ b/tests/test_duplicate_machine.py
@@ -27,7 +27,7 @@
     "connects": lambda attempt: attempt.connect(),
     "is refused": lambda attempt: attempt.fail_to_connect(),
     "is whole": lambda attempt: attempt.finish(),
-    "begins to be answered": lambda attempt: attempt.begin(),
+    "begins to be answered": lambda attempt: attempt.begin_response(),
     "is served": lambda attempt: attempt.answer(Status.OK),
     "fails": lambda attempt: attempt.answer(Status.ERROR),
     "is full": lambda attempt: attempt.answer(Status.REJECTED),
@@ -63,11 +63,11 @@
             for call in self.unfinished():  # a client that sends no more of its body is not waited for
                 self.simulation.disconnect_client(call)
             self.simulation.finish()
-            assert not self.simulation.loop.failed
+            assert not self.simulation.loop.callback_errors
 
     @property
     def out(self):
-        return self.simulation.upstream_transport.out
+        return self.simulation.upstream_transport.in_flight
 
     @property
     def pending(self):
@@ -96,9 +96,9 @@
         elif what in SOCKETS:
             self._change_sockets(what)
         elif what in FAULTS:
-            self.simulation.upstream_transport.starts_fail = what.split()[-1]
-        elif due := self.simulation.loop.due():
-            self.simulation.loop.ring(due[which % len(due)])
+            self.simulation.upstream_transport.fail_next_start = what.split()[-1]
+        elif due := self.simulation.loop.due_timers():
+            self.simulation.loop.fire(due[which % len(due)])
         if rings:
             self.simulation.run(span * MS)
         else:
@@ -132,9 +132,9 @@
 
     def _change_sockets(self, what):
         if what.endswith("connections"):
-            self.simulation.upstream_transport.pooled = what.startswith("idle")
+            self.simulation.upstream_transport.has_idle_connection = what.startswith("idle")
         else:
-            self.simulation.upstream_transport.blocked = what.startswith("full")
+            self.simulation.upstream_transport.socket_full = what.startswith("full")
 
     def _end_body(self, call, breaks):
         if breaks:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -7,20 +7,20 @@
 from line_frontend import DualProtocolServer, LineClient, LineFrontend
 from net_helpers import (
     HOST,
-    WAIT,
-    Fake,
+    WAIT_TIMEOUT_S,
+    FakePeer,
     Sidecar,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
+    http_request,
+    http_response,
     read_message,
-    reply,
     reset,
     run,
-    until,
+    send_request,
+    wait_until,
 )
 
 from ochreflow.core import lifecycle
@@ -45,24 +45,24 @@
     async def play():
         async def hold(message, reader, writer):
             await go.wait()
-            writer.write(reply(200, b"late"))
+            writer.write(http_response(200, b"late"))
 
         go = asyncio.Event()
-        fake = await Fake(hold).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(hold).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(b"".join(message("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS + 4)))
+            writer.write(b"".join(http_request("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS + 4)))
             clients = sidecar.http.clients
-            await until(lambda: fake.got and all(client.paused for client in clients.connections))
+            await wait_until(lambda: fake.received and all(client.paused for client in clients.connections))
             # More than is read of it now, so that the end is behind unread bytes in any case.
-            writer.write(b"".join(message("order", f"more{n}") for n in range(400)))
+            writer.write(b"".join(http_request("order", f"more{n}") for n in range(400)))
             await writer.drain()
             await leave(writer, how)
             async with asyncio.timeout(SOON):
-                await until(lambda: not clients.connections, "its client is known to have left")
+                await wait_until(lambda: not clients.connections, "its client is known to have left")
             go.set()
-            assert (await ask(sidecar.port, message("order", "other"))).code == 200
-        assert [got.headers["x-request-id"] for got in fake.got] == ["id0", "other"]
+            assert (await send_request(sidecar.port, http_request("order", "other"))).code == 200
+        assert [got.headers["x-request-id"] for got in fake.received] == ["id0", "other"]
         writer.close()
 
     run(play())
@@ -73,14 +73,14 @@
     """It lies in the backlog of the listening socket, whole, with its client's end behind it."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             # A connection to the server stands idle: what is taken is written at once.
-            assert (await ask(sidecar.port, message("order", "first"))).code == 200
+            assert (await send_request(sidecar.port, http_request("order", "first"))).code == 200
             with socket.create_server((HOST, 0)) as listener:
                 port = listener.getsockname()[1]
                 _, writer = await asyncio.open_connection(HOST, port)
-                writer.write(message("order", "gone"))
+                writer.write(http_request("order", "gone"))
                 await writer.drain()
                 await leave(writer, how)
                 arrived = []
@@ -90,10 +90,10 @@
                     return arrived[-1]
 
                 server = await asyncio.get_running_loop().create_server(connection, sock=listener)
-                await until(lambda: arrived and arrived[0].closed)
+                await wait_until(lambda: arrived and arrived[0].closed)
                 server.close()
-            assert (await ask(sidecar.port, message("order", "other"))).code == 200
-        assert [got.headers["x-request-id"] for got in fake.got] == ["first", "other"]
+            assert (await send_request(sidecar.port, http_request("order", "other"))).code == 200
+        assert [got.headers["x-request-id"] for got in fake.received] == ["first", "other"]
         writer.close()
 
     run(play())
@@ -104,24 +104,24 @@
 ):
     async def play():
         server = await DualProtocolServer(lambda name: "ok").start()
-        data = config(news(1, entry("s1", server.address)))
+        data = config(endpoint_update(1, entry("s1", server.address)))
         data["settings"]["ceilings"]["cancel"] = False
         async with Sidecar(tmp_path / "c", data) as sidecar:
             loop = asyncio.get_running_loop()
             lines = LineFrontend(sidecar.engine, loop)
-            lines.upstream_transport.writes_in_part = True
+            lines.upstream_transport.partial_writes = True
             lines.server = await loop.create_server(lambda: LineClient(lines), HOST, 0)
             _, writer = await asyncio.open_connection(HOST, lines.server.sockets[0].getsockname()[1])
             writer.write(b"order half 3000\n")
             upstream_attempts = lines.upstream_transport.waiting
-            await until(
+            await wait_until(
                 lambda: any(
                     upstream_attempt.begun for made in upstream_attempts.values() for upstream_attempt in made
                 )
             )
             writer.close()
             async with asyncio.timeout(SOON):
-                await until(
+                await wait_until(
                     lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
                 )
             (upstream_attempt,) = next(iter(upstream_attempts.values()))
@@ -139,21 +139,21 @@
         async def hang(message, reader, writer):
             await reader.read()
 
-        fake = await Fake(hang).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(hang).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             open_before = await asyncio.open_connection(HOST, sidecar.port)
-            pending = asyncio.create_task(ask(sidecar.port, message("order", "held")))
-            await until(lambda: fake.got)
-            await until(lambda: len(sidecar.http.clients.connections) == 2)
+            pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
+            await wait_until(lambda: fake.received)
+            await wait_until(lambda: len(sidecar.http.clients.connections) == 2)
             sidecar.engine.lifecycle.terminate()
             assert (await pending).code in (502, 504)
-            open_before[1].write(message("order", "again"))
-            async with asyncio.timeout(WAIT):
+            open_before[1].write(http_request("order", "again"))
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 got = await read_message(open_before[0])
             assert got.code == 503 and not sidecar.engine.requests.pending
             assert sidecar.engine.lifecycle.stopped.done() is False  # answered before, not by the end
             open_before[1].close()
-        assert len(fake.got) == 1
+        assert len(fake.received) == 1
 
     run(play())
 
@@ -163,10 +163,10 @@
         async def hang(message, reader, writer):
             await reader.read()
 
-        fake = await Fake(hang).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            pending = asyncio.create_task(ask(sidecar.port, message("order", "held")))
-            await until(lambda: fake.got)
+        fake = await FakePeer(hang).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
+            pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
+            await wait_until(lambda: fake.received)
             sidecar.engine.lifecycle.answer_pending()  # what it writes waits for the turn to end
             sidecar.close()
             assert (await pending).code in (502, 504)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from simulated import play
+from simulated import run_scenario
 from test_scenarios import AT_ONCE, scenario
 
 from ochreflow.lab.event_log import read_events
@@ -131,7 +131,7 @@
     def judged(name):
         run_dir = tmp_path / name
         run_dir.mkdir()
-        return name, play(FAILURES[name][0], run_dir, 4)
+        return name, run_scenario(FAILURES[name][0], run_dir, 4)
 
     with ThreadPoolExecutor(AT_ONCE) as pool:
         result = dict(pool.map(judged, FAILURES))
--- a/tests/test_fault.py
+++ b/tests/test_fault.py
@@ -9,22 +9,22 @@
 from pathlib import Path
 
 import pytest
-from fault_messages import CHUNKED, REQUEST, fault
+from fault_messages import CHUNKED_HEAD, REQUEST, fault
 from net_helpers import (
     HOST,
-    WAIT,
-    Fake,
+    WAIT_TIMEOUT_S,
+    FakePeer,
     Sidecar,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
+    http_request,
+    never_answer,
     read_message,
     run,
-    silent,
-    until,
+    send_request,
+    wait_until,
 )
 
 from ochreflow.lab.fault.proxy import FaultProxy
@@ -41,14 +41,16 @@
     async def act(message, reader, writer):
         writer.write(answer)
 
-    fake = await Fake(act).start()
+    fake = await FakePeer(act).start()
     loop = asyncio.get_running_loop()
     proxy = FaultProxy((HOST, fake.port), faults, seed=5)
     server = await loop.create_server(proxy.accept, HOST, 0)
     address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
-    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", address)))) as sidecar:
+    async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", address)))) as sidecar:
         try:
-            got = await ask(sidecar.port, message(cls, "ab", deadline, b"x" * 10 if cls == "order" else b""))
+            got = await send_request(
+                sidecar.port, http_request(cls, "ab", deadline, b"x" * 10 if cls == "order" else b"")
+            )
             word = {200: "served", 503: "refused"}.get(got.code, "failed")
         except (OSError, asyncio.IncompleteReadError):
             word = "cut"
@@ -56,7 +58,7 @@
     server.close()
     # Requests tell the time that is left, so the same traffic twice is what servers answer.
     answers = [line for line in proxy.transcript.lines() if " answer " in line]
-    return word, len(fake.got), answers
+    return word, len(fake.received), answers
 
 
 # Any other digit in the place of the nought makes the length longer than what comes. A shorter one can't be
@@ -109,7 +111,7 @@
 def test_a_garbled_chunk_size_shows_as_a_broken_answer(tmp_path):
     async def play():
         what = [fault("garble", place="chunk_size", after=4, count=1)]
-        chunked = CHUNKED + b"1\r\na\r\n4\r\nbcde\r\n0\r\n\r\n"
+        chunked = CHUNKED_HEAD + b"1\r\na\r\n4\r\nbcde\r\n0\r\n\r\n"
         word, runs, answers = await through_tool(tmp_path, what, "order", chunked, "1500m")
         assert (word, runs) in (("cut", 1), ("failed", 1))
         assert (await through_tool(tmp_path, what, "order", chunked, "1500m"))[2] == answers
@@ -122,14 +124,14 @@
         async def act(message, reader, writer):
             writer.write(OK)
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         proxy = FaultProxy((HOST, fake.port), [fault("reset", place="end")], 1)
         loop = asyncio.get_running_loop()
         server = await loop.create_server(proxy.accept, HOST, 0)
         sock = socket.create_connection(server.sockets[0].getsockname())
         sock.setblocking(False)
         await loop.sock_sendall(sock, REQUEST)
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while proxy.connections or not proxy.number:
                 await asyncio.sleep(0.001)
             with pytest.raises(ConnectionResetError):
@@ -143,14 +145,16 @@
 
 def test_it_lets_go_of_connections_that_both_ends_have_ended(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(answer_ok).start()
         for faults in ([], [fault("half_close", "request", "end")], [fault("delay", ms=5)]):
             proxy = FaultProxy((HOST, fake.port), faults, 1)
             server = await asyncio.get_running_loop().create_server(proxy.accept, HOST, 0)
             for number in range(5):
-                got = await ask(server.sockets[0].getsockname()[1], message("order", f"id{number}"))
+                got = await send_request(
+                    server.sockets[0].getsockname()[1], http_request("order", f"id{number}")
+                )
                 assert got.code == 200
-            await until(lambda proxy=proxy: not proxy.connections)
+            await wait_until(lambda proxy=proxy: not proxy.connections)
             server.close()
 
     run(play())
@@ -161,7 +165,7 @@
         async def act(message, reader, writer):
             writer.write(OK)
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         proxy = FaultProxy((HOST, fake.port), [], 1)
         loop = asyncio.get_running_loop()
         server = await loop.create_server(proxy.accept, HOST, 0)
@@ -170,7 +174,7 @@
 
         async def order(method, path, body=b""):
             head = f"{method} {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode()
-            return await ask(steer, head + body)
+            return await send_request(steer, head + body)
 
         reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
         writer.write(REQUEST)
@@ -221,7 +225,7 @@
             asker, protocol = await loop.create_datagram_endpoint(
                 Asker, remote_addr=between.get_extra_info("sockname")
             )
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 asker.sendto(b"lost")
                 for name, copies in ((b"a", 1), (b"b", 2), (b"c", 1)):
                     asker.sendto(name)
@@ -236,14 +240,14 @@
 
 def test_the_command_forwards_and_reports_what_it_did(tmp_path):
     async def play():
-        fake = await Fake(silent).start()
+        fake = await FakePeer(never_answer).start()
         path = tmp_path / "s.toml"
         path.write_text('[[fault]]\ndo = "cut"\nside = "request"\nplace = "body"\nafter = 3\n')
         command = ["-m", "ochreflow.cli", "lab", "fault", "--to", fake.address, "--script", str(path)]
         process = await asyncio.create_subprocess_exec(
             sys.executable, *command, cwd=ROOT, stdout=asyncio.subprocess.PIPE
         )
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             where = (await process.stdout.readline()).split()[-1].decode()
             reader, writer = await asyncio.open_connection(*where.split(":"))
             writer.write(REQUEST)
--- a/tests/test_fault_machines.py
+++ b/tests/test_fault_machines.py
@@ -1,6 +1,6 @@
 """The machines of the fault tool: each fault happens at its byte, however the bytes are read."""
 
-from fault_messages import ANSWER, CHUNKS, INTERIM, REQUEST, fault
+from fault_messages import CHUNKED_RESPONSE, INTERIM_RESPONSE, REQUEST, RESPONSE, fault
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -12,9 +12,9 @@
 
 STREAMS = [
     REQUEST * 2,
-    ANSWER * 3,
-    CHUNKS + ANSWER,
-    INTERIM + ANSWER,
+    RESPONSE * 3,
+    CHUNKED_RESPONSE + RESPONSE,
+    INTERIM_RESPONSE + RESPONSE,
     b"\r\n\r\n" + REQUEST,
     b"HTTP/1.1 200 OK\r\n\r\nto the end",
     b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\nwhat",
@@ -52,9 +52,9 @@
 
 def test_each_place_is_found_where_it_is():
     assert places(REQUEST)[Place.LENGTH] == b"10" and places(REQUEST)[Place.BODY] == b"0123456789"
-    assert places(ANSWER * 2)[Place.LENGTH] == b"1010"
-    assert places(CHUNKS)[Place.CHUNK_SIZE] == b"5\r\n3;x=1\r\n0\r\n"
-    kinds = [place for place, part in Framer().feed(INTERIM + ANSWER) if not part]
+    assert places(RESPONSE * 2)[Place.LENGTH] == b"1010"
+    assert places(CHUNKED_RESPONSE)[Place.CHUNK_SIZE] == b"5\r\n3;x=1\r\n0\r\n"
+    kinds = [place for place, part in Framer().feed(INTERIM_RESPONSE + RESPONSE) if not part]
     assert kinds == [Place.START, Place.START, Place.END]
 
 
@@ -85,7 +85,7 @@
 
 @given(
     st.sampled_from([*FAULTS, None]),
-    st.sampled_from([ANSWER * 2, CHUNKS + ANSWER]),
+    st.sampled_from([RESPONSE * 2, CHUNKED_RESPONSE + RESPONSE]),
     st.lists(st.integers(0, 10_000), max_size=10),
     st.integers(0, 5),
 )
@@ -96,34 +96,38 @@
 
 
 def test_each_fault_happens_at_its_byte():
-    def through(what, data=ANSWER * 2):
+    def through(what, data=RESPONSE * 2):
         return played([data], [what])[1:]
 
-    assert through(FAULTS[0]) == (ANSWER[:9], [Close(reset=False)])
-    assert through(FAULTS[1]) == (ANSWER + ANSWER[:-7], [Close(reset=True)])
-    assert through(FAULTS[2]) == (ANSWER, [HalfClose()])
-    assert through(FAULTS[3]) == (ANSWER[: ANSWER.index(b"10") + 1], [])
+    assert through(FAULTS[0]) == (RESPONSE[:9], [Close(reset=False)])
+    assert through(FAULTS[1]) == (RESPONSE + RESPONSE[:-7], [Close(reset=True)])
+    assert through(FAULTS[2]) == (RESPONSE, [HalfClose()])
+    assert through(FAULTS[3]) == (RESPONSE[: RESPONSE.index(b"10") + 1], [])
     data, _ = through(FAULTS[4])
-    assert len(data) == 2 * len(ANSWER) and data[len(ANSWER) :] == ANSWER
-    at = ANSWER.index(b"10")
-    assert data[:at] == ANSWER[:at] and data[at : at + 1].isdigit() and data[at] != ANSWER[at]
-    assert data[at + 1 : len(ANSWER)] == ANSWER[at + 1 :]
-    data, _ = through(fault("garble", place="chunk_size", count=1), CHUNKS)
-    assert data != CHUNKS and len(data) == len(CHUNKS) and data[: CHUNKS.index(b"5")] in CHUNKS
+    assert len(data) == 2 * len(RESPONSE) and data[len(RESPONSE) :] == RESPONSE
+    at = RESPONSE.index(b"10")
+    assert data[:at] == RESPONSE[:at] and data[at : at + 1].isdigit() and data[at] != RESPONSE[at]
+    assert data[at + 1 : len(RESPONSE)] == RESPONSE[at + 1 :]
+    data, _ = through(fault("garble", place="chunk_size", count=1), CHUNKED_RESPONSE)
+    assert (
+        data != CHUNKED_RESPONSE
+        and len(data) == len(CHUNKED_RESPONSE)
+        and data[: CHUNKED_RESPONSE.index(b"5")] in CHUNKED_RESPONSE
+    )
 
 
 def test_a_fault_that_is_set_while_a_message_is_half_through_happens_in_it():
     wire = StreamMachine(1, 0, [], Transcript())
-    assert wire.feed(Side.ANSWER, ANSWER[:-6]) == [Forward(ANSWER[:-6])]
+    assert wire.feed(Side.ANSWER, RESPONSE[:-6]) == [Forward(RESPONSE[:-6])]
     wire.set_faults([fault("cut", place="body", after=7), fault("cut", place="head", after=1)])
-    assert wire.feed(Side.ANSWER, ANSWER[-6:]) == [Forward(ANSWER[-6:-3]), Close(reset=False)]
+    assert wire.feed(Side.ANSWER, RESPONSE[-6:]) == [Forward(RESPONSE[-6:-3]), Close(reset=False)]
 
 
 def test_another_seed_or_connection_is_another_run():
     heavy = [fault("delay", ms=20, spread="heavy")]
-    digests = {played([ANSWER], heavy, seed, number)[0] for seed in range(4) for number in range(4)}
+    digests = {played([RESPONSE], heavy, seed, number)[0] for seed in range(4) for number in range(4)}
     assert len(digests) == 16
-    halves = [played([ANSWER], [fault("cut", share=0.5)], 1, number)[2] for number in range(200)]
+    halves = [played([RESPONSE], [fault("cut", share=0.5)], 1, number)[2] for number in range(200)]
     assert 70 < sum(bool(others) for others in halves) < 130
 
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -11,19 +11,19 @@
 from net_helpers import (
     HOST,
     MS,
-    WAIT,
-    Fake,
+    WAIT_TIMEOUT_S,
+    FakePeer,
     Sidecar,
     answer_ok,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
+    http_request,
+    http_response,
     read_message,
-    reply,
     reset,
     run,
-    until,
+    wait_until,
 )
 
 from ochreflow.core.limits import MB, Descriptors, Memory
@@ -56,7 +56,7 @@
     """A sidecar whose connects can be held and whose clock can be put forward."""
 
     def __init__(self, tmp_path, servers, **settings):
-        data = config(news(1, *servers))
+        data = config(endpoint_update(1, *servers))
         data["settings"]["ceilings"]["connect-timeout-ns"] = 20_000 * MS
         data["settings"].update(settings)
         self.sidecar = Sidecar(tmp_path / "c", data)
@@ -69,7 +69,7 @@
         self.loop.open.clear()
 
     async def held(self):
-        await until(lambda: self.loop.held, "a connect is held")
+        await wait_until(lambda: self.loop.held, "a connect is held")
 
     def put_forward(self, ns):
         now = self.engine.clock.now
@@ -108,7 +108,7 @@
 
 async def repeat_is_held(tmp_path, stages):
     """Two servers of a group; a keyed request's first copy is lost, the second waits for a connection."""
-    servers = [await Fake(once(stages)).start() for _ in range(2)]
+    servers = [await FakePeer(once(stages)).start() for _ in range(2)]
     stage = Stage(tmp_path, [entry(f"s{n}", server.address) for n, server in enumerate(servers)])
     stages.append(stage)
     return stage, servers
@@ -119,7 +119,7 @@
         stage, servers = await repeat_is_held(tmp_path, [])
         async with (
             stage.sidecar as sidecar,
-            client(sidecar, message("hold", deadline="4000m")) as (reader, _),
+            client(sidecar, http_request("hold", deadline="4000m")) as (reader, _),
         ):
             await stage.held()
             stage.engine.balancer.retry_policy.tokens = 10.0  # not for want of budget
@@ -128,7 +128,7 @@
             async with asyncio.timeout(SOON):
                 got = await read_message(reader)  # nothing may be sent any more, so its client hears at once
             assert got.code == 502
-            assert sum(len(server.got) for server in servers) == 1
+            assert sum(len(server.received) for server in servers) == 1
             assert not stage.engine.attempts.in_flight
             # The connection is as good as before: it is kept.
             assert sum(len(target.idle) for target in sidecar.upstreams.targets.values()) == 1
@@ -139,14 +139,14 @@
 def test_a_repeat_goes_out_in_the_last_moment_of_its_window(tmp_path):
     async def play():
         stage, servers = await repeat_is_held(tmp_path, [])
-        async with stage.sidecar as sidecar, client(sidecar, message("hold")) as (reader, _):
+        async with stage.sidecar as sidecar, client(sidecar, http_request("hold")) as (reader, _):
             await stage.held()
             for server in servers:
-                server.act = answer_ok
+                server.handler = answer_ok
             stage.put_forward(1500 * MS)
             stage.loop.open.set()
             assert (await read_message(reader)).code == 200
-            assert sum(len(server.got) for server in servers) == 2
+            assert sum(len(server.received) for server in servers) == 2
 
     run(play())
 
@@ -154,7 +154,7 @@
 def test_a_repeat_whose_server_has_gone_over_to_another_group_is_not_sent_there(tmp_path):
     async def play():
         stage, servers = await repeat_is_held(tmp_path, [])
-        async with stage.sidecar as sidecar, client(sidecar, message("hold")) as (reader, _):
+        async with stage.sidecar as sidecar, client(sidecar, http_request("hold")) as (reader, _):
             await stage.held()
             (waiting,) = (a.server for a in stage.engine.attempts.in_flight.values())
             name = next(
@@ -162,11 +162,11 @@
             )
             stage.tell((name, 0, 7, State.READY, 0))
             stage.loop.open.set()
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 got = await read_message(reader)
             assert got.code in (502, 504)
             # Both copies may have gone to the server that got the first one, none to the other.
-            assert sorted(bool(server.got) for server in servers) == [False, True]
+            assert sorted(bool(server.received) for server in servers) == [False, True]
 
     run(play())
 
@@ -176,34 +176,34 @@
     """Even where the carrier has not been told yet: one owner judges."""
 
     async def play():
-        server = await Fake(answer_ok).start()
+        server = await FakePeer(answer_ok).start()
         stage = Stage(tmp_path, [entry("s0", server.address)])
         async with stage.sidecar as sidecar:
             stage.hold()
-            async with client(sidecar, message("order")) as (reader, _):
+            async with client(sidecar, http_request("order")) as (reader, _):
                 await stage.held()
                 stage.tell(("s0", 0, 1, state, 0))
                 stage.loop.open.set()
-                async with asyncio.timeout(WAIT):
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     assert (await read_message(reader)).code == 503
-                assert not server.got
+                assert not server.received
 
     run(play())
 
 
 def test_nothing_begins_once_the_time_is_over_though_the_loop_has_not_told_so_yet(tmp_path):
     async def play():
-        server = await Fake(answer_ok).start()
+        server = await FakePeer(answer_ok).start()
         stage = Stage(tmp_path, [entry("s0", server.address)])
         async with stage.sidecar as sidecar:
             stage.hold()
-            async with client(sidecar, message("order")) as (reader, _):
+            async with client(sidecar, http_request("order")) as (reader, _):
                 await stage.held()
                 stage.put_forward(2990 * MS)  # of 3 s; the timers of the loop know nothing of it
                 stage.loop.open.set()
                 async with asyncio.timeout(SOON):
                     assert (await read_message(reader)).code == 503
-                assert not server.got
+                assert not server.received
 
     run(play())
 
@@ -211,12 +211,12 @@
 @pytest.mark.parametrize("how", ["close", "half-close", "reset"])
 def test_nothing_begins_for_a_client_that_has_left_though_the_loop_has_not_read_it_yet(tmp_path, how):
     async def play():
-        server = await Fake(answer_ok).start()
+        server = await FakePeer(answer_ok).start()
         stage = Stage(tmp_path, [entry("s0", server.address)])
         async with stage.sidecar as sidecar:
             stage.hold()
             sock = socket.create_connection((HOST, sidecar.port))
-            sock.sendall(message("order"))
+            sock.sendall(http_request("order"))
             await stage.held()
             original = sidecar.upstreams._try_send
 
@@ -232,9 +232,11 @@
 
             sidecar.upstreams._try_send = put
             stage.loop.open.set()
-            await until(lambda: not stage.engine.requests.pending and not stage.engine.attempts.in_flight)
+            await wait_until(
+                lambda: not stage.engine.requests.pending and not stage.engine.attempts.in_flight
+            )
             await asyncio.sleep(0)
-            assert not server.got
+            assert not server.received
             sock.close()
 
     run(play())
@@ -244,7 +246,7 @@
     """The pace that was taken was another start's, and so was the choice: the module chooses again."""
 
     async def play():
-        server = await Fake(answer_ok).start()
+        server = await FakePeer(answer_ok).start()
         stage = Stage(tmp_path, [entry("s0", server.address)])
         async with stage.sidecar as sidecar:
             ends = []
@@ -257,21 +259,21 @@
 
             stage.engine.balancer.handle = watched
             stage.hold()
-            async with client(sidecar, message("order")) as (reader, _):
+            async with client(sidecar, http_request("order")) as (reader, _):
                 await stage.held()
                 number = stage.names.server("s0")
                 sidecar.upstreams.update(number, (HOST, server.port), 1, State.READY)
                 stage.loop.open.set()
                 assert (await read_message(reader)).code == 200
-            assert ends == [Status.NOT_SENT, Status.OK] and len(server.got) == 1
+            assert ends == [Status.NOT_SENT, Status.OK] and len(server.received) == 1
 
     run(play())
 
 
 def test_the_pace_of_an_attempt_that_did_not_begin_is_given_back(tmp_path):
     async def play():
-        server = await Fake(answer_ok).start()
-        warm = await Fake(answer_ok).start()
+        server = await FakePeer(answer_ok).start()
+        warm = await FakePeer(answer_ok).start()
         stage = Stage(tmp_path, [entry("s0", server.address), entry("s1", warm.address)])
         given = []
         stage.engine.balancer.slow_start.give_back = lambda server, class_index, sent: given.append(
@@ -279,7 +281,7 @@
         )
         async with stage.sidecar as sidecar:
             stage.hold()
-            async with client(sidecar, message("order")) as (reader, _):
+            async with client(sidecar, http_request("order")) as (reader, _):
                 await stage.held()
                 (chosen,) = (attempt.server for attempt in stage.engine.attempts.in_flight.values())
                 name = "s0" if stage.names.server("s0") == chosen else "s1"
@@ -297,15 +299,15 @@
     async def play():
         async def act(got, reader, writer):
             await go.wait()
-            writer.write(reply(200, b"whole"))
+            writer.write(http_response(200, b"whole"))
 
         go = asyncio.Event()
-        server = await Fake(act).start()
+        server = await FakePeer(act).start()
         stage = Stage(tmp_path, [entry("s0", server.address)])
-        async with stage.sidecar as sidecar, client(sidecar, message("order", "first")) as (first, _):
-            await until(lambda: server.got)
+        async with stage.sidecar as sidecar, client(sidecar, http_request("order", "first")) as (first, _):
+            await wait_until(lambda: server.received)
             stage.hold()
-            async with client(sidecar, message("order", "second")) as (second, _):
+            async with client(sidecar, http_request("order", "second")) as (second, _):
                 await stage.held()
 
                 def fail(*_):
@@ -313,10 +315,10 @@
 
                 stage.engine.balancer.write_by = fail
                 go.set()
-                async with asyncio.timeout(WAIT):
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     assert (await read_message(first)).body == b"whole"
                     assert (await read_message(second)).code == 503
-            assert len(server.got) == 1
+            assert len(server.received) == 1
             assert len(sidecar.upstreams.targets[stage.names.server("s0")].idle) == 1
 
     run(play())
@@ -331,18 +333,18 @@
     async def play():
         async def act(got, reader, writer):
             await go.wait()
-            writer.write(reply(200, b"whole"))
+            writer.write(http_response(200, b"whole"))
 
         go = asyncio.Event()
-        server = await Fake(act).start()
+        server = await FakePeer(act).start()
         stage = Stage(tmp_path, [entry("s0", server.address)])
         async with contextlib.AsyncExitStack() as stack:
             sidecar = await stack.enter_async_context(stage.sidecar)
-            first, _ = await stack.enter_async_context(client(sidecar, message("order", "first")))
-            second, _ = await stack.enter_async_context(client(sidecar, message("order", "second")))
-            await until(lambda: len(server.got) == 2)
+            first, _ = await stack.enter_async_context(client(sidecar, http_request("order", "first")))
+            second, _ = await stack.enter_async_context(client(sidecar, http_request("order", "second")))
+            await wait_until(lambda: len(server.received) == 2)
             stage.hold()
-            third, _ = await stack.enter_async_context(client(sidecar, message("order", "third")))
+            third, _ = await stack.enter_async_context(client(sidecar, http_request("order", "third")))
             await stage.held()
             judge, asked = stage.engine.balancer.write_by, []
 
@@ -354,11 +356,11 @@
 
             stage.engine.balancer.write_by = fail_once
             go.set()
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 assert (await read_message(first)).body == b"whole"
                 assert (await read_message(second)).body == b"whole"
                 await read_message(third)
-            assert [got.headers["x-request-id"] for got in server.got].count("third") <= 1
+            assert [got.headers["x-request-id"] for got in server.received].count("third") <= 1
 
     run(play())
 
@@ -390,9 +392,9 @@
             64 * 1024,
             write_timeout_s=lambda: 0.2,
         )
-        pool.start(1, exchange, WAIT)
+        pool.start(1, exchange, WAIT_TIMEOUT_S)
         peer, _ = await loop.sock_accept(server)
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             assert await end is status
         came = 0
         with contextlib.suppress(ConnectionResetError):
@@ -417,10 +419,12 @@
             64 * 1024,
             write_timeout_s=lambda: 0.05,
         )
-        pool.start(1, exchange, WAIT)
+        pool.start(1, exchange, WAIT_TIMEOUT_S)
         peer, _ = await loop.sock_accept(server)
         await loop.sock_recv(peer, 1 << 20)
-        await until(lambda: exchange.write_timer is not None and exchange.write_timer.when() < loop.time())
+        await wait_until(
+            lambda: exchange.write_timer is not None and exchange.write_timer.when() < loop.time()
+        )
         await asyncio.sleep(0)
         assert not exchange.ended
         await loop.sock_sendall(peer, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -443,22 +447,24 @@
 
     async def play():
         stages = []
-        servers = [await Fake(once(stages) if further else answer_ok).start() for _ in range(2)]
+        servers = [await FakePeer(once(stages) if further else answer_ok).start() for _ in range(2)]
         stage = Stage(tmp_path, [entry(f"s{n}", server.address) for n, server in enumerate(servers)])
         stages.append(stage)
         if not further:
             stage.hold()
         async with (
             stage.sidecar as sidecar,
-            client(sidecar, message("lookup", deadline="1500m")) as (reader, _),
+            client(sidecar, http_request("lookup", deadline="1500m")) as (reader, _),
         ):
             await stage.held()
             for server in servers:
-                server.act = answer_ok
+                server.handler = answer_ok
             stage.put_forward(900 * MS)
             stage.loop.open.set()
             assert (await read_message(reader)).code == 200
-            *before, last = sorted((got for server in servers for got in server.got), key=told, reverse=True)
+            *before, last = sorted(
+                (got for server in servers for got in server.received), key=told, reverse=True
+            )
             assert len(before) == further
             assert 0 < told(last) <= 600
             assert all(600 < told(got) < 1500 for got in before)
@@ -470,24 +476,24 @@
     """The client's time runs from its last byte, however long its connection took to come up."""
 
     async def play():
-        server = await Fake(answer_ok).start()
+        server = await FakePeer(answer_ok).start()
         stage = Stage(tmp_path, [entry("s0", server.address)])
         async with stage.sidecar as sidecar:
             stage.hold()
             body = b"x" * (256 * 1024)
-            whole = message("order", body=body)
+            whole = http_request("order", body=body)
             cut = len(whole) - 1000
             async with client(sidecar, whole[:cut]) as (reader, writer):
                 await stage.held()
                 stage.put_forward(900 * MS)
                 stage.loop.open.set()
-                await until(
+                await wait_until(
                     lambda: any(
                         one.upstream_attempt.begun for one in stage.engine.attempts.in_flight.values()
                     )
                 )
                 writer.write(whole[cut:])
                 assert (await read_message(reader)).code == 200
-                assert told(server.got[0]) == 3000 and server.got[0].body == body
+                assert told(server.received[0]) == 3000 and server.received[0].body == body
 
     run(play())
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -5,7 +5,18 @@
 
 import pytest
 from line_frontend import DualProtocolServer, LineClient, LineFrontend
-from net_helpers import HOST, WAIT, Sidecar, config, entry, message, news, read_message, run, until
+from net_helpers import (
+    HOST,
+    WAIT_TIMEOUT_S,
+    Sidecar,
+    config,
+    endpoint_update,
+    entry,
+    http_request,
+    read_message,
+    run,
+    wait_until,
+)
 
 from ochreflow.core import lifecycle
 from ochreflow.core.ports import Reason
@@ -27,14 +38,14 @@
     async def send(self, cls, name, wait=3000):
         self.reader, self.writer = await asyncio.open_connection(HOST, self.port)
         if self.frontend == "http":
-            self.writer.write(message(cls, name, f"{wait}m"))
+            self.writer.write(http_request(cls, name, f"{wait}m"))
         else:
             self.writer.write(f"{cls} {name} {wait}\n".encode())
         return self
 
     async def answer(self):
         """The one word of the one answer; nothing may follow it."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             if self.frontend == "http":
                 word = CODES[(await read_message(self.reader)).code]
             else:
@@ -58,7 +69,9 @@
         return await (await SentRequest(frontend, self.ports).send(cls, name, wait)).answer()
 
     def update_endpoints(self, *entries, index=2):
-        self.engine.on_endpoint_update(parse_endpoint_update(news(index, *entries), self.endpoint_ids))
+        self.engine.on_endpoint_update(
+            parse_endpoint_update(endpoint_update(index, *entries), self.endpoint_ids)
+        )
 
     def clean(self):
         engine = self.engine
@@ -75,12 +88,12 @@
 
     async def playing():
         fakes = [await DualProtocolServer(act).start() for _ in range(servers)]
-        known = news(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes)))
+        known = endpoint_update(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes)))
         data = config(known)
         data["settings"]["rules"].update(rules)
         async with Rig(tmp_path / "c", data) as rig:
             await steps(rig, *fakes)
-            await until(rig.clean, "nothing is left of any request")
+            await wait_until(rig.clean, "nothing is left of any request")
 
     run(playing())
 
@@ -113,7 +126,7 @@
 def test_one_final_response_and_no_retry_beyond_the_class(tmp_path, frontend, cls, what, word, runs):
     async def steps(rig, one, two):
         assert await rig.request(frontend, cls, "ab") == word
-        assert len(one.got + two.got) == runs
+        assert len(one.received + two.received) == runs
         counts = rig.engine.stats.frontends
         assert sum(counts[frontend]) == 1 and sum(sum(row) for row in counts.values()) == 1
 
@@ -138,7 +151,7 @@
     async def steps(rig, leaving, staying):
         go = delay_first_bytes(rig, monkeypatch)
         waiting = [await SentRequest(frontend, rig.ports).send("order", f"w{n}") for n in range(8)]
-        await until(lambda: len(rig.engine.attempts.in_flight) == 8)
+        await wait_until(lambda: len(rig.engine.attempts.in_flight) == 8)
         number = rig.endpoint_ids.server("s0")
         assert any(attempt.server == number for attempt in rig.engine.attempts.in_flight.values())
         rig.update_endpoints(entry("s0", leaving.address, "DRAINING"), entry("s1", staying.address))
@@ -147,8 +160,8 @@
         assert set(words) <= {"served", "refused"} and "served" in words
         for n in range(20):
             assert await rig.request(frontend, "order", f"b{n}") == "served"
-        assert not leaving.got
-        assert len(set(staying.got)) == len(staying.got) == words.count("served") + 20
+        assert not leaving.received
+        assert len(set(staying.received)) == len(staying.received) == words.count("served") + 20
 
     play(tmp_path, lambda name: "ok", steps, servers=2)
 
@@ -159,7 +172,7 @@
         rig.update_endpoints(entry("s0", new.address, since_ms=since), entry("s1", warm.address))
         words = await asyncio.gather(*(rig.request(frontend, "order", f"id{n}", 500) for n in range(40)))
         assert set(words) <= {"failed", "refused"}
-        assert len(new.got) <= 1 and len(warm.got) >= 5
+        assert len(new.received) <= 1 and len(warm.received) >= 5
 
     rules = {"start-capacity": 0.15, "warm-within-ns": 60_000_000_000}
     play(tmp_path, lambda name: "silent", steps, 2, rules)  # no answer earns it any more
@@ -181,7 +194,7 @@
 
         rig.engine.balancer.handle = failing
         assert await rig.request(frontend, "order", "ab", 400) == word
-        assert len(fake.got) == (what is not None)
+        assert len(fake.received) == (what is not None)
         rig.engine.balancer.pending.clear()
         for server in rig.engine.balancer.endpoints.servers.values():
             server.in_flight.clear()
@@ -192,9 +205,9 @@
 def test_a_client_that_leaves_takes_its_attempt_along(tmp_path, frontend):
     async def steps(rig, fake):
         sent = await SentRequest(frontend, rig.ports).send("order", "ab")
-        await until(lambda: fake.got)
+        await wait_until(lambda: fake.received)
         sent.writer.close()
-        await until(lambda: fake.ended == 1, "its attempt is called off")
+        await wait_until(lambda: fake.ended_connections == 1, "its attempt is called off")
 
     play(tmp_path, lambda name: "silent", steps)
 
@@ -205,12 +218,12 @@
     async def steps(rig, fake):
         go = delay_first_bytes(rig, monkeypatch)
         sent = await SentRequest(frontend, rig.ports).send("order", "ab")
-        await until(lambda: rig.engine.attempts.in_flight)
+        await wait_until(lambda: rig.engine.attempts.in_flight)
         sent.writer.close()
-        await until(lambda: not rig.engine.requests.pending)
+        await wait_until(lambda: not rig.engine.requests.pending)
         go.set()
         assert await rig.request(frontend, "order", "cd") == "served"
-        assert fake.got == ["cd"]
+        assert fake.received == ["cd"]
 
     play(tmp_path, lambda name: "ok", steps)
 
@@ -221,12 +234,12 @@
     async def steps(rig, fake):
         other = next(name for name in FRONTENDS if name != frontend)
         held = [await SentRequest(label, rig.ports).send("order", "same") for label in (frontend, other)]
-        await until(lambda: fake.got.count("same") == 2)
+        await wait_until(lambda: fake.received.count("same") == 2)
         assert await rig.request(frontend, "order", "same") == "failed"
-        assert fake.got.count("same") == 2
+        assert fake.received.count("same") == 2
         for sent in held:
             sent.writer.close()
-        await until(lambda: not rig.engine.requests.pending)
+        await wait_until(lambda: not rig.engine.requests.pending)
         assert await rig.request(frontend, "order", "same") == "failed"  # it has just been
 
     play(tmp_path, lambda name: "silent", steps)
@@ -237,11 +250,11 @@
 
     async def steps(rig, fake):
         held = await SentRequest(frontend, rig.ports).send("order", "held")
-        await until(lambda: fake.got)
+        await wait_until(lambda: fake.received)
         rig.engine.drain()
-        await until(lambda: rig.engine.lifecycle.closing_idle_connections)
+        await wait_until(lambda: rig.engine.lifecycle.closing_idle_connections)
         assert await rig.request(frontend, "order", "ab") == "refused"
-        assert fake.got == ["held"]
+        assert fake.received == ["held"]
         rig.engine.undrain()
         assert await rig.request(frontend, "order", "cd") == "served"
         held.writer.close()
@@ -263,10 +276,10 @@
             monkeypatch.setattr(connection, "_respond", closing)
         for n in range(5):
             sent = await SentRequest(frontend, rig.ports).send("order", f"id{n}")
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 await sent.reader.read()
             sent.writer.close()
-        assert len(fake.got) == 5 and rig.engine.stats.frontends[frontend][0] == 5
+        assert len(fake.received) == 5 and rig.engine.stats.frontends[frontend][0] == 5
 
     play(tmp_path, lambda name: "ok", steps)
 
@@ -275,7 +288,7 @@
     async def steps(rig, fake):
         rig.engine.requests.max_open = 1
         held = await SentRequest(frontend, rig.ports).send("order", "held")
-        await until(lambda: fake.got)
+        await wait_until(lambda: fake.received)
         reasons = []
         finish = rig.engine.requests.finish
         rig.engine.requests.finish = lambda pending, response: (
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -9,7 +9,18 @@
 from pathlib import Path
 
 import pytest
-from net_helpers import HOST, Fake, answer_ok, ask, config, entry, message, news, run, until
+from net_helpers import (
+    HOST,
+    FakePeer,
+    answer_ok,
+    config,
+    endpoint_update,
+    entry,
+    http_request,
+    run,
+    send_request,
+    wait_until,
+)
 from test_process import Process
 
 from ochreflow.app.hot_restart import HotRestart
@@ -55,13 +66,13 @@
                 assert new.usage.memory.others_reserved_bytes == MB
                 limits.in_use = 184
                 assert limits.full
-                await until(lambda: old.usage.descriptors.others_in_use == 184)
+                await wait_until(lambda: old.usage.descriptors.others_in_use == 184)
                 assert old.usage.descriptors.full
                 async with process(tmp_path, 3) as (third, _):
                     assert third.processes == 2 and third.usage.descriptors.limit == 234
-                    await until(lambda: old.processes == new.processes == 2)
-                await until(lambda: old.processes == new.processes == 1)
-            await until(lambda: old.processes == 0)
+                    await wait_until(lambda: old.processes == new.processes == 2)
+                await wait_until(lambda: old.processes == new.processes == 1)
+            await wait_until(lambda: old.processes == 0)
             assert old.usage.descriptors.limit == 334 and old.usage.descriptors.others_in_use == 0
         assert not list(tmp_path.iterdir())
 
@@ -85,7 +96,7 @@
         server = await asyncio.start_unix_server(nonsense, str(tmp_path / "sidecar-9.sock"))
         async with process(tmp_path, 1) as (hot_restart, inherited):
             assert inherited is None
-            await until(lambda: not hot_restart.links)
+            await wait_until(lambda: not hot_restart.links)
             assert hot_restart.processes == 0 and not (tmp_path / "sidecar-7.sock").exists()
         server.close()
 
@@ -106,7 +117,7 @@
 
 def test_the_list_that_is_inherited_reads_as_it_was():
     names = EndpointIds(["a", "b"], ["std"])
-    written = news(
+    written = endpoint_update(
         7,
         entry("s1", "127.0.0.1:1", since_ms=5, group=3, zone="b"),
         entry("s2", "127.0.0.1:2", status="DRAINING"),
@@ -118,14 +129,14 @@
     """Its own configuration names a server that has left; the old process knows the present one."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        gone = await Fake(answer_ok).start()
+        fake = await FakePeer(answer_ok).start()
+        gone = await FakePeer(answer_ok).start()
         listening = socket.create_server((HOST, 0))
         port = listening.getsockname()[1]
         folder = tmp_path / "run"
         folder.mkdir()
-        fresh = config(news(5, entry("s2", fake.address)), management=f"{HOST}:0")
-        stale = config(news(1, entry("s1", gone.address)), management=f"{HOST}:0")
+        fresh = config(endpoint_update(5, entry("s2", fake.address)), management=f"{HOST}:0")
+        stale = config(endpoint_update(1, entry("s1", gone.address)), management=f"{HOST}:0")
         shared = {"inherited": listening, "folder": folder}
         async with (
             Process(tmp_path / "a", fresh, **shared) as old,
@@ -134,16 +145,18 @@
             old.process.kill()  # at any moment, with its file left behind
             await old.process.wait()
             for n in range(5):
-                assert (await ask(port, message("order", f"id{n}"))).code == 200
+                assert (await send_request(port, http_request("order", f"id{n}"))).code == 200
             async with Process(tmp_path / "c", stale, **shared) as newest:
                 assert len(os.listdir(folder)) == 2  # the killed one's is gone
                 new.process.send_signal(signal.SIGTERM)
                 for n in range(50):
-                    assert (await ask(port, message("order", f"more{n}"))).code == 200
+                    assert (await send_request(port, http_request("order", f"more{n}"))).code == 200
                 assert await new.process.wait() == 0
-                assert (await ask(newest.operators, b"GET /healthcheck HTTP/1.1\r\n\r\n")).code == 200
+                assert (
+                    await send_request(newest.operators, b"GET /healthcheck HTTP/1.1\r\n\r\n")
+                ).code == 200
                 assert len(os.listdir(folder)) == 1
-        assert not gone.got and len(fake.got) == 55
+        assert not gone.received and len(fake.received) == 55
         listening.close()
 
     run(play())
--- a/tests/test_http_forms.py
+++ b/tests/test_http_forms.py
@@ -4,7 +4,19 @@
 import asyncio
 
 import pytest
-from net_helpers import HOST, WAIT, Fake, Sidecar, answer_ok, config, entry, message, news, read_message, run
+from net_helpers import (
+    HOST,
+    WAIT_TIMEOUT_S,
+    FakePeer,
+    Sidecar,
+    answer_ok,
+    config,
+    endpoint_update,
+    entry,
+    http_request,
+    read_message,
+    run,
+)
 
 HEAD = b"X-Request-Id: ab\r\n"
 HOSTS = b"Host: origin.svc\r\n"
@@ -72,18 +84,18 @@
     data, code, passed_on = FORMS[name]
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             # A second request right behind it: where the first one's end is not known, it must not be read.
-            writer.write(data + message("lookup", "hidden"))
-            async with asyncio.timeout(WAIT):
+            writer.write(data + http_request("lookup", "hidden"))
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 assert (await read_message(reader)).code == code
                 if passed_on is None:
                     rest = await reader.read()
                     assert not rest or rest.startswith(b"HTTP/1.1 200")
                 writer.close()
-            got = [seen for seen in fake.got if seen.headers["x-request-id"] == "ab"]
+            got = [seen for seen in fake.received if seen.headers["x-request-id"] == "ab"]
             assert [seen.body for seen in got] == ([] if passed_on is None else [passed_on])
 
     run(play())
@@ -92,14 +104,14 @@
 @pytest.mark.parametrize("name", ["1.0 in chunks, kept alive", "length and chunks", "chunk longer than said"])
 def test_nothing_behind_a_message_without_a_sure_end_is_read(tmp_path, name):
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(FORMS[name][0] + message("lookup", "hidden"))
-            async with asyncio.timeout(WAIT):
+            writer.write(FORMS[name][0] + http_request("lookup", "hidden"))
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 answer = await read_message(reader)
                 assert answer.headers["connection"] == "close" and await reader.read() == b""
-            assert not fake.got
+            assert not fake.received
             writer.close()
 
     run(play())
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from net_helpers import HOST, WAIT, Fake, ask, read_message, reply, run
+from net_helpers import HOST, WAIT_TIMEOUT_S, FakePeer, http_response, read_message, run, send_request
 
 from ochreflow.lab.arrivals import ClientLoad, ClientProfile, Idempotency, RequestClass
 from ochreflow.lab.event_log import EventLog, RunEvents, read_events
@@ -62,17 +62,17 @@
 
 def test_a_node_runs_requests_drops_duplicates_and_rejects_beyond_its_capacity(tmp_path):
     async def steps(node, port):
-        assert (await ask(port, request("a"))).body == b"n:a"
+        assert (await send_request(port, request("a"))).body == b"n:a"
         token = "Idempotency-Key: t"
-        assert (await ask(port, request("b", "exposure", token))).body == b"n:b"
-        assert (await ask(port, request("b", "exposure", token))).body == b"n:b"
-        assert (await ask(port, b"GET /assign HTTP/1.1\r\n\r\n")).code == 404
+        assert (await send_request(port, request("b", "exposure", token))).body == b"n:b"
+        assert (await send_request(port, request("b", "exposure", token))).body == b"n:b"
+        assert (await send_request(port, b"GET /assign HTTP/1.1\r\n\r\n")).code == 404
         node.model.faults.slowdown = 20.0
-        crowd = await asyncio.gather(*(ask(port, request(f"c{n}")) for n in range(6)))
+        crowd = await asyncio.gather(*(send_request(port, request(f"c{n}")) for n in range(6)))
         turned = [got for got in crowd if got.code == 503]
         assert len(turned) == 3 and turned[0].headers["x-not-run"] == "1"
-        assert (await ask(port, order(draining=True))).code == 200
-        got = await ask(port, request("d"))
+        assert (await send_request(port, order(draining=True))).code == 200
+        got = await send_request(port, request("d"))
         assert got.code == 503 and got.headers["x-not-run"] == "1"
 
     events = with_node(tmp_path, steps, cores=1, queue_capacity=2)
@@ -81,14 +81,14 @@
 
 def test_a_node_with_a_fault_answers_nothing_or_fails(tmp_path):
     async def steps(node, port):
-        await ask(port, order(fail=1.0))
-        assert (await ask(port, request("a"))).code == 500
-        await ask(port, order(fail=0.0, swallow=True))
+        await send_request(port, order(fail=1.0))
+        assert (await send_request(port, request("a"))).code == 500
+        await send_request(port, order(fail=0.0, swallow=True))
         _, writer = await asyncio.open_connection(HOST, port)
         writer.write(request("b"))
-        assert (await ask(port, order(swallow=False))).code == 200
-        assert (await ask(port, request("c"))).code == 200
-        assert (await ask(port, order(unknown=1))).code == 400
+        assert (await send_request(port, order(swallow=False))).code == 200
+        assert (await send_request(port, request("c"))).code == 200
+        assert (await send_request(port, order(unknown=1))).code == 400
         writer.close()
 
     events = with_node(tmp_path, steps)
@@ -99,11 +99,11 @@
 def test_a_node_that_warms_up_collapses_under_overload_only(tmp_path):
     async def gently(node, port):
         for n in range(10):
-            assert (await ask(port, request(f"g{n}"))).code == 200
+            assert (await send_request(port, request(f"g{n}"))).code == 200
 
     async def hard(node, port):
         results = await asyncio.gather(
-            *(ask(port, request(f"h{n}")) for n in range(300)), return_exceptions=True
+            *(send_request(port, request(f"h{n}")) for n in range(300)), return_exceptions=True
         )
         assert any(isinstance(result, Exception) for result in results) and node.model.collapsed
 
@@ -141,11 +141,11 @@
             if not transport.aborted:
                 accepted.data_received(request("late"))
         else:
-            assert (await ask(port, order(end=True))).code == 200
+            assert (await send_request(port, order(end=True))).code == 200
         while not first.event_log.file.closed:
             await asyncio.sleep(0.001)
         before = (tmp_path / "n.jsonl").read_bytes()
-        assert (await ask(beside, request("b"))).body == b"m:b"
+        assert (await send_request(beside, request("b"))).body == b"m:b"
         await asyncio.sleep(0.3)  # longer than the work that was in hand
         for writer in writers:
             writer.close()
@@ -185,11 +185,11 @@
         port = server.sockets[0].getsockname()[1]
 
         async def get(query=""):
-            got = await ask(port, f"GET /api/targets{query} HTTP/1.1\r\n\r\n".encode())
+            got = await send_request(port, f"GET /api/targets{query} HTTP/1.1\r\n\r\n".encode())
             return json.loads(got.body)
 
         for name in ("a", "b"):
-            assert (await ask(port, order(**entry(name)))).code == 200
+            assert (await send_request(port, order(**entry(name)))).code == 200
         complete = await get()
         assert complete["snapshot"] and [one["name"] for one in complete["endpoints"]] == ["a", "b"]
         assert (await get("?after=2&wait_ms=1"))["endpoints"] == []
@@ -199,11 +199,11 @@
         writer.write(b"GET /api/targets?after=2&wait_ms=60000 HTTP/1.1\r\n\r\n")
         while not directory.watches:
             await asyncio.sleep(0.001)
-        await ask(port, order(name="a", status="DRAINING"))
-        async with asyncio.timeout(WAIT):
+        await send_request(port, order(name="a", status="DRAINING"))
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             notified = json.loads((await read_message(reader)).body)
         assert notified == {"index": 3, "snapshot": False, "endpoints": [entry("a", "DRAINING")]}
-        await ask(port, order(name="b", status="DELETED"))
+        await send_request(port, order(name="b", status="DELETED"))
         assert [one["name"] for one in (await get())["endpoints"]] == ["a"]
         writer.close()
 
@@ -353,11 +353,11 @@
     async def play():
         async def twice(message, reader, writer):
             ident = message.headers["x-request-id"]
-            writer.write(reply(503) + (reply(503) if len(fake.got) == 3 else b""))
+            writer.write(http_response(503) + (http_response(503) if len(fake.received) == 3 else b""))
             seen.append(ident)
 
         seen = []
-        fake = await Fake(twice).start()
+        fake = await FakePeer(twice).start()
         event_log = EventLog(tmp_path / "clients")
         clients = ClientLoad([RequestClass("assign", 1.0, Idempotency.NON_IDEMPOTENT, 2.0)], 100.0, 5)
         load = LoadGenerator((HOST, fake.port), clients, 1, event_log)
@@ -404,23 +404,23 @@
         port = server.sockets[0].getsockname()[1]
 
         def get(query=""):
-            return ask(port, f"GET /api/targets{query} HTTP/1.1\r\n\r\n".encode())
+            return send_request(port, f"GET /api/targets{query} HTTP/1.1\r\n\r\n".encode())
 
         for number in range(6):
-            await ask(port, order(name=f"n{number}", address=f"{HOST}:1", status="SERVING"))
-        await ask(port, order(manners={"per_second": 50.0, "room": 2, "keeps": 3}))
+            await send_request(port, order(name=f"n{number}", address=f"{HOST}:1", status="SERVING"))
+        await send_request(port, order(manners={"per_second": 50.0, "room": 2, "keeps": 3}))
         codes = sorted(got.code for got in await asyncio.gather(*(get() for _ in range(5))))
         assert codes == [200, 200, 200, 503, 503]
         assert not json.loads((await get("?after=4&wait_ms=9")).body)["snapshot"]
         assert json.loads((await get("?after=1&wait_ms=9")).body)["snapshot"]  # too long ago
-        await ask(port, order(manners={"resets": 1.0}))
+        await send_request(port, order(manners={"resets": 1.0}))
         with pytest.raises((OSError, EOFError, AssertionError)):
             await get()
-        await ask(port, order(manners={"late": 0.2}))
+        await send_request(port, order(manners={"late": 0.2}))
         watch = asyncio.create_task(get("?after=6&wait_ms=60000"))
         while not directory.watches:
             await asyncio.sleep(0.001)
-        await ask(port, order(name="n1", status="DRAINING"))
+        await send_request(port, order(name="n1", status="DRAINING"))
         assert directory.watches  # nobody has been told yet
         assert json.loads((await watch).body)["endpoints"][0]["status"] == "DRAINING"
 
@@ -430,14 +430,14 @@
 @pytest.mark.parametrize("form", ["extra", "interim", "cut", "garbled", "stalled"])
 def test_a_node_sends_the_malformed_response_that_was_ordered(tmp_path, form):
     async def steps(node, port):
-        await ask(port, order(spoil=1.0, form=form))
+        await send_request(port, order(spoil=1.0, form=form))
         reader, writer = await asyncio.open_connection(HOST, port)
         writer.write(request("a"))
         while not (seen := kinds(read_events(tmp_path / "node.jsonl")))["ran"]:
             await asyncio.sleep(0.005)
         assert seen["taken"] == 1
         writer.write_eof()
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             got = await reader.read()
         starts = {"interim": b"HTTP/1.1 103", "garbled": b"HTP"}
         assert got.startswith(starts.get(form, b"HTTP/1.1 200 OK"))
@@ -479,10 +479,10 @@
             if len(tries[first]) < 3:
                 writer.write(b"HTTP/1.1 503 No\r\nRetry-After: 0.01\r\nContent-Length: 0\r\n\r\n")
             else:
-                writer.write(reply(200, b"n:x"))
+                writer.write(http_response(200, b"n:x"))
 
         tries = {}
-        fake = await Fake(turns).start()
+        fake = await FakePeer(turns).start()
         event_log = EventLog(tmp_path / "clients")
         profile = ClientProfile(
             slow_share=0.3, large_body_share=0.3, large_body_bytes=50_000, cost_hint_share=1.0, max_attempts=3
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -1,8 +1,18 @@
 """Sidecars with low traffic: one small test for each failure found at full size."""
 
 import pytest
-from helpers import MS, SECOND, START, endpoint, kinds, play_timers, request, send_one, serve
-from helpers import make as make_any
+from helpers import (
+    MS,
+    SECOND,
+    START,
+    actions_of_type,
+    endpoint,
+    fire_timers,
+    request,
+    send_one,
+    serve_requests,
+)
+from helpers import make_balancer as make_any
 
 from ochreflow.policy.interface import (
     Effect,
@@ -40,7 +50,7 @@
     idle, now = make(entries=entries)
     assert len(set(trickle(idle, now, range(60), lambda server: 40 * MS)[1])) <= 4
     busy, now = make(entries=entries)
-    assert len(serve(busy, now, range(1500), 10 * MS)[1]) == 40
+    assert len(serve_requests(busy, now, range(1500), 10 * MS)[1]) == 40
 
 
 def test_where_servers_outnumber_sidecars_all_are_sampled_however_little_is_sent():
@@ -66,7 +76,7 @@
         balancer, now = make(entries=entries, effect=Effect.IDEMPOTENT_WITH_KEY, seed=seed)
         first = send_one(balancer, now, 1).server
         actions = balancer.handle(now + MS, Outcome(1, 0, first, Status.RESET, MS, False))
-        done = play_timers(balancer, now + MS, actions, now + SECOND)
+        done = fire_timers(balancer, now + MS, actions, now + SECOND)
         retried += [action.server - first for _, action in done if isinstance(action, Send)]
     assert len(retried) == 20 and {abs(step) for step in retried} == {1}  # its neighbour, of the same cell
 
@@ -157,7 +167,7 @@
         for step in range(60):
             now += SECOND
             ident += 1
-            sent = kinds(balancer.handle(now, request(ident, now)), Send)
+            sent = actions_of_type(balancer.handle(now, request(ident, now)), Send)
             refused[phase] += not sent and step >= 20
             for action in sent:
                 done = Outcome(ident, 0, action.server, Status.OK, latency, True)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -6,19 +6,19 @@
 import pytest
 from net_helpers import (
     HOST,
-    Fake,
+    FakePeer,
     Sidecar,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
+    http_request,
+    http_response,
+    never_answer,
     read_message,
-    reply,
     run,
-    silent,
-    until,
+    send_request,
+    wait_until,
 )
 
 from ochreflow.core import lifecycle
@@ -47,7 +47,7 @@
 
 
 async def figures(port):
-    got = await ask(port, call("GET", "/stats"))
+    got = await send_request(port, call("GET", "/stats"))
     assert got.code == 200
     return {name: int(value) for name, value in (line.split("=") for line in got.body.decode().split())}
 
@@ -84,27 +84,27 @@
             if ident == "held":
                 await go.wait()
             if ident == "full":
-                writer.write(reply(503, b"", "X-Not-Run: 1"))
+                writer.write(http_response(503, b"", "X-Not-Run: 1"))
             else:
-                writer.write(reply(500 if ident == "bad" else 200, b"x"))
+                writer.write(http_response(500 if ident == "bad" else 200, b"x"))
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
-        data = config(news(1, entry("s1", fake.address)))
+        fake = await FakePeer(act).start()
+        data = config(endpoint_update(1, entry("s1", fake.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar, managed(sidecar) as port:
-            assert (await ask(sidecar.port, message("order", "good"))).code == 200
-            assert (await ask(sidecar.port, message("order", "good"))).code == 409
-            assert (await ask(sidecar.port, message("order", "bad"))).code == 502
-            assert (await ask(sidecar.port, message("hold", "full", "300m"))).code == 503
-            held = asyncio.create_task(ask(sidecar.port, message("lookup", "held")))
-            await until(lambda: any(got.headers["x-request-id"] == "held" for got in fake.got))
+            assert (await send_request(sidecar.port, http_request("order", "good"))).code == 200
+            assert (await send_request(sidecar.port, http_request("order", "good"))).code == 409
+            assert (await send_request(sidecar.port, http_request("order", "bad"))).code == 502
+            assert (await send_request(sidecar.port, http_request("hold", "full", "300m"))).code == 503
+            held = asyncio.create_task(send_request(sidecar.port, http_request("lookup", "held")))
+            await wait_until(lambda: any(got.headers["x-request-id"] == "held" for got in fake.received))
             seen = await figures(port)
             assert seen["app.results.order.succeeded"] == 1
             assert seen["app.results.order.aborted"] == 2
             assert seen["app.results.hold.declined"] == 1
             assert seen["app.results.lookup.succeeded"] == 0
             assert seen["app.outstanding"] == 1 and seen["app.discovered"] == 1
-            assert seen["app.forwards"] == len(fake.got)
+            assert seen["app.forwards"] == len(fake.received)
             go.set()
             assert (await held).code == 200
             assert (await figures(port))["app.outstanding"] == 0
@@ -114,9 +114,12 @@
 
 def test_an_ejected_server_shows(tmp_path):
     async def play():
-        fake = await Fake(silent).start()
+        fake = await FakePeer(never_answer).start()
         entries = [entry(f"s{n}", fake.address) for n in range(3)]
-        async with Sidecar(tmp_path / "c", config(news(1, *entries))) as sidecar, managed(sidecar) as port:
+        async with (
+            Sidecar(tmp_path / "c", config(endpoint_update(1, *entries))) as sidecar,
+            managed(sidecar) as port,
+        ):
             assert (await figures(port))["app.ejected"] == 0
             sidecar.engine.balancer.outlier_detector.eject(
                 next(iter(sidecar.engine.balancer.endpoints.servers.values()))
@@ -143,7 +146,7 @@
 )
 def test_each_call_has_one_answer_and_ends(tmp_path, data, code):
     async def play():
-        async with Sidecar(tmp_path / "c", config(news(1))) as sidecar, managed(sidecar) as port:
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar, managed(sidecar) as port:
             reader, writer = await asyncio.open_connection(HOST, port)
             writer.write(data)
             got = await read_message(reader)
@@ -158,10 +161,10 @@
     monkeypatch.setattr(management, "READ_TIMEOUT_S", 30.0)
 
     async def play():
-        async with Sidecar(tmp_path / "c", config(news(1))) as sidecar, managed(sidecar) as port:
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar, managed(sidecar) as port:
             callers = [await asyncio.open_connection(HOST, port) for _ in range(management.MAX_CONNECTIONS)]
             callers[0][1].write(b"GET /sta")
-            assert (await ask(port, call("GET", "/healthcheck"))).code == 200
+            assert (await send_request(port, call("GET", "/healthcheck"))).code == 200
             assert await callers[0][0].read() == b""  # the oldest made room
             for _, writer in callers:
                 writer.close()
@@ -173,8 +176,8 @@
     monkeypatch.setattr(management, "READ_TIMEOUT_S", 0.05)
 
     async def play():
-        async with Sidecar(tmp_path / "c", config(news(1))) as sidecar, managed(sidecar) as port:
-            assert (await ask(port, b"GET /sta")).code == 408
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar, managed(sidecar) as port:
+            assert (await send_request(port, b"GET /sta")).code == 408
             reader, writer = await asyncio.open_connection(HOST, port)
             assert await reader.read() == b""
             writer.close()
@@ -189,36 +192,36 @@
         async def act(message, reader, writer):
             if message.headers["x-request-id"] == "held":
                 await go.wait()
-            writer.write(reply(200, b"served"))
+            writer.write(http_response(200, b"served"))
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
-        data = config(news(1, entry("s1", fake.address)))
+        fake = await FakePeer(act).start()
+        data = config(endpoint_update(1, entry("s1", fake.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar, managed(sidecar) as port:
             idle_reader, idle_writer = await asyncio.open_connection(HOST, sidecar.port)
             half_reader, half_writer = await asyncio.open_connection(HOST, sidecar.port)
-            idle_writer.write(message("order", "first"))
+            idle_writer.write(http_request("order", "first"))
             assert "connection" not in (await read_message(idle_reader)).headers
-            held = asyncio.create_task(ask(sidecar.port, message("order", "held")))
-            whole = message("order", "half", "3000m", b"body")
+            held = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
+            whole = http_request("order", "half", "3000m", b"body")
             half_writer.write(whole[:30])
-            await until(lambda: any(front.message_begun for front in sidecar.http.clients.connections))
-            assert (await ask(port, call("POST", "/healthcheck/fail"))).code == 200
-            assert (await ask(port, call("GET", "/healthcheck"))).code == 503
-            assert (await ask(sidecar.port, READY)).code == 503
-            got = await ask(sidecar.port, message("order", "late"))  # within the front's delay
+            await wait_until(lambda: any(front.message_begun for front in sidecar.http.clients.connections))
+            assert (await send_request(port, call("POST", "/healthcheck/fail"))).code == 200
+            assert (await send_request(port, call("GET", "/healthcheck"))).code == 503
+            assert (await send_request(sidecar.port, READY)).code == 503
+            got = await send_request(sidecar.port, http_request("order", "late"))  # within the front's delay
             assert got.code == 200 and got.headers["connection"] == "close"
             assert await idle_reader.read() == b""
-            await until(lambda: sidecar.engine.lifecycle.closing_idle_connections)
+            await wait_until(lambda: sidecar.engine.lifecycle.closing_idle_connections)
             half_writer.write(whole[30:])  # had begun: answered, not cut
             assert (await read_message(half_reader)).headers["connection"] == "close"
-            assert (await ask(sidecar.port, message("order", "later"))).code == 503
+            assert (await send_request(sidecar.port, http_request("order", "later"))).code == 503
             go.set()
             assert (await held).headers["connection"] == "close"
-            await until(lambda: not sidecar.http.clients.connections)
-            assert (await ask(port, call("POST", "/healthcheck/ok"))).code == 200
-            assert (await ask(sidecar.port, READY)).code == 200
-            got = await ask(sidecar.port, message("order", "again"))
+            await wait_until(lambda: not sidecar.http.clients.connections)
+            assert (await send_request(port, call("POST", "/healthcheck/ok"))).code == 200
+            assert (await send_request(sidecar.port, READY)).code == 200
+            got = await send_request(sidecar.port, http_request("order", "again"))
             assert got.code == 200 and "connection" not in got.headers
             for writer in (idle_writer, half_writer):
                 writer.close()
@@ -228,11 +231,11 @@
 
 def test_an_ending_process_cannot_be_called_back(tmp_path):
     async def play():
-        async with Sidecar(tmp_path / "c", config(news(1))) as sidecar, managed(sidecar) as port:
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar, managed(sidecar) as port:
             sidecar.engine.lifecycle.terminate()
             for path in ("/healthcheck/ok", "/healthcheck/fail"):
-                assert (await ask(port, call("POST", path))).code == 503
-            assert (await ask(port, call("GET", "/healthcheck"))).code == 503
+                assert (await send_request(port, call("POST", path))).code == 503
+            assert (await send_request(port, call("GET", "/healthcheck"))).code == 503
 
     run(play())
 
@@ -241,15 +244,15 @@
     """Guards against a close that crosses a request."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            await until(lambda: sidecar.http.clients.connections)
+            await wait_until(lambda: sidecar.http.clients.connections)
             (front,) = sidecar.http.clients.connections
             assert front.closable
             front.transport.pause_reading()
-            writer.write(message("order", "unread"))
-            await until(lambda: not front.closable)
+            writer.write(http_request("order", "unread"))
+            await wait_until(lambda: not front.closable)
             sidecar.http.clients.close_idle_connections()
             front.transport.resume_reading()
             assert (await read_message(reader)).code == 200
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -6,18 +6,18 @@
 import pytest
 from net_helpers import (
     HOST,
-    Fake,
+    FakePeer,
     Sidecar,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
-    reply,
+    http_request,
+    http_response,
     reset,
     run,
-    until,
+    send_request,
+    wait_until,
 )
 
 from ochreflow.core import endpoints
@@ -62,7 +62,7 @@
 
 
 def listing(index, *entries, snapshot=True):
-    return reply(200, json.dumps(news(index, *entries, snapshot=snapshot)).encode())
+    return http_response(200, json.dumps(endpoint_update(index, *entries, snapshot=snapshot)).encode())
 
 
 async def truncated(message, reader, writer):
@@ -89,11 +89,11 @@
 @pytest.mark.parametrize(
     "failure",
     [
-        answer_with(reply(503, b"")),
-        answer_with(reply(200, b"{")),
-        answer_with(reply(200, b"[" * 50_000)),
-        answer_with(reply(200, b'{"index":1,"snapshot":true,"endpoints":[{"name":"s1"}]}')),
-        answer_with(reply(200, b'{"index":1,"snapshot":true,"endpoints":7}')),
+        answer_with(http_response(503, b"")),
+        answer_with(http_response(200, b"{")),
+        answer_with(http_response(200, b"[" * 50_000)),
+        answer_with(http_response(200, b'{"index":1,"snapshot":true,"endpoints":[{"name":"s1"}]}')),
+        answer_with(http_response(200, b'{"index":1,"snapshot":true,"endpoints":7}')),
         truncated,
         reset_connection,
     ],
@@ -102,18 +102,18 @@
 def test_a_failed_poll_is_passed_on_as_failed_and_the_next_watch_works(failure):
     async def play():
         async def act(message, reader, writer):
-            await (failure if len(fake.got) == 1 else answer_with(listing(41, entry("s1", f"{HOST}:7"))))(
-                message, reader, writer
-            )
+            await (
+                failure if len(fake.received) == 1 else answer_with(listing(41, entry("s1", f"{HOST}:7")))
+            )(message, reader, writer)
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         updates = []
         client = discovery_client(fake, 40, updates)
         client.watch(on=True)
-        await until(lambda: updates)
+        await wait_until(lambda: updates)
         assert updates == [None] and not client.watching and client.version == 40
         client.watch(on=True)
-        await until(lambda: len(updates) > 1)
+        await wait_until(lambda: len(updates) > 1)
         assert updates[1].version == 41 and updates[1].complete
         client.close()
 
@@ -141,23 +141,23 @@
 
     async def play():
         async def act(message, reader, writer):
-            if len(fake.got) == 1:
+            if len(fake.received) == 1:
                 await reader.read()
-            elif len(fake.got) == 2:
+            elif len(fake.received) == 2:
                 writer.write(listing(41, entry("s1", f"{HOST}:7", "DRAINING"), snapshot=False))
             else:
                 await reader.read()
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         updates = []
         client = discovery_client(fake, 40, updates, SHORT_TIMEOUTS)
         client.watch(on=True)
         client.timeouts = DEFAULT_TIMEOUTS  # only the first call is overdue soon
-        await until(lambda: updates)
+        await wait_until(lambda: updates)
         assert updates[0].entries[0].endpoint.state is State.DRAINING and client.watching
-        assert fake.connections >= 2 and fake.ended == 0  # the silent call is out still
-        await until(lambda: len(fake.got) >= 3)
-        assert "after=41&" in fake.got[2].first
+        assert fake.connections >= 2 and fake.ended_connections == 0  # the silent call is out still
+        await wait_until(lambda: len(fake.received) >= 3)
+        assert "after=41&" in fake.received[2].start_line
         client.close()
 
     run(play())
@@ -169,7 +169,7 @@
 
     async def play():
         async def act(message, reader, writer):
-            number = len(fake.got)
+            number = len(fake.received)
             if number == 1:
                 await late.wait()
                 writer.write(listing(41, entry("s1", f"{HOST}:7", "DRAINING"), snapshot=False))
@@ -181,21 +181,21 @@
                 await reader.read()
 
         late, new = asyncio.Event(), asyncio.Event()
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         updates = []
         client = discovery_client(fake, 40, updates, SHORT_TIMEOUTS)
         client.watch(on=True)
         client.timeouts = DEFAULT_TIMEOUTS  # only the first call is overdue soon
-        await until(lambda: len(fake.got) == 2)
+        await wait_until(lambda: len(fake.received) == 2)
         for event in (late, new) if late_first else (new, late):
             count = len(updates)
             event.set()
-            await until(lambda: len(updates) > count)  # noqa: B023 - awaited at once
+            await wait_until(lambda: len(updates) > count)  # noqa: B023 - awaited at once
         drained = {listed.name for told in updates for listed in told.entries}
         assert drained == {"s1", "s2"} and client.version == 42
         assert [told.version for told in updates] == ([41, 42] if late_first else [42, 42])
-        await until(lambda: len(fake.got) > 2)
-        assert "after=42&" in fake.got[2].first
+        await wait_until(lambda: len(fake.received) > 2)
+        assert "after=42&" in fake.received[2].start_line
         client.close()
 
     run(play())
@@ -207,28 +207,28 @@
 
     async def play():
         async def act(message, reader, writer):
-            if len(fake.got) == 1:
+            if len(fake.received) == 1:
                 await go.wait()
-            if len(fake.got) <= 2:
+            if len(fake.received) <= 2:
                 writer.write(listing(3, entry("s1", f"{HOST}:7")))
             else:
                 await reader.read()
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         updates = []
         client = discovery_client(fake, None, updates, SHORT_TIMEOUTS)
         client.watch(on=True)
         client.timeouts = DEFAULT_TIMEOUTS  # only the first call is overdue soon
-        await until(lambda: updates)
-        assert updates == [None] and not client.watching and len(fake.got) == 1
+        await wait_until(lambda: updates)
+        assert updates == [None] and not client.watching and len(fake.received) == 1
         if late:
             go.set()
         else:
             client.watch(on=True)
-        await until(lambda: len(updates) > 1)
+        await wait_until(lambda: len(updates) > 1)
         assert updates[1].complete and client.version == 3 and client.watching
-        await until(lambda: "after=3&" in fake.got[-1].first)
+        await wait_until(lambda: "after=3&" in fake.received[-1].start_line)
         client.close()
 
     run(play())
@@ -239,7 +239,7 @@
 
     async def play():
         async def act(message, reader, writer):
-            if len(fake.got) == 1:
+            if len(fake.received) == 1:
                 await go.wait()
                 writer.write(listing(3, entry("s1", f"{HOST}:7")))
             else:
@@ -251,7 +251,7 @@
                 raise RuntimeError("as if a carrier had a fault")
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         updates = []
         client = DiscoveryClient(
             asyncio.get_running_loop(),
@@ -265,11 +265,11 @@
         )
         client.watch(on=True)
         client.timeouts = DEFAULT_TIMEOUTS  # only the first call is overdue soon
-        await until(lambda: updates)
+        await wait_until(lambda: updates)
         go.set()
-        await until(lambda: len(updates) > 1)
+        await wait_until(lambda: len(updates) > 1)
         # The fault ends the connection as well, and so the call that has just begun on it: that is told.
-        await until(lambda: client.watching or updates[-1] is None)
+        await wait_until(lambda: client.watching or updates[-1] is None)
         assert len(updates) == 2 or updates[2:] == [None]
         client.close()
 
@@ -281,20 +281,20 @@
 
     async def play():
         async def act(message, reader, writer):
-            if len(fake.got) != 3:
+            if len(fake.received) != 3:
                 await reader.read()
             else:
                 writer.write(listing(41, entry("s1", f"{HOST}:7", "DRAINING")))
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         updates = []
         client = discovery_client(fake, 40, updates, SHORT_TIMEOUTS)
         client.watch(on=True)
-        await until(lambda: updates)
+        await wait_until(lambda: updates)
         client.timeouts = DEFAULT_TIMEOUTS  # only the first two calls are overdue soon
-        await until(lambda: len(fake.got) == 4)
+        await wait_until(lambda: len(fake.received) == 4)
         assert [told and told.version for told in updates] == [None, 41] and client.watching
-        targets = [got.first.split()[1] for got in fake.got]
+        targets = [got.start_line.split()[1] for got in fake.received]
         assert targets[1:3] == ["/api/targets"] * 2
         assert "after=40&" in targets[0] and "after=41&" in targets[3]
         client.close()
@@ -305,14 +305,14 @@
 def test_an_outage_is_logged_once_and_so_is_its_end(monkeypatch):
     async def play():
         async def act(message, reader, writer):
-            writer.write(reply(503, b"") if len(fake.got) < 4 else listing(41))
+            writer.write(http_response(503, b"") if len(fake.received) < 4 else listing(41))
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         updates = []
         client = discovery_client(fake, 0, updates)
         for count in range(1, 6):
             client.fetch()
-            await until(lambda: len(updates) == count)  # noqa: B023 - awaited at once
+            await wait_until(lambda: len(updates) == count)  # noqa: B023 - awaited at once
         client.close()
 
     logged = []
@@ -328,19 +328,24 @@
     async def play():
         async def act(message, reader, writer):
             times.append(asyncio.get_running_loop().time())
-            if len(fake.got) < 4:
-                writer.write(listing(40 + len(fake.got), snapshot=False))
+            if len(fake.received) < 4:
+                writer.write(listing(40 + len(fake.received), snapshot=False))
             else:
                 await reader.read()
 
         times = []
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         updates = []
         client = discovery_client(fake, 40, updates)
         client.watch(on=True)
         client.watch(on=True)  # no second one beside it
-        await until(lambda: len(fake.got) == 4)
-        assert [got.first.split("after=")[1].split("&")[0] for got in fake.got] == ["40", "41", "42", "43"]
+        await wait_until(lambda: len(fake.received) == 4)
+        assert [got.start_line.split("after=")[1].split("&")[0] for got in fake.received] == [
+            "40",
+            "41",
+            "42",
+            "43",
+        ]
         assert not any(news.complete for news in updates)
         client.close()
 
@@ -349,12 +354,12 @@
 
 def test_a_fetch_gets_the_complete_list():
     async def play():
-        fake = await Fake(answer_with(listing(7))).start()
+        fake = await FakePeer(answer_with(listing(7))).start()
         updates = []
         client = discovery_client(fake, 0, updates)
         client.fetch()
-        await until(lambda: updates)
-        assert updates[0].complete and fake.got[0].first == "GET /api/targets HTTP/1.1"
+        await wait_until(lambda: updates)
+        assert updates[0].complete and fake.received[0].start_line == "GET /api/targets HTTP/1.1"
         client.close()
 
     run(play())
@@ -365,18 +370,18 @@
 
     async def play():
         async def act(message, reader, writer):
-            if len(fake.got) == 1:
+            if len(fake.received) == 1:
                 reset(writer)
             else:
                 writer.write(listing(41))
                 await reader.read()
 
-        fake = await Fake(act).start()
-        data = config(news(1), fake.address)
+        fake = await FakePeer(act).start()
+        data = config(endpoint_update(1), fake.address)
         data["settings"]["discovery"] = "push"
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            await until(lambda: sidecar.discovery.version == 41)
-        assert len(fake.got) >= 2
+            await wait_until(lambda: sidecar.discovery.version == 41)
+        assert len(fake.received) >= 2
 
     run(play())
 
@@ -384,7 +389,7 @@
 def test_a_drain_from_discovery_stops_sends_and_ends_no_request(tmp_path):
     async def play():
         async def serve_discovery(message, reader, writer):
-            if "after=1&" in message.first:
+            if "after=1&" in message.start_line:
                 await go.wait()
                 change = entry("s1", old.address, "DRAINING"), entry("s2", new.address)
                 writer.write(listing(2, *change, snapshot=False))
@@ -393,44 +398,50 @@
 
         async def slow(message, reader, writer):
             await finish.wait()
-            writer.write(reply(200, b"old"))
+            writer.write(http_response(200, b"old"))
 
         go, finish = asyncio.Event(), asyncio.Event()
-        old, new = await Fake(slow).start(), await Fake(answer_ok).start()
-        discovery_server = await Fake(serve_discovery).start()
+        old, new = await FakePeer(slow).start(), await FakePeer(answer_ok).start()
+        discovery_server = await FakePeer(serve_discovery).start()
         async with Sidecar(
-            tmp_path / "c", config(news(1, entry("s1", old.address)), discovery_server.address)
+            tmp_path / "c", config(endpoint_update(1, entry("s1", old.address)), discovery_server.address)
         ) as sidecar:
-            held = asyncio.create_task(ask(sidecar.port, message("order", "ab")))
-            await until(lambda: old.got)
+            held = asyncio.create_task(send_request(sidecar.port, http_request("order", "ab")))
+            await wait_until(lambda: old.received)
             go.set()
-            await until(lambda: sidecar.discovery.version == 2)
+            await wait_until(lambda: sidecar.discovery.version == 2)
             for number in range(5):
-                assert (await ask(sidecar.port, message("order", f"id{number}"))).body == b"served "
+                assert (
+                    await send_request(sidecar.port, http_request("order", f"id{number}"))
+                ).body == b"served "
             finish.set()
             assert (await held).body == b"old"
-        assert len(old.got) == 1 and len(new.got) == 5
+        assert len(old.received) == 1 and len(new.received) == 5
 
     run(play())
 
 
 def test_a_server_removed_from_the_list_is_forgotten(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            assert (await ask(sidecar.port, message("lookup", "ab"))).code == 200
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
+            assert (await send_request(sidecar.port, http_request("lookup", "ab"))).code == 200
             for index in range(2, 50):
                 sidecar.engine.on_endpoint_update(
-                    parse_endpoint_update(news(index, entry(f"s{index}", fake.address)), sidecar.endpoint_ids)
+                    parse_endpoint_update(
+                        endpoint_update(index, entry(f"s{index}", fake.address)), sidecar.endpoint_ids
+                    )
                 )
             assert len(sidecar.upstreams.targets) == 1 and len(sidecar.endpoint_ids.servers) <= 2
-            assert (await ask(sidecar.port, message("lookup", "cd"))).code == 200
+            assert (await send_request(sidecar.port, http_request("lookup", "cd"))).code == 200
 
     run(play())
 
 
 def test_unknown_statuses_and_zones_are_read_as_draining_and_new():
-    got = parse_endpoint_update(news(1, entry("s1", f"{HOST}:7", "STARTING", zone="c")), endpoint_ids())
+    got = parse_endpoint_update(
+        endpoint_update(1, entry("s1", f"{HOST}:7", "STARTING", zone="c")), endpoint_ids()
+    )
     assert got.entries[0].endpoint.state is State.DRAINING
     assert got.entries[0].endpoint.zone == 2
 
@@ -442,7 +453,7 @@
     with pytest.raises(ValueError):
         split_address(text)
     with pytest.raises(EndpointListError):
-        parse_endpoint_update(news(1, entry("s1", text)), endpoint_ids())
+        parse_endpoint_update(endpoint_update(1, entry("s1", text)), endpoint_ids())
 
 
 def test_an_older_answer_sets_nothing_back():
@@ -450,27 +461,27 @@
 
     async def play():
         async def act(message, reader, writer):
-            if "after" in message.first and len(fake.got) == 1:
+            if "after" in message.start_line and len(fake.received) == 1:
                 await go.wait()
                 writer.write(listing(41, entry("s1", f"{HOST}:7")))
-            elif "after" in message.first:
+            elif "after" in message.start_line:
                 await reader.read()
             else:
                 writer.write(listing(43, entry("s2", f"{HOST}:8")))
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         updates = []
         both = discovery_client(fake, 40, updates)
         both.watch(on=True)
-        await until(lambda: fake.got)
+        await wait_until(lambda: fake.received)
         both.fetch()
-        await until(lambda: updates)
+        await wait_until(lambda: updates)
         go.set()
-        await until(lambda: len(updates) == 2)
+        await wait_until(lambda: len(updates) == 2)
         assert updates[1].version == both.version == 43 and not updates[1].entries and not updates[1].complete
-        await until(lambda: len(fake.got) == 3)
-        assert "after=43&" in fake.got[2].first
+        await wait_until(lambda: len(fake.received) == 3)
+        assert "after=43&" in fake.received[2].start_line
         both.close()
 
     run(play())
@@ -479,15 +490,15 @@
 def test_an_index_that_goes_back_leads_to_a_complete_list():
     async def play():
         async def act(message, reader, writer):
-            writer.write(listing(3, entry("s1", f"{HOST}:7"), snapshot="after" not in message.first))
+            writer.write(listing(3, entry("s1", f"{HOST}:7"), snapshot="after" not in message.start_line))
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         updates = []
         client = discovery_client(fake, 40, updates)
         client.watch(on=True)
-        await until(lambda: updates)
+        await wait_until(lambda: updates)
         client.watch(on=True)
-        await until(lambda: len(updates) > 1)
+        await wait_until(lambda: len(updates) > 1)
         assert updates[0] is None and updates[1].complete and client.version == 3
         client.close()
 
@@ -497,11 +508,13 @@
 def test_an_unreadable_list_leaves_no_names_and_new_zones_are_bounded():
     known = endpoint_ids()
     with pytest.raises(EndpointListError):
-        parse_endpoint_update(news(1, entry("s1", f"{HOST}:7", zone="new"), entry("s2", "nowhere")), known)
+        parse_endpoint_update(
+            endpoint_update(1, entry("s1", f"{HOST}:7", zone="new"), entry("s2", "nowhere")), known
+        )
     assert not known.servers and len(known.zones) == 2
     for number in range(3000):
         parse_endpoint_update(
-            news(1, {**entry("s1", f"{HOST}:7", zone=f"z{number}"), "type": f"k{number}"}), known
+            endpoint_update(1, {**entry("s1", f"{HOST}:7", zone=f"z{number}"), "type": f"k{number}"}), known
         )
     assert len(known.zones) == len(known.kinds) == endpoints.MAX_DISTINCT_NAMES
     assert known.zone("a") == 0 and known.kind("std") == 0
@@ -512,9 +525,9 @@
     [
         ({"index": 1, "snapshot": True}, "KeyError: 'endpoints'"),
         (5, "ListError: no list of endpoints"),
-        (news(1, {**entry("s1", f"{HOST}:7"), "since_ms": -1}), "ListError: since_ms is -1"),
-        (news(1, entry("s1", "nowhere")), "ValueError: no address: 'nowhere'"),
-        (news(1, {"name": "s1"}), "KeyError: 'status'"),
+        (endpoint_update(1, {**entry("s1", f"{HOST}:7"), "since_ms": -1}), "ListError: since_ms is -1"),
+        (endpoint_update(1, entry("s1", "nowhere")), "ValueError: no address: 'nowhere'"),
+        (endpoint_update(1, {"name": "s1"}), "KeyError: 'status'"),
     ],
     ids=["no-entries", "no-list", "negative-start", "no-address", "no-status"],
 )
