--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -8,18 +8,18 @@
 import pytest
 from net_helpers import (
     HOST,
-    Fake,
+    FakePeer,
     Sidecar,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
+    http_request,
+    http_response,
     read_message,
-    reply,
     run,
-    until,
+    send_request,
+    wait_until,
 )
 
 from ochreflow.core import request_ids
@@ -69,16 +69,16 @@
 )
 def test_bad_input_is_answered_and_disturbs_no_other_connection(tmp_path, data, code):
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("order", "before")[:-10])
-            assert (await ask(sidecar.port, data)).code == code
-            writer.write(message("order", "before")[-10:])
+            writer.write(http_request("order", "before")[:-10])
+            assert (await send_request(sidecar.port, data)).code == code
+            writer.write(http_request("order", "before")[-10:])
             assert (await read_message(reader)).code == 200
             writer.close()
-            assert [got.headers["x-request-id"] for got in fake.got] == ["before"]
-            await until(lambda: not sidecar.http.clients.connections)
+            assert [got.headers["x-request-id"] for got in fake.received] == ["before"]
+            await wait_until(lambda: not sidecar.http.clients.connections)
             assert (
                 sidecar.engine.memory.reserved_bytes == 0
                 and not sidecar.engine.descriptors.in_use - fake.connections
@@ -89,23 +89,23 @@
 
 def test_requests_in_single_bytes_and_several_at_once_are_answered_in_order(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            for byte in message("order", "one", "4000m", b"1"):
+            for byte in http_request("order", "one", "4000m", b"1"):
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
             assert (await read_message(reader)).body == b"served 1"
             # With the class's whole deadline: until it has seen some, the module takes a shorter one for a
             # late retry, and may refuse it where others are open.
-            many = [message("order", f"id{n}", "4000m", b"%d" % n) for n in range(40)]
+            many = [http_request("order", f"id{n}", "4000m", b"%d" % n) for n in range(40)]
             writer.write(b"".join(many) + raw(b"GET /nothing") + raw(b"GET /-/ready"))
             for n in range(40):
                 assert (await read_message(reader)).body == b"served %d" % n
             assert (await read_message(reader)).code == 404
             assert (await read_message(reader)).code == 200
             writer.close()
-        assert len(fake.got) == 41
+        assert len(fake.received) == 41
 
     run(play())
 
@@ -113,32 +113,32 @@
 def test_chunked_and_full_sized_bodies_go_on_whole(tmp_path):
     async def play():
         async def echo(message, reader, writer):
-            writer.write(reply(200, message.body))
+            writer.write(http_response(200, message.body))
 
-        fake = await Fake(echo).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(echo).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             chunks = b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Deadline: bad\r\n\r\n"
             data = raw(b"POST /order", ID + b"Transfer-Encoding: chunked\r\n", chunks)
-            assert (await ask(sidecar.port, data)).body == b"abcde"
+            assert (await send_request(sidecar.port, data)).body == b"abcde"
             body = b"x" * request_reader.MAX_BODY_BYTES
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            whole = message("order", "big", "3000m", body, "Expect: 100-continue")
+            whole = http_request("order", "big", "3000m", body, "Expect: 100-continue")
             writer.write(whole[: -len(body)])
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
             writer.write(body)
             assert (await read_message(reader)).body == body
             writer.close()
-        assert fake.got[1].body == body and "transfer-encoding" not in fake.got[0].headers
+        assert fake.received[1].body == body and "transfer-encoding" not in fake.received[0].headers
 
     run(play())
 
 
 def test_the_absolute_form_and_http_1_0_are_served(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            assert (await ask(sidecar.port, raw(b"GET http://origin.svc/lookup/x?y=1"))).code == 200
-            got = await ask(sidecar.port, b"GET /lookup HTTP/1.0\r\nX-Request-Id: cd\r\n\r\n")
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
+            assert (await send_request(sidecar.port, raw(b"GET http://origin.svc/lookup/x?y=1"))).code == 200
+            got = await send_request(sidecar.port, b"GET /lookup HTTP/1.0\r\nX-Request-Id: cd\r\n\r\n")
             assert got.code == 200 and got.headers["connection"] == "close"
 
     run(play())
@@ -150,29 +150,31 @@
 
     async def play():
         async def big(message, reader, writer):
-            writer.write(reply(200, b"x" * 60_000))
+            writer.write(http_response(200, b"x" * 60_000))
 
-        fake = await Fake(big).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(big).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             _, writer = await asyncio.open_connection(HOST, sidecar.port, limit=1024)
             with contextlib.suppress(OSError):
                 for n in range(2000):
-                    writer.write(message("lookup", f"id{n}"))
+                    writer.write(http_request("lookup", f"id{n}"))
                     await writer.drain()
-            await until(lambda: not sidecar.http.clients.connections)
-            assert len(fake.got) < 1000
+            await wait_until(lambda: not sidecar.http.clients.connections)
+            assert len(fake.received) < 1000
             writer.transport.abort()
-            assert (await ask(sidecar.port, message("lookup", "other"))).code == 200
+            assert (await send_request(sidecar.port, http_request("lookup", "other"))).code == 200
 
     run(play())
 
 
 def test_a_client_waits_no_longer_than_its_class(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            assert (await ask(sidecar.port, message("lookup", "ab", "999999999999m"))).code == 200
-        assert int(fake.got[0].headers["x-deadline"].removesuffix("m")) <= 4000
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
+            assert (
+                await send_request(sidecar.port, http_request("lookup", "ab", "999999999999m"))
+            ).code == 200
+        assert int(fake.received[0].headers["x-deadline"].removesuffix("m")) <= 4000
 
     run(play())
 
@@ -182,11 +184,15 @@
     monkeypatch.setattr(Memory, "MAX_BYTES", 3000)
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            assert (await ask(sidecar.port, message("order", "a", "900m", b"x" * 3001))).code == 503
-            assert (await ask(sidecar.port, message("order", "b", "900m", b"x" * 1000))).code == 200
-            await until(lambda: not sidecar.http.clients.connections)
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
+            assert (
+                await send_request(sidecar.port, http_request("order", "a", "900m", b"x" * 3001))
+            ).code == 503
+            assert (
+                await send_request(sidecar.port, http_request("order", "b", "900m", b"x" * 1000))
+            ).code == 200
+            await wait_until(lambda: not sidecar.http.clients.connections)
             assert sidecar.engine.memory.reserved_bytes == 0
 
     run(play())
@@ -194,23 +200,23 @@
 
 def test_more_open_requests_than_allowed_are_refused(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)))
+        fake = await FakePeer(answer_ok).start()
+        data = config(endpoint_update(1, entry("s1", fake.address)))
         data["settings"]["ceilings"]["max-open"] = 0
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            assert (await ask(sidecar.port, message("order", "ab"))).code == 503
-        assert not fake.got
+            assert (await send_request(sidecar.port, http_request("order", "ab"))).code == 503
+        assert not fake.received
 
     run(play())
 
 
 def test_at_the_cap_idle_clients_make_room(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)), limits={"sockets": 80})
+        fake = await FakePeer(answer_ok).start()
+        data = config(endpoint_update(1, entry("s1", fake.address)), limits={"sockets": 80})
         async with Sidecar(tmp_path / "c", data) as sidecar:
             idle = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(30)]
-            assert (await ask(sidecar.port, message("order", "ab"))).code == 200
+            assert (await send_request(sidecar.port, http_request("order", "ab"))).code == 200
             assert sidecar.engine.descriptors.in_use <= sidecar.engine.descriptors.limit + 2
             assert await idle[0][0].read() == b""
             for _, writer in idle:
@@ -225,33 +231,35 @@
 
     async def play():
         async def act(got, reader, writer):
-            writer.write(reply(200, bytes(60 * 1024)))
+            writer.write(http_response(200, bytes(60 * 1024)))
 
         loop = asyncio.get_running_loop()
-        server = await Fake(act).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s0", server.address)))) as sidecar:
+        server = await FakePeer(act).start()
+        async with Sidecar(
+            tmp_path / "c", config(endpoint_update(1, entry("s0", server.address)))
+        ) as sidecar:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.setblocking(False)
             await loop.sock_connect(sock, (HOST, sidecar.port))
             reader, writer = await asyncio.open_connection(sock=sock, limit=1024)
-            await until(lambda: sidecar.http.clients.connections)
+            await wait_until(lambda: sidecar.http.clients.connections)
             (one,) = sidecar.http.clients.connections
             asked = 0
             while not one.write_paused:
-                writer.write(message("order", f"{asked}"))
+                writer.write(http_request("order", f"{asked}"))
                 asked += 1
-                await until(lambda asked=asked: len(server.got) == asked and one.current is None)
+                await wait_until(lambda asked=asked: len(server.received) == asked and one.current is None)
             if ahead:
-                writer.write(message("order", f"{asked}"))
+                writer.write(http_request("order", f"{asked}"))
                 asked += 1
-                await until(lambda: one.queue)
-            writer.write(message("order", "next")[:20])
-            await until(lambda: one in sidecar.http.clients.last_received)
+                await wait_until(lambda: one.queue)
+            writer.write(http_request("order", "next")[:20])
+            await wait_until(lambda: one in sidecar.http.clients.last_received)
             assert not sidecar.engine.descriptors.evict_idle_connection()
             for _ in range(asked):
                 assert len((await read_message(reader)).body) == 60 * 1024
-            await until(lambda: not one.serving)
+            await wait_until(lambda: not one.serving)
             assert (
                 sidecar.engine.descriptors.evict_idle_connection()
             )  # a message that has begun is all there is now
@@ -266,22 +274,22 @@
 
     async def play():
         async def big(message, reader, writer):
-            writer.write(reply(200, b"x" * 60_000))
+            writer.write(http_response(200, b"x" * 60_000))
 
-        fake = await Fake(big).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(big).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             loop = asyncio.get_running_loop()
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             sock.setblocking(False)
             await loop.sock_connect(sock, (HOST, sidecar.port))
-            await until(lambda: sidecar.http.clients.connections)
+            await wait_until(lambda: sidecar.http.clients.connections)
             (client,) = sidecar.http.clients.connections
             sent = 0
             while not client.write_paused:  # until the kernel holds no more for it
-                await loop.sock_sendall(sock, message("lookup", f"id{sent}"))
+                await loop.sock_sendall(sock, http_request("lookup", f"id{sent}"))
                 sent += 1
-                await until(lambda: len(fake.got) == sent and client.current is None)  # noqa: B023 - awaited at once
+                await wait_until(lambda: len(fake.received) == sent and client.current is None)  # noqa: B023 - awaited at once
             sidecar.engine.lifecycle.terminate()
             sidecar.engine.lifecycle._stop_accepting()
             got = bytearray()
@@ -318,7 +326,7 @@
         known.send(b"y" * 257, 0)
         known.send(b"nobody", 5)
         known.send(b"z" * 256, 0)
-        await until(lambda: heard)
+        await wait_until(lambda: heard)
         assert heard == [(1, b"z" * 256)]
         for peer in (known, stranger, me):
             peer.transport.close()
@@ -338,21 +346,21 @@
     """Guards attempts: silent clients took every descriptor, and pooled connections were closed for them."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)), limits={"sockets": 80})
+        fake = await FakePeer(answer_ok).start()
+        data = config(endpoint_update(1, entry("s1", fake.address)), limits={"sockets": 80})
         async with Sidecar(tmp_path / "c", data) as sidecar:
             usual = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(8)]
             for number in range(4):
                 for place, (reader, writer) in enumerate(usual):
-                    writer.write(message("lookup", f"id{number}-{place}"))
+                    writer.write(http_request("lookup", f"id{number}-{place}"))
                     assert (await read_message(reader)).code == 200
                 flood = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(60)]
-                await until(
+                await wait_until(
                     lambda: len(sidecar.http.clients.connections) == sidecar.engine.descriptors.max_clients
                 )
                 for _, writer in flood:
                     writer.close()
-                await until(lambda: len(sidecar.http.clients.connections) == len(usual))
+                await wait_until(lambda: len(sidecar.http.clients.connections) == len(usual))
             assert fake.connections == 1 and not sidecar.engine.descriptors.full
             for _, writer in usual:
                 writer.close()
@@ -365,12 +373,12 @@
     monkeypatch.setattr(clients, "STALE_AFTER_S", 0.05)
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)), limits={"sockets": 80})
+        fake = await FakePeer(answer_ok).start()
+        data = config(endpoint_update(1, entry("s1", fake.address)), limits={"sockets": 80})
         async with Sidecar(tmp_path / "c", data) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             crowd = []
-            for byte in message("order", "slow", "3000m", b"body"):
+            for byte in http_request("order", "slow", "3000m", b"body"):
                 writer.write(bytes([byte]))
                 crowd.append(await asyncio.open_connection(HOST, sidecar.port))
                 if len(crowd) % 2:
@@ -391,24 +399,28 @@
     async def play():
         async def act(message, reader, writer):
             await go.wait()
-            writer.write(reply(200, b"served"))
+            writer.write(http_response(200, b"served"))
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(act).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             held_reader, held_writer = await asyncio.open_connection(HOST, sidecar.port)
-            held_writer.write(message("order", "held") + b"POST /order HTTP/1.1\r\nX-Half: ")
+            held_writer.write(http_request("order", "held") + b"POST /order HTTP/1.1\r\nX-Half: ")
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             assert await reader.read() == b""  # it said nothing
             writer.close()
-            for half in (b"G", message("lookup", "a")[:-2], message("order", "b", "900m", b"body")[:-1]):
-                assert (await ask(sidecar.port, half)).code == 408
+            for half in (
+                b"G",
+                http_request("lookup", "a")[:-2],
+                http_request("order", "b", "900m", b"body")[:-1],
+            ):
+                assert (await send_request(sidecar.port, half)).code == 408
             go.set()  # the request that was taken is answered all the same
             assert (await read_message(held_reader)).code == 200
             assert (await read_message(held_reader)).code == 408
             held_writer.close()
-            await until(lambda: not sidecar.http.clients.connections)
-            assert not sidecar.engine.memory.reserved_bytes and len(fake.got) == 1
+            await wait_until(lambda: not sidecar.http.clients.connections)
+            assert not sidecar.engine.memory.reserved_bytes and len(fake.received) == 1
 
     run(play())
 
@@ -417,14 +429,14 @@
     monkeypatch.setattr(clients, "IDLE_TIMEOUT_S", 0.2)
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("lookup", "once"))
+            writer.write(http_request("lookup", "once"))
             assert (await read_message(reader)).code == 200
             assert await reader.read() == b""
             writer.close()
-            await until(lambda: not sidecar.http.clients.connections)
+            await wait_until(lambda: not sidecar.http.clients.connections)
             assert not sidecar.http.clients.idle and not sidecar.http.clients.incomplete
 
     run(play())
@@ -434,8 +446,8 @@
     """Guards the answer: closing with input unread would reset the connection before it is seen."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(raw(b"POST /order", ID + b"Content-Length: 60000000\r\n"))
             for _ in range(60):
@@ -444,7 +456,7 @@
             assert (await read_message(reader)).code == 413
             assert await reader.read() == b""
             writer.close()
-            assert not fake.got and not sidecar.engine.memory.reserved_bytes
+            assert not fake.received and not sidecar.engine.memory.reserved_bytes
 
     run(play())
 
@@ -455,18 +467,24 @@
     async def play():
         async def act(message, reader, writer):
             await go.wait()
-            writer.write(reply(200, b"served " + message.body))
+            writer.write(http_response(200, b"served " + message.body))
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            first = asyncio.create_task(ask(sidecar.port, message("order", "same", "3000m", b"1")))
-            await until(lambda: fake.got)
-            assert (await ask(sidecar.port, message("order", "same", "3000m", b"2"))).code == 409
+        fake = await FakePeer(act).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
+            first = asyncio.create_task(
+                send_request(sidecar.port, http_request("order", "same", "3000m", b"1"))
+            )
+            await wait_until(lambda: fake.received)
+            assert (
+                await send_request(sidecar.port, http_request("order", "same", "3000m", b"2"))
+            ).code == 409
             go.set()
             assert (await first).body == b"served 1"
-            assert (await ask(sidecar.port, message("order", "same", "3000m", b"3"))).code == 409
-            assert len(fake.got) == 1 and not sidecar.engine.memory.reserved_bytes
+            assert (
+                await send_request(sidecar.port, http_request("order", "same", "3000m", b"3"))
+            ).code == 409
+            assert len(fake.received) == 1 and not sidecar.engine.memory.reserved_bytes
 
     run(play())
 
@@ -475,11 +493,11 @@
     monkeypatch.setattr(request_ids, "MAX_RETAINED_IDS", 100)
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             for number in range(1000):
-                writer.write(message("lookup", f"id{number}"))
+                writer.write(http_request("lookup", f"id{number}"))
                 await read_message(reader)
             writer.close()
             assert (
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -7,20 +7,20 @@
 from net_helpers import (
     HOST,
     MS,
-    Fake,
+    FakePeer,
     Sidecar,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
+    http_request,
+    http_response,
+    never_answer,
     read_message,
-    reply,
     reset,
     run,
-    silent,
-    until,
+    send_request,
+    wait_until,
 )
 
 from ochreflow.policy import interface as api
@@ -57,21 +57,23 @@
 
 
 def two_servers(fake, *more):
-    return news(1, entry("s1", fake.address), *(entry(f"s{n}", a) for n, a in enumerate(more, 2)))
+    return endpoint_update(1, entry("s1", fake.address), *(entry(f"s{n}", a) for n, a in enumerate(more, 2)))
 
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back(tmp_path):
     async def play():
-        fake = await Fake(say(reply(200, b"held", "X-Load: rps=7,cpu=0.5", "Content-Type: text/x"))).start()
+        fake = await FakePeer(
+            say(http_response(200, b"held", "X-Load: rps=7,cpu=0.5", "Content-Type: text/x"))
+        ).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             heard = []
             handle = sidecar.engine.balancer.handle
             sidecar.engine.balancer.handle = lambda now, event: heard.append(event) or handle(now, event)
-            got = await ask(sidecar.port, message("hold", "ab12", "900m", b"\x00body"))
+            got = await send_request(sidecar.port, http_request("hold", "ab12", "900m", b"\x00body"))
         assert (got.code, got.body) == (200, b"held")
         assert got.headers["content-type"] == "text/x" and "x-load" not in got.headers
-        (sent,) = fake.got
-        assert sent.first == "POST /hold/part?x=1 HTTP/1.1" and sent.body == b"\x00body"
+        (sent,) = fake.received
+        assert sent.start_line == "POST /hold/part?x=1 HTTP/1.1" and sent.body == b"\x00body"
         assert sent.headers["x-request-id"] == "ab12"
         assert sent.headers["idempotency-key"] == "key-of-ab12"
         # The attempt's own time: no more than the client's, less what has passed.
@@ -86,11 +88,11 @@
     """Guards against asking the parser too late whether a connection stays open: it then always says no."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             for number in range(5):
-                assert (await ask(sidecar.port, message("order", f"id{number}"))).code == 200
-        assert len(fake.got) == 5 and fake.connections == 1
+                assert (await send_request(sidecar.port, http_request("order", f"id{number}"))).code == 200
+        assert len(fake.received) == 5 and fake.connections == 1
 
     run(play())
 
@@ -100,14 +102,14 @@
     ("act", "codes", "copies"),
     [
         # Proven not to have run: any class may be sent again.
-        (say(reply(503, b"", NOT_RUN)), {200}, {2}),
-        (say(reply(504, b"", NOT_RUN)), {200}, {2}),
+        (say(http_response(503, b"", NOT_RUN)), {200}, {2}),
+        (say(http_response(504, b"", NOT_RUN)), {200}, {2}),
         # A plain error is an answer that may have had its effect: refused only if a repeat does no harm.
-        (say(reply(500)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(reply(503)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(reply(504)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(reply(500, b"", NOT_RUN)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(reply(204, b"")), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (say(http_response(500)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (say(http_response(503)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (say(http_response(504)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (say(http_response(500, b"", NOT_RUN)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (say(http_response(204, b"")), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
         # Broken after the last byte was written: it may have run.
         (
             break_at_once,
@@ -140,11 +142,11 @@
 )
 def test_the_table_of_outcomes(tmp_path, cls, act, codes, copies):
     async def play():
-        fake = await Fake(first_then_ok(act)).start()
+        fake = await FakePeer(first_then_ok(act)).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            got = await ask(sidecar.port, message(cls, "ab"))
+            got = await send_request(sidecar.port, http_request(cls, "ab"))
         assert got.code in (codes[cls] if isinstance(codes, dict) else codes)
-        assert len(fake.got) in (copies[cls] if isinstance(copies, dict) else copies)
+        assert len(fake.received) in (copies[cls] if isinstance(copies, dict) else copies)
         if got.code == 200:
             assert got.body == b"served "
 
@@ -154,11 +156,11 @@
 @pytest.mark.parametrize("cls", ["lookup", "hold", "order"])
 def test_a_refused_connection_is_no_attempt_that_ran(tmp_path, cls):
     async def play():
-        down = await Fake(answer_ok).start()
+        down = await FakePeer(answer_ok).start()
         down.server.close()
         await down.server.wait_closed()
         async with Sidecar(tmp_path / "c", config(two_servers(down))) as sidecar:
-            got = await ask(sidecar.port, message(cls, "ab", "900m"))
+            got = await send_request(sidecar.port, http_request(cls, "ab", "900m"))
         assert got.code == 503  # trying again is harmless
 
     run(play())
@@ -167,22 +169,22 @@
 @pytest.mark.parametrize(("cls", "code"), [("lookup", 503), ("hold", 502), ("order", 502)])
 def test_silence_ends_in_one_answer_within_the_deadline_and_one_copy(tmp_path, cls, code):
     async def play():
-        fake = await Fake(silent).start()
+        fake = await FakePeer(never_answer).start()
         data = config(two_servers(fake))
         data["settings"]["ceilings"]["send-cap"] = 1
         async with Sidecar(tmp_path / "c", data) as sidecar:
             loop = asyncio.get_running_loop()
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             start = loop.time()
-            writer.write(message(cls, "ab", "600m"))
+            writer.write(http_request(cls, "ab", "600m"))
             got = await read_message(reader)
             assert got.code == code
             assert 0.3 < loop.time() - start < 0.65
-            await until(lambda: fake.ended == 1, "the given-up connection is closed")
-            writer.write(message("lookup", "cd", "1m"))  # nothing more had come for the first
+            await wait_until(lambda: fake.ended_connections == 1, "the given-up connection is closed")
+            writer.write(http_request("lookup", "cd", "1m"))  # nothing more had come for the first
             assert (await read_message(reader)).code == 503
             writer.close()
-        assert len(fake.got) == 1
+        assert len(fake.received) == 1
 
     run(play())
 
@@ -191,7 +193,7 @@
     """Guards all other requests, and the process, against an exception in one."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             handle = sidecar.engine.balancer.handle
 
@@ -202,9 +204,9 @@
                 return handle(now, event)
 
             sidecar.engine.balancer.handle = failing
-            lost = asyncio.create_task(ask(sidecar.port, message("order", "ab", "500m")))
+            lost = asyncio.create_task(send_request(sidecar.port, http_request("order", "ab", "500m")))
             for number in range(3):
-                assert (await ask(sidecar.port, message("lookup", f"id{number}"))).code == 200
+                assert (await send_request(sidecar.port, http_request("lookup", f"id{number}"))).code == 200
             assert (await lost).code == 503
             assert not sidecar.engine.requests.pending
 
@@ -213,7 +215,7 @@
 
 def test_the_last_guard_fails_what_may_have_run(tmp_path):
     async def play():
-        fake = await Fake(silent).start()
+        fake = await FakePeer(never_answer).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             handle = sidecar.engine.balancer.handle
 
@@ -224,14 +226,14 @@
                 return handle(now, event)
 
             sidecar.engine.balancer.handle = deaf
-            assert (await ask(sidecar.port, message("order", "ab", "500m"))).code == 504
+            assert (await send_request(sidecar.port, http_request("order", "ab", "500m"))).code == 504
 
     run(play())
 
 
 def test_an_attempt_that_cannot_be_made_is_refused_and_leaves_nothing(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
 
             def broken(*_):
@@ -239,25 +241,25 @@
 
             engine = sidecar.engine
             sidecar.upstream_transport._payload = broken
-            assert (await ask(sidecar.port, message("order", "ab", "300m"))).code == 503
+            assert (await send_request(sidecar.port, http_request("order", "ab", "300m"))).code == 503
             assert not engine.requests.pending and not engine.attempts.in_flight
             del sidecar.upstream_transport._payload
-            assert (await ask(sidecar.port, message("order", "cd"))).code == 200
+            assert (await send_request(sidecar.port, http_request("order", "cd"))).code == 200
 
     run(play())
 
 
 def test_a_client_that_left_frees_its_attempt(tmp_path):
     async def play():
-        fake = await Fake(silent).start()
+        fake = await FakePeer(never_answer).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("order", "ab"))
-            await until(lambda: fake.got)
+            writer.write(http_request("order", "ab"))
+            await wait_until(lambda: fake.received)
             writer.close()
-            await until(lambda: fake.ended == 1, "its attempt is called off")
+            await wait_until(lambda: fake.ended_connections == 1, "its attempt is called off")
             engine = sidecar.engine
-            await until(
+            await wait_until(
                 lambda: (
                     not engine.requests.pending
                     and not engine.attempts.in_flight
@@ -273,9 +275,9 @@
 
 def test_a_refusal_comes_at_once_and_tells_when_to_come_back(tmp_path):
     async def play():
-        fake = await Fake(say(reply(500))).start()
+        fake = await FakePeer(say(http_response(500))).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            got = await ask(sidecar.port, message("lookup", "ab"))
+            got = await send_request(sidecar.port, http_request("lookup", "ab"))
         assert got.code == 503 and 0.0 < float(got.headers["retry-after"]) <= 2.0
 
     run(play())
@@ -283,7 +285,7 @@
 
 def test_a_report_is_read_by_names_and_only_whole(tmp_path):
     async def play():
-        async with Sidecar(tmp_path / "c", config(news(1))) as sidecar:
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar:
             read = sidecar.upstream_transport.load_report_parser.parse
             assert read(b"cpu=0.25, rps=3") == (3.0, 0.25)
             assert read(b"qps=3,util=0.25,more=1") == (3.0, 0.25)
@@ -309,26 +311,26 @@
 
 def test_a_probe_asks_for_the_load_and_tells_what_came(tmp_path):
     async def play():
-        act = first_then_ok(say(reply(200, b"rps=7,cpu=0.5")))
+        act = first_then_ok(say(http_response(200, b"rps=7,cpu=0.5")))
 
         async def acting(message, reader, writer):
-            assert message.first == "GET /-/load HTTP/1.1" and "x-request-id" not in message.headers
+            assert message.start_line == "GET /-/load HTTP/1.1" and "x-request-id" not in message.headers
             await act(message, reader, writer)
 
-        fake = await Fake(acting).start()
+        fake = await FakePeer(acting).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             heard = []
             engine = sidecar.engine
             (server,) = sidecar.upstreams.targets
             engine.balancer.handle = lambda now, event: heard.append(event) or []
             engine.actions.execute(api.Probe(server))
-            await until(lambda: heard)
+            await wait_until(lambda: heard)
             assert heard[0].status is api.Status.OK and heard[0].report == (7.0, 0.5)
             engine.actions.execute(api.CloseIdle(server))
             assert not sidecar.upstreams.connections
             fake.server.close()
             engine.actions.execute(api.Probe(server))
-            await until(lambda: len(heard) > 1)
+            await wait_until(lambda: len(heard) > 1)
             assert heard[1].status is api.Status.CONNECT_FAILED and heard[1].report == ()
 
     run(play())
@@ -337,7 +339,7 @@
 def test_since_is_on_the_scale_of_the_clock_and_zero_stays_zero(tmp_path):
     async def play():
         since = int(time.time() * 1000) - 2000
-        known = news(1, entry("s1", f"{HOST}:9"), entry("s2", f"{HOST}:10", since_ms=since))
+        known = endpoint_update(1, entry("s1", f"{HOST}:9"), entry("s2", f"{HOST}:10", since_ms=since))
         async with Sidecar(tmp_path / "c", config(known)) as sidecar:
             started = sorted(server.started for server in sidecar.engine.balancer.endpoints.servers.values())
             assert started[0] == 0
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -8,7 +8,16 @@
 import weakref
 
 import pytest
-from net_helpers import HOST, WAIT, Fake, answer_ok, reply, run, silent, until
+from net_helpers import (
+    HOST,
+    WAIT_TIMEOUT_S,
+    FakePeer,
+    answer_ok,
+    http_response,
+    never_answer,
+    run,
+    wait_until,
+)
 
 from ochreflow.core.limits import MB, Descriptors, Memory
 from ochreflow.http import upstream, upstream_connection
@@ -25,7 +34,7 @@
     return pool
 
 
-def start(pool, server=1, timeout=WAIT, payload=PAYLOAD):
+def start(pool, server=1, timeout=WAIT_TIMEOUT_S, payload=PAYLOAD):
     """An exchange and the future of its end."""
     end = asyncio.get_running_loop().create_future()
     exchange = Exchange(
@@ -65,13 +74,13 @@
         _, end = start(pool)
         first, _ = await loop.sock_accept(server)
         assert await loop.sock_recv(first, 4096) == PAYLOAD
-        await loop.sock_sendall(first, reply())
+        await loop.sock_sendall(first, http_response())
         assert (await end)[0] is Status.OK
         first.close()  # the end is in the kernel by now; the loop has had no turn to see it
         _, end = start(pool)
         second, _ = await loop.sock_accept(server)
         assert await loop.sock_recv(second, 4096) == PAYLOAD
-        await loop.sock_sendall(second, reply())
+        await loop.sock_sendall(second, http_response())
         assert (await end)[0] is Status.OK
         pool.close()
         second.close()
@@ -84,7 +93,7 @@
 def test_an_idle_connection_ends_at_once_on_its_end_or_on_stray_bytes(stray):
     async def play():
         async def act(message, reader, writer):
-            writer.write(reply())
+            writer.write(http_response())
             await go.wait()
             writer.write(stray)
             if not stray:
@@ -93,12 +102,12 @@
                 await reader.read()
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         pool = make((HOST, fake.port))
         assert (await start(pool)[1])[0] is Status.OK
         assert len(pool.connections) == 1
         go.set()
-        await until(lambda: not pool.connections)
+        await wait_until(lambda: not pool.connections)
         assert not pool.targets[1].idle and not pool.descriptors.in_use
 
     run(play())
@@ -107,9 +116,9 @@
 def test_an_answer_followed_by_more_is_whole_but_its_connection_is_not_kept():
     async def play():
         async def act(message, reader, writer):
-            writer.write(reply() + reply(200, b"of whom?"))
+            writer.write(http_response() + http_response(200, b"of whom?"))
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         pool = make((HOST, fake.port))
         status, answer = await start(pool)[1]
         assert (status, answer.body) == (Status.OK, b"ok") and not pool.connections
@@ -119,12 +128,13 @@
 
 def test_the_latest_used_connection_is_used_first_and_old_ones_are_closed():
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(answer_ok).start()
         pool = make((HOST, fake.port), idle=60.0)
         ends = [start(pool)[1] for _ in range(3)]
         for end in ends:
             assert (await end)[0] is Status.OK
-        await until(lambda: len(pool.targets[1].idle) == 3)  # one may have taken another's, its own comes yet
+        # one may have taken another's, its own comes yet
+        await wait_until(lambda: len(pool.targets[1].idle) == 3)
         for connection in pool.targets[1].idle:  # no second answer is to be feared on any of them
             connection.answered_at -= upstream_connection.SETTLING_TIME_S
         latest = pool.targets[1].idle[-1]
@@ -157,7 +167,7 @@
 
     async def play():
         server, fill = full_listener()
-        pool = make(server.getsockname(), connect_timeout=WAIT)
+        pool = make(server.getsockname(), connect_timeout=WAIT_TIMEOUT_S)
         exchange, end = start(pool)
         await asyncio.sleep(0)
         if how == "time-out":
@@ -165,7 +175,7 @@
         else:
             pool.update(1, server.getsockname(), 0, State.DRAINING if how == "drain" else State.REMOVED)
         assert await end == (Status.CONNECT_FAILED, None)
-        await until(lambda: not pool.connections and not pool.targets[1].opening)
+        await wait_until(lambda: not pool.connections and not pool.targets[1].opening)
         for sock in fill:
             sock.close()
         server.setblocking(False)
@@ -184,11 +194,11 @@
     async def play():
         async def act(message, reader, writer):
             await go.wait()
-            writer.write(reply())
+            writer.write(http_response())
 
         go = asyncio.Event()
         go.set()
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         address = (HOST, fake.port)
         pool = make(address)
         assert (await start(pool)[1])[0] is Status.OK
@@ -196,13 +206,13 @@
         assert not pool.targets[1].idle
         go.clear()
         _, end = start(pool)
-        await until(lambda: len(fake.got) == 2)
+        await wait_until(lambda: len(fake.received) == 2)
         pool.update(1, address, 5, State.DRAINING)
         go.set()
         assert (await end)[0] is Status.OK  # what it had it finishes
         assert not pool.connections
         assert (await start(pool)[1])[0] is Status.CONNECT_FAILED
-        assert len(fake.got) == 2
+        assert len(fake.received) == 2
 
     run(play())
 
@@ -218,7 +228,7 @@
         head = b"POST /order HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body)
         exchange, end = start(pool, payload=head + body)
         got, _ = await loop.sock_accept(server)
-        await until(lambda: exchange.connection is not None)
+        await wait_until(lambda: exchange.connection is not None)
         assert exchange.connection.unwritten
         await loop.sock_recv(got, 4096)
         got.close()  # with bytes unread: a reset
@@ -230,11 +240,11 @@
 
 def test_giving_up_closes_the_connection_and_says_whether_it_may_have_run():
     async def play():
-        fake = await Fake(silent).start()
+        fake = await FakePeer(never_answer).start()
         pool = make((HOST, fake.port))
         _, end = start(pool, timeout=0.1)
         assert await end == (Status.TIMEOUT, None)
-        await until(lambda: fake.ended == 1)
+        await wait_until(lambda: fake.ended_connections == 1)
         assert not pool.connections
 
     run(play())
@@ -254,7 +264,7 @@
             exchange.give_up(Status.CANCELLED)
         assert (await end)[0] is Status.CONNECT_FAILED
         assert pool.descriptors.in_use == 1
-        await until(lambda: not pool.descriptors.in_use, "its descriptor is counted back")
+        await wait_until(lambda: not pool.descriptors.in_use, "its descriptor is counted back")
         assert not pool.connections and not pool.targets[1].opening
         server.setblocking(False)
         with pytest.raises(BlockingIOError):
@@ -287,7 +297,7 @@
         _, end = start(pool)
         peer, _ = await loop.sock_accept(server)
         assert (await end)[0] is Status.CONNECT_FAILED
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             with contextlib.suppress(ConnectionResetError):
                 assert await loop.sock_recv(peer, 1) == b""
         assert not pool.descriptors.in_use
@@ -305,7 +315,7 @@
                 writer.write(b"x" * 65536)
                 await writer.drain()
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         pool = make((HOST, fake.port))
         assert await start(pool)[1] == (Status.RESET, None)
 
@@ -314,7 +324,7 @@
 
 def test_out_of_descriptors_costs_one_request_and_not_the_process(monkeypatch):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(answer_ok).start()
         pool = make((HOST, fake.port))
         real = socket.socket
 
@@ -332,15 +342,15 @@
 
 def test_at_the_cap_the_longest_idle_connection_makes_room():
     async def play():
-        fake, other = await Fake(answer_ok).start(), await Fake(silent).start()
+        fake, other = await FakePeer(answer_ok).start(), await FakePeer(never_answer).start()
         pool = make((HOST, fake.port), limit=Descriptors.RESERVE + 8)
         pool.update(2, (HOST, other.port), 0, State.READY)
         ends = [start(pool)[1] for _ in range(8)]
         for end in ends:
             assert (await end)[0] is Status.OK
-        await until(lambda: len(pool.targets[1].idle) == 8)
+        await wait_until(lambda: len(pool.targets[1].idle) == 8)
         waits = [start(pool, 2)[1] for _ in range(8)]
-        await until(lambda: len(other.got) == 8)
+        await wait_until(lambda: len(other.received) == 8)
         assert not pool.targets[1].idle and pool.descriptors.in_use == 8
         assert await start(pool, 2)[1] == (Status.NOT_SENT, None)
         assert not any(end.done() for end in waits)
@@ -351,7 +361,7 @@
     run(play())
 
 
-OK = reply(200, b"second")
+OK = http_response(200, b"second")
 
 
 @pytest.mark.parametrize(
@@ -389,7 +399,7 @@
             closed.set()
 
         closed = asyncio.Event()
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         pool = make((HOST, fake.port))
         assert await start(pool)[1] == (Status.RESET, None)
         await closed.wait()
@@ -408,7 +418,7 @@
                 b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK
             )
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         pool = make((HOST, fake.port))
         for _ in range(3):
             status, answer = await start(pool)[1]
@@ -423,9 +433,9 @@
 def test_answers_over_the_memory_of_all_are_cut_off():
     async def play():
         async def act(message, reader, writer):
-            writer.write(reply(200, b"x" * 5000))
+            writer.write(http_response(200, b"x" * 5000))
 
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         pool = make((HOST, fake.port))
         pool.memory.others_reserved_bytes = pool.memory.max_bytes - 4000
         assert await start(pool)[1] == (Status.RESET, None)
@@ -440,22 +450,22 @@
 def test_one_that_waits_for_a_connection_takes_one_that_comes_free():
     async def play():
         async def act(message, reader, writer):
-            if len(fake.got) == 1:
+            if len(fake.received) == 1:
                 await go.wait()
-            writer.write(reply())
+            writer.write(http_response())
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
+        fake = await FakePeer(act).start()
         pool = make((HOST, fake.port))
         _, first = start(pool)
-        await until(lambda: fake.got)
+        await wait_until(lambda: fake.received)
         real, pool.loop = pool.loop, SlowConnects(pool.loop)
         _, second = start(pool)
         go.set()
         assert (await first)[0] is Status.OK and (await second)[0] is Status.OK
-        assert {got.connection for got in fake.got} == {1}
+        assert {got.connection for got in fake.received} == {1}
         pool.loop.go.set()
-        await until(lambda: len(pool.targets[1].idle) == 2)  # the other one is kept
+        await wait_until(lambda: len(pool.targets[1].idle) == 2)  # the other one is kept
         assert not pool.targets[1].opening
         pool.loop = real
         pool.close()
@@ -482,7 +492,7 @@
     """Guards the memory of a long day: what refers to itself is freed only when the collector comes."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(answer_ok).start()
         pool = make((HOST, fake.port))
         exchange, end = start(pool)
         await end
@@ -493,7 +503,7 @@
         del connection, exchange
         gc.disable()
         try:
-            await until(lambda: seen() is None)
+            await wait_until(lambda: seen() is None)
         finally:
             gc.enable()
         assert exchange_gone
@@ -515,7 +525,7 @@
             seen = weakref.ref(connection)
             del connection
             assert (await end)[0] is Status.CONNECT_FAILED
-            await until(lambda: seen() is None)
+            await wait_until(lambda: seen() is None)
         finally:
             gc.enable()
         pool.close()
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -12,7 +12,17 @@
 
 import msgspec
 import pytest
-from net_helpers import HOST, Fake, ask, config, entry, message, news, run, silent
+from net_helpers import (
+    HOST,
+    FakePeer,
+    config,
+    endpoint_update,
+    entry,
+    http_request,
+    never_answer,
+    run,
+    send_request,
+)
 from test_process import Process
 
 from ochreflow.app import operator, operator_reader
@@ -131,7 +141,7 @@
 def test_drain_and_statistics_by_the_command(tmp_path):
     async def play():
         async with Configured(
-            tmp_path / "c", config(news(1)), f'[operators]\nlisten = "{HOST}:0"'
+            tmp_path / "c", config(endpoint_update(1)), f'[operators]\nlisten = "{HOST}:0"'
         ) as sidecar:
             address = f"{HOST}:{sidecar.operators}"
             for name, said in (("drain", "draining"), ("undrain", "serving")):
@@ -145,8 +155,8 @@
 
 def test_a_reload_is_applied_completely_or_not_at_all(tmp_path):
     async def play():
-        fake = await Fake(silent).start()
-        data = config(news(1, entry("s1", fake.address)))
+        fake = await FakePeer(never_answer).start()
+        data = config(endpoint_update(1, entry("s1", fake.address)))
         start = f'[operators]\nlisten = "{HOST}:0"\n'
         async with Configured(tmp_path / "c", data, start) as sidecar:
             taken = socket.create_server((HOST, 0))
@@ -156,7 +166,7 @@
                 sidecar.process.send_signal(signal.SIGHUP)
                 await sidecar.heard(re.escape(said))
                 health = b"GET /healthcheck HTTP/1.1\r\n\r\n"
-                assert (await ask(sidecar.operators, health)).code == 200
+                assert (await send_request(sidecar.operators, health)).code == 200
 
             await reload("[log]\nlevel = 1\n", b"log.level: found 1")
             await reload(start + '[limits]\nmemory = "64MiB"\n', b"can't change while running: limits.memory")
@@ -168,19 +178,19 @@
             # An upload is half through while a good one is taken: it goes on.
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             body = bytes(200_000)
-            whole = message("order", "flowing", "3000m", body)
+            whole = http_request("order", "flowing", "3000m", body)
             writer.write(whole[:100_000])
             taken.close()
             sidecar.file.write_text(busy)
             sidecar.process.send_signal(signal.SIGHUP)
             await sidecar.heard(rb"reload applied: operators.listen, clients.idle")
-            assert (await ask(port, b"GET /healthcheck HTTP/1.1\r\n\r\n")).code == 200
+            assert (await send_request(port, b"GET /healthcheck HTTP/1.1\r\n\r\n")).code == 200
             with pytest.raises(OSError):
-                await ask(old, b"GET /healthcheck HTTP/1.1\r\n\r\n")
-            fake.act = answer_served
+                await send_request(old, b"GET /healthcheck HTTP/1.1\r\n\r\n")
+            fake.handler = answer_served
             writer.write(whole[100_000:])
             assert (await reader.readline()).split()[1] == b"200"
-            assert fake.got[0].body == body
+            assert fake.received[0].body == body
             writer.close()
             sidecar.process.send_signal(signal.SIGTERM)
             assert await sidecar.process.wait() == 0
@@ -193,11 +203,11 @@
 
 def test_json_logs_are_one_event_a_line_with_its_fields(tmp_path):
     async def play():
-        fake = await Fake(silent).start()
-        data = config(news(1, entry("s1", fake.address)))
+        fake = await FakePeer(never_answer).start()
+        data = config(endpoint_update(1, entry("s1", fake.address)))
         text = '[log]\nformat = "json"\nlevel = "debug"\n'
         async with Configured(tmp_path / "c", data, text) as sidecar:
-            assert (await ask(sidecar.port, message("order", "one", "300m"))).code == 502
+            assert (await send_request(sidecar.port, http_request("order", "one", "300m"))).code == 502
             sidecar.process.send_signal(signal.SIGTERM)
             assert await sidecar.process.wait() == 0
             lines = [json.loads(line) for line in await sidecar.rest() if line.startswith(b"{")]
@@ -214,7 +224,7 @@
 
 
 def test_a_bad_file_is_one_line_and_exit_code_1_for_run(tmp_path):
-    (tmp_path / "c").write_text(json.dumps(config(news(1))))
+    (tmp_path / "c").write_text(json.dumps(config(endpoint_update(1))))
     (tmp_path / "f").write_text("a = 1\nb = 2\n")
     done = command("run", "--platform", str(tmp_path / "c"), "--config", str(tmp_path / "f"), timeout=20)
     assert done.returncode == 1 and done.stderr.count("\n") == 1
@@ -223,7 +233,7 @@
 
 @pytest.mark.parametrize(("missing", "form"), [("msgspec", "plain"), ("structlog", "json")])
 def test_a_library_that_a_file_needs_and_is_not_there_is_one_line(tmp_path, missing, form):
-    (tmp_path / "c").write_text(json.dumps(config(news(1))))
+    (tmp_path / "c").write_text(json.dumps(config(endpoint_update(1))))
     (tmp_path / "f").write_text(f'[log]\nformat = "{form}"\n')
     code = f"import sys; sys.modules['{missing}'] = None\n"
     code += f"from ochreflow.app.process import main; sys.exit(main({str(tmp_path / 'f')!r}))"
@@ -254,7 +264,7 @@
 
 def test_run_imports_nothing_that_its_configuration_does_not_ask_for(tmp_path):
     """Its memory is scarce: no parser of arguments, no checking library, no structured logs, no stand-ins."""
-    (tmp_path / "c").write_text(json.dumps(config(news(1))))
+    (tmp_path / "c").write_text(json.dumps(config(endpoint_update(1))))
     code = """
 import asyncio, os, signal, sys
 from ochreflow.app import process
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -3,7 +3,7 @@
 import heapq
 
 import pytest
-from helpers import MS, SECOND, START, endpoint, make, play_timers, request, settings
+from helpers import MS, SECOND, START, endpoint, fire_timers, make_balancer, request, settings
 
 from ochreflow import Balancer
 from ochreflow.policy.interface import (
@@ -96,7 +96,7 @@
 
 @pytest.fixture
 def feed():
-    return Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT))
+    return Feed(*make_balancer(servers=6, effect=Effect.NON_IDEMPOTENT))
 
 
 def test_nothing_is_rejected_while_answers_are_in_time(feed):
@@ -167,7 +167,7 @@
 
 
 def test_one_correction_goes_a_part_of_the_way_and_little_in_flight_tells_nothing():
-    balancer, now = make()
+    balancer, now = make_balancer()
     balancer.limiter.limit, balancer.limiter.updated_at, balancer.limiter.first_update_at = (
         100.0,
         now,
@@ -205,7 +205,7 @@
 
 def test_one_long_request_does_not_eject_its_server():
     """Incident i4efe13: the same attempt struck its server at each of its time-outs."""
-    feed = Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT))
+    feed = Feed(*make_balancer(servers=6, effect=Effect.NON_IDEMPOTENT))
     feed.run(5, 100, fast)
     before = feed.ident
     feed.run(1.9, 20, lambda server: None if feed.ident == before + 1 else 40 * MS)
@@ -219,7 +219,7 @@
 
 
 def test_broken_connections_eject_and_an_answer_readmits():
-    balancer, now = make(servers=6, effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(servers=6, effect=Effect.NON_IDEMPOTENT)
     sends = []
     for ident in range(30):
         sends += [a for a in balancer.handle(now, request(ident, now)) if isinstance(a, Send)]
@@ -240,7 +240,7 @@
         RequestClass("cheap", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.NON_IDEMPOTENT),
         RequestClass("dear", 500 * MS, 2 * SECOND, 9.0, 0.2, Effect.NON_IDEMPOTENT),
     ]
-    feed = Feed(*make(servers=6, classes=classes, **more))
+    feed = Feed(*make_balancer(servers=6, classes=classes, **more))
     by_parity = {"class_index": lambda n: n % 2}
     feed.run(5, 100, fast, **by_parity)
     log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.endpoints.inflight) * MS, **by_parity)
@@ -275,7 +275,7 @@
 
 def test_a_retry_after_lies_within_the_objective_unless_that_has_passed():
     """Later, and its next try could only be late: much of what was served in i8cc3a0 was."""
-    feed = Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT, max_retry_after_ns=10 * SECOND))
+    feed = Feed(*make_balancer(servers=6, effect=Effect.NON_IDEMPOTENT, max_retry_after_ns=10 * SECOND))
     old = {"remaining_ns": lambda n: 1500 * MS if n % 2 else 1400 * MS}  # of 2 s, so these are 0.6 s old
     feed.run(5, 100, fast, **old)
     log = feed.run(6, 100, lambda server: (40 + 25 * feed.balancer.endpoints.inflight) * MS, **old)
@@ -287,7 +287,9 @@
 
 def test_a_tenant_over_its_quota_is_rejected_first_and_only_in_overload():
     tenants = [Tenant("calm", 0.5, 50.0), Tenant("loud", 0.5, 50.0)]
-    feed = Feed(*make(servers=6, effect=Effect.NON_IDEMPOTENT, tenants=tenants, over_quota_weight=0.1))
+    feed = Feed(
+        *make_balancer(servers=6, effect=Effect.NON_IDEMPOTENT, tenants=tenants, over_quota_weight=0.1)
+    )
     loud_mostly = {"tenant": lambda n: n % 5 != 0}
     assert share(feed.run(5, 200, fast, **loud_mostly), Reject) == 0
     log = feed.run(6, 200, lambda server: 350 * MS, **loud_mostly)
@@ -315,11 +317,11 @@
 
 def test_a_surge_is_admitted_only_as_far_as_answers_justify():
     """Incident ibe9fc7: four times what was in flight, of late, grew with the surge until all was jammed."""
-    feed = Feed(*make(servers=40, effect=Effect.NON_IDEMPOTENT, fleet_size=8))
+    feed = Feed(*make_balancer(servers=40, effect=Effect.NON_IDEMPOTENT, fleet_size=8))
     feed.run(5, 50, fast)
     feed.run(0.4, 1000, lambda server: None)  # all are jammed, and none of it shows yet
     assert feed.balancer.endpoints.inflight < 80
-    calm = Feed(*make(servers=40, effect=Effect.NON_IDEMPOTENT, fleet_size=8))
+    calm = Feed(*make_balancer(servers=40, effect=Effect.NON_IDEMPOTENT, fleet_size=8))
     calm.run(5, 50, fast)
     assert share(calm.run(2, 150, fast), Reject) < 0.05  # a burst that is answered is no such thing
 
@@ -327,7 +329,7 @@
 @pytest.mark.parametrize("effect", list(Effect))
 def test_an_ejected_server_is_half_open_to_any_class_where_none_is_idempotent(effect):
     """Incident ifc0f20: no class of the site was safe, so what had recovered stayed ejected for good."""
-    balancer, now = make(servers=6, effect=effect)
+    balancer, now = make_balancer(servers=6, effect=effect)
     ejected = balancer.endpoints.servers[100]
     balancer.outlier_detector.record_failure(ejected, 5.0, 1.0)
     assert ejected.ejected
@@ -348,7 +350,7 @@
         RequestClass("safe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.IDEMPOTENT),
         RequestClass("unsafe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.NON_IDEMPOTENT),
     ]
-    balancer, now = make(servers=6, classes=classes)
+    balancer, now = make_balancer(servers=6, classes=classes)
     balancer.outlier_detector.record_failure(balancer.endpoints.servers[100], 5.0, 1.0)
     now += 30 * SECOND
     sent = [
@@ -364,7 +366,7 @@
 
 def test_attempts_that_are_never_answered_do_not_fill_the_limit():
     """Guards against a network that drops answers: they filled the limit, and all was refused."""
-    balancer, now = make(servers=4, effect=Effect.NON_IDEMPOTENT, hedging=False)
+    balancer, now = make_balancer(servers=4, effect=Effect.NON_IDEMPOTENT, hedging=False)
     sent = {}
     for ident in range(400):
         now += 5 * MS
@@ -390,8 +392,8 @@
 
 def test_what_can_not_be_sent_is_rejected_before_half_its_time():
     """Guards the client's time: told early and when to come back, it may yet be served."""
-    balancer, now = make(entries=[], effect=Effect.NON_IDEMPOTENT)
-    done = play_timers(balancer, now, balancer.handle(now, request(7, now)), now + 2 * SECOND)
+    balancer, now = make_balancer(entries=[], effect=Effect.NON_IDEMPOTENT)
+    done = fire_timers(balancer, now, balancer.handle(now, request(7, now)), now + 2 * SECOND)
     ((when, refuse),) = [(when, action) for when, action in done if isinstance(action, Reject)]
     assert now < when < now + SECOND and refuse.retry_after_ns > 0
 
@@ -399,7 +401,7 @@
 @pytest.mark.parametrize(("waited", "sent"), [(0, False), (300 * MS, True)])
 def test_time_in_line_is_not_a_late_retrys_age(waited, sent):
     """A short deadline tells an old try; one that has only waited here behind others is not old."""
-    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     for ident in range(20):  # the clients' usual tries are half as long as the class allows
         send = next(a for a in balancer.handle(now, request(ident, now, SECOND)) if isinstance(a, Send))
         balancer.handle(now + 50 * MS, Outcome(ident, 0, send.server, Status.OK, 50 * MS, True))
@@ -413,7 +415,7 @@
 
 def crowded(status, errors=2, **more):
     """Four servers, of which one was ejected after so many failures; the others are full to the limit."""
-    balancer, now = make(entries=[endpoint(100 + n) for n in range(4)], hedging=False, **more)
+    balancer, now = make_balancer(entries=[endpoint(100 + n) for n in range(4)], hedging=False, **more)
     balancer.limiter.update()
     ident = failed = 0
     while failed < errors or not balancer.endpoints.ejected:
@@ -458,7 +460,7 @@
 
 def test_who_gets_the_traffic_of_many_opens_its_limit_while_nothing_queues():
     """38 of 40 sidecars gone: the others let in a tenth of what the servers left could do, for seconds."""
-    feed = Feed(*make(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40))
+    feed = Feed(*make_balancer(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40))
     feed.run(5, 7, fast)
     feed.run(1, 700, fast)
     assert share(feed.run(2, 700, fast), Reject) < 0.4
@@ -467,7 +469,7 @@
 
 def test_a_body_uploaded_to_a_server_that_was_removed_meanwhile_is_not_in_flight_for_ever():
     """Its end is no known server's any more: counted as in flight it would narrow the limit for good."""
-    balancer, now = make(entries=[endpoint(1), endpoint(2)])
+    balancer, now = make_balancer(entries=[endpoint(1), endpoint(2)])
     sent = balancer.handle(now, Request(7, 0, 0, now + 2 * SECOND, uploading=True))
     (server,) = {action.server for action in sent if isinstance(action, Send)}
     now += MS
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -1,7 +1,7 @@
 """The pace to cold servers: what it gives back, and that it holds for a fleet."""
 
 import pytest
-from helpers import MS, SECOND, START, endpoint, make, send_one, serve
+from helpers import MS, SECOND, START, endpoint, make_balancer, send_one, serve_requests
 from test_operator_file import command
 
 from ochreflow.policy.interface import ListKind, Membership
@@ -17,7 +17,7 @@
 
 
 def test_an_attempt_whose_connection_never_came_up_is_given_back_once_it_was_taken_from_this_start():
-    balancer, now = make(entries=[endpoint(1), endpoint(2)])
+    balancer, now = make_balancer(entries=[endpoint(1), endpoint(2)])
     server = restarted(balancer, now)
     slow_start = balancer.slow_start
     sent = balancer.context.now = now + 10 * MS
@@ -36,7 +36,7 @@
 
 
 def test_an_attempt_between_a_start_and_the_news_of_it_gets_nothing_back_from_the_new_life():
-    balancer, now = make(entries=[endpoint(1), endpoint(2)])
+    balancer, now = make_balancer(entries=[endpoint(1), endpoint(2)])
     slow_start = balancer.slow_start
     started, sent, notified_at = now, now + 100 * MS, now + SECOND
     balancer.handle(notified_at, Membership(ListKind.DELTA, 2, [endpoint(1, started=started)]))
@@ -50,7 +50,7 @@
 
 
 def test_a_warm_server_is_given_nothing_back():
-    balancer, now = make(entries=[endpoint(1), endpoint(2)])
+    balancer, now = make_balancer(entries=[endpoint(1), endpoint(2)])
     server = balancer.endpoints.servers[1]
     balancer.slow_start.allows(server, 0, consume=True)
     balancer.slow_start.give_back(server, 0, now)
@@ -58,14 +58,14 @@
 
 
 def test_a_start_that_lies_ahead_of_the_own_clock_is_no_crash_where_nothing_warms_up():
-    balancer, now = make(entries=[endpoint(1, started=START + 5 * SECOND)], warm_up_ns=0)
+    balancer, now = make_balancer(entries=[endpoint(1, started=START + 5 * SECOND)], warm_up_ns=0)
     assert send_one(balancer, now, 1).server == 1
 
 
 def test_a_fleet_that_knows_what_a_server_can_do_does_not_earn_more_by_being_answered():
     """Each answer allowed one and a half more: thirty sidecars grew together past what one server bears."""
-    balancer, now = make(entries=[endpoint(1), endpoint(2)], fleet_size=30)
-    now, _ = serve(balancer, now, range(100), 50 * MS)
+    balancer, now = make_balancer(entries=[endpoint(1), endpoint(2)], fleet_size=30)
+    now, _ = serve_requests(balancer, now, range(100), 50 * MS)
     server = restarted(balancer, now)
     balancer.slow_start.allows(server, 0, consume=True)
     taken = server.slow_start_tokens
@@ -85,7 +85,7 @@
 
 
 def began(entries, **settings):
-    balancer, now = make(entries=entries, **settings)
+    balancer, now = make_balancer(entries=entries, **settings)
     balancer.endpoints.first_request_at = now
     return balancer, now
 
@@ -248,7 +248,7 @@
 
 
 def test_a_sidecar_that_knows_no_warm_server_earns_by_answers():
-    balancer, now = make(entries=[endpoint(9, started=START)], fleet_size=30)
+    balancer, now = make_balancer(entries=[endpoint(9, started=START)], fleet_size=30)
     server = balancer.endpoints.servers[9]
     balancer.context.now = now
     balancer.slow_start.allows(server, 0, consume=True)
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import MS, SECOND, START, endpoint, make, request, settings
+from helpers import MS, SECOND, START, endpoint, make_balancer, request, settings
 
 from ochreflow import Balancer
 from ochreflow.policy.interface import (
@@ -97,7 +97,7 @@
 
 
 def test_memory_stays_bounded_while_servers_come_and_go():
-    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     sizes = []
 
     def roll(ident, when):
@@ -116,7 +116,7 @@
 
 def _operations(open_requests):
     """Python function calls for 50 more requests while so many are open."""
-    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     for ident in range(open_requests):
         balancer.handle(now, request(10_000 + ident, now, 60 * SECOND))
     calls = 0
@@ -139,7 +139,7 @@
 
 
 def test_a_fault_leaves_the_actions_of_its_own_event_and_none_of_an_earlier_one(monkeypatch):
-    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     sent = balancer.handle(now, request(1, now))
     assert any(isinstance(action, Send) for action in sent)
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -18,20 +18,20 @@
 import pytest
 from net_helpers import (
     HOST,
-    WAIT,
-    Fake,
+    WAIT_TIMEOUT_S,
+    FakePeer,
     Sidecar,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
+    http_request,
+    http_response,
     read_message,
-    reply,
     reset,
     run,
-    until,
+    send_request,
+    wait_until,
 )
 
 from ochreflow.policy.settings import nested_settings, parse_settings
@@ -98,7 +98,7 @@
 
     async def heard(self, pattern):
         """Wait for a line that matches."""
-        async with self.said, asyncio.timeout(WAIT):
+        async with self.said, asyncio.timeout(WAIT_TIMEOUT_S):
             while not any(re.search(pattern, line) for line in self.lines):
                 assert not self.log.done(), "it ended before it said so"
                 await self.said.wait()
@@ -119,24 +119,24 @@
         async def act(message, reader, writer):
             if message.headers["x-request-id"] == "held":
                 await go.wait()
-            writer.write(reply(200, b"served"))
+            writer.write(http_response(200, b"served"))
 
         go = asyncio.Event()
-        fake = await Fake(act).start()
-        async with Process(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            got = await ask(sidecar.port, READY)
+        fake = await FakePeer(act).start()
+        async with Process(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
+            got = await send_request(sidecar.port, READY)
             assert got.code == 200 and "connection" not in got.headers
             idle_reader, idle_writer = await asyncio.open_connection(HOST, sidecar.port)
             used_reader, used_writer = await asyncio.open_connection(HOST, sidecar.port)
             held_reader, held_writer = await asyncio.open_connection(HOST, sidecar.port)
-            held_writer.write(message("order", "held"))
-            await until(lambda: fake.got)
+            held_writer.write(http_request("order", "held"))
+            await wait_until(lambda: fake.received)
             sidecar.process.send_signal(signal.SIGTERM)
             await sidecar.heard(b"terminating")  # a request may be read before a signal sent before it
-            assert (await ask(sidecar.port, READY)).code == 503
-            got = await ask(sidecar.port, message("order", "new"))
+            assert (await send_request(sidecar.port, READY)).code == 503
+            got = await send_request(sidecar.port, http_request("order", "new"))
             assert got.code == 200
-            used_writer.write(message("order", "kept"))
+            used_writer.write(http_request("order", "kept"))
             got = await read_message(used_reader)
             assert got.code == 200 and "connection" not in got.headers  # it may have nowhere else to go yet
             assert await used_reader.read() == b""
@@ -162,10 +162,10 @@
         async def silent_always(message, reader, writer):
             await reader.read()
 
-        fake = await Fake(silent_always).start()
-        async with Process(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
-            held = asyncio.create_task(ask(sidecar.port, message("order", "held", "30000m")))
-            await until(lambda: fake.got)
+        fake = await FakePeer(silent_always).start()
+        async with Process(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
+            held = asyncio.create_task(send_request(sidecar.port, http_request("order", "held", "30000m")))
+            await wait_until(lambda: fake.received)
             loop = asyncio.get_running_loop()
             start = loop.time()
             sidecar.process.send_signal(signal.SIGTERM)
@@ -178,12 +178,12 @@
 
 def test_it_survives_running_out_of_descriptors(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
-        data = config(news(1, entry("s1", fake.address)))
+        fake = await FakePeer(answer_ok).start()
+        data = config(endpoint_update(1, entry("s1", fake.address)))
         async with Process(tmp_path / "c", data) as sidecar:
             # It counts with the limit that it finds at its start, so accept fails by a later one only.
             resource.prlimit(sidecar.process.pid, resource.RLIMIT_NOFILE, (40, 40))
-            assert (await ask(sidecar.port, message("lookup", "before"))).code == 200
+            assert (await send_request(sidecar.port, http_request("lookup", "before"))).code == 200
             flood = []
             for _ in range(60):
                 flood.append(await asyncio.open_connection(HOST, sidecar.port))
@@ -192,7 +192,7 @@
 
             async def served():
                 try:
-                    return (await ask(sidecar.port, message("lookup", "after"))).code == 200
+                    return (await send_request(sidecar.port, http_request("lookup", "after"))).code == 200
                 except (OSError, asyncio.IncompleteReadError):
                     return False
 
@@ -227,7 +227,7 @@
     elif change is None:
         del env["GW_CONFIG"]
     else:
-        path.write_text(json.dumps({**config(news(1)), **change}))
+        path.write_text(json.dumps({**config(endpoint_update(1)), **change}))
     done = subprocess.run(
         [sys.executable, "-m", "ochreflow"], cwd=ROOT, env=env, capture_output=True, timeout=60, check=False
     )
@@ -237,12 +237,12 @@
 
 def test_it_is_ready_while_discovery_is_down(tmp_path):
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(answer_ok).start()
         async with Sidecar(
-            tmp_path / "c", config(news(1, entry("s1", fake.address)), f"{HOST}:9")
+            tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)), f"{HOST}:9")
         ) as sidecar:
-            assert (await ask(sidecar.port, READY)).code == 200
-            assert (await ask(sidecar.port, message("order", "ab"))).code == 200
+            assert (await send_request(sidecar.port, READY)).code == 200
+            assert (await send_request(sidecar.port, http_request("order", "ab"))).code == 200
 
     run(play())
 
@@ -282,7 +282,7 @@
 
 class Unavailable(Discovery):
     def write(self, writer):
-        writer.write(reply(503, b""))
+        writer.write(http_response(503, b""))
 
 
 class Resetting(Discovery):
@@ -332,15 +332,15 @@
     """Ready, and serving from the list of its configuration, with its first call open or broken."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(answer_ok).start()
         async with kind() as discovery:
-            data = config(news(1, entry("s1", fake.address)), discovery.address)
+            data = config(endpoint_update(1, entry("s1", fake.address)), discovery.address)
             async with Process(tmp_path / "c", data) as sidecar:
-                assert (await ask(sidecar.port, READY)).code == 200
-                async with asyncio.timeout(WAIT):
+                assert (await send_request(sidecar.port, READY)).code == 200
+                async with asyncio.timeout(WAIT_TIMEOUT_S):
                     await discovery.called.wait()
-                assert (await ask(sidecar.port, READY)).code == 200
-                assert (await ask(sidecar.port, message("order", "ab"))).code == 200
+                assert (await send_request(sidecar.port, READY)).code == 200
+                assert (await send_request(sidecar.port, http_request("order", "ab"))).code == 200
                 sidecar.process.send_signal(signal.SIGTERM)
                 assert await sidecar.process.wait() == 0
 
@@ -353,7 +353,7 @@
     with socket.socket(type=socket.SOCK_DGRAM) as sock:
         sock.bind((HOST, 0))
         port = sock.getsockname()[1]
-    data = config(news(1), **({"peer_listen": f"{HOST}:{port}"} if linked else {}))
+    data = config(endpoint_update(1), **({"peer_listen": f"{HOST}:{port}"} if linked else {}))
     (tmp_path / "c").write_text(json.dumps(data))
     code = """
 import os, signal, sys
@@ -465,34 +465,40 @@
             left.set()
 
         async def new_watch(message, reader, writer):
-            if len(moved.got) > 1:
+            if len(moved.received) > 1:
                 await reader.read()
             else:  # its index is far behind the old one's
-                writer.write(reply(200, json.dumps(news(2, entry("s2", after.address))).encode()))
+                writer.write(
+                    http_response(200, json.dumps(endpoint_update(2, entry("s2", after.address))).encode())
+                )
 
         left = asyncio.Event()
-        before = await Fake(answer_ok).start()
-        after = await Fake(answer_ok).start()
-        old, moved = await Fake(old_watch).start(), await Fake(new_watch).start()
-        data = config(news(900, entry("s1", before.address)), old.address)
+        before = await FakePeer(answer_ok).start()
+        after = await FakePeer(answer_ok).start()
+        old, moved = await FakePeer(old_watch).start(), await FakePeer(new_watch).start()
+        data = config(endpoint_update(900, entry("s1", before.address)), old.address)
         async with Process(tmp_path / "c", data) as sidecar:
-            await until(lambda: old.got)
+            await wait_until(lambda: old.received)
             sidecar.path.write_text("{")
             sidecar.process.send_signal(signal.SIGHUP)
-            assert (await ask(sidecar.port, message("order", "a1"))).code == 200 and len(before.got) == 1
+            assert (await send_request(sidecar.port, http_request("order", "a1"))).code == 200 and len(
+                before.received
+            ) == 1
             sidecar.path.write_text(json.dumps({**data, "discovery": moved.address}))
             for _ in range(50):
                 sidecar.process.send_signal(signal.SIGHUP)
             await left.wait()
-            await until(lambda: len(moved.got) == 2)
-            assert moved.got[0].first == "GET /api/targets HTTP/1.1"
-            assert "after=2&" in moved.got[1].first
-            assert (await ask(sidecar.port, message("order", "a2"))).code == 200 and len(after.got) == 1
+            await wait_until(lambda: len(moved.received) == 2)
+            assert moved.received[0].start_line == "GET /api/targets HTTP/1.1"
+            assert "after=2&" in moved.received[1].start_line
+            assert (await send_request(sidecar.port, http_request("order", "a2"))).code == 200 and len(
+                after.received
+            ) == 1
             sidecar.process.send_signal(signal.SIGTERM)
             sidecar.process.send_signal(signal.SIGHUP)
             assert await sidecar.process.wait() == 0
             log = await sidecar.log
-            assert b"Traceback" not in log and len(old.got) == 1
+            assert b"Traceback" not in log and len(old.received) == 1
             assert (
                 log.count(b"configuration is unchanged") in (0, 1) and log.count(b"discovery is now at") == 1
             )
@@ -504,10 +510,10 @@
     """Two processes on the platform's socket: the old one ends, and no connection is refused."""
 
     async def play():
-        fake = await Fake(answer_ok).start()
+        fake = await FakePeer(answer_ok).start()
         listening = socket.create_server((HOST, 0))
         port = listening.getsockname()[1]
-        data = config(news(1, entry("s1", fake.address)))
+        data = config(endpoint_update(1, entry("s1", fake.address)))
         async with (
             Process(tmp_path / "a", data, inherited=listening) as old,
             Process(tmp_path / "b", data, inherited=listening) as new,
@@ -515,12 +521,13 @@
             assert old.port == new.port == port
             old.process.send_signal(signal.SIGTERM)
             for n in range(100):
-                assert (await ask(port, message("order", f"id{n}"))).code == 200
+                assert (await send_request(port, http_request("order", f"id{n}"))).code == 200
             assert await old.process.wait() == 0
-            assert (await ask(port, message("order", "after"))).code == 200
+            assert (await send_request(port, http_request("order", "after"))).code == 200
             new.process.kill()
             await new.process.wait()
-            waits = asyncio.create_task(ask(port, message("order", "between")))  # in the backlog
+            # in the backlog
+            waits = asyncio.create_task(send_request(port, http_request("order", "between")))
             async with Process(tmp_path / "c", data, inherited=listening):
                 assert (await waits).code == 200
         listening.close()
@@ -531,7 +538,7 @@
 @pytest.mark.parametrize("text", ["x", "99", "0"])
 def test_a_descriptor_that_cannot_be_listened_at_is_one_line_and_a_failure(tmp_path, text):
     path = tmp_path / "c"
-    path.write_text(json.dumps(config(news(1))))
+    path.write_text(json.dumps(config(endpoint_update(1))))
     done = subprocess.run(
         [sys.executable, "-m", "ochreflow"],
         cwd=ROOT,
@@ -547,12 +554,12 @@
 
 def test_the_management_interface_has_its_own_address(tmp_path):
     async def play():
-        data = config(news(1), management=f"{HOST}:0")
+        data = config(endpoint_update(1), management=f"{HOST}:0")
         async with Process(tmp_path / "c", data) as sidecar:
-            assert (await ask(sidecar.operators, b"GET /healthcheck HTTP/1.1\r\n\r\n")).code == 200
+            assert (await send_request(sidecar.operators, b"GET /healthcheck HTTP/1.1\r\n\r\n")).code == 200
             assert (
                 b"app.results.order.succeeded=0"
-                in (await ask(sidecar.operators, b"GET /stats HTTP/1.1\r\n\r\n")).body.splitlines()
+                in (await send_request(sidecar.operators, b"GET /stats HTTP/1.1\r\n\r\n")).body.splitlines()
             )
 
     run(play())
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -109,9 +109,9 @@
         heapq.heappush(self.queue, (max(when, self.now + 1), self.tie, make))
 
     def feed(self, event):
-        self.checker.event(self.now, event)
+        self.checker.observe_event(self.now, event)
         actions = self.balancer.handle(self.now, event)
-        self.checker.actions(self.now, actions)
+        self.checker.check_actions(self.now, actions)
         for action in actions:
             if isinstance(action, SetTimer):
                 assert action.after_ns > 0
@@ -199,7 +199,7 @@
             if event is not None:
                 self.feed(event)
         self.now = end
-        self.checker.at_the_end(end)
+        self.checker.check_all_answered(end)
 
 
 @settings(max_examples=120, derandomize=True, deadline=None, database=None)
--- a/tests/test_response_proof.py
+++ b/tests/test_response_proof.py
@@ -11,18 +11,18 @@
 import pytest
 from net_helpers import (
     HOST,
-    WAIT,
-    Fake,
+    WAIT_TIMEOUT_S,
+    FakePeer,
     Sidecar,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
-    reply,
+    http_request,
+    http_response,
     reset,
     run,
+    send_request,
 )
 
 from ochreflow.core.limits import MB, Descriptors, Memory
@@ -87,7 +87,7 @@
         HEAD + NOT_RUN + b"Transfer-Encoding: gzip\r\n" + CHUNKED + BODY_AND_END + b"\r\n",
         stay,
     ),
-    "another response after it": (REFUSAL + reply(200, b"served"), stay),
+    "another response after it": (REFUSAL + http_response(200, b"served"), stay),
     "other bytes after it": (REFUSAL + b"full", stay),
     "no length, reset": (HEAD + NOT_RUN + b"\r\nfull", reset),
     "no length, silence": (HEAD + NOT_RUN + b"\r\nfull", stay),
@@ -126,11 +126,11 @@
 async def ask_once(tmp_path, cls, data, then):
     """The answer to one request before two servers, the first of which says this, and the copies made."""
     act = first_says(data, then)
-    servers = [await Fake(act).start() for _ in range(2)]
-    listed = news(1, *(entry(f"s{n}", server.address) for n, server in enumerate(servers)))
+    servers = [await FakePeer(act).start() for _ in range(2)]
+    listed = endpoint_update(1, *(entry(f"s{n}", server.address) for n, server in enumerate(servers)))
     async with Sidecar(tmp_path / "c", config(listed)) as sidecar:
-        got = await ask(sidecar.port, message(cls, "ab"))
-    return got, sum(len(server.got) for server in servers)
+        got = await send_request(sidecar.port, http_request(cls, "ab"))
+    return got, sum(len(server.received) for server in servers)
 
 
 @pytest.mark.parametrize("case", NO_PROOF)
@@ -189,7 +189,7 @@
         loop = asyncio.get_running_loop()
         end = loop.create_future()
         exchange = Exchange(lambda: self.payload, lambda _, status, answer: end.set_result(status), 64 * 1024)
-        self.pool.start(1, exchange, WAIT)
+        self.pool.start(1, exchange, WAIT_TIMEOUT_S)
         server, _ = await loop.sock_accept(self.listener)
         return exchange, end, server
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,7 +1,7 @@
 """Repeats by outcome and class, and the delay before them."""
 
 import pytest
-from helpers import MS, SECOND, kinds, make, play_timers, request, send_one, serve
+from helpers import MS, SECOND, actions_of_type, fire_timers, make_balancer, request, send_one, serve_requests
 
 from ochreflow.policy.interface import Effect, Fail, Outcome, Reject, Send, Status, Timer
 
@@ -12,13 +12,13 @@
 
 def _later(balancer, now, actions):
     """All actions of the next second of the clock with their times, these first."""
-    return [(now, action) for action in actions] + play_timers(balancer, now, actions, now + SECOND)
+    return [(now, action) for action in actions] + fire_timers(balancer, now, actions, now + SECOND)
 
 
 @pytest.mark.parametrize("effect", list(Effect))
 @pytest.mark.parametrize("status", [Status.REJECTED, Status.CONNECT_FAILED])
 def test_what_never_ran_is_retried_elsewhere_after_a_backoff(effect, status):
-    balancer, now = make(effect=effect)
+    balancer, now = make_balancer(effect=effect)
     first = send_one(balancer, now, 1)
     done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
     sends = [(when, a) for when, a in done if isinstance(a, Send)]
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("status", [Status.TIMEOUT, Status.RESET])
 def test_ambiguous_failures_end_non_idempotent_requests_with_a_failure(status):
-    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     first = send_one(balancer, now, 1)
     done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
     assert [a for _, a in done if isinstance(a, Send | Reject | Fail)] == [Fail(1)]
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("status", [Status.TIMEOUT, Status.RESET])
 def test_ambiguous_failures_of_idempotent_requests_are_retried(status):
-    balancer, now = make(effect=Effect.IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
     done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
     assert [a.id for _, a in done if isinstance(a, Send)][:1] == [1]
@@ -47,7 +47,7 @@
     for length in (SECOND, 4 * SECOND):
         seen = []
         for seed in range(20):
-            balancer, now = make(effect=Effect.IDEMPOTENT, seed=seed)
+            balancer, now = make_balancer(effect=Effect.IDEMPOTENT, seed=seed)
             first = send_one(balancer, now, 1, length)
             done = _later(balancer, now, _finish(balancer, now, 1, first.server, Status.REJECTED))
             seen.append(next(when for when, a in done if isinstance(a, Send)) - now)
@@ -57,43 +57,43 @@
 
 
 def test_a_plain_error_ends_the_request():
-    balancer, now = make(effect=Effect.IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
     actions = _finish(balancer, now, 1, first.server, Status.ERROR)
     assert any(isinstance(a, Reject | Fail) for a in actions)
 
 
 def test_no_remaining_time_is_answered_at_once():
-    balancer, now = make()
+    balancer, now = make_balancer()
     actions = balancer.handle(now, request(5, now, 0))
     assert [type(a) for a in actions] == [Reject]
 
 
 def test_many_failures_at_once_share_one_budget():
     """A lost server's attempts fail together: each repeat is paid for when planned, not when sent."""
-    balancer, now = make(servers=6, effect=Effect.IDEMPOTENT)
-    now, _ = serve(balancer, now, range(40), 20 * MS)  # first tries, to save up from
+    balancer, now = make_balancer(servers=6, effect=Effect.IDEMPOTENT)
+    now, _ = serve_requests(balancer, now, range(40), 20 * MS)  # first tries, to save up from
     done = []
     for sent in [send_one(balancer, now, ident) for ident in range(1000, 1024)]:
         done += balancer.handle(now, Outcome(sent.id, 0, sent.server, Status.RESET, MS, False))
     refused = sum(isinstance(action, Reject | Fail) for action in done)
     retried = []
     for step in range(1, 400):
-        retried += kinds(balancer.handle(now + step * 5 * MS, Timer(balancer.timer_token)), Send)
+        retried += actions_of_type(balancer.handle(now + step * 5 * MS, Timer(balancer.timer_token)), Send)
     assert 0 < len(retried) < 0.2 * 64  # in proportion to first tries, not to failures
     assert len(retried) + refused == 24
 
 
 def test_what_reached_no_server_is_retried_whatever_the_budget():
     """herd+vast: sidecars with an old list refused a third, each after one connect to a gone server."""
-    balancer, now = make(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
+    balancer, now = make_balancer(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     served = 0
     for ident in range(30):
         now += 200 * MS
         actions = balancer.handle(now, request(ident, now))
         attempt = 0
-        while not kinds(actions, Reject):
-            if sent := kinds(actions, Send):
+        while not actions_of_type(actions, Reject):
+            if sent := actions_of_type(actions, Send):
                 there = sent[0].server % 4 < 2  # half of each zone
                 status = Status.OK if there else Status.CONNECT_FAILED
                 actions = balancer.handle(
@@ -116,7 +116,7 @@
     "status, cost", [(Status.CONNECT_FAILED, 0.0), (Status.REJECTED, 0.25), (Status.RESET, 1.0)]
 )
 def test_a_retry_costs_what_the_attempt_before_it_may_have_cost_a_server(status, cost):
-    balancer, now = make(servers=6, effect=Effect.IDEMPOTENT)
+    balancer, now = make_balancer(servers=6, effect=Effect.IDEMPOTENT)
     sent = send_one(balancer, now, 1)
     balancer.retry_policy.tokens = 1.0
     balancer.handle(now + MS, Outcome(1, 0, sent.server, status, MS, False))
@@ -124,7 +124,7 @@
 
 
 def test_one_request_in_ten_at_most_tries_an_avoided_server_however_many_are_due():
-    balancer, now = make(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
+    balancer, now = make_balancer(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     for server in list(balancer.endpoints.servers.values())[:30]:
         balancer.outlier_detector.eject(server)
         server.half_open_at = now
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,6 +1,18 @@
 """Rules 1 to 3 and the pace of cold servers, each by itself; test_property.py checks them together."""
 
-from helpers import MS, SECOND, START, endpoint, kinds, make, play_timers, request, send_one, serve, settings
+from helpers import (
+    MS,
+    SECOND,
+    START,
+    actions_of_type,
+    endpoint,
+    fire_timers,
+    make_balancer,
+    request,
+    send_one,
+    serve_requests,
+    settings,
+)
 
 from ochreflow import Balancer
 from ochreflow.policy.interface import (
@@ -27,67 +39,69 @@
 
 
 def test_a_timeout_at_the_deadline_is_answered_at_once():
-    balancer, now = make(effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     first = send_one(balancer, now, 1)
     late = now + 2 * SECOND
     actions = balancer.handle(late, Outcome(1, 0, first.server, Status.TIMEOUT, 2 * SECOND, False))
-    assert kinds(actions, Fail, Reject) == [Fail(1)]
+    assert actions_of_type(actions, Fail, Reject) == [Fail(1)]
 
 
 def test_without_servers_a_request_is_pending_and_rejected_before_the_client_gives_up():
-    balancer, now = make(entries=[])
+    balancer, now = make_balancer(entries=[])
     actions = balancer.handle(now, request(1, now, SECOND))
-    assert not kinds(actions, Send, Reject, Fail)
-    done = play_timers(balancer, now, actions, now + 3 * SECOND)
+    assert not actions_of_type(actions, Send, Reject, Fail)
+    done = fire_timers(balancer, now, actions, now + 3 * SECOND)
     answers = [(when, a) for when, a in done if isinstance(a, Reject | Fail)]
     assert len(answers) == 1
     assert answers[0][0] < now + SECOND
 
 
 def test_a_pending_request_is_sent_when_a_server_appears():
-    balancer, now = make(entries=[])
+    balancer, now = make_balancer(entries=[])
     actions = balancer.handle(now, request(1, now))
     actions += balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(7)]))
-    done = play_timers(balancer, now, actions, now + SECOND)
+    done = fire_timers(balancer, now, actions, now + SECOND)
     assert [a.server for _, a in done if isinstance(a, Send)][:1] == [7]
 
 
 def test_nothing_follows_a_drop():
-    balancer, now = make(effect=Effect.IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
     actions = balancer.handle(now + MS, Outcome(1, 0, first.server, Status.REJECTED, MS, False))
     balancer.handle(now + MS, RequestCancelled(1))
     balancer.handle(now + MS, RequestCancelled(1))
-    done = play_timers(balancer, now + MS, actions, now + 3 * SECOND)
+    done = fire_timers(balancer, now + MS, actions, now + 3 * SECOND)
     assert not [a for _, a in done if isinstance(a, Send | Reject | Fail)]
 
 
 def test_draining_and_removed_servers_get_nothing_not_even_scheduled_retries():
     entries = [endpoint(1), endpoint(2)]
-    balancer, now = make(entries=entries, effect=Effect.IDEMPOTENT)
+    balancer, now = make_balancer(entries=entries, effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
     other = 3 - first.server
     actions = balancer.handle(now, Outcome(1, 0, first.server, Status.REJECTED, MS, False))
     balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(other, state=State.DRAINING)]))
-    done = play_timers(balancer, now, actions, now + SECOND)
+    done = fire_timers(balancer, now, actions, now + SECOND)
     assert {a.server for _, a in done if isinstance(a, Send)} <= {first.server}
     balancer.handle(now, Membership(ListKind.FULL, 3, [endpoint(other)]))
     for n in range(2, 12):
-        sends = kinds(balancer.handle(now, request(n, now)), Send)
+        sends = actions_of_type(balancer.handle(now, request(n, now)), Send)
         assert {a.server for a in sends} <= {other}
 
 
 def test_a_retry_with_a_key_stays_in_the_cell_and_is_never_rejected():
     entries = [endpoint(1, cell=0), endpoint(2, cell=0), endpoint(3, cell=1), endpoint(4, cell=1)]
     for seed in range(20):
-        balancer, now = make(entries=entries, seed=seed, effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.CELL)
+        balancer, now = make_balancer(
+            entries=entries, seed=seed, effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.CELL
+        )
         first = send_one(balancer, now, 1)
         actions = balancer.handle(now, Outcome(1, 0, first.server, Status.RESET, MS, False))
-        done = play_timers(balancer, now, actions, now + SECOND)
+        done = fire_timers(balancer, now, actions, now + SECOND)
         assert {(a.server - 1) // 2 for _, a in done if isinstance(a, Send)} <= {(first.server - 1) // 2}
         end = now + 2 * SECOND
         ended = balancer.handle(end, Outcome(1, 1, first.server, Status.TIMEOUT, SECOND, False))
-        assert not kinds([a for _, a in done] + ended, Reject)
+        assert not actions_of_type([a for _, a in done] + ended, Reject)
 
 
 def lose(balancer, now, server):
@@ -100,16 +114,16 @@
         now += 20 * MS
         new = balancer.handle(now, request(ident, now))
         actions += new
-        for sent in kinds(new, Send):
+        for sent in actions_of_type(new, Send):
             balancer.handle(now, Outcome(ident, 0, sent.server, Status.OK, 20 * MS, True))
     sends = []
     for ident in range(40):
         new = balancer.handle(now, request(ident, now))
         actions += new
-        sends += kinds(new, Send)
+        sends += actions_of_type(new, Send)
     there = [a.id for a in sends if a.server == server]
     assert len(there) > 3
-    for token in {a.token for a in kinds(actions, SetTimer)}:
+    for token in {a.token for a in actions_of_type(actions, SetTimer)}:
         actions += balancer.handle(now, Timer(token))  # the timers of the answered ones are over
     for ident in there[:2]:
         actions += balancer.handle(now, Outcome(ident, 0, server, Status.RESET, MS, False))
@@ -117,33 +131,33 @@
 
 
 def test_no_hedged_request_where_forbidden_but_the_first_is_cancelled_at_an_ejected_server():
-    balancer, now = make(effect=Effect.IDEMPOTENT, hedging=False)
+    balancer, now = make_balancer(effect=Effect.IDEMPOTENT, hedging=False)
     waiting, actions, now = lose(balancer, now, 100)
-    assert {a.id for a in kinds(actions, Cancel)} == set(waiting)
+    assert {a.id for a in actions_of_type(actions, Cancel)} == set(waiting)
     called_off = Outcome(waiting[0], 0, 100, Status.CANCELLED, 6 * MS, False)
     ended = actions + balancer.handle(now + 6 * MS, called_off)
-    done = play_timers(balancer, now + 6 * MS, ended, now + SECOND)
+    done = fire_timers(balancer, now + 6 * MS, ended, now + SECOND)
     assert [a for _, a in done if isinstance(a, Send) and a.id == waiting[0]]
 
 
 def test_attempts_at_an_ejected_server_are_retried_beside_it_where_allowed():
-    balancer, now = make(effect=Effect.IDEMPOTENT, hedging=True)
+    balancer, now = make_balancer(effect=Effect.IDEMPOTENT, hedging=True)
     waiting, actions, now = lose(balancer, now, 100)
-    done = play_timers(balancer, now, actions, now + SECOND)
+    done = fire_timers(balancer, now, actions, now + SECOND)
     assert {a.id for _, a in done if isinstance(a, Send)} & set(waiting)
-    assert not kinds(actions, Cancel)
+    assert not actions_of_type(actions, Cancel)
 
 
 def test_a_late_attempt_at_a_server_that_is_no_outlier_is_not_retried():
     """Incidents i921dec, i4efe13: quiet sidecars find every server silent and doubled the load."""
-    balancer, now = make(effect=Effect.IDEMPOTENT, hedging=True)
-    done = play_timers(balancer, now, balancer.handle(now, request(1, now)), now + 2 * SECOND)
+    balancer, now = make_balancer(effect=Effect.IDEMPOTENT, hedging=True)
+    done = fire_timers(balancer, now, balancer.handle(now, request(1, now)), now + 2 * SECOND)
     assert not [a for _, a in done if isinstance(a, Send)]
 
 
 def test_a_silent_server_is_ejected_and_an_answer_readmits_it():
     entries = [endpoint(n) for n in range(1, 7)]
-    balancer, now = make(entries=entries, effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(entries=entries, effect=Effect.NON_IDEMPOTENT)
     ident = 0
     hung = 3
 
@@ -179,11 +193,11 @@
 
 def test_a_fast_error_does_not_look_like_a_fast_server():
     entries = [endpoint(n) for n in range(1, 7)]
-    balancer, now = make(entries=entries, effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(entries=entries, effect=Effect.NON_IDEMPOTENT)
     chosen = dict.fromkeys(range(1, 7), 0)
     for ident in range(400):
         now += 10 * MS
-        send = kinds(balancer.handle(now, request(ident, now)), Send)
+        send = actions_of_type(balancer.handle(now, request(ident, now)), Send)
         for action in send:
             chosen[action.server] += 1
             bad = action.server == 1
@@ -195,13 +209,13 @@
 
 def test_a_warming_server_gets_less_than_its_fair_share_until_it_answers():
     warm = [endpoint(n) for n in range(1, 5)]
-    balancer, now = make(entries=warm, effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(entries=warm, effect=Effect.NON_IDEMPOTENT)
     cold_sends = 0
     for ident in range(600):
         now += 10 * MS
         if ident == 300:
             balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(9, started=now)]))
-        for action in kinds(balancer.handle(now, request(ident, now)), Send):
+        for action in actions_of_type(balancer.handle(now, request(ident, now)), Send):
             if action.server == 9:
                 cold_sends += 1
             else:
@@ -212,19 +226,21 @@
 def test_warming_servers_are_tried_by_a_sidecar_that_sends_little_at_a_time():
     """i8cc3a0: one request in flight at a time never reached the servers that came to help."""
     entries = [endpoint(100), endpoint(101)]
-    balancer, now = make(entries=entries)
-    now, _ = serve(balancer, now, range(100), 50 * MS)
+    balancer, now = make_balancer(entries=entries)
+    now, _ = serve_requests(balancer, now, range(100), 50 * MS)
     arrived = [endpoint(server, started=now) for server in (200, 201, 202)]
     balancer.handle(now, Membership(ListKind.FULL, 2, entries + arrived))
-    now, reached = serve(balancer, now, range(100, 200), 50 * MS)
+    now, reached = serve_requests(balancer, now, range(100, 200), 50 * MS)
     assert reached >= {200, 201, 202}
 
 
 def test_a_new_sidecar_does_not_flood_a_warming_server():
-    balancer, now = make(entries=[endpoint(1), endpoint(2, started=START)], effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(
+        entries=[endpoint(1), endpoint(2, started=START)], effect=Effect.NON_IDEMPOTENT
+    )
     sends = []
     for ident in range(50):
-        sends += kinds(balancer.handle(now, request(ident, now)), Send)
+        sends += actions_of_type(balancer.handle(now, request(ident, now)), Send)
     assert sum(a.server == 2 for a in sends) <= 1
 
 
@@ -232,10 +248,12 @@
     """The walk over a group used to pass over one server when its first step was not to the next."""
     for seed in range(60):
         entries = [endpoint(100 + n, cell=n // 2) for n in range(6)]  # two to a cell
-        balancer, now = make(entries=entries, effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.CELL, seed=seed)
+        balancer, now = make_balancer(
+            entries=entries, effect=Effect.IDEMPOTENT_WITH_KEY, scope=Scope.CELL, seed=seed
+        )
         first = send_one(balancer, now, 1).server
         actions = balancer.handle(now + MS, Outcome(1, 0, first, Status.RESET, MS, False))
-        done = play_timers(balancer, now + MS, actions, now + SECOND)
+        done = fire_timers(balancer, now + MS, actions, now + SECOND)
         assert [a.server for _, a in done if isinstance(a, Send)] == [first + 1 - 2 * (first % 2)]
 
 
@@ -247,11 +265,11 @@
             START,
         )
         armed = balancer.handle(now, Membership(ListKind.CACHED, 1, [endpoint(1)]))
-        done = play_timers(balancer, now, armed, now + 10 * SECOND)
+        done = fire_timers(balancer, now, armed, now + 10 * SECOND)
         polled = [when for when, a in done if isinstance(a, Watch)]
         starts.add(polled[0])
         failed = balancer.handle(polled[0], Membership(ListKind.FAILED, 0, []))
-        retried = play_timers(balancer, polled[0], failed, polled[0] + 10 * SECOND)
+        retried = fire_timers(balancer, polled[0], failed, polled[0] + 10 * SECOND)
         assert [a for _, a in retried if isinstance(a, Watch)]
     assert len(starts) > 8
 
@@ -263,9 +281,9 @@
         wanted = settings(polling_required=True, polling_interval_ns=10 * SECOND, fleet_size=40)
         balancer, now = Balancer(wanted, seed), START
         armed = balancer.handle(now, Membership(ListKind.CACHED, 1, [endpoint(1)]))
-        polled = [when for when, a in play_timers(balancer, now, armed, now + 10 * SECOND)]
+        polled = [when for when, a in fire_timers(balancer, now, armed, now + 10 * SECOND)]
         failed = balancer.handle(polled[0], Membership(ListKind.FAILED, 0, []))
-        polled += [when for when, a in play_timers(balancer, polled[0], failed, polled[0] + 10 * SECOND)]
+        polled += [when for when, a in fire_timers(balancer, polled[0], failed, polled[0] + 10 * SECOND)]
         first.append(polled[0] - START)
         retried.append(polled[1] - polled[0])
     for waits in (first, retried):
@@ -274,7 +292,7 @@
 
 
 def test_odd_input_is_harmless():
-    balancer, now = make(tenants=[Tenant("t", 1.0, 10.0)], can_gossip=True, fleet_size=2)
+    balancer, now = make_balancer(tenants=[Tenant("t", 1.0, 10.0)], can_gossip=True, fleet_size=2)
     for event in (
         Outcome(99, 0, 12345, Status.OK, MS, True),
         Outcome(99, 3, 100, Status.TIMEOUT, MS, False),
@@ -285,38 +303,40 @@
         GossipReceived(7, b"1234"),
         Timer(4242),
     ):
-        assert not kinds(balancer.handle(now, event), Send, Reject, Fail)
+        assert not actions_of_type(balancer.handle(now, event), Send, Reject, Fail)
 
 
 def test_nothing_is_sent_after_a_stream_has_started():
-    balancer, now = make(effect=Effect.IDEMPOTENT)
+    balancer, now = make_balancer(effect=Effect.IDEMPOTENT)
     actions = balancer.handle(now, request(1, now))
-    first = kinds(actions, Send)[0]
+    first = actions_of_type(actions, Send)[0]
     actions += balancer.handle(now + MS, StreamStarted(1, 0, first.server, MS))
-    done = play_timers(balancer, now, actions, now + 5 * SECOND)
+    done = fire_timers(balancer, now, actions, now + 5 * SECOND)
     assert not [a for _, a in done if isinstance(a, Send)]
 
 
 def test_when_all_servers_drain_a_request_is_pending_and_rejected_in_time():
-    balancer, now = make(entries=[endpoint(1, state=State.DRAINING), endpoint(2, state=State.DRAINING)])
+    balancer, now = make_balancer(
+        entries=[endpoint(1, state=State.DRAINING), endpoint(2, state=State.DRAINING)]
+    )
     actions = balancer.handle(now, request(1, now, SECOND))
-    done = [(now, a) for a in actions] + play_timers(balancer, now, actions, now + 3 * SECOND)
+    done = [(now, a) for a in actions] + fire_timers(balancer, now, actions, now + 3 * SECOND)
     assert not [a for _, a in done if isinstance(a, Send)]
     assert [when < now + SECOND for when, a in done if isinstance(a, Reject)] == [True]
 
 
 def test_a_server_that_falls_over_at_once_is_no_crash():
     """With no time that overload must last, each answer was a fault of the module, and lost its estimates."""
-    balancer, now = make(overload_for_ns=0)
-    now, _ = serve(balancer, now, range(20), 50 * MS)
+    balancer, now = make_balancer(overload_for_ns=0)
+    now, _ = serve_requests(balancer, now, range(20), 50 * MS)
     assert 5.0 < balancer.latency.answer_rate < 40.0
 
 
 def test_when_each_server_was_ejected_requests_are_still_sent():
-    balancer, now = make(entries=[endpoint(1)], effect=Effect.NON_IDEMPOTENT)
+    balancer, now = make_balancer(entries=[endpoint(1)], effect=Effect.NON_IDEMPOTENT)
     sends = []
     for ident in range(4):
-        sends += kinds(balancer.handle(now, request(ident, now)), Send)
+        sends += actions_of_type(balancer.handle(now, request(ident, now)), Send)
     for send in sends:
         balancer.handle(now + MS, Outcome(send.id, 0, 1, Status.RESET, MS, False))
-    assert kinds(balancer.handle(now + 2 * MS, request(99, now)), Send)
+    assert actions_of_type(balancer.handle(now + 2 * MS, request(99, now)), Send)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from simulated import play
+from simulated import run_scenario
 from test_operator_file import command
 
 import ochreflow
@@ -106,7 +106,7 @@
     def judged(name, made, program):
         run_dir = tmp_path / name
         run_dir.mkdir()
-        return name, play(made, run_dir, 1, program)
+        return name, run_scenario(made, run_dir, 1, program)
 
     runs = [(f"good {number}", made, None) for number, made in enumerate((TROUBLED, DRAINED, KILLED, COLD))]
     for number, (rule, (file, old, new, made)) in enumerate(SABOTAGE.items()):
@@ -115,7 +115,7 @@
         result = dict(pool.map(lambda one: judged(*one), runs))
     for name, run in result.items():
         if name in SABOTAGE:
-            assert name in run.broken, name
+            assert name in run.broken_rules, name
         else:
             assert not run.findings and not run.crashed, (name, run.findings[:3], run.crashed[:3])
         assert run.requests > 100
@@ -127,8 +127,8 @@
     late = """\
         wait = 0.0 if response.answer else 0.07  # it gives up 15 ms before the deadline
         self.loop.call_later(wait, pending.response_sink.respond, pending.request, response)"""
-    run = play(made, tmp_path, 1, sabotaged(tmp_path / "program", file, old, late))
-    assert run.findings and run.broken == {"one final answer"}
+    run = run_scenario(made, tmp_path, 1, sabotaged(tmp_path / "program", file, old, late))
+    assert run.findings and run.broken_rules == {"one final answer"}
     assert all(" after 2.055 of 2 s" in text for _, text in run.findings)
 
 
--- a/tests/test_second_response.py
+++ b/tests/test_second_response.py
@@ -12,18 +12,18 @@
 import pytest
 from net_helpers import (
     HOST,
-    WAIT,
-    Fake,
+    WAIT_TIMEOUT_S,
+    FakePeer,
     Sidecar,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
-    reply,
+    http_request,
+    http_response,
     run,
-    until,
+    send_request,
+    wait_until,
 )
 
 from ochreflow.core.limits import MB, Descriptors, Memory
@@ -32,8 +32,8 @@
 from ochreflow.http.upstream import Upstreams
 from ochreflow.policy.interface import State, Status
 
-REFUSAL = reply(503, b"", "X-Not-Run: 1")
-REAL = reply(200, b"the real one")
+REFUSAL = http_response(503, b"", "X-Not-Run: 1")
+REAL = http_response(200, b"the real one")
 SERVED = (Status.OK, b"the real one")
 PAYLOAD = b"GET /lookup HTTP/1.1\r\nX-Request-Id: ab\r\n\r\n"
 AWHILE = 0.3  # seconds; long after what is sent in the turn in which they begin has come
@@ -73,7 +73,7 @@
             end.set_result((status, answer and answer.body))
 
         exchange = Exchange(lambda: PAYLOAD, done, 64 * 1024, idempotent=idempotent)
-        self.pool.start(1, exchange, WAIT)
+        self.pool.start(1, exchange, WAIT_TIMEOUT_S)
         return exchange, end
 
     async def accept(self):
@@ -105,7 +105,7 @@
             servers.append(await self.accept())
             await self.read(servers[-1])
         for server, end in zip(servers, ends, strict=True):
-            server.sendall(reply())
+            server.sendall(http_response())
             assert await end == (Status.OK, b"ok")
         return servers
 
@@ -114,7 +114,9 @@
         self.listener.close()
 
 
-@pytest.mark.parametrize("second", [REFUSAL, reply(500), reply(200, b"another's")], ids=["503", "500", "200"])
+@pytest.mark.parametrize(
+    "second", [REFUSAL, http_response(500), http_response(200, b"another's")], ids=["503", "500", "200"]
+)
 def test_a_late_second_answer_is_not_taken_for_that_to_the_next_unsafe_request(second, settling_time):
     settling_time(AWHILE)
 
@@ -231,7 +233,7 @@
         else:
             exchange.give_up(Status.TIMEOUT)
         assert await end == (Status.CONNECT_FAILED, None)
-        await until(lambda: not stage.pool.targets[1].opening)
+        await wait_until(lambda: not stage.pool.targets[1].opening)
         if how == "drain":
             assert not stage.pool.connections
         else:
@@ -266,7 +268,7 @@
     await stage.read(server)
     stage.pool.loop = Holding(stage.loop)
     _, second = stage.start(idempotent=False)
-    server.sendall(reply())
+    server.sendall(http_response())
     assert (await first)[0] is Status.OK
     return server, second
 
@@ -280,7 +282,7 @@
         stage = Stage()
         server, end = await one_waits_as_another_is_answered(stage)
         server.sendall(REFUSAL)
-        await until(lambda: len(stage.pool.connections) == 1)  # its own, which is held
+        await wait_until(lambda: len(stage.pool.connections) == 1)  # its own, which is held
         stage.pool.loop.open.set()
         other = await stage.accept()
         await stage.read(other)
@@ -302,7 +304,7 @@
         server.sendall(REAL)
         assert await end == SERVED
         stage.pool.loop.open.set()
-        await until(lambda: not stage.pool.targets[1].opening)
+        await wait_until(lambda: not stage.pool.targets[1].opening)
         stage.close()
 
     run(play())
@@ -331,7 +333,7 @@
         stage = Stage()
         server = await stage.served()
         server.sendall(REFUSAL)
-        await until(lambda: not stage.pool.connections)
+        await wait_until(lambda: not stage.pool.connections)
         stage.close()
 
     run(play())
@@ -368,15 +370,15 @@
                 await refuse.wait()
                 writer.write(REFUSAL)
 
-        server = await Fake(act).start()
-        data = config(news(1, entry("s0", server.address)))
+        server = await FakePeer(act).start()
+        data = config(endpoint_update(1, entry("s0", server.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            assert (await ask(sidecar.port, message("lookup", "first"))).code == 200
-            second = asyncio.create_task(ask(sidecar.port, message(cls, "second")))
-            await until(lambda: sidecar.engine.attempts.in_flight)
+            assert (await send_request(sidecar.port, http_request("lookup", "first"))).code == 200
+            second = asyncio.create_task(send_request(sidecar.port, http_request(cls, "second")))
+            await wait_until(lambda: sidecar.engine.attempts.in_flight)
             refuse.set()
             assert (await second).code == 200
-        copies = [got for got in server.got if got.headers["x-request-id"] == "second"]
+        copies = [got for got in server.received if got.headers["x-request-id"] == "second"]
         assert len(copies) == 1
 
     run(play())
--- a/tests/test_socket_stream.py
+++ b/tests/test_socket_stream.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from net_helpers import HOST, run, until
+from net_helpers import HOST, run, wait_until
 
 from ochreflow.http.socket_stream import SocketStream
 
@@ -100,7 +100,7 @@
             while stream.unsent:
                 received += drain(peer)
                 await asyncio.sleep(0)
-            await until(lambda: stream.unacknowledged() == 0 or drain(peer))
+            await wait_until(lambda: stream.unacknowledged() == 0 or drain(peer))
             assert owner.told == ["pause", "resume"]
 
     run(play())
@@ -111,7 +111,7 @@
         with connected() as (_, owner, peer):
             peer.sendall(b"whole")
             reset(peer)
-            await until(lambda: owner.told)
+            await wait_until(lambda: owner.told)
             assert bytes(owner.received) == b"whole"
             assert owner.told[0] == "broken"
 
@@ -126,7 +126,7 @@
             reset(peer)
             stream.write(b"more")
             assert stream.failed and bytes(stream.unsent) == b"more"
-            await until(lambda: "broken" in owner.told)
+            await wait_until(lambda: "broken" in owner.told)
             assert "end" not in owner.told
 
     run(play())
@@ -159,6 +159,6 @@
             reported = []
             asyncio.get_running_loop().set_exception_handler(lambda _, context: reported.append(context))
             peer.sendall(b"x")
-            await until(lambda: owner.told == ["broken"] and reported)
+            await wait_until(lambda: owner.told == ["broken"] and reported)
 
     run(play())
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -7,18 +7,18 @@
 import pytest
 from net_helpers import (
     HOST,
-    Fake,
+    FakePeer,
     Sidecar,
     answer_ok,
-    ask,
     config,
+    endpoint_update,
     entry,
-    message,
-    news,
+    http_request,
     read_message,
     reset,
     run,
-    until,
+    send_request,
+    wait_until,
 )
 
 from ochreflow.core import body as bodies
@@ -86,13 +86,15 @@
 
 
 def chunked_head(ident="ab"):
-    head = message("order", ident).split(b"Content-Length")[0]
+    head = http_request("order", ident).split(b"Content-Length")[0]
     return head + b"Transfer-Encoding: chunked\r\n\r\n"
 
 
 @contextlib.asynccontextmanager
 async def sidecar_before(tmp_path, server, **more):
-    async with Sidecar(tmp_path / "c", config(news(1, entry("s1", server.address)), **more)) as sidecar:
+    async with Sidecar(
+        tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)), **more)
+    ) as sidecar:
         yield sidecar
         assert not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
 
@@ -102,21 +104,22 @@
         server = await Server(say_ok).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             data = PIECE * 48  # 3 MB
-            assert (await ask(sidecar.port, message("order", "one", "3000m", data))).code == 200
+            assert (await send_request(sidecar.port, http_request("order", "one", "3000m", data))).code == 200
             parts = [b"%x;ext=1\r\n%s\r\n" % (len(PIECE), PIECE) for _ in range(48)]
             whole = chunked_head() + b"".join(parts) + b"0\r\nX-Trailer: x\r\n\r\n"
-            assert (await ask(sidecar.port, whole)).code == 200
+            assert (await send_request(sidecar.port, whole)).code == 200
             assert server.bodies == [data, data]
             assert f"content-length: {len(data)}" in server.heads[0]
             assert "transfer-encoding: chunked" in server.heads[1]
-            spaced = message("order", "two", "3000m", data).replace(
+            spaced = http_request("order", "two", "3000m", data).replace(
                 b"\r\nContent-Length: ", b"\r\nContent-Length:\t "
             )
             head, _, rest = spaced.partition(b"\r\n\r\n")
-            assert (await ask(sidecar.port, head + b" \r\n\r\n" + rest)).code == 200  # white space is no part
+            # white space is no part
+            assert (await send_request(sidecar.port, head + b" \r\n\r\n" + rest)).code == 200
             assert server.bodies == [data, data, data]
             assert sidecar.engine.stats.forwards == 3
-            await until(lambda: sidecar.engine.memory.reserved_bytes == 0)
+            await wait_until(lambda: sidecar.engine.memory.reserved_bytes == 0)
 
     run(play())
 
@@ -127,21 +130,23 @@
     async def play():
         listening = socket.create_server((HOST, 0))
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16 * 1024)
-        data = config(news(1, entry("s1", f"{HOST}:{listening.getsockname()[1]}")))
+        data = config(endpoint_update(1, entry("s1", f"{HOST}:{listening.getsockname()[1]}")))
         async with Sidecar(tmp_path / "c", data) as sidecar:
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.transport.set_write_buffer_limits(high=0)
-            writer.write(message("order", "big", "3000m", bytes(BIG)))
-            await until(lambda: sidecar.http.clients.connections)
+            writer.write(http_request("order", "big", "3000m", bytes(BIG)))
+            await wait_until(lambda: sidecar.http.clients.connections)
             (front,) = sidecar.http.clients.connections
-            await until(lambda: any(one.stream.unsent for one in sidecar.upstreams.connections))
-            await until(lambda: front.paused and front.uploading is not None)
+            await wait_until(lambda: any(one.stream.unsent for one in sidecar.upstreams.connections))
+            await wait_until(lambda: front.paused and front.uploading is not None)
             (connection,) = sidecar.upstreams.connections
             assert connection.unwritten
             assert len(connection.stream.unsent) < 2 * MB
             assert sidecar.engine.memory.reserved_bytes < 2 * MAX_BUFFERED_BYTES
             writer.transport.abort()  # the client gives up: nothing has run
-            await until(lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight)
+            await wait_until(
+                lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
+            )
             assert sidecar.engine.memory.reserved_bytes == 0 and sidecar.engine.stats.forwards == 0
             writer.close()
         listening.close()
@@ -164,20 +169,20 @@
             handle = sidecar.engine.balancer.handle
             sidecar.engine.balancer.handle = lambda now, event: events.append(event) or handle(now, event)
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("order", "ab", "300m"))
+            writer.write(http_request("order", "ab", "300m"))
             head = await reader.readuntil(b"\r\n\r\n")
             assert b"Content-Length: %d" % BIG in head
             assert await reader.readexactly(len(PIECE)) == PIECE
             await asyncio.sleep(0.4)  # past its deadline: an answer that has begun has none
             go.set()
             assert await reader.readexactly(BIG - len(PIECE)) == bytes(BIG - len(PIECE))
-            writer.write(message("order", "cd"))  # the connection is of further use
+            writer.write(http_request("order", "cd"))  # the connection is of further use
             await reader.readuntil(b"\r\n\r\n")
             writer.close()
             started = [event for event in events if isinstance(event, api.StreamStarted)]
             ended = [event for event in events if isinstance(event, api.Outcome)]
             assert started[0].duration_ns == ended[0].duration_ns and ended[0].final
-            await until(lambda: not sidecar.engine.requests.pending)
+            await wait_until(lambda: not sidecar.engine.requests.pending)
             assert sidecar.engine.memory.reserved_bytes == 0
 
     run(play())
@@ -197,14 +202,14 @@
         server = await Server(act).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("order", "ab"))
+            writer.write(http_request("order", "ab"))
             head = await reader.readuntil(b"\r\n\r\n")
             assert b" 200 " in head and await reader.readexactly(len(PIECE)) == PIECE
             if drains == "the sidecar":
                 sidecar.engine.drain()
-                await until(lambda: sidecar.engine.lifecycle.closing_idle_connections)
+                await wait_until(lambda: sidecar.engine.lifecycle.closing_idle_connections)
             else:
-                change = news(2, entry("s1", server.address, "DRAINING"), snapshot=False)
+                change = endpoint_update(2, entry("s1", server.address, "DRAINING"), snapshot=False)
                 sidecar.engine.on_endpoint_update(parse_endpoint_update(change, sidecar.endpoint_ids))
             go.set()
             assert await reader.readexactly(len(PIECE)) == PIECE
@@ -232,7 +237,7 @@
             whole = bytes(65 + n % 26 for n in range(50))
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             for n in range(3):
-                writer.write(message("order", f"id{n}"))
+                writer.write(http_request("order", f"id{n}"))
                 head = await reader.readuntil(b"\r\n\r\n")
                 if b"Content-Length: 50" in head:
                     assert await reader.readexactly(50) == whole
@@ -261,7 +266,7 @@
         async with sidecar_before(tmp_path, server) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             for ident in ("one", "two"):  # the client's connection is of further use
-                writer.write(message("order", ident))
+                writer.write(http_request("order", ident))
                 head = await reader.readuntil(b"\r\n\r\n")
                 if b"chunked" in head:
                     assert await read_chunks(reader) == PIECE * 2
@@ -280,7 +285,7 @@
 
         server = await Server(full).start()
         async with sidecar_before(tmp_path, server) as sidecar:
-            assert (await ask(sidecar.port, message("order", "ab", "500m"))).code == 503
+            assert (await send_request(sidecar.port, http_request("order", "ab", "500m"))).code == 503
             assert sidecar.engine.stats.results[2] == [0, 1, 0]
 
     run(play())
@@ -301,13 +306,13 @@
         server = await Server(broken).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("order", "ab"))
+            writer.write(http_request("order", "ab"))
             await reader.readuntil(b"\r\n\r\n")
             go.set()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
                 await (reader.readexactly(BIG) if b"Length" in framing else read_chunks(reader))
             writer.close()
-            await until(lambda: not sidecar.engine.requests.pending)
+            await wait_until(lambda: not sidecar.engine.requests.pending)
             assert sidecar.engine.stats.results[2] == [0, 0, 1]
 
     run(play())
@@ -328,14 +333,14 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
             sock.setblocking(False)
             await loop.sock_connect(sock, (HOST, sidecar.port))
-            await loop.sock_sendall(sock, message("order", "ab"))
-            await until(lambda: any(c.response_paused for c in sidecar.upstreams.connections))
+            await loop.sock_sendall(sock, http_request("order", "ab"))
+            await wait_until(lambda: any(c.response_paused for c in sidecar.upstreams.connections))
             (client,) = sidecar.http.clients.connections
             assert client.transport.get_write_buffer_size() < MB
             assert sidecar.engine.memory.reserved_bytes < MB
-            await until(lambda: not sidecar.http.clients.connections)
+            await wait_until(lambda: not sidecar.http.clients.connections)
             sock.close()
-            await until(lambda: not sidecar.engine.requests.pending)
+            await wait_until(lambda: not sidecar.engine.requests.pending)
 
     run(play())
 
@@ -353,12 +358,12 @@
         reading, go = asyncio.Event(), asyncio.Event()
         server = await asyncio.start_server(hang_up, HOST, 0)
         address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", address)))) as sidecar:
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", address)))) as sidecar:
             events = []
             handle = sidecar.engine.balancer.handle
             sidecar.engine.balancer.handle = lambda now, event: events.append(event) or handle(now, event)
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            whole = message("order", "ab", "3000m", bytes(BIG))
+            whole = http_request("order", "ab", "3000m", bytes(BIG))
             writer.write(whole[: 256 * 1024])
             await reading.wait()
             go.set()
@@ -385,12 +390,14 @@
         free.close()
         server = await Server(say_ok).start()
         entries = [entry("s1", nobody), entry("s2", server.address)]
-        async with Sidecar(tmp_path / "c", config(news(1, *entries))) as sidecar:
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, *entries))) as sidecar:
             for n in range(4):
                 sidecar.engine.balancer.retry_policy.tokens = (
                     5.0  # how often it may repeat is not the matter here
                 )
-                got = await ask(sidecar.port, message("order", f"id{n}", "3000m", bytes(200_000)))
+                got = await send_request(
+                    sidecar.port, http_request("order", f"id{n}", "3000m", bytes(200_000))
+                )
                 assert got.code == 200
             assert [len(body) for body in server.bodies] == [200_000] * 4
 
@@ -403,10 +410,10 @@
     async def play():
         server = await Server(say_ok).start()
         async with sidecar_before(tmp_path, server) as sidecar:
-            whole = message("order", "ab", "3000m", bytes(BIG))
-            assert (await ask(sidecar.port, whole[: 256 * 1024])).code == 408
-            await until(lambda: server.broken)
-            await until(lambda: not sidecar.engine.requests.pending)
+            whole = http_request("order", "ab", "3000m", bytes(BIG))
+            assert (await send_request(sidecar.port, whole[: 256 * 1024])).code == 408
+            await wait_until(lambda: server.broken)
+            await wait_until(lambda: not sidecar.engine.requests.pending)
             assert not server.bodies and sidecar.engine.stats.results[2] == [0, 0, 1]
 
     run(play())
@@ -423,7 +430,7 @@
             writer.write(b"zz\r\n")
             assert (await read_message(reader)).code == 400
             writer.close()
-            await until(lambda: server.broken)
+            await wait_until(lambda: server.broken)
             assert not server.bodies and sidecar.engine.stats.forwards == 0
 
     run(play())
@@ -434,20 +441,22 @@
     monkeypatch.setattr(clients, "MIN_BODY_BYTES_PER_S", 1000)
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            whole = message("order", "slow", "4000m", bytes(4000))
+            whole = http_request("order", "slow", "4000m", bytes(4000))
             start = len(whole) - 4000
             writer.write(whole[:start])
             for at in range(start, len(whole), 100):  # 0.8 s, with 5 kB a second
                 writer.write(whole[at : at + 100])
                 await asyncio.sleep(0.02)
             assert (await read_message(reader)).code == 200
-            writer.write(message("order", "one", "4000m", bytes(300_000)))
-            writer.write(message("order", "two", "4000m", bytes(300_000)) + b"GET /nothing HTTP/1.1\r\n\r\n")
+            writer.write(http_request("order", "one", "4000m", bytes(300_000)))
+            writer.write(
+                http_request("order", "two", "4000m", bytes(300_000)) + b"GET /nothing HTTP/1.1\r\n\r\n"
+            )
             assert [(await read_message(reader)).code for _ in range(3)] == [200, 200, 404]
-            assert [len(got.body) for got in fake.got] == [4000, 300_000, 300_000]
+            assert [len(got.body) for got in fake.received] == [4000, 300_000, 300_000]
             writer.close()
 
     run(play())
@@ -467,17 +476,19 @@
     go, waiting = asyncio.Event(), asyncio.Event()
 
     async def play():
-        fake = await Fake(answer_ok).start()
-        async with Sidecar(tmp_path / "c", config(news(1, entry("s1", fake.address)))) as sidecar:
+        fake = await FakePeer(answer_ok).start()
+        async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
-            writer.write(message("order", "left", "3000m", b"body"))
+            writer.write(http_request("order", "left", "3000m", b"body"))
             await waiting.wait()
             writer.transport.abort()
-            await until(lambda: not sidecar.engine.requests.pending)
+            await wait_until(lambda: not sidecar.engine.requests.pending)
             assert not sidecar.engine.attempts.in_flight and sidecar.engine.memory.reserved_bytes == 0
             go.set()
-            assert (await ask(sidecar.port, message("order", "stays", "3000m", b"body"))).code == 200
-            assert [got.headers["x-request-id"] for got in fake.got] == ["stays"]
+            assert (
+                await send_request(sidecar.port, http_request("order", "stays", "3000m", b"body"))
+            ).code == 200
+            assert [got.headers["x-request-id"] for got in fake.received] == ["stays"]
             assert sidecar.engine.stats.forwards == 1
 
     run(play())
--- a/tests/test_unwritten.py
+++ b/tests/test_unwritten.py
@@ -14,7 +14,18 @@
 import struct
 
 import pytest
-from net_helpers import HOST, WAIT, Sidecar, config, entry, message, news, read_message, run, until
+from net_helpers import (
+    HOST,
+    WAIT_TIMEOUT_S,
+    Sidecar,
+    config,
+    endpoint_update,
+    entry,
+    http_request,
+    read_message,
+    run,
+    wait_until,
+)
 
 from ochreflow.policy.interface import Outcome, Status
 
@@ -109,7 +120,7 @@
     def __init__(self, tmp_path, servers=2):
         self.servers = [SlowServer() for _ in range(servers)]
         entries = [entry(f"s{number}", server.address) for number, server in enumerate(self.servers)]
-        self.sidecar = Sidecar(tmp_path / "c", config(news(1, *entries)))
+        self.sidecar = Sidecar(tmp_path / "c", config(endpoint_update(1, *entries)))
         self.sidecar.upstreams.loop = SmallBuffers(asyncio.get_running_loop())
         self.engine = self.sidecar.engine
 
@@ -124,13 +135,13 @@
 
     async def partly_written(self):
         """The server that has got the first part of the request, and the attempt."""
-        await until(
+        await wait_until(
             lambda: any(one.upstream_attempt.begun for one in self.engine.attempts.in_flight.values())
         )
         (attempt,) = self.engine.attempts.in_flight.values()
         assert not attempt.upstream_attempt.may_run  # the rest waits for room
         server = self.servers[attempt.server - 1]
-        await until(lambda: server.accept() or server.connections)
+        await wait_until(lambda: server.accept() or server.connections)
         return server, attempt
 
     async def final(self, reader, server):
@@ -150,7 +161,7 @@
 
         serving = asyncio.create_task(serve())
         try:
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 return (await read_message(reader)).code
         finally:
             serving.cancel()
@@ -220,7 +231,7 @@
     """Let the server make room for the rest of an attempt that ends, both before the loop has a turn."""
     server.read()
     end(server.connections[0])
-    await until(lambda: attempt.upstream_attempt.ended)
+    await wait_until(lambda: attempt.upstream_attempt.ended)
     code = await stage.final(reader, server)
     copies = stage.whole_copies()
     assert copies <= 1, f"{copies} whole copies of one unrepeatable request"
@@ -232,7 +243,7 @@
     async def play():
         stage = Stage(tmp_path)
         body = body_for()
-        async with stage, client(stage, message("order", body=body)) as (reader, _):
+        async with stage, client(stage, http_request("order", body=body)) as (reader, _):
             server, attempt = await stage.partly_written()
             await ended_in_one_poll(stage, reader, server, attempt, end)
 
@@ -253,7 +264,7 @@
     async def play():
         stage = Stage(tmp_path)
         body = body_for()
-        async with stage, client(stage, message("order", body=body)) as (reader, _):
+        async with stage, client(stage, http_request("order", body=body)) as (reader, _):
             server, attempt = await stage.partly_written()
             await ended_in_one_poll(
                 stage, reader, server, attempt, lambda _: give_up(attempt.upstream_attempt)
@@ -272,7 +283,7 @@
         last = body_for()
         first = b"y" * (128 * 1024)
         if framing == "length":
-            whole = message("order", body=first + last)
+            whole = http_request("order", body=first + last)
             parts = whole[: -len(last)], whole[-len(last) :]
         else:
             head = b"POST /order/part HTTP/1.1\r\nX-Request-Id: 1\r\nX-Deadline: 3000m\r\n"
@@ -280,9 +291,9 @@
             parts = head + _chunk(first), _chunk(last) + b"0\r\n\r\n"
         async with stage, client(stage, parts[0]) as (reader, writer):
             server, attempt = await stage.partly_written()
-            await until(lambda: server.read() or len(server.received[0]) > len(first))
+            await wait_until(lambda: server.read() or len(server.received[0]) > len(first))
             writer.write(parts[1])
-            await until(lambda: attempt.pending.request.body.complete)
+            await wait_until(lambda: attempt.pending.request.body.complete)
             assert not attempt.upstream_attempt.may_run  # the rest waits for room
             await ended_in_one_poll(stage, reader, server, attempt, end)
 
@@ -300,13 +311,13 @@
         async with stage:
             sock = socket.create_connection((HOST, stage.sidecar.port))
             sock.setblocking(False)
-            await asyncio.get_running_loop().sock_sendall(sock, message("order", body=body))
+            await asyncio.get_running_loop().sock_sendall(sock, http_request("order", body=body))
             server, attempt = await stage.partly_written()
             if how == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             sock.close()
             server.read()
-            await until(lambda: attempt.upstream_attempt.ended)
+            await wait_until(lambda: attempt.upstream_attempt.ended)
             await asyncio.sleep(0)
             assert statuses == [Status.CANCELLED if stage.whole_copies() else Status.CONNECT_FAILED]
 
@@ -320,11 +331,11 @@
     async def play():
         stage = Stage(tmp_path)
         body = body_for() if waited else b"x" * 1000
-        async with stage, client(stage, message("order", body=body)) as (reader, _):
+        async with stage, client(stage, http_request("order", body=body)) as (reader, _):
             if waited:
                 server, attempt = await stage.partly_written()
                 server.read()
-            await until(
+            await wait_until(
                 lambda: any(one.upstream_attempt.may_run for one in stage.engine.attempts.in_flight.values())
             )
             (attempt,) = stage.engine.attempts.in_flight.values()
@@ -342,7 +353,7 @@
     async def play():
         stage = Stage(tmp_path)
         body = body_for()
-        async with stage, client(stage, message("order", body=body)):
+        async with stage, client(stage, http_request("order", body=body)):
             server, _ = await stage.partly_written()
             stage.sidecar.close()
             server.read()
