--- a/ochreflow/lab/fault/__init__.py
+++ b/ochreflow/lab/fault/__init__.py
@@ -1,1 +1,1 @@
-"""A tool that stands between sockets and breaks what goes through, the same way for the same seed."""
+"""A fault-injecting proxy for streams and datagrams; the same seed and traffic give the same faults."""
--- a/ochreflow/lab/fault/datagram_proxy.py
+++ b/ochreflow/lab/fault/datagram_proxy.py
@@ -1,4 +1,4 @@
-"""The sockets of proxied datagrams: one towards the target for each sender, so that answers reach it."""
+"""Sockets of the datagram proxy: one to the target for each sender, so that responses reach that sender."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 
 
 class DatagramProxy(asyncio.DatagramProtocol):
-    """Owns the listening socket and the senders' sockets."""
+    """Protocol of the listening socket; owns it and the sockets to the target."""
 
     def __init__(self, machine: DatagramMachine, target: Address) -> None:
-        """Forward to a target what the machine lets through."""
+        """Forward the datagrams that the machine returns to `target`."""
         self.machine = machine
         self.target = target
         self.transport: asyncio.DatagramTransport | None = None
-        self.senders: dict[Address, _Sender] = {}
+        self.sender_sockets: dict[Address, _SenderSocket] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the listening socket's transport."""
+        """Store the transport of the listening socket."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Forward a sender's datagram to the target."""
-        sender = self.senders.get(addr)
+        """Pass a datagram from a sender through the machine to the target."""
+        sender = self.sender_sockets.get(addr)
         loop = asyncio.get_running_loop()
         if sender is None:
-            sender = self.senders[addr] = _Sender(self, addr)
+            sender = self.sender_sockets[addr] = _SenderSocket(self, addr)
             sender.opening = loop.create_task(sender.open())
         for delayed in self.machine.feed(Side.REQUEST, data):
             loop.call_later(delayed.seconds, sender.send, delayed.data)
 
-    def answer_received(self, data: bytes, address: Address) -> None:
-        """Forward the target's datagram to the sender at this address."""
+    def response_received(self, data: bytes, address: Address) -> None:
+        """Pass a datagram from the target through the machine to the sender at `address`."""
         loop = asyncio.get_running_loop()
-        for delayed in self.machine.feed(Side.ANSWER, data):
-            loop.call_later(delayed.seconds, self._send_back, delayed.data, address)
+        for delayed in self.machine.feed(Side.RESPONSE, data):
+            loop.call_later(delayed.seconds, self._send_to_sender, delayed.data, address)
 
-    def _send_back(self, data: bytes, address: Address) -> None:
+    def _send_to_sender(self, data: bytes, address: Address) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(data, address)
 
@@ -49,22 +49,22 @@
         """Close all sockets."""
         if self.transport is not None:
             self.transport.close()
-        for sender in self.senders.values():
+        for sender in self.sender_sockets.values():
             sender.close()
 
 
-class _Sender(asyncio.DatagramProtocol):
-    """The socket towards the target for one sender."""
+class _SenderSocket(asyncio.DatagramProtocol):
+    """The socket to the target that carries the datagrams of one sender."""
 
     def __init__(self, proxy: DatagramProxy, address: Address) -> None:
         self.proxy = proxy
         self.address = address
         self.transport: asyncio.DatagramTransport | None = None
-        self.unsent: list[bytes] = []  # until the socket is open
+        self.unsent: list[bytes] = []  # received before the socket was open
         self.opening: asyncio.Task[None] | None = None
 
     async def open(self) -> None:
-        """Open the socket, and send what has come meanwhile."""
+        """Open the socket and send the datagrams received before it was open."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, remote_addr=self.proxy.target)
         self.transport = transport
@@ -72,21 +72,21 @@
             transport.sendto(data)
 
     def send(self, data: bytes) -> None:
-        """Send to the target."""
+        """Send a datagram to the target, once the socket is open."""
         if self.transport is None:
             self.unsent.append(data)
         elif not self.transport.is_closing():
             self.transport.sendto(data)
 
     def datagram_received(self, data: bytes, _addr: Address) -> None:
-        """Hand an answer to the proxy."""
-        self.proxy.answer_received(data, self.address)
+        """Pass a response of the target to the proxy."""
+        self.proxy.response_received(data, self.address)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that nobody listens at the target: datagrams are lost without a word."""
+        """Ignore that the target's port is closed: datagrams are lost silently."""
 
     def close(self) -> None:
-        """Close the socket, also one that is being opened."""
+        """Close the socket, or cancel opening it."""
         if self.opening is not None:
             self.opening.cancel()
         if self.transport is not None:
--- a/ochreflow/lab/fault/datagrams.py
+++ b/ochreflow/lab/fault/datagrams.py
@@ -1,4 +1,4 @@
-"""What happens to datagrams, each by its number in its direction: no sockets and no clock."""
+"""Faults of datagrams, decided by a datagram's number in its direction; uses no sockets and no clock."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 
 class DelayedDatagram(NamedTuple):
-    """A datagram that goes on after so many seconds."""
+    """A datagram and the delay, in seconds, after which it is forwarded."""
 
     seconds: float
     data: bytes
 
 
 class DatagramMachine:
-    """The faults of all datagrams of one proxy."""
+    """Applies the script's faults to all datagrams of one proxy."""
 
     def __init__(self, seed: int, faults: Sequence[Fault], transcript: Transcript) -> None:
-        """Start with a script, which may be replaced later."""
+        """Start with a script, which `set_faults` can replace."""
         self.seed = seed
         self.transcript = transcript
         self.counts = dict.fromkeys(Side, 0)
-        self.reordered: dict[Side, list[DelayedDatagram]] = {side: [] for side in Side}
+        self.held_datagrams: dict[Side, list[DelayedDatagram]] = {side: [] for side in Side}
         self.set_faults(faults)
 
     def set_faults(self, faults: Sequence[Fault]) -> None:
-        """Use another script for the datagrams that come from now on."""
+        """Use another script for the datagrams that arrive from now on."""
         self.faults = list(faults)
 
     def feed(self, side: Side, data: bytes) -> list[DelayedDatagram]:
-        """A datagram has come: what goes on, each after its delay. A reordered one waits for the next."""
+        """Return the datagrams to forward when one arrives. A reordered one waits for the next."""
         number = self.counts[side]
         self.counts[side] += 1
         copies, delay, reorder = 1, 0.0, False
@@ -51,26 +51,26 @@
                     delay += delay_seconds(fault, rng)
                 case FaultKind.REORDER:
                     reorder = True
-                case _:  # garble: the script's reader lets no other kind through for datagrams
+                case _:  # garble: `read_faults` accepts no other kind for datagrams
                     garbled = data[fault.after : fault.after + fault.count]
                     data = data[: fault.after] + garble(garbled, rng) + data[fault.after + len(garbled) :]
         for _ in range(copies):
             self.transcript.record_bytes(number, side, data)
-        return self._in_order(side, [DelayedDatagram(delay, data)] * copies, reorder=reorder)
+        return self._apply_reordering(side, [DelayedDatagram(delay, data)] * copies, reorder=reorder)
 
-    def _in_order(
+    def _apply_reordering(
         self, side: Side, outgoing: list[DelayedDatagram], *, reorder: bool
     ) -> list[DelayedDatagram]:
-        """Keep a reordered datagram back if none is kept yet, else append the one that is."""
-        if reorder and not self.reordered[side]:
-            self.reordered[side] = outgoing
+        """Hold back a reordered datagram unless one is held already; else append the held one."""
+        if reorder and not self.held_datagrams[side]:
+            self.held_datagrams[side] = outgoing
             return []
-        outgoing, self.reordered[side] = outgoing + self.reordered[side], []
+        outgoing, self.held_datagrams[side] = outgoing + self.held_datagrams[side], []
         return outgoing
 
 
 def _applies_to(fault: Fault, number: int) -> bool:
-    """Whether a datagram is one of those that the fault may happen to."""
+    """Return whether the fault may occur on the datagram with this number."""
     if number < fault.message:
         return False
     return not fault.max_count or number < fault.message + fault.max_count
--- a/ochreflow/lab/fault/framing.py
+++ b/ochreflow/lab/fault/framing.py
@@ -1,7 +1,7 @@
-"""Which part of a message each byte of a stream belongs to, however the bytes are cut into pieces.
+"""Labels each byte of a stream with the part of the message it belongs to, however the reads split it.
 
-It follows HTTP/1.1 only as far as faults need places to be named. What it can't follow counts as body, to
-the end of the stream.
+Parses HTTP/1.1 only as far as the places of faults require. Bytes that it cannot parse are labelled as
+body up to the end of the stream.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from enum import Enum
 from typing import NamedTuple
 
-MAX_LINE_BYTES = 64 * 1024  # a line that is longer is no line
-LINE_END_BYTES = 2  # CR LF behind a chunk
+MAX_LINE_BYTES = 64 * 1024  # a longer line is treated as unparsable
+LINE_END_BYTES = 2  # CR LF after the data of a chunk
 
 
 class Place(Enum):
-    """A part of a message; the values are the script's words."""
+    """A part of a message; the values are written in scripts."""
 
     START = "start"  # before the first byte of a message
     HEAD = "head"
@@ -26,74 +26,74 @@
 
 
 class Piece(NamedTuple):
-    """Bytes that follow each other in one part of a message."""
+    """Consecutive bytes of one part of a message."""
 
     place: Place
     data: bytes
 
 
 class Step(NamedTuple):
-    """What one state of the framer took: how many bytes, and the pieces that they are."""
+    """Result of one state of the framer: the number of bytes consumed, and the pieces they form."""
 
     size: int
     pieces: list[Piece]
 
 
 State = Callable[[bytes, int], Step]
-"""Takes bytes of what was read, from an offset on."""
+"""Consumes bytes of the data read, starting at an offset."""
 
 
 class Framer:
-    """Cuts one direction of a connection into labelled pieces; START and END come with no bytes."""
+    """Splits one direction of a connection into labelled pieces; those of START and END have no bytes."""
 
     def __init__(self) -> None:
-        """Begin in front of a message."""
+        """Start before the first message."""
         self.state: State = self._start
         self.line = bytearray()
-        self.remaining = 0  # bytes of a body or chunk
+        self.remaining = 0  # bytes left of a body or chunk
         self._reset_message()
 
     def _reset_message(self) -> None:
-        self.length: int | None = None
+        self.content_length: int | None = None
         self.chunked = False
         self.first_line = b""
-        self.value = bytearray()
+        self.length_digits = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Piece]:
-        """The pieces of what comes next. Joined, they are the data."""
-        at = 0
-        while at < len(data):
-            size, pieces = self.state(data, at)
+        """Yield the pieces of the next data. Joined, they equal `data`."""
+        offset = 0
+        while offset < len(data):
+            size, pieces = self.state(data, offset)
             yield from pieces
-            at += size
+            offset += size
 
-    # The states: each takes bytes from `at` on.
+    # The states: each consumes bytes starting at `offset`.
 
-    def _start(self, _data: bytes, _at: int) -> Step:
+    def _start(self, _data: bytes, _offset: int) -> Step:
         self._reset_message()
-        self.state = self._name
+        self.state = self._header_line
         return Step(0, [Piece(Place.START, b"")])
 
-    def _name(self, data: bytes, at: int) -> Step:
-        """A line up to its end, or up to the colon of a header whose value has a place of its own."""
-        byte = data[at : at + 1]
+    def _header_line(self, data: bytes, offset: int) -> Step:
+        """Consume a line of the head up to its end, or up to the colon of a Content-Length header."""
+        byte = data[offset : offset + 1]
         self.line += byte
         if byte == b"\n":
             return Step(1, [Piece(Place.HEAD, byte), *self._end_line()])
         if byte == b":" and self.line[:-1].lower() == b"content-length":
-            self.state = self._value
-            self.value.clear()
+            self.state = self._content_length_value
+            self.length_digits.clear()
         elif len(self.line) > MAX_LINE_BYTES:
             self.state = self._until_eof
         return Step(1, [Piece(Place.HEAD, byte)])
 
-    def _value(self, data: bytes, at: int) -> Step:
-        byte = data[at : at + 1]
+    def _content_length_value(self, data: bytes, offset: int) -> Step:
+        byte = data[offset : offset + 1]
         if byte in b"\r\n":
-            self.state = self._name
-            self.length = int(self.value) if self.value.strip().isdigit() else None
+            self.state = self._header_line
+            self.content_length = int(self.length_digits) if self.length_digits.strip().isdigit() else None
             return Step(0, [])
-        self.value += byte
+        self.length_digits += byte
         return Step(1, [Piece(Place.HEAD if byte == b" " else Place.LENGTH, byte)])
 
     def _end_line(self) -> list[Piece]:
@@ -107,19 +107,19 @@
                 self.chunked = True
             return []
         if not self.first_line:
-            return []  # an empty line in front of a message
+            return []  # an empty line before a message
         return self._end_head()
 
     def _end_head(self) -> list[Piece]:
         words = self.first_line.split()
-        answer = self.first_line.startswith(b"HTTP/")
+        is_response = self.first_line.startswith(b"HTTP/")
         if self.chunked:
             self.state = self._chunk_size
-        elif answer and (words[1:2] and words[1][:1] == b"1"):
-            self.state = self._start  # an interim answer: the real one follows
-        elif self.length:
-            self.remaining, self.state = self.length, self._body
-        elif answer and self.length is None:
+        elif is_response and (words[1:2] and words[1][:1] == b"1"):
+            self.state = self._start  # an interim response: the final one follows
+        elif self.content_length:
+            self.remaining, self.state = self.content_length, self._body
+        elif is_response and self.content_length is None:
             self.state = self._until_eof
         else:
             return self._end_message()
@@ -129,14 +129,14 @@
         self.state = self._start
         return [Piece(Place.END, b"")]
 
-    def _body(self, data: bytes, at: int) -> Step:
-        part = data[at : at + self.remaining]
+    def _body(self, data: bytes, offset: int) -> Step:
+        part = data[offset : offset + self.remaining]
         self.remaining -= len(part)
         end = [] if self.remaining else self._end_message()
         return Step(len(part), [Piece(Place.BODY, part), *end])
 
-    def _chunk_size(self, data: bytes, at: int) -> Step:
-        byte = data[at : at + 1]
+    def _chunk_size(self, data: bytes, offset: int) -> Step:
+        byte = data[offset : offset + 1]
         self.line += byte
         if byte != b"\n":
             return Step(1, [Piece(Place.CHUNK_SIZE, byte)])
@@ -145,20 +145,20 @@
         try:
             size = int(text, 16)
             self.remaining = size + LINE_END_BYTES
-            self.state = self._chunk if size > 0 else self._trailer
+            self.state = self._chunk if size > 0 else self._trailer_line
         except ValueError:
             self.state = self._until_eof
         return Step(1, [Piece(Place.CHUNK_SIZE, byte)])
 
-    def _chunk(self, data: bytes, at: int) -> Step:
-        part = data[at : at + self.remaining]
+    def _chunk(self, data: bytes, offset: int) -> Step:
+        part = data[offset : offset + self.remaining]
         self.remaining -= len(part)
         if not self.remaining:
             self.state = self._chunk_size
         return Step(len(part), [Piece(Place.BODY, part)])
 
-    def _trailer(self, data: bytes, at: int) -> Step:
-        byte = data[at : at + 1]
+    def _trailer_line(self, data: bytes, offset: int) -> Step:
+        byte = data[offset : offset + 1]
         self.line += byte
         if byte != b"\n":
             return Step(1, [Piece(Place.BODY, byte)])
@@ -166,5 +166,5 @@
         self.line.clear()
         return Step(1, [Piece(Place.BODY, byte), *(self._end_message() if not line else [])])
 
-    def _until_eof(self, data: bytes, at: int) -> Step:
-        return Step(len(data) - at, [Piece(Place.BODY, data[at:])])
+    def _until_eof(self, data: bytes, offset: int) -> Step:
+        return Step(len(data) - offset, [Piece(Place.BODY, data[offset:])])
--- a/ochreflow/lab/fault/proxy.py
+++ b/ochreflow/lab/fault/proxy.py
@@ -1,4 +1,4 @@
-"""The fault tool as a whole: one listening address in front of a target, and its control address."""
+"""The fault-injecting proxy: a listening address in front of a target, and a control interface."""
 
 from __future__ import annotations
 
@@ -19,42 +19,42 @@
 
 
 class FaultProxy:
-    """Owns the script, the transcript and the open connections."""
+    """Proxy in front of one target; owns the script, the transcript and the open connections."""
 
     def __init__(
         self, target: Address, faults: Sequence[Fault], seed: int, *, datagrams: bool = False
     ) -> None:
-        """Stand in front of a target, for streams or for datagrams."""
+        """Prepare a proxy for streams or for datagrams to `target`; nothing listens yet."""
         self.target = target
         self.faults = list(faults)
         self.seed = seed
-        self.allowed = DATAGRAM_FAULTS if datagrams else STREAM_FAULTS
+        self.allowed_kinds = DATAGRAM_FAULTS if datagrams else STREAM_FAULTS
         self.transcript = Transcript()
-        self.number = 0  # of the next connection
+        self.next_connection_number = 0
         self.connections: set[ProxiedConnection] = set()
-        self.datagrams = DatagramMachine(seed, faults, self.transcript)
+        self.datagram_machine = DatagramMachine(seed, faults, self.transcript)
 
     def accept(self) -> ConnectionEnd:
-        """The protocol of a new connection."""
-        machine = StreamMachine(self.seed, self.number, self.faults, self.transcript)
+        """Create the protocol of a new connection."""
+        machine = StreamMachine(self.seed, self.next_connection_number, self.faults, self.transcript)
         connection = ProxiedConnection(machine, self.target, self.connections.discard)
         self.connections.add(connection)
-        self.number += 1
+        self.next_connection_number += 1
         return connection.ends[Side.REQUEST]
 
     def accept_datagrams(self) -> DatagramProxy:
-        """The protocol of the listening socket for datagrams."""
-        return DatagramProxy(self.datagrams, self.target)
+        """Create the protocol of the listening datagram socket."""
+        return DatagramProxy(self.datagram_machine, self.target)
 
     def set_faults(self, faults: Sequence[Fault]) -> None:
-        """Use another script: for what is open, and for what comes."""
+        """Use another script for the open connections and for everything that arrives later."""
         self.faults = list(faults)
         for connection in self.connections:
             connection.machine.set_faults(faults)
-        self.datagrams.set_faults(faults)
+        self.datagram_machine.set_faults(faults)
 
     def control(self) -> HttpService:
-        """The control address: GET /transcript, POST /faults with a JSON list, POST /cut."""
+        """Create the control interface: GET /transcript, POST /faults with a JSON list, POST /cut."""
         return HttpService(self._handle_control)
 
     def _handle_control(self, request: HttpRequest) -> None:
@@ -72,7 +72,7 @@
 
     def _replace_script(self, request: HttpRequest) -> None:
         try:
-            self.set_faults(read_faults(json.loads(request.body), "/faults", self.allowed))
+            self.set_faults(read_faults(json.loads(request.body), "/faults", self.allowed_kinds))
         except (ValueError, ScriptError) as error:
             request.answer(400, str(error).encode())
         else:
@@ -85,7 +85,7 @@
 
 
 async def serve(proxy: FaultProxy, listen: Address, control: Address | None, *, udp: bool) -> None:
-    """Serve at an address until SIGTERM or SIGINT; print where it listens, and at the end the transcript."""
+    """Serve until SIGTERM or SIGINT. Print the addresses after start and the transcript at the end."""
     loop = asyncio.get_running_loop()
     if udp:
         transport, _ = await loop.create_datagram_endpoint(proxy.accept_datagrams, local_addr=listen)
@@ -93,14 +93,14 @@
     else:
         server = await loop.create_server(proxy.accept, *listen, backlog=BACKLOG)
         address = server.sockets[0].getsockname()
-    print(f"stands at {address[0]}:{address[1]}", flush=True)
+    print(f"listening at {address[0]}:{address[1]}", flush=True)
     if control is not None:
-        controls = await loop.create_server(proxy.control().connection, *control)
-        print("steered at {}:{}".format(*controls.sockets[0].getsockname()), flush=True)
-    ended = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
-    await ended.wait()
+        control_server = await loop.create_server(proxy.control().connection, *control)
+        print("control interface at {}:{}".format(*control_server.sockets[0].getsockname()), flush=True)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    await stop_requested.wait()
     proxy.close()
     for line in proxy.transcript.lines():
         print(line)
--- a/ochreflow/lab/fault/script.py
+++ b/ochreflow/lab/fault/script.py
@@ -1,4 +1,4 @@
-"""What a fault script may say, and how it is read. Every entry that is wrong is reported at once."""
+"""Reads and checks fault scripts. One error reports all invalid entries of a script."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class Side(Enum):
-    """Whose bytes: requests go from the connecting peer to the target, answers come back."""
+    """Direction of bytes: requests go from the connecting peer to the target, responses come back."""
 
     REQUEST = "request"
-    ANSWER = "answer"
+    RESPONSE = "answer"
 
     @property
     def opposite(self) -> Side:
-        """The other side."""
-        return Side.ANSWER if self is Side.REQUEST else Side.REQUEST
+        """The other direction."""
+        return Side.RESPONSE if self is Side.REQUEST else Side.REQUEST
 
 
 class FaultKind(Enum):
-    """What a fault does; the values are the script's words."""
+    """The effect of a fault; the values are written in scripts."""
 
     DELAY = "delay"
     RATE = "rate"
@@ -40,7 +40,7 @@
 
 
 class Spread(Enum):
-    """The distribution of a delay; the values are the script's words."""
+    """The distribution of a delay; the values are written in scripts."""
 
     FIXED = "fixed"
     UNIFORM = "uniform"
@@ -51,28 +51,28 @@
     msgspec.Struct,
     forbid_unknown_fields=True,
     frozen=True,
-    rename={"kind": "do", "max_count": "most", "delay_ms": "ms"},  # the script's keys
+    rename={"kind": "do", "max_count": "most", "delay_ms": "ms"},  # keys in scripts
 ):
-    """One fault of a script: what it does, where, and how often.
+    """One fault of a script: its effect, its position and its frequency.
 
-    On streams it happens once a connection, `after` bytes into `place` of message number `message` of that
-    `side`. On datagrams `message` is the first datagram that it may happen to, and it may happen to each.
+    On streams it occurs once per connection, `after` bytes into `place` of message number `message` of that
+    `side`. On datagrams it may occur on each datagram from number `message` on.
     """
 
     kind: FaultKind
-    side: Side = Side.ANSWER
+    side: Side = Side.RESPONSE
     place: Place = Place.START
     message: int = 0
     after: int = 0  # bytes
-    share: float = 1.0  # of the connections or datagrams
-    max_count: int = 0  # only the first so many connections, or datagrams from `message` on; 0: all
-    delay_ms: float = 0.0  # of a delay: the minimum of a uniform or heavy-tailed one is 0
+    share: float = 1.0  # part of the connections or datagrams affected, from 0 to 1
+    max_count: int = 0  # only the first `max_count` connections, or datagrams from `message` on; 0: no limit
+    delay_ms: float = 0.0  # of a delay; uniform and heavy-tailed delays start at 0
     spread: Spread = Spread.FIXED
-    per_second: int = 0  # bytes, of a rate
+    per_second: int = 0  # bytes per second, of a rate
     count: int = 1  # bytes to garble
 
     def __post_init__(self) -> None:
-        """Raise ValueError, which msgspec turns into its own error, for values that can't be used."""
+        """Check the values; msgspec turns the ValueError of an invalid one into a ValidationError."""
         if not 0.0 <= self.share <= 1.0:
             message = "share is a part: from 0 to 1"
             raise ValueError(message)
@@ -106,11 +106,11 @@
 
 
 class ScriptError(OchreflowError):
-    """A script that can't be used; each line of the text names one fault of it."""
+    """An invalid script; each line of the message describes one error."""
 
 
 def read_faults(entries: object, source: str, allowed: tuple[FaultKind, ...]) -> list[Fault]:
-    """Check a list of entries; ScriptError names every one that is wrong."""
+    """Convert a list of entries to faults; raise ScriptError that names every invalid entry."""
     if not isinstance(entries, list):
         message = f"{source}: fault: wanted a list of tables"
         raise ScriptError(message)
@@ -130,8 +130,8 @@
 def _read_fault(entry: object, allowed: tuple[FaultKind, ...]) -> Fault:
     fault = msgspec.convert(entry, Fault)
     if fault.kind not in allowed:
-        words = ", ".join(kind.value for kind in allowed)
-        message = f"{fault.kind.value} is not to be had here: {words}"
+        allowed_values = ", ".join(kind.value for kind in allowed)
+        message = f"{fault.kind.value} is not to be had here: {allowed_values}"
         raise msgspec.ValidationError(message)
     if allowed is STREAM_FAULTS and fault.after and fault.place in (Place.START, Place.END):
         message = "start and end have no bytes: after is 0 there"
@@ -140,7 +140,7 @@
 
 
 def read_script(path: str, allowed: tuple[FaultKind, ...]) -> list[Fault]:
-    """Read a TOML file of `[[fault]]` tables; ScriptError says what is wrong with it."""
+    """Read a TOML file of `[[fault]]` tables; raise ScriptError if it is unreadable or invalid."""
     try:
         with Path(path).open("rb") as file:
             data = tomllib.load(file)
--- a/ochreflow/lab/fault/stream.py
+++ b/ochreflow/lab/fault/stream.py
@@ -1,7 +1,7 @@
-"""What happens to the bytes of one proxied connection: bytes in, actions out, no sockets and no clock.
+"""Faults of one proxied connection: turns bytes into actions, without sockets and without a clock.
 
-Every fault happens at a byte of a message, never at a piece that the system happened to read. So the same
-seed and the same traffic give the same actions, and `Transcript.digest` says whether they did.
+The position of every fault is a byte of a message, regardless of how reads split the stream. So the same
+seed and the same traffic give the same actions, which `Transcript.digest` verifies.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """Pass these bytes on to the receiver."""
+    """Forward these bytes to the receiver."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Let so many seconds pass before the next action of this direction."""
+    """Wait for `seconds` before the next action of this direction."""
 
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class HalfClose:
-    """Tell the receiver that nothing more comes; the other direction stays open."""
+    """End the stream to the receiver; the other direction stays open."""
 
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """Close both connections, in order or by a reset."""
+    """Close both connections, normally or with a reset."""
 
     reset: bool
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _PendingFault:
-    """A fault that this connection will meet, if its byte is reached."""
+    """A fault of this connection that occurs once its byte is reached."""
 
     fault: Fault
     rng: random.Random
@@ -65,29 +65,29 @@
     message: int = -1  # number of the current message
     place: Place = Place.START
     offsets: dict[Place, int] = field(default_factory=lambda: defaultdict(int))  # bytes, in this message
-    bytes_per_second: int = 0  # 0: as fast as they come
-    garble_remaining: int = 0  # bytes that are still to be garbled ...
-    garble_rng: random.Random | None = None  # ... by this
-    swallowing: bool = False
-    half_closed: bool = False  # its receiver was told that nothing more comes
-    actions: list[Action] = field(default_factory=list)  # to be handed out by `feed`
+    bytes_per_second: int = 0  # 0: unlimited
+    garble_remaining: int = 0  # bytes still to be garbled
+    garble_rng: random.Random | None = None  # draws the replacement bytes
+    discarding: bool = False
+    half_closed: bool = False  # the stream to its receiver has ended
+    actions: list[Action] = field(default_factory=list)  # not yet returned by `feed`
 
     @property
-    def silent(self) -> bool:
-        """Whether nothing more goes to the receiver."""
-        return self.half_closed or self.swallowing
+    def output_stopped(self) -> bool:
+        """Whether nothing more is forwarded to the receiver."""
+        return self.half_closed or self.discarding
 
     def take_actions(self) -> list[Action]:
-        """Hand out the actions since the last call."""
+        """Return and clear the actions collected since the last call."""
         actions, self.actions = self.actions, []
         return actions
 
 
 class StreamMachine:
-    """The faults of one connection. Its script may be replaced while it is open."""
+    """Applies the script's faults to one connection; the script can be replaced while it is open."""
 
     def __init__(self, seed: int, number: int, faults: Sequence[Fault], transcript: Transcript) -> None:
-        """Take the connection's number, counted from 0; it decides which faults are drawn."""
+        """Draw the faults for the connection's number, counted from 0."""
         self.seed = seed
         self.number = number
         self.transcript = transcript
@@ -97,7 +97,7 @@
         self.set_faults(faults)
 
     def set_faults(self, faults: Sequence[Fault]) -> None:
-        """Use another script from here on; what has begun, such as a rate, goes on."""
+        """Use another script from now on; faults already in effect, such as a rate, continue."""
         self.pending_faults = []
         for index, fault in enumerate(faults):
             rng = fault_random(self.seed, self.number, index)
@@ -105,7 +105,7 @@
                 self.pending_faults.append(_PendingFault(fault, rng))
 
     def feed(self, side: Side, data: bytes) -> list[Action]:
-        """Bytes have come from this side: the actions towards the other one."""
+        """Return the actions towards the other side for bytes received from `side`."""
         direction = self.directions[side]
         for piece in direction.framer.feed(data):
             if self.closed:
@@ -114,9 +114,9 @@
         return direction.take_actions()
 
     def eof(self, side: Side) -> list[Action]:
-        """This side has ended its sending: the actions towards the other one."""
+        """Return the actions towards the other side after `side` has ended its stream."""
         direction = self.directions[side]
-        if self.closed or direction.silent:
+        if self.closed or direction.output_stopped:
             return []
         direction.half_closed = True
         self.transcript.record_fault(self.number, side, "eof")
@@ -139,7 +139,7 @@
             self._apply(direction, pending)
 
     def _next_fault(self, direction: _Direction, size: int) -> _PendingFault | None:
-        """The fault that is due first within the next `size` bytes; of two at one byte the script's first."""
+        """Return the first fault within the next `size` bytes; at the same byte, the first in the script."""
         offset = direction.offsets[direction.place]
         due = [
             pending
@@ -153,7 +153,7 @@
 
     def _forward(self, direction: _Direction, data: bytes) -> None:
         direction.offsets[direction.place] += len(data)
-        if not data or direction.silent:
+        if not data or direction.output_stopped:
             return
         if direction.garble_remaining and direction.garble_rng is not None:
             garbled = data[: direction.garble_remaining]
@@ -169,8 +169,8 @@
             direction.actions.append(Forward(data))
 
     def _apply(self, direction: _Direction, pending: _PendingFault) -> None:
-        """Let a fault happen at the current byte."""
-        if direction.silent:
+        """Apply a fault at the current byte."""
+        if direction.output_stopped:
             return
         fault, rng = pending.fault, pending.rng
         self.transcript.record_fault(self.number, direction.side, fault.kind.value)
@@ -184,10 +184,10 @@
             case FaultKind.GARBLE:
                 direction.garble_remaining, direction.garble_rng = fault.count, rng
             case FaultKind.BLACK_HOLE:
-                direction.swallowing = True
+                direction.discarding = True
             case FaultKind.HALF_CLOSE:
                 direction.half_closed = True
                 direction.actions.append(HalfClose())
-            case _:  # a cut or a reset: the script's reader lets no other kind through for streams
+            case _:  # a cut or a reset: `read_faults` accepts no other kind for streams
                 self.closed = True
                 direction.actions.append(Close(reset=fault.kind is FaultKind.RESET))
--- a/ochreflow/lab/fault/stream_proxy.py
+++ b/ochreflow/lab/fault/stream_proxy.py
@@ -1,4 +1,4 @@
-"""The sockets of one proxied connection: plays the actions of its machine."""
+"""Sockets of one proxied connection; carries out the actions of its `StreamMachine`."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from .stream import Action, Close, Forward, HalfClose, StreamMachine, Wait
 
 Address = tuple[str, int]
-MAX_BUFFERED_BYTES = 256 * 1024  # on their way in one direction before its sender is read no further
+MAX_BUFFERED_BYTES = 256 * 1024  # queued in one direction before reading from its sender pauses
 RESUME_BELOW_BYTES = 64 * 1024
 
 
 class ProxiedConnection:
-    """Owns the connection of a peer, the one made for it to the target, and the timers of both directions."""
+    """Owns a peer's connection, the matching connection to the target, and the timers of both directions."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         target: Address,
         on_closed: Callable[[ProxiedConnection], None],
     ) -> None:
-        """Wait for the peer's connection to be made; `on_closed` is called once."""
+        """Prepare both ends before the peer's connection is made; `on_closed` is called once."""
         self.machine = machine
         self.target = target
         self.on_closed = on_closed
@@ -37,20 +37,20 @@
         self.closed = False
 
     def connect(self) -> None:
-        """Connect to the target; a target that does not accept resets the peer's connection."""
+        """Start connecting to the target; if that fails, the peer's connection is reset."""
         self.connecting = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
         try:
             loop = asyncio.get_running_loop()
-            await loop.create_connection(lambda: self.ends[Side.ANSWER], *self.target)
+            await loop.create_connection(lambda: self.ends[Side.RESPONSE], *self.target)
         except OSError:
-            self.close(reset=True)  # nobody listens there: the connecting peer sees the same
+            self.close(reset=True)  # the peer sees the failed connect as a reset
             return
         self._run_actions(Side.REQUEST)
 
     def enqueue(self, side: Side, actions: list[Action]) -> None:
-        """Take the actions that bytes or the end of one side led to."""
+        """Queue the actions that follow from bytes or the end of stream of `side`."""
         self.queues[side] += actions
         self.buffered_bytes[side] += sum(
             len(action.data) for action in actions if isinstance(action, Forward)
@@ -60,15 +60,15 @@
         self._run_actions(side)
 
     def _run_actions(self, side: Side) -> None:
-        """Do what is due in one direction, up to the next wait."""
+        """Run the queued actions of one direction up to the next wait."""
         receiver = self.ends[side.opposite]
         queue = self.queues[side]
         if receiver.transport is None and not receiver.disconnected:
-            return  # it is still being connected
+            return  # still connecting
         while queue and self.timers[side] is None and not self.closed:
             self._run(side, queue.popleft())
         if all(end.received_eof for end in self.ends.values()) and not any(self.queues.values()):
-            self.close(reset=False)  # both ends have sent all they had, and all of it has been forwarded
+            self.close(reset=False)  # both streams have ended, and all their bytes have been forwarded
 
     def _run(self, side: Side, action: Action) -> None:
         receiver = self.ends[side.opposite]
@@ -91,14 +91,14 @@
         self._run_actions(side)
 
     def end_lost(self, *, reset: bool) -> None:
-        """One end is disconnected: a reset goes on to the other at once, a close when both are closed."""
+        """Handle the loss of one end: forward a reset at once, close once both ends are lost."""
         if reset:
             self.close(reset=True)
         elif all(end.disconnected for end in self.ends.values()):
             self.close(reset=False)
 
     def close(self, *, reset: bool) -> None:
-        """Close both connections and cancel what waits."""
+        """Close both connections; cancel the connect and the timers."""
         if self.closed:
             return
         self.closed = True
@@ -113,10 +113,10 @@
 
 
 class ConnectionEnd(asyncio.Protocol):
-    """One of the two sockets of a proxied connection: the bytes that are read from it are of its side."""
+    """Protocol of one of the two sockets of a proxied connection; bytes read from it belong to `side`."""
 
     def __init__(self, connection: ProxiedConnection, side: Side) -> None:
-        """Belong to a connection, which is told of all that happens here."""
+        """Report all events of this end to `connection`."""
         self.connection = connection
         self.side = side
         self.transport: asyncio.Transport | None = None
@@ -125,7 +125,7 @@
         self.reading = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connect to the target once the peer is connected."""
+        """Store the transport; once the peer is connected, connect to the target."""
         self.transport = cast(asyncio.Transport, transport)
         if self.connection.closed:
             self.close(reset=True)
@@ -133,19 +133,19 @@
             self.connection.connect()
 
     def data_received(self, data: bytes) -> None:
-        """Feed the bytes to the machine."""
+        """Pass the bytes to the machine and queue its actions."""
         if not self.connection.closed:
             self.connection.enqueue(self.side, self.connection.machine.feed(self.side, data))
 
     def eof_received(self) -> bool:
-        """Feed the end to the machine; the other direction may still be in use."""
+        """Pass the end of stream to the machine; keep the transport open for the other direction."""
         self.received_eof = True
         if not self.connection.closed:
             self.connection.enqueue(self.side, self.connection.machine.eof(self.side))
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the connection whether it was a close or a reset."""
+        """Report to the connection whether this end was closed or reset."""
         self.disconnected = True
         self.connection.end_lost(reset=exc is not None)
 
@@ -156,29 +156,29 @@
         return self.transport
 
     def pause_reading(self) -> None:
-        """Read nothing until `resume_reading`."""
+        """Stop reading until `resume_reading` is called."""
         if (transport := self._open_transport) is not None and self.reading:
             self.reading = False
             transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read on, if reading was paused."""
+        """Resume reading if it was paused."""
         if (transport := self._open_transport) is not None and not self.reading:
             self.reading = True
             transport.resume_reading()
 
     def write(self, data: bytes) -> None:
-        """Write, unless the connection is closing."""
+        """Write to the socket unless it is closing."""
         if (transport := self._open_transport) is not None:
             transport.write(data)
 
     def half_close(self) -> None:
-        """End the sending; reading goes on."""
+        """End the outgoing stream; reading continues."""
         if (transport := self._open_transport) is not None:
             transport.write_eof()
 
     def close(self, *, reset: bool) -> None:
-        """Close in order once all is written, or reset at once."""
+        """Reset at once, or close after all data has been written."""
         if (transport := self._open_transport) is None:
             return
         if reset:
--- a/ochreflow/lab/fault/transcript.py
+++ b/ochreflow/lab/fault/transcript.py
@@ -1,4 +1,4 @@
-"""The record of a run of the fault tool, by which two runs are compared."""
+"""Record of a run of the fault-injecting proxy, used to compare two runs."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 @dataclass(slots=True)
 class Transcript:
-    """What was forwarded and which faults happened at which byte.
+    """Records the forwarded bytes, and each fault with the byte offset at which it occurred.
 
-    It does not depend on how the bytes were cut into reads, nor on the order of events between connections.
+    It does not depend on how reads split the bytes, nor on the order of events between connections.
     """
 
     forwarded_bytes: dict[StreamKey, int] = field(default_factory=lambda: defaultdict(int))
@@ -29,16 +29,16 @@
     faults: dict[StreamKey, list[str]] = field(default_factory=lambda: defaultdict(list))
 
     def record_bytes(self, number: int, side: Side, data: bytes) -> None:
-        """Count bytes that were forwarded."""
+        """Add forwarded bytes to the count and the hash."""
         self.forwarded_bytes[number, side] += len(data)
         self.hashes[number, side].update(data)
 
     def record_fault(self, number: int, side: Side, text: str) -> None:
-        """Note a fault at the byte that is forwarded next."""
+        """Record a fault at the offset of the next forwarded byte."""
         self.faults[number, side].append(f"{self.forwarded_bytes[number, side]} {text}")
 
     def lines(self) -> list[str]:
-        """One line for each direction of each connection, sorted by number and direction."""
+        """Return a line for each direction of each connection, sorted by number and direction."""
         keys = sorted({*self.forwarded_bytes, *self.faults}, key=lambda key: (key[0], key[1].value))
         return [self._line(key) for key in keys]
 
@@ -48,5 +48,5 @@
         return f"{number} {side.value} {self.forwarded_bytes[key]} {self.hashes[key].hexdigest()} {faults}"
 
     def digest(self) -> str:
-        """A hash over all lines, in hexadecimal digits."""
+        """Return a hash over all lines, in hexadecimal digits."""
         return blake2b("\n".join(self.lines()).encode(), digest_size=DIGEST_BYTES).hexdigest()
--- a/tests/test_fault.py
+++ b/tests/test_fault.py
@@ -132,7 +132,7 @@
         sock.setblocking(False)
         await loop.sock_sendall(sock, REQUEST)
         async with asyncio.timeout(WAIT_TIMEOUT_S):
-            while proxy.connections or not proxy.number:
+            while proxy.connections or not proxy.next_connection_number:
                 await asyncio.sleep(0.001)
             with pytest.raises(ConnectionResetError):
                 while await loop.sock_recv(sock, 5):
--- a/tests/test_fault_machines.py
+++ b/tests/test_fault_machines.py
@@ -77,7 +77,7 @@
     """What a wire makes of an answer that comes in parts: its transcript, and the actions, bytes joined."""
     transcript = Transcript()
     wire = StreamMachine(seed, number, faults, transcript)
-    actions = [action for part in parts for action in wire.feed(Side.ANSWER, part)]
+    actions = [action for part in parts for action in wire.feed(Side.RESPONSE, part)]
     data = b"".join(action.data for action in actions if isinstance(action, Forward))
     others = [action for action in actions if not isinstance(action, Forward | Wait)]
     return transcript.digest(), data, others
@@ -118,9 +118,9 @@
 
 def test_a_fault_that_is_set_while_a_message_is_half_through_happens_in_it():
     wire = StreamMachine(1, 0, [], Transcript())
-    assert wire.feed(Side.ANSWER, RESPONSE[:-6]) == [Forward(RESPONSE[:-6])]
+    assert wire.feed(Side.RESPONSE, RESPONSE[:-6]) == [Forward(RESPONSE[:-6])]
     wire.set_faults([fault("cut", place="body", after=7), fault("cut", place="head", after=1)])
-    assert wire.feed(Side.ANSWER, RESPONSE[-6:]) == [Forward(RESPONSE[-6:-3]), Close(reset=False)]
+    assert wire.feed(Side.RESPONSE, RESPONSE[-6:]) == [Forward(RESPONSE[-6:-3]), Close(reset=False)]
 
 
 def test_another_seed_or_connection_is_another_run():
@@ -153,6 +153,6 @@
         for n, one in enumerate(garbled)
     )
     machine = DatagramMachine(2, [on_requests("delay", ms=50)], Transcript())
-    assert machine.feed(Side.REQUEST, b"x") == [(0.05, b"x")] and machine.feed(Side.ANSWER, b"y") == [
+    assert machine.feed(Side.REQUEST, b"x") == [(0.05, b"x")] and machine.feed(Side.RESPONSE, b"y") == [
         (0.0, b"y")
     ]
