--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -1,9 +1,9 @@
-"""Memory and time of connection admission while ever new addresses connect.
+"""Memory and time of connection admission while new addresses keep connecting.
 
     python benchmarks/addresses.py [--addresses 10000000]
 
-Each address connects once and leaves; one in ten has a request answered. Prints one JSON object: the memory
-of the process before, after a tenth, and after all, in KiB, and microseconds for each connection.
+Each address connects once and disconnects; every tenth completes a request. Prints one JSON object: resident
+memory of the process in KiB at the start, after a tenth and after all connections; microseconds for each.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from pathlib import Path
 from time import perf_counter
 
-import checkout  # noqa: F401 - it puts this checkout on the import path
+import checkout  # noqa: F401 - puts this checkout on the import path
 
 from ochreflow.admission.connection_admission import ConnectionAdmission
 from ochreflow.admission.limits import Limits
@@ -29,13 +29,13 @@
 
 
 def main() -> None:
-    """Connect the addresses, and print the figures."""
+    """Connect the addresses and print the measurements."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--addresses", type=int, default=10_000_000)
     count = parser.parse_args().addresses
     admission: ConnectionAdmission[int] = ConnectionAdmission(Limits(), lambda: 1000)
     metrics: dict[str, float] = {"addresses": count, "before_kib": resident_kib()}
-    began = perf_counter()
+    start_time = perf_counter()
     admitted = 0
     for number in range(count):
         now = number * CONNECTION_INTERVAL_S
@@ -48,7 +48,7 @@
         if number == count // 10:
             metrics["after_a_tenth_kib"] = resident_kib()
     metrics |= {"after_kib": resident_kib(), "let_in": admitted, "remembered": len(admission.absent)}
-    print(json.dumps({**metrics, "us_for_each": round((perf_counter() - began) / count * 1e6, 2)}))
+    print(json.dumps({**metrics, "us_for_each": round((perf_counter() - start_time) / count * 1e6, 2)}))
 
 
 if __name__ == "__main__":
--- a/benchmarks/checkout.py
+++ b/benchmarks/checkout.py
@@ -1,4 +1,4 @@
-"""Puts this checkout first on the import path, so that a benchmark measures it, installed or not."""
+"""Puts this checkout first on the import path; benchmarks then measure it even if a build is installed."""
 
 from __future__ import annotations
 
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,10 +1,10 @@
-"""A flood of sockets against a real sidecar, with admission and without: do its usual clients notice?
+"""Effect of a connection flood on the regular clients of a sidecar, with and without admission.
 
     python benchmarks/flood.py [--sockets 2000]
 
-Plays a steady load from one address through a fake server node, while sockets from 250 other addresses of
-loopback connect and say nothing or half a head, each anew as soon as it is refused. Prints one JSON object:
-the share answered within the target time and the p99, without a flood, and with it with admission off and on.
+Runs a steady load from one address, served by a fake node, while sockets from 250 other loopback addresses
+connect and send nothing or half a request head; a closed one connects again. Prints one JSON object: the
+share of requests within the target time and the p99, without a flood, and with one with admission off and on.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import tempfile
 from pathlib import Path
 
-import checkout  # noqa: F401 - it puts this checkout on the import path
+import checkout  # noqa: F401 - puts this checkout on the import path
 import msgspec
 import uvloop
 
@@ -30,13 +30,13 @@
 LOAD_S = 8.0
 ADDRESSES = 250
 HALF_HEAD = b"POST /assign/flags HTTP/1.1\r\nHost: x\r\nX-Req"
-ADMISSION_ON = "[admission]\non = true\n"  # of the operator's file
+ADMISSION_ON = "[admission]\non = true\n"  # content of the operator's file
 RECONNECT_DELAY_S = 0.2
-WATCH_INTERVAL_S = 0.1
+SAMPLE_INTERVAL_S = 0.1
 
 
 class Flood:
-    """Sockets to one port, each connected again after it has ended."""
+    """Sockets to one port; each connects again after it was closed."""
 
     def __init__(self, port: int, sockets: int) -> None:
         """Prepare a flood of `sockets` sockets to `port`; nothing connects before `run`."""
@@ -45,10 +45,10 @@
         self.connects = 0
 
     async def run(self) -> None:
-        """Connect all within a second, and again until cancelled."""
-        await asyncio.gather(*(self._one(number) for number in range(self.sockets)))
+        """Connect all sockets within a second; reconnect closed ones until cancelled."""
+        await asyncio.gather(*(self._keep_connected(number) for number in range(self.sockets)))
 
-    async def _one(self, number: int) -> None:
+    async def _keep_connected(self, number: int) -> None:
         loop = asyncio.get_running_loop()
         await asyncio.sleep(number / self.sockets)  # all within a second
         while True:
@@ -64,42 +64,44 @@
             await asyncio.sleep(RECONNECT_DELAY_S)
 
 
-async def play(scenario: Scenario, directory: Path, sockets: int, *, admission: bool) -> dict[str, object]:
-    """Run the scenario beside a flood of `sockets` sockets; the figures of its clients and of the sidecar."""
+async def run_case(
+    scenario: Scenario, directory: Path, sockets: int, *, admission: bool
+) -> dict[str, object]:
+    """Run the scenario during a flood of `sockets` sockets; return the results of clients and sidecar."""
     runner = ScenarioRunner(scenario, directory, 1)
-    flood: asyncio.Task[None] | None = None
+    flood_task: asyncio.Task[None] | None = None
     if admission:
         (directory / "operator.toml").write_text(ADMISSION_ON)
         runner.environment.sidecar_options = ("--config", str(directory / "operator.toml"))
     peak: dict[str, float] = {}
 
-    async def watch() -> None:
-        """Start the flood with the load, and look at what the sidecar holds."""
-        nonlocal flood
+    async def monitor_sidecar() -> None:
+        """Start the flood during the load, and sample the peak resource usage of the sidecar."""
+        nonlocal flood_task
         while "sidecar-1" not in runner.environment.addresses or not runner.loads:
             await asyncio.sleep(0.05)
-        await asyncio.sleep(1.0)  # the usual clients have been there before
-        started = Flood(int(runner.environment.addresses["sidecar-1"].rpartition(":")[2]), sockets)
-        flood = asyncio.create_task(started.run())
+        await asyncio.sleep(1.0)  # the regular clients have completed requests before
+        flood = Flood(int(runner.environment.addresses["sidecar-1"].rpartition(":")[2]), sockets)
+        flood_task = asyncio.create_task(flood.run())
         while True:
             for name, value in resource_usage(runner.environment.processes["sidecar-1"].pid).items():
                 peak[name] = max(peak.get(name, 0.0), value)
-            peak["connects"] = started.connects
-            await asyncio.sleep(WATCH_INTERVAL_S)
+            peak["connects"] = flood.connects
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    watching = asyncio.create_task(watch())
+    monitor = asyncio.create_task(monitor_sidecar())
     result = await runner.run()
-    watching.cancel()
-    if flood is not None:
-        flood.cancel()
+    monitor.cancel()
+    if flood_task is not None:
+        flood_task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await flood
+            await flood_task
     targets = {name: spec.objective_s for name, spec in scenario.request_classes.items()}
     latencies = [
-        (name, time) for name, one in result.report.logical_requests.items() for time in one.values()
+        (name, time) for name, times in result.report.logical_requests.items() for time in times.values()
     ]
     in_time = sum(time is not None and time <= targets[name] for name, time in latencies)
-    p99 = max(found.percentile(0.99) for found in result.report.latency.values())
+    p99 = max(histogram.percentile(0.99) for histogram in result.report.latency.values())
     return {
         "asked": len(latencies),
         "in_time": round(in_time / len(latencies), 4),
@@ -111,19 +113,19 @@
 
 
 def main() -> None:
-    """Run the three cases, and print the figures."""
+    """Run the three cases and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sockets", type=int, default=2000)
-    given = parser.parse_args()
+    options = parser.parse_args()
     scenario = msgspec.structs.replace(read_scenario("quiet"), duration_s=LOAD_S)
-    result: dict[str, object] = {"descriptors": RESOURCE_LIMITS["sockets"], "sockets": given.sockets}
+    result: dict[str, object] = {"descriptors": RESOURCE_LIMITS["sockets"], "sockets": options.sockets}
     for name, sockets, admission in (
         ("no flood", 0, False),
-        ("flood, gate off", given.sockets, False),
-        ("flood, gate on", given.sockets, True),
+        ("flood, gate off", options.sockets, False),
+        ("flood, gate on", options.sockets, True),
     ):
         with tempfile.TemporaryDirectory() as directory:
-            result[name] = uvloop.run(play(scenario, Path(directory), sockets, admission=admission))
+            result[name] = uvloop.run(run_case(scenario, Path(directory), sockets, admission=admission))
     print(json.dumps(result, indent=1))
 
 
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,10 +1,10 @@
-"""What the sidecar costs: the same load straight at a node, through an earlier build, and through this one.
+"""Overhead of the sidecar: the same load directly to a node, through an earlier build and through this one.
 
     python benchmarks/overhead.py [--before REVISION] [--rounds N] [--seconds S]
 
-All are measured in turn within one run on the same cores, one core for each sidecar, so that only ratios
-are to be read. Prints one JSON object: requests a second as a ratio to straight at the node (median of
-the rounds), time added at p50 and p99 with one request at a time, and idle resident memory.
+All are measured in turn within one run on the same cores, one core for each sidecar; only the ratios are
+meaningful. Prints one JSON object: the ratio of requests per second to those without a sidecar (median of
+the rounds), the latency added at p50 and p99 with one request at a time, and the idle resident memory.
 """
 
 from __future__ import annotations
@@ -35,26 +35,28 @@
 from ochreflow.lab.series import percentile
 
 HOST = "127.0.0.1"
-CONNECTIONS = 6  # fills a core, and stays under the module's limit on what is open at first
-NODE_NAMES = 4  # under which the sidecar knows the one node: its limit on what is open goes by servers
-LATENCY_REQUESTS = 3000  # one at a time, for the latency that the sidecar adds
+CONNECTIONS = 6  # saturates one core; below the policy's initial limit on open requests
+NODE_NAMES = (
+    4  # names of the one node: the sidecar's limit on open requests scales with the number of endpoints
+)
+LATENCY_REQUESTS = 3000  # sent one at a time, to measure the latency added by the sidecar
 CORES = {"node": 0, "sidecar": 1, "load": 2}
 
 
 def pin(core: int) -> None:
-    """Bind this process to a core; the numbers wrap round at the number of cores."""
+    """Bind this process to a core, counted modulo the number of cores."""
     os.sched_setaffinity(0, {core % (os.cpu_count() or 1)})
 
 
 def node(pipe: Connection) -> None:
-    """Serve as a node that answers at once, for ever; its port goes into the pipe."""
+    """Run a node that responds at once until killed; send its port into the pipe."""
     pin(CORES["node"])
 
     async def serve() -> None:
-        def answer(request: HttpRequest) -> None:
+        def respond(request: HttpRequest) -> None:
             request.answer(200, b"ok")
 
-        service = HttpService(answer)
+        service = HttpService(respond)
         server = await asyncio.get_running_loop().create_server(service.connection, HOST, 0)
         pipe.send(server.sockets[0].getsockname()[1])
         await asyncio.Event().wait()
@@ -63,10 +65,10 @@
 
 
 class Build:
-    """One build of the sidecar as a process."""
+    """A process of one build of the sidecar."""
 
     def __init__(self, directory: Path, node_port: int) -> None:
-        """Start the build of a checkout; it knows a node at the port. SystemExit if it does not start."""
+        """Start the build in `directory` with a node at `node_port`; raise SystemExit if that fails."""
         packages = [path.parent.name for path in directory.glob("*/__main__.py")]
         package = next(name for name in packages if name in ("ochreflow", "dykefold"))
         entry = {"address": f"{HOST}:{node_port}", "zone": "amman", "type": "gen3", "group": 1}
@@ -87,66 +89,66 @@
         while not self.port:
             line = self.process.stderr.readline()
             if not line:
-                message = f"the build in {directory.name} did not start"
+                message = f"the build in {directory.name} exited before it was listening"
                 raise SystemExit(message)
             if match := re.search(r" listens at [\d.]+:(\d+)", line):
                 self.port = int(match[1])
         path.unlink()
 
-    def resident_mb(self) -> float:
-        """Read its resident memory, in MB."""
+    def resident_mib(self) -> float:
+        """Return the resident memory of the process, in MiB."""
         text = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(re.search(r"VmRSS:\s+(\d+)", text)[1]) / 1024
 
 
 def config(discovery: str, endpoints: list[dict]) -> dict:
-    """Make the platform's configuration of a sidecar that knows the endpoints from a discovery address."""
+    """Build the platform configuration of a sidecar with known endpoints and a discovery address."""
     return platform_config(read_scenario("quiet"), 1, f"{HOST}:0", discovery, endpoints)
 
 
 def request() -> bytes:
-    """Make a request with an id of its own."""
-    ident = f"{random.getrandbits(64):016x}"
-    head = f"POST /assign/flags HTTP/1.1\r\nHost: nodes\r\nX-Request-Id: {ident}\r\nX-Key: user-1\r\n"
+    """Build a request with a unique id."""
+    request_id = f"{random.getrandbits(64):016x}"
+    head = f"POST /assign/flags HTTP/1.1\r\nHost: nodes\r\nX-Request-Id: {request_id}\r\nX-Key: user-1\r\n"
     return f"{head}X-Deadline: 2000m\r\nContent-Length: 4\r\n\r\nbody".encode()
 
 
 async def load(port: int, connections: int, seconds: float = 1e9, max_requests: int = 10**9) -> list[float]:
-    """Keep a request open on each connection; the latency of each answer, in seconds."""
+    """Keep a request open on each connection; return the latency of each response, in seconds."""
     loop = asyncio.get_running_loop()
     latencies: list[float] = []
     end = perf_counter() + seconds
 
-    async def one() -> None:
+    async def run_client() -> None:
         _, client = await loop.create_connection(ClientConnection, HOST, port)
         while perf_counter() < end and len(latencies) < max_requests:
-            done = loop.create_future()
-            begin = perf_counter()
-            client.send(request(), done)
-            code, _ = await done
+            response = loop.create_future()
+            sent_at = perf_counter()
+            client.send(request(), response)
+            code, _ = await response
             if code != HTTPStatus.OK:
-                message = f"an answer was {code}: {client.body.decode()}"
+                message = f"a response had status {code}, expected 200: {client.body.decode()}"
                 raise SystemExit(message)
-            latencies.append(perf_counter() - begin)
+            latencies.append(perf_counter() - sent_at)
         client.close()
 
-    await asyncio.gather(*(one() for _ in range(connections)))
+    await asyncio.gather(*(run_client() for _ in range(connections)))
     return latencies
 
 
 def measure(ports: dict[str, int], rounds: int, seconds: float) -> dict[str, dict[str, float]]:
-    """Load what listens at each port in turn, in an order drawn for each round; the figures by name."""
+    """Load each port in turn, in random order in each round; return the results by name."""
     rates: dict[str, list[float]] = {name: [] for name in ports}
-    times: dict[str, list[float]] = {name: [] for name in ports}
+    latencies: dict[str, list[float]] = {name: [] for name in ports}
     for number in range(rounds + 1):
         order = list(ports)
         random.shuffle(order)
         for name in order:
-            answered = uvloop.run(load(ports[name], CONNECTIONS, seconds))
-            alone = uvloop.run(load(ports[name], 1, max_requests=LATENCY_REQUESTS // rounds))
+            parallel = uvloop.run(load(ports[name], CONNECTIONS, seconds))
+            sequential = uvloop.run(load(ports[name], 1, max_requests=LATENCY_REQUESTS // rounds))
             if number:  # the first round warms up
-                rates[name].append(len(answered) / seconds)
-                times[name] += alone
+                rates[name].append(len(parallel) / seconds)
+                latencies[name] += sequential
     direct = rates["direct"]
     result: dict[str, dict[str, float]] = {}
     for name in ports:
@@ -155,38 +157,38 @@
             pairs = zip(rates["after"], rates["before"], strict=True)
             result["after to before"] = {"ratio": round(statistics.median(a / b for a, b in pairs), 4)}
         result[name] = {"per_second": round(statistics.median(rates[name])), "ratio": round(ratio, 4)}
-        for part, label in ((0.5, "p50_us"), (0.99, "p99_us")):
-            added = percentile(times[name], part) - percentile(times["direct"], part)
+        for quantile, label in ((0.5, "p50_us"), (0.99, "p99_us")):
+            added = percentile(latencies[name], quantile) - percentile(latencies["direct"], quantile)
             result[name][f"added_{label}"] = round(added * 1e6)
     return result
 
 
 def main() -> None:
-    """Start the node and the builds, measure, and print the figures."""
+    """Start the node and the builds, measure them and print the results."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--before", help="a git revision to compare with")
     parser.add_argument("--rounds", type=int, default=8)
     parser.add_argument("--seconds", type=float, default=1.5)
-    given = parser.parse_args()
+    options = parser.parse_args()
     pin(CORES["load"])
-    pipe, far = multiprocessing.Pipe()
-    multiprocessing.Process(target=node, args=(far,), daemon=True).start()
+    pipe, child_pipe = multiprocessing.Pipe()
+    multiprocessing.Process(target=node, args=(child_pipe,), daemon=True).start()
     node_port = pipe.recv()
     with tempfile.TemporaryDirectory() as temporary:
         checkouts = {"after": ROOT}
-        if given.before:
+        if options.before:
             checkouts["before"] = Path(temporary) / "before"
-            add = ["git", "worktree", "add", "-q", "--detach", str(checkouts["before"]), given.before]
+            add = ["git", "worktree", "add", "-q", "--detach", str(checkouts["before"]), options.before]
             subprocess.run(add, cwd=ROOT, check=True)
         builds = {name: Build(checkout, node_port) for name, checkout in checkouts.items()}
         try:
-            idle = {name: round(build.resident_mb(), 2) for name, build in builds.items()}
+            idle = {name: round(build.resident_mib(), 2) for name, build in builds.items()}
             ports = {"direct": node_port, **{name: build.port for name, build in builds.items()}}
-            result = measure(ports, given.rounds, given.seconds)
+            result = measure(ports, options.rounds, options.seconds)
         finally:
             for build in builds.values():
                 build.process.kill()
-            if given.before:
+            if options.before:
                 remove = ["git", "worktree", "remove", "--force", str(checkouts["before"])]
                 subprocess.run(remove, cwd=ROOT, check=True)
     print(json.dumps({"rates": result, "idle_mb": idle}, indent=1))
--- a/benchmarks/worse_builds.py
+++ b/benchmarks/worse_builds.py
@@ -1,9 +1,10 @@
-"""Ranks deliberately worse builds by the lab, in simulated time: does the lab see what is worse?
+"""Ranks deliberately degraded builds in simulated time, to check that the lab detects the degradation.
 
     python benchmarks/worse_builds.py [--seeds 8] [--jobs 8] [--into FOLDER]
 
-Each build has a line of the decision module changed. Prints one JSON object: mean worth by scenario and
-build, and the difference to the module as it is with its interval. With --into it only makes the builds.
+Each build has one line of the policy package changed. Prints one JSON object: the mean worth by build and
+scenario, and the difference from the unchanged build with its confidence interval. With --into it only
+creates the builds.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from collections import defaultdict
 from pathlib import Path
 
-import checkout  # noqa: F401 - it puts this checkout on the import path
+import checkout  # noqa: F401 - puts this checkout on the import path
 
 from ochreflow.lab.builds import make
 from ochreflow.lab.differences import interval
@@ -23,7 +24,7 @@
 from ochreflow.simulation.simulation import simulate
 
 POLICY = Path("ochreflow/policy")
-WORSE = {  # the file that is changed, what in it, and into what
+BUILD_CHANGES = {  # by build name: the changed file, the original text and its replacement
     "as it is": None,
     "no ejection": (
         "outlier_detection.py",
@@ -40,25 +41,25 @@
 
 
 def make_builds(directory: Path) -> dict[str, Path]:
-    """Make all builds below a directory; the path of each by its name."""
+    """Create all builds below a directory; return their paths by name."""
     paths = {}
-    for name, change in WORSE.items():
+    for name, change in BUILD_CHANGES.items():
         paths[name] = make(".", directory / name.replace(" ", "-"))
         if change is None:
             continue
         file, old, new = change
         text = (paths[name] / POLICY / file).read_text()
         if text.count(old) != 1:
-            message = f"{name}: {old!r} is there {text.count(old)} times"
+            message = f"{name}: {old!r} occurs {text.count(old)} times, expected once"
             raise SystemExit(message)
         (paths[name] / POLICY / file).write_text(text.replace(old, new))
     return paths
 
 
 def rank(builds: dict[str, Path], seeds: int, jobs: int) -> dict[str, object]:
-    """Run all scenarios with each build and seed; the figures of each build by its name."""
+    """Run all scenarios with each build and seed; return the results by build name."""
     scenarios = {name: read_scenario(name) for name in scenario_names()}
-    work = [
+    planned_runs = [
         Job(name, scenario, seed, build, program)
         for seed in range(1, seeds + 1)
         for name, scenario in scenarios.items()
@@ -66,19 +67,19 @@
     ]
     scores: dict[str, dict[tuple[str, int], float]] = defaultdict(dict)
     broken: dict[str, int] = defaultdict(int)
-    for result in play_jobs(simulate, work, jobs):
+    for result in play_jobs(simulate, planned_runs, jobs):
         scores[result["build"]][result["scenario"], result["seed"]] = result["worth"]
         broken[result["build"]] += result["verdict"] == "broken"
     ranking: dict[str, object] = {}
     reference = scores["as it is"]
-    for build, found in scores.items():
-        differences = [found[key] - reference[key] for key in sorted(reference)]
+    for build, build_scores in scores.items():
+        differences = [build_scores[key] - reference[key] for key in sorted(reference)]
         by_scenario = {
-            name: round(sum(found[name, seed] for seed in range(1, seeds + 1)) / seeds, 4)
+            name: round(sum(build_scores[name, seed] for seed in range(1, seeds + 1)) / seeds, 4)
             for name in scenarios
         }
         ranking[build] = {
-            "worth": round(sum(found.values()) / len(found), 4),
+            "worth": round(sum(build_scores.values()) / len(build_scores), 4),
             "difference": [round(value, 4) for value in interval(differences)],
             "runs that broke a rule": broken[build],
             "scenarios": by_scenario,
@@ -87,17 +88,17 @@
 
 
 def main() -> None:
-    """Make the builds, and rank them unless they are only to be made."""
+    """Create the builds, and rank them unless --into is given."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=8)
     parser.add_argument("--jobs", type=int, default=8)
     parser.add_argument("--into", type=Path)
-    given = parser.parse_args()
-    if given.into is not None:
-        make_builds(given.into)
+    options = parser.parse_args()
+    if options.into is not None:
+        make_builds(options.into)
         return
     with tempfile.TemporaryDirectory() as directory:
-        print(json.dumps(rank(make_builds(Path(directory)), given.seeds, given.jobs), indent=1))
+        print(json.dumps(rank(make_builds(Path(directory)), options.seeds, options.jobs), indent=1))
 
 
 if __name__ == "__main__":
--- a/ochreflow/lab/fault/stream.py
+++ b/ochreflow/lab/fault/stream.py
@@ -68,14 +68,14 @@
     bytes_per_second: int = 0  # 0: unlimited
     garble_remaining: int = 0  # bytes still to be garbled
     garble_rng: random.Random | None = None  # draws the replacement bytes
-    discarding: bool = False
+    swallowing: bool = False  # a black hole is in effect
     half_closed: bool = False  # the stream to its receiver has ended
     actions: list[Action] = field(default_factory=list)  # not yet returned by `feed`
 
     @property
     def output_stopped(self) -> bool:
         """Whether nothing more is forwarded to the receiver."""
-        return self.half_closed or self.discarding
+        return self.half_closed or self.swallowing
 
     def take_actions(self) -> list[Action]:
         """Return and clear the actions collected since the last call."""
@@ -184,7 +184,7 @@
             case FaultKind.GARBLE:
                 direction.garble_remaining, direction.garble_rng = fault.count, rng
             case FaultKind.BLACK_HOLE:
-                direction.discarding = True
+                direction.swallowing = True
             case FaultKind.HALF_CLOSE:
                 direction.half_closed = True
                 direction.actions.append(HalfClose())
