--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""The benchmarks find this checkout and the names that they use; none of them is run here."""
+"""The benchmarks import this checkout and the names that they use; they are not run here."""
 
 import subprocess
 import sys
@@ -10,11 +10,11 @@
 NAMES = sorted(path.stem for path in BENCHMARKS.glob("*.py"))
 
 
-def python(code, folder):
-    """Run code as a benchmark is run: with the directory of the benchmarks first on the import path."""
+def run_python(code, directory):
+    """Run code like a benchmark: with the directory of the benchmarks first on the import path."""
     return subprocess.run(
         [sys.executable, "-c", f"import sys; sys.path[0] = {str(BENCHMARKS)!r}; {code}"],
-        cwd=folder,
+        cwd=directory,
         capture_output=True,
         text=True,
         timeout=60,
@@ -23,15 +23,15 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_a_benchmark_finds_the_program_from_anywhere(tmp_path, name):
-    done = python(f"import {name}, ochreflow; print(ochreflow.__file__)", tmp_path)
-    assert done.returncode == 0, done.stderr
-    assert done.stdout.strip() == str(BENCHMARKS.parent / "ochreflow" / "__init__.py")
+def test_benchmark_imports_this_checkout_from_any_directory(tmp_path, name):
+    completed = run_python(f"import {name}, ochreflow; print(ochreflow.__file__)", tmp_path)
+    assert completed.returncode == 0, completed.stderr
+    assert completed.stdout.strip() == str(BENCHMARKS.parent / "ochreflow" / "__init__.py")
 
 
-def test_every_worse_build_can_be_made(tmp_path):
-    done = python(
-        f"import pathlib, worse_builds as w; w.make_builds(pathlib.Path({str(tmp_path)!r}))", tmp_path
+def test_every_degraded_build_can_be_created(tmp_path):
+    completed = run_python(
+        f"import pathlib, worse_builds; worse_builds.make_builds(pathlib.Path({str(tmp_path)!r}))", tmp_path
     )
-    assert done.returncode == 0, done.stderr
+    assert completed.returncode == 0, completed.stderr
     assert len(list(tmp_path.iterdir())) == 4
--- a/tests/test_fault.py
+++ b/tests/test_fault.py
@@ -1,4 +1,4 @@
-"""The fault tool on sockets: in front of a sidecar, of datagrams, and as a command."""
+"""The fault-injecting proxy on sockets: in front of a sidecar's server, for datagrams, and as a command."""
 
 import asyncio
 import json
@@ -32,40 +32,44 @@
 
 ROOT = Path(__file__).parent.parent
 
-# On sockets, in front of a sidecar's server
+# Streams: the proxy between a sidecar and its server
 
 
-async def through_tool(tmp_path, faults, cls, answer, deadline):
-    """One request through a sidecar whose server is behind the proxy: what the client got, and the runs."""
+async def send_through_proxy(tmp_path, faults, request_class, response, deadline):
+    """Send a request through a sidecar whose server is behind the proxy.
 
-    async def act(message, reader, writer):
-        writer.write(answer)
+    Return the client's outcome, how often the server ran the request, and the transcript of the responses.
+    """
 
-    fake = await FakePeer(act).start()
+    async def respond(message, reader, writer):
+        writer.write(response)
+
+    fake = await FakePeer(respond).start()
     loop = asyncio.get_running_loop()
     proxy = FaultProxy((HOST, fake.port), faults, seed=5)
     server = await loop.create_server(proxy.accept, HOST, 0)
     address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
     async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", address)))) as sidecar:
         try:
-            got = await send_request(
-                sidecar.port, http_request(cls, "ab", deadline, b"x" * 10 if cls == "order" else b"")
+            reply = await send_request(
+                sidecar.port,
+                http_request(request_class, "ab", deadline, b"x" * 10 if request_class == "order" else b""),
             )
-            word = {200: "served", 503: "refused"}.get(got.code, "failed")
+            outcome = {200: "served", 503: "refused"}.get(reply.code, "failed")
         except (OSError, asyncio.IncompleteReadError):
-            word = "cut"
+            outcome = "cut"
     proxy.close()
     server.close()
-    # Requests tell the time that is left, so the same traffic twice is what servers answer.
-    answers = [line for line in proxy.transcript.lines() if " answer " in line]
-    return word, len(fake.received), answers
+    # Requests carry their remaining time, which varies; only the responses are the same in every run.
+    response_lines = [line for line in proxy.transcript.lines() if " answer " in line]
+    return outcome, len(fake.received), response_lines
 
 
-# Any other digit in the place of the nought makes the length longer than what comes. A shorter one can't be
-# told from a good answer with something behind it, which servers may send.
+# Replacing the leading zero with any other digit makes the length exceed the body. A length that is too short
+# is not detectable: servers may send bytes after a valid response.
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 010\r\n\r\n0123456789"
-ONCE = {"most": 1}  # only the first connection, so that a repeat finds the way free
-SEEN = {  # what happens to the first attempt: (order's word and runs), (lookup's word and runs)
+ONCE = {"most": 1}  # only the first connection, so that a retry succeeds
+FAULT_CASES = {  # fault of the first attempt: (outcome and runs of order), (outcome and runs of lookup)
     "answer cut before its first byte": (fault("cut", **ONCE), ("failed", 1), ("served", 2)),
     "answer cut in its head": (fault("cut", place="head", after=9, **ONCE), ("failed", 1), ("served", 2)),
     "answer cut after its head": (fault("cut", place="body", **ONCE), ("failed", 1), ("served", 2)),
@@ -94,37 +98,39 @@
 }
 
 
-@pytest.mark.parametrize("name", SEEN)
-def test_a_sidecar_meets_each_failure_and_retries_only_what_it_may(tmp_path, name):
-    what, *expected = SEEN[name]
+@pytest.mark.parametrize("name", FAULT_CASES)
+def test_sidecar_retries_only_retryable_requests_after_each_fault(tmp_path, name):
+    injected, *expected = FAULT_CASES[name]
 
-    async def play():
-        for cls, (word, runs) in zip(("order", "lookup"), expected, strict=True):
-            first = await through_tool(tmp_path, [what], cls, OK, "1500m")
-            assert first[:2] == (word, runs), cls
-            if cls == "order":  # a repeat's time is the sidecar's chance, not the proxy's
-                assert await through_tool(tmp_path, [what], cls, OK, "1500m") == first
+    async def scenario():
+        for request_class, (outcome, runs) in zip(("order", "lookup"), expected, strict=True):
+            first = await send_through_proxy(tmp_path, [injected], request_class, OK, "1500m")
+            assert first[:2] == (outcome, runs), request_class
+            if request_class == "order":  # the retries of a lookup are timed at random by the sidecar
+                assert await send_through_proxy(tmp_path, [injected], request_class, OK, "1500m") == first
 
-    run(play())
+    run(scenario())
 
 
-def test_a_garbled_chunk_size_shows_as_a_broken_answer(tmp_path):
-    async def play():
-        what = [fault("garble", place="chunk_size", after=4, count=1)]
+def test_garbled_chunk_size_fails_the_response(tmp_path):
+    async def scenario():
+        injected = [fault("garble", place="chunk_size", after=4, count=1)]
         chunked = CHUNKED_HEAD + b"1\r\na\r\n4\r\nbcde\r\n0\r\n\r\n"
-        word, runs, answers = await through_tool(tmp_path, what, "order", chunked, "1500m")
-        assert (word, runs) in (("cut", 1), ("failed", 1))
-        assert (await through_tool(tmp_path, what, "order", chunked, "1500m"))[2] == answers
+        outcome, runs, response_lines = await send_through_proxy(
+            tmp_path, injected, "order", chunked, "1500m"
+        )
+        assert (outcome, runs) in (("cut", 1), ("failed", 1))
+        assert (await send_through_proxy(tmp_path, injected, "order", chunked, "1500m"))[2] == response_lines
 
-    run(play())
+    run(scenario())
 
 
-def test_a_reset_reaches_a_peer_that_has_data_unread(tmp_path):
-    async def play():
-        async def act(message, reader, writer):
+def test_reset_reaches_a_peer_with_unread_data(tmp_path):
+    async def scenario():
+        async def respond(message, reader, writer):
             writer.write(OK)
 
-        fake = await FakePeer(act).start()
+        fake = await FakePeer(respond).start()
         proxy = FaultProxy((HOST, fake.port), [fault("reset", place="end")], 1)
         loop = asyncio.get_running_loop()
         server = await loop.create_server(proxy.accept, HOST, 0)
@@ -140,67 +146,72 @@
         sock.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_it_lets_go_of_connections_that_both_ends_have_ended(tmp_path):
-    async def play():
+def test_proxy_releases_connections_that_both_ends_closed(tmp_path):
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         for faults in ([], [fault("half_close", "request", "end")], [fault("delay", ms=5)]):
             proxy = FaultProxy((HOST, fake.port), faults, 1)
             server = await asyncio.get_running_loop().create_server(proxy.accept, HOST, 0)
             for number in range(5):
-                got = await send_request(
+                reply = await send_request(
                     server.sockets[0].getsockname()[1], http_request("order", f"id{number}")
                 )
-                assert got.code == 200
+                assert reply.code == 200
             await wait_until(lambda proxy=proxy: not proxy.connections)
             server.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_it_is_controlled_live_and_reports_what_it_did(tmp_path):
-    async def play():
-        async def act(message, reader, writer):
+def test_control_interface_replaces_faults_and_returns_the_transcript(tmp_path):
+    async def scenario():
+        async def respond(message, reader, writer):
             writer.write(OK)
 
-        fake = await FakePeer(act).start()
+        fake = await FakePeer(respond).start()
         proxy = FaultProxy((HOST, fake.port), [], 1)
         loop = asyncio.get_running_loop()
         server = await loop.create_server(proxy.accept, HOST, 0)
-        control = await loop.create_server(proxy.control().connection, HOST, 0)
-        steer = control.sockets[0].getsockname()[1]
+        control_server = await loop.create_server(proxy.control().connection, HOST, 0)
+        control_port = control_server.sockets[0].getsockname()[1]
 
-        async def order(method, path, body=b""):
+        async def send_control(method, path, body=b""):
             head = f"{method} {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode()
-            return await send_request(steer, head + body)
+            return await send_request(control_port, head + body)
 
         reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
         writer.write(REQUEST)
         assert (await read_message(reader)).code == 200
         writer.write(REQUEST[:30])
-        wrong = await order("POST", "/faults", b'[{"do": "cut", "place": "nowhere"}, {"do": "drop"}]')
-        assert wrong.code == 400 and wrong.body.count(b"/faults: fault[") == 2
+        rejected = await send_control(
+            "POST", "/faults", b'[{"do": "cut", "place": "nowhere"}, {"do": "drop"}]'
+        )
+        assert rejected.code == 400 and rejected.body.count(b"/faults: fault[") == 2
         cut = [{"do": "cut", "side": "request", "place": "body", "after": 4, "message": 1}]
-        assert (await order("POST", "/faults", json.dumps(cut).encode())).code == 200
+        assert (await send_control("POST", "/faults", json.dumps(cut).encode())).code == 200
         writer.write(REQUEST[30:])
         assert await reader.read() == b""
-        told = json.loads((await order("GET", "/transcript")).body)
-        assert told["lines"][1].startswith(f"0 request {2 * len(REQUEST) - 6} ") and "cut" in told["lines"][1]
-        assert told["digest"] == proxy.transcript.digest()
-        assert (await order("GET", "/nothing")).code == 404
+        transcript = json.loads((await send_control("GET", "/transcript")).body)
+        assert (
+            transcript["lines"][1].startswith(f"0 request {2 * len(REQUEST) - 6} ")
+            and "cut" in transcript["lines"][1]
+        )
+        assert transcript["digest"] == proxy.transcript.digest()
+        assert (await send_control("GET", "/nothing")).code == 404
         writer.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
-# Datagrams, the command, and its script
+# Datagrams, the command, and scripts
 
 
-def test_datagrams_are_forwarded_and_their_answers_reach_the_sender():
-    async def play():
+def test_datagrams_are_forwarded_and_responses_reach_the_sender():
+    async def scenario():
         class Echo(asyncio.DatagramProtocol):
             def connection_made(self, transport):
                 self.transport = transport
@@ -208,38 +219,40 @@
             def datagram_received(self, data, addr):
                 self.transport.sendto(b"re:" + data, addr)
 
-        class Asker(asyncio.DatagramProtocol):
+        class Client(asyncio.DatagramProtocol):
             def __init__(self):
-                self.got = asyncio.Queue()
+                self.received = asyncio.Queue()
 
             def datagram_received(self, data, addr):
-                self.got.put_nowait(data)
+                self.received.put_nowait(data)
 
         loop = asyncio.get_running_loop()
         digests = []
         for _ in range(2):
-            echo, _ = await loop.create_datagram_endpoint(Echo, local_addr=(HOST, 0))
+            echo_transport, _ = await loop.create_datagram_endpoint(Echo, local_addr=(HOST, 0))
             faults = [fault("duplicate", "answer", message=1, most=1), fault("drop", "request", most=1)]
-            proxy = FaultProxy(echo.get_extra_info("sockname"), faults, 1, datagrams=True)
-            between, _ = await loop.create_datagram_endpoint(proxy.accept_datagrams, local_addr=(HOST, 0))
-            asker, protocol = await loop.create_datagram_endpoint(
-                Asker, remote_addr=between.get_extra_info("sockname")
+            proxy = FaultProxy(echo_transport.get_extra_info("sockname"), faults, 1, datagrams=True)
+            proxy_transport, _ = await loop.create_datagram_endpoint(
+                proxy.accept_datagrams, local_addr=(HOST, 0)
+            )
+            client_transport, client = await loop.create_datagram_endpoint(
+                Client, remote_addr=proxy_transport.get_extra_info("sockname")
             )
             async with asyncio.timeout(WAIT_TIMEOUT_S):
-                asker.sendto(b"lost")
-                for name, copies in ((b"a", 1), (b"b", 2), (b"c", 1)):
-                    asker.sendto(name)
-                    assert [await protocol.got.get() for _ in range(copies)] == [b"re:" + name] * copies
+                client_transport.sendto(b"lost")
+                for payload, copies in ((b"a", 1), (b"b", 2), (b"c", 1)):
+                    client_transport.sendto(payload)
+                    assert [await client.received.get() for _ in range(copies)] == [b"re:" + payload] * copies
             digests.append(proxy.transcript.digest())
-            for transport in (echo, between, asker):
+            for transport in (echo_transport, proxy_transport, client_transport):
                 transport.close()
         assert digests[0] == digests[1]
 
-    run(play())
+    run(scenario())
 
 
-def test_the_command_forwards_and_reports_what_it_did(tmp_path):
-    async def play():
+def test_command_forwards_traffic_and_prints_the_transcript(tmp_path):
+    async def scenario():
         fake = await FakePeer(never_answer).start()
         path = tmp_path / "s.toml"
         path.write_text('[[fault]]\ndo = "cut"\nside = "request"\nplace = "body"\nafter = 3\n')
@@ -248,28 +261,30 @@
             sys.executable, *command, cwd=ROOT, stdout=asyncio.subprocess.PIPE
         )
         async with asyncio.timeout(WAIT_TIMEOUT_S):
-            where = (await process.stdout.readline()).split()[-1].decode()
-            reader, writer = await asyncio.open_connection(*where.split(":"))
+            address = (await process.stdout.readline()).split()[-1].decode()
+            reader, writer = await asyncio.open_connection(*address.split(":"))
             writer.write(REQUEST)
             assert await reader.read() == b""
             process.send_signal(signal.SIGTERM)
-            said = (await process.stdout.read()).decode().splitlines()
+            output = (await process.stdout.read()).decode().splitlines()
             assert await process.wait() == 0
         writer.close()
-        sent = len(REQUEST) - 7
-        assert said[0].startswith(f"0 request {sent} ") and said[0].endswith(f" {sent} cut")
-        assert said[1].startswith("digest ") and len(said) == 2
+        forwarded_bytes = len(REQUEST) - 7
+        assert output[0].startswith(f"0 request {forwarded_bytes} ") and output[0].endswith(
+            f" {forwarded_bytes} cut"
+        )
+        assert output[1].startswith("digest ") and len(output) == 2
 
-    run(play())
+    run(scenario())
 
 
-def test_a_script_error_names_all_that_is_wrong_with_it(tmp_path):
+def test_script_error_names_every_invalid_fault(tmp_path):
     path = tmp_path / "s.toml"
-    good = '[[fault]]\ndo = "cut"\nside = "request"\nplace = "length"\nafter = 1\n'
-    path.write_text(good)
+    valid_fault = '[[fault]]\ndo = "cut"\nside = "request"\nplace = "length"\nafter = 1\n'
+    path.write_text(valid_fault)
     assert read_script(str(path), (FaultKind.CUT,)) == [fault("cut", "request", "length", after=1)]
     path.write_text(
-        good + '[[fault]]\ndo = "cat"\n[[fault]]\ndo = "rate"\n[[fault]]\ndo = "cut"\nshare = 2.0\n'
+        valid_fault + '[[fault]]\ndo = "cat"\n[[fault]]\ndo = "rate"\n[[fault]]\ndo = "cut"\nshare = 2.0\n'
     )
     with pytest.raises(ScriptError) as caught:
         read_script(str(path), (FaultKind.CUT, FaultKind.RATE))
@@ -286,5 +301,5 @@
         "--script",
         str(path),
     ]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=20)
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 3
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=20)
+    assert completed.returncode == 2 and len(completed.stderr.splitlines()) == 3
