--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -156,11 +156,11 @@
 
     def times(self) -> tuple[float, float]:
         """Return the CPU time and the time spent waiting for a core, in seconds, of its only thread."""
-        used, waited, _ = Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
-        return int(used) / 1e9, int(waited) / 1e9
+        cpu_ns, core_wait_ns, _ = Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
+        return int(cpu_ns) / 1e9, int(core_wait_ns) / 1e9
 
     def monitor(self, seconds: float) -> None:
-        """Read the log for `seconds` to find the port; then probe whether the process is ready."""
+        """Watch the process for `seconds`: read its port from the log, then probe whether it is ready."""
         end = perf_counter() + seconds
         while not self.ready_at and (remaining := end - perf_counter()) > 0.0:
             files = [self.log] if self.probe is None else [self.log, self.probe]
@@ -188,18 +188,18 @@
 
     def run_slice(self) -> None:
         """Run the process for one slice, then keep it stopped until its CPU time matches its share."""
-        begin, (before, _) = perf_counter(), self.times()
+        slice_start, (cpu_before_s, _) = perf_counter(), self.times()
         self.process.send_signal(signal.SIGCONT)
         self.monitor(self.slice_s)
         if self.share >= 1.0:
             return
         self.process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WEXITED | os.WNOWAIT)
-        self.throttle(begin, self.times()[0] - before)
+        self.throttle(slice_start, self.times()[0] - cpu_before_s)
 
-    def throttle(self, begin: float, cpu_s: float) -> None:
-        """Keep it stopped until `cpu_s` seconds of CPU time are its share of the time since `begin`."""
-        if (remaining := begin + cpu_s / self.share - perf_counter()) > 0.0:
+    def throttle(self, start_time: float, cpu_s: float) -> None:
+        """Keep it stopped until `cpu_s` seconds of CPU time are its share of the time since `start_time`."""
+        if (remaining := start_time + cpu_s / self.share - perf_counter()) > 0.0:
             self.monitor(remaining)
 
 
@@ -252,18 +252,21 @@
 
 def summarize(share: Fraction, *, directory_up: bool, starts: list[Start]) -> dict[str, object]:
     """Summarize the starts with one share and directory state."""
-    first_list_cpu_s = [one.first_list_cpu_s for one in starts if one.first_list_cpu_s is not None]
+    first_list_cpu_s = [start.first_list_cpu_s for start in starts if start.first_list_cpu_s is not None]
     return {
         "share": str(share),
         "directory": "up" if directory_up else "down",
         "starts": len(starts),
         **{
-            f"ready within {target:g} s": sum(one.ready_s <= target for one in starts) for target in TARGETS_S
+            f"ready within {target:g} s": sum(start.ready_s <= target for start in starts)
+            for target in TARGETS_S
         },
-        "real_s": spread([one.ready_s for one in starts]),
-        "processor_ms": spread([one.cpu_s for one in starts], 1e3, 1),
-        "real_by_share_to_processor": spread([one.ready_s * float(share) / one.cpu_s for one in starts]),
-        "waited_for_a_core_ms": spread([one.core_wait_s for one in starts], 1e3, 1),
+        "real_s": spread([start.ready_s for start in starts]),
+        "processor_ms": spread([start.cpu_s for start in starts], 1e3, 1),
+        "real_by_share_to_processor": spread(
+            [start.ready_s * float(share) / start.cpu_s for start in starts]
+        ),
+        "waited_for_a_core_ms": spread([start.core_wait_s for start in starts], 1e3, 1),
         **({"then_first_list_ms": spread(first_list_cpu_s, 1e3, 1)} if first_list_cpu_s else {}),
     }
 
@@ -334,7 +337,7 @@
     print(
         re.sub(r"\[\s+([\d.]+),\s+([\d.]+),\s+([\d.]+)\s+\]", r"[\1, \2, \3]", json.dumps(result, indent=1))
     )
-    return int(any(one.ready_s > MAX_START_S for _, _, starts in rows for one in starts))
+    return int(any(start.ready_s > MAX_START_S for _, _, starts in rows for start in starts))
 
 
 if __name__ == "__main__":
--- a/ochreflow/lab/fault/framing.py
+++ b/ochreflow/lab/fault/framing.py
@@ -57,7 +57,7 @@
         self.content_length: int | None = None
         self.chunked = False
         self.first_line = b""
-        self.length_digits = bytearray()
+        self.length_text = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Piece]:
         """Yield the pieces of the next data. Joined, they equal `data`."""
@@ -82,7 +82,7 @@
             return Step(1, [Piece(Place.HEAD, byte), *self._end_line()])
         if byte == b":" and self.line[:-1].lower() == b"content-length":
             self.state = self._content_length_value
-            self.length_digits.clear()
+            self.length_text.clear()
         elif len(self.line) > MAX_LINE_BYTES:
             self.state = self._until_eof
         return Step(1, [Piece(Place.HEAD, byte)])
@@ -91,9 +91,9 @@
         byte = data[offset : offset + 1]
         if byte in b"\r\n":
             self.state = self._header_line
-            self.content_length = int(self.length_digits) if self.length_digits.strip().isdigit() else None
+            self.content_length = int(self.length_text) if self.length_text.strip().isdigit() else None
             return Step(0, [])
-        self.length_digits += byte
+        self.length_text += byte
         return Step(1, [Piece(Place.HEAD if byte == b" " else Place.LENGTH, byte)])
 
     def _end_line(self) -> list[Piece]:
