--- a/ochreflow/__init__.py
+++ b/ochreflow/__init__.py
@@ -1,4 +1,4 @@
-"""ochreflow: a sidecar load balancer. The decisions, without I/O, stand in `ochreflow.policy`."""
+"""ochreflow: a sidecar load balancer. Its balancing decisions, free of I/O, are in `ochreflow.policy`."""
 
 from .policy.balancer import Balancer
 from .policy.interface import Settings
--- a/ochreflow/__main__.py
+++ b/ochreflow/__main__.py
@@ -1,4 +1,4 @@
-"""The real sidecar (`run`): `python -m ochreflow [--config FILE]`. It needs no more than it is asked for."""
+"""Entry point of the sidecar (`run`): `python -m ochreflow [--config FILE]`."""
 
 import sys
 
--- a/ochreflow/core/address.py
+++ b/ochreflow/core/address.py
@@ -1,4 +1,4 @@
-"""Addresses in their text form."""
+"""Parsing of `host:port` addresses."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class AddressError(OchreflowError, ValueError):
-    """A text that is no numeric IPv4 address with a port."""
+    """A text that is not a numeric IPv4 address with a port."""
 
     def __init__(self, text: object) -> None:
-        """Name the text that was found."""
+        """Report the invalid `text`."""
         super().__init__(f"no address: {text!r}")
 
 
 def split_address(text: object, min_port: int = 1) -> tuple[str, int]:
-    """Return a numeric address as host and port; `AddressError` if it is none, or the port too low."""
+    """Return host and port of a numeric IPv4 address; raise `AddressError` if it or its port is invalid."""
     host, _, port = str(text).rpartition(":")
     try:
         socket.inet_pton(socket.AF_INET, host)
--- a/ochreflow/core/limits.py
+++ b/ochreflow/core/limits.py
@@ -1,6 +1,6 @@
-"""What this sidecar may use: descriptors and the memory of messages, both as the configuration says.
+"""Resource limits of this sidecar: file descriptors and memory of buffered messages, both configured.
 
-Where several processes are one sidecar for a while, during a hot restart, each counts what all of them use.
+During a hot restart several processes form one sidecar; each of them counts the usage of all.
 """
 
 from __future__ import annotations
@@ -12,73 +12,73 @@
 
 
 class Descriptors:
-    """The sockets that this sidecar may have open, to clients and to servers together."""
+    """The limit of open sockets, to clients and to servers together."""
 
-    # For the event loop, listening sockets, discovery, gossip and operators' requests, which take 30, and for
-    # bursts of clients.
+    # For the event loop, listening sockets, discovery, gossip and the management interface, which together
+    # take 30 descriptors, and for bursts of clients.
     RESERVE = 50
     MIN_LIMIT = 8
 
     def __init__(self, limit: int) -> None:
-        """Allow `limit` descriptors in all, the reserve included."""
+        """Allow `limit` descriptors in total, including the reserve."""
         self.total = limit
         self.in_use = 0
-        self.connected = 0  # of these, clients' connections
+        self.connected = 0  # the client connections among those in use
         self.other_processes = 0  # of this sidecar
         self.others_in_use = 0
         self.others_connected = 0
-        # Each closes one of its connections that is idle, and returns False if it has none.
+        # Each closes one of its idle connections and returns True, or returns False if it has none.
         self.evictors: list[Callable[[], bool]] = []
-        self.system_limit: Callable[[], int | None] = lambda: None  # what the system allows; None: no limit
+        self.system_limit: Callable[[], int | None] = lambda: None  # the system's limit; None: no limit
 
     def evict_idle_connection(self) -> bool:
-        """Close one idle connection; False if there is none: those that owe a response are kept."""
+        """Close one idle connection, never one with an open request; return False if there is none."""
         return any(evict() for evict in self.evictors)
 
     def lower_to(self, max_descriptors: int) -> None:
-        """Count with no more than the system allows this process, whatever the configuration says.
+        """Lower the total to `max_descriptors`, which the system allows this process, if that is less.
 
-        Guards what the reserve is for: clients that take the last descriptor of the process keep
-        operators, discovery and attempts out, since a connection is then ended as soon as it is accepted.
+        Protects the reserve: if clients took the last descriptor of the process, operators, discovery and
+        attempts would be locked out, since new connections would be closed as soon as they are accepted.
         """
         self.total = min(self.total, max_descriptors)
 
     def apply_system_limit(self) -> None:
-        """Count by the system's limit as it is now: it may be lowered while the process runs."""
+        """Apply the current limit of the system, which may be lowered while the process runs."""
         if (system_limit := self.system_limit()) is not None:
             self.lower_to(system_limit)
 
     @property
     def limit(self) -> int:
-        """What all processes of the sidecar together may use."""
+        """The descriptors that all processes of the sidecar together may use."""
         return max(self.total - self.RESERVE * (1 + self.other_processes), self.MIN_LIMIT)
 
     @property
     def max_clients(self) -> int:
-        """How many clients may be connected to this process.
+        """The number of clients that may be connected to this process.
 
-        Clients need a third of the limit for requests. What they may have beyond that must leave enough to
-        attempts, or silent clients keep every request from its server. Clients move over to a new process
-        before the old one's report of it comes, so it has a third in any case.
+        Clients need a third of the limit for requests. Any more must leave enough descriptors to attempts, or
+        silent clients would keep every request from reaching a server. In a hot restart clients move to the
+        new process before the old one reports that, so a process always gets at least a third.
         """
         return max(self.limit // 2 - self.others_connected, self.limit // 3)
 
     @property
     def full(self) -> bool:
-        """Whether no further descriptor may be used."""
+        """Whether all descriptors within the limit are in use."""
         return self.in_use + self.others_in_use >= self.limit
 
 
 class Memory:
-    """The memory of all messages that are buffered, requests and responses."""
+    """The memory budget of buffered messages, requests and responses together."""
 
-    PROGRAM_BYTES = 20 * MB  # what the program takes without any message
-    MESSAGE_SHARE = 0.3  # of the rest: a message is in memory up to twice, and freed memory is in pieces
+    PROGRAM_BYTES = 20 * MB  # memory of the program without any message
+    MESSAGE_SHARE = 0.3  # of the rest: a message may be in memory twice, and freed memory is fragmented
     MIN_BYTES = MB
     MAX_BYTES = 48 * MB
 
     def __init__(self, limit: int) -> None:
-        """Allow the sidecar `limit` bytes in all, the program included."""
+        """Allow the sidecar `limit` bytes in total, including the program itself."""
         self.limit = limit
         self.reserved_bytes = 0
         self.other_processes = 0  # of this sidecar
@@ -86,44 +86,44 @@
 
     @property
     def max_bytes(self) -> int:
-        """What all processes of the sidecar together may reserve for messages."""
+        """The bytes that all processes of the sidecar together may reserve for messages."""
         rest = self.limit - self.PROGRAM_BYTES * (1 + self.other_processes)
         return int(min(max(rest * self.MESSAGE_SHARE, self.MIN_BYTES), self.MAX_BYTES))
 
     def reserve(self, size: int) -> bool:
-        """Reserve `size` bytes; False, and nothing is reserved, if that is more than is left."""
+        """Reserve `size` bytes; return False and reserve nothing if fewer are left."""
         if self.reserved_bytes + self.others_reserved_bytes + size > self.max_bytes:
             return False
         self.reserved_bytes += size
         return True
 
     def release(self, size: int) -> None:
-        """Give back `size` bytes that were reserved."""
+        """Release `size` reserved bytes."""
         self.reserved_bytes -= size
 
 
 class ProcessUsage(NamedTuple):
-    """What one process uses; a process tells it to the others as a list of these three."""
+    """The usage of one process, which it sends to the other processes as a list of these three numbers."""
 
     descriptors: int
-    connected: int  # of the descriptors, clients' connections
-    reserved_bytes: int  # of messages
+    connected: int  # the client connections among the descriptors
+    reserved_bytes: int  # for messages
 
 
 class Usage:
-    """What is used here and by the other processes of this sidecar."""
+    """The usage of this process and of the other processes of this sidecar."""
 
     def __init__(self, descriptors: Descriptors, memory: Memory) -> None:
-        """Count in these two."""
+        """Combine the counts of `descriptors` and `memory`."""
         self.descriptors = descriptors
         self.memory = memory
 
     def own_usage(self) -> ProcessUsage:
-        """What this process uses at present."""
+        """Return the current usage of this process."""
         return ProcessUsage(self.descriptors.in_use, self.descriptors.connected, self.memory.reserved_bytes)
 
     def set_others(self, processes: int, descriptors: int, connected: int, memory: int) -> None:
-        """Note how many other processes there are, and what they use together, as in `ProcessUsage`."""
+        """Record the number of other processes and their total usage, as in `ProcessUsage`."""
         self.descriptors.other_processes = self.memory.other_processes = processes
         self.descriptors.others_in_use = descriptors
         self.descriptors.others_connected = connected
--- a/ochreflow/core/ports.py
+++ b/ochreflow/core/ports.py
@@ -1,4 +1,4 @@
-"""The ports of the core: the interfaces between it and the protocols around it. No protocol is known here.
+"""The ports of the core: its interfaces to the network protocols around it, none of which is known here.
 
 clients <-> Frontend --requests--> Engine --attempts--> UpstreamTransport <-> servers
     the engine responds through a `ResponseSink`, the transport reports to an `AttemptObserver`
@@ -20,64 +20,64 @@
 
 
 class Pause(Protocol):
-    """Backpressure on a response that is streamed."""
+    """A callback that applies backpressure to a streamed response."""
 
     def __call__(self, *, paused: bool) -> None:
-        """Stop reading from the server, or go on."""
+        """Stop reading from the server, or resume."""
         ...
 
 
 class Reason(Enum):
-    """Why a request ended as it did. Closed: each frontend has a wording for every one of them."""
+    """Why a request ended as it did. A closed set: each frontend has a text for every member."""
 
     ANSWERED = "answered"  # a server's complete response was forwarded
-    TRUNCATED = "truncated"  # a server's response had begun to reach the client and ended early
-    BALANCER_DECISION = "balancer_decision"  # the balancer rejected or failed it
-    DEADLINE_EXCEEDED = "deadline_exceeded"  # the deadline watchdog answered in the balancer's place
-    OVERLOADED = "overloaded"  # more requests are open than the configuration allows
+    TRUNCATED = "truncated"  # a response was partly streamed to the client and ended early
+    BALANCER_DECISION = "balancer_decision"  # the balancer rejected or failed the request
+    DEADLINE_EXCEEDED = "deadline_exceeded"  # the deadline watchdog responded before the balancer did
+    OVERLOADED = "overloaded"  # the configured limit of open requests is exceeded
     DRAINING = "draining"  # this sidecar is draining
     DUPLICATE_REQUEST_ID = "duplicate_request_id"  # a request of this id is open or has just ended
-    INVALID_BODY = "invalid_body"  # its body can't be read to its end
-    CLIENT_DISCONNECTED = "client_disconnected"  # its client has disconnected
+    INVALID_BODY = "invalid_body"  # the body can't be read to its end
+    CLIENT_DISCONNECTED = "client_disconnected"  # the client has disconnected
 
 
 @dataclass(slots=True)
 class FinalResponse:
-    """The one final response to a request, which its frontend formats."""
+    """The one final response to a request; the frontend formats it for the client."""
 
     disposition: Disposition
     reason: Reason
-    answer: object = None  # where it succeeded: the server's response, in the form of its upstream transport
-    retry_after_ns: int = 0  # when the client should retry; 0: not known
-    detail: object = None  # what the frontend itself gave with `RequestManager.body_failed`
+    answer: object = None  # if it succeeded: the server's response, in the upstream transport's own form
+    retry_after_ns: int = 0  # how long the client should wait before a retry; 0: unknown
+    detail: object = None  # the value that the frontend passed to `RequestManager.body_failed`
 
 
 @dataclass(slots=True, eq=False)
 class IncomingRequest:
-    """A request as its frontend read it. Each frontend's own class adds what its upstream transport needs."""
-
-    request_id: Hashable  # as the client named it; unique within the frontend while it is open
-    class_index: int
-    tenant: int
-    key: int
-    timeout_ns: int  # how long its client waits, from its last byte
-    deadline_ns: int  # on the engine's clock; while its body is coming, as if its last byte had just come
-    cost_ns: int
+    """A request as read by its frontend, whose subclass adds the fields that its upstream transport needs."""
+
+    request_id: Hashable  # chosen by the client; unique within the frontend while the request is open
+    class_index: int  # into `Settings.classes`
+    tenant: int  # into `Settings.tenants`
+    key: int  # hash of the key that the client gave; 0: none
+    timeout_ns: int  # how long the client waits, counted from the last byte of the request
+    deadline_ns: int  # on the engine's clock; while the body arrives, as if its last byte had just arrived
+    cost_ns: int  # expected processing time; 0: unknown
     is_retry: bool
     is_write: bool
     body: Body
-    pending_id: int = field(init=False, default=0)  # the engine's number for it; 0: not accepted
+    pending_id: int = field(init=False, default=0)  # id given by the engine; 0: not accepted
 
 
 class ResponseSink(Protocol):
-    """Gets the final response to a request: as a whole, or streamed from its begin to its end."""
+    """Receives the final response to a request, either whole or as a stream."""
 
     def respond(self, request: IncomingRequest, response: FinalResponse) -> None:
-        """Send the final response."""
+        """Send a complete final response."""
         ...
 
     def begin(self, request: IncomingRequest, head: object, length: int | None, pause: Pause) -> None:
-        """Begin to stream a server's response of `length` bytes; None where that is not known."""
+        """Begin to stream a server's response of `length` bytes; None if the length is unknown."""
         ...
 
     def part(self, request: IncomingRequest, data: bytes) -> None:
@@ -85,46 +85,47 @@
         ...
 
     def is_disconnected(self, request: IncomingRequest) -> bool:
-        """Return whether its client has disconnected, as can be read now; then close its connection."""
+        """Return whether the client is known to have disconnected; if so, close its connection."""
         ...
 
     def end(self, request: IncomingRequest, *, complete: bool) -> None:
-        """End a streamed response; one that is not complete must not look as if it were."""
+        """End a streamed response; the client must be able to tell an incomplete one from a complete one."""
         ...
 
 
 class AttemptObserver(Protocol):
-    """Decides whether an attempt may begin, and gets what becomes of it.
+    """Decides whether an attempt may begin, and receives its progress and its outcome.
 
-    Its transport calls `ended` exactly once. Between the decision to send and the first byte a connection may
-    have to be made first, so each transport asks `write_timeout_s` in the turn in which it writes that byte.
+    The transport calls `ended` exactly once. A connection may have to be established between the decision to
+    send and the first byte, so the transport calls `write_timeout_s` in the event loop iteration in which it
+    writes that byte.
     """
 
     def write_timeout_s(self) -> float:
-        """Return the seconds within which its last byte has to go out; infinite: no limit, 0: don't begin.
+        """Return the seconds left to write the last byte; infinite: no limit, 0: don't begin.
 
         An attempt that must not begin ends as `NOT_SENT`, and so does one whose last byte is late.
         """
         ...
 
     def remaining_time_ns(self) -> int:
-        """Return how long its server may take, in ns, as of this call: it goes into the request's head."""
+        """Return the time left to the server, in ns as of this call; it is sent in the request's head."""
         ...
 
     def written(self) -> None:
-        """Note that its last byte has been written: from here on it may have run."""
+        """Record that the last byte has been written: from now on the request may have run."""
         ...
 
     def begin(self, head: object, length: int | None) -> bool:
-        """Begin to stream a response; False if nobody waits for it any more."""
+        """Begin to stream a response; return False if the client no longer waits for it."""
         ...
 
     def part(self, data: bytes) -> None:
-        """Pass on the next bytes of a streamed response."""
+        """Forward the next bytes of a streamed response."""
         ...
 
     def ended(self, status: Status, answer: object, report: tuple[float, ...]) -> None:
-        """Note what its end proves, with the whole response if there is one that was not streamed."""
+        """Record the status of the ended attempt, its response unless streamed, and its load report."""
         ...
 
 
@@ -133,28 +134,28 @@
 
     @property
     def begun(self) -> bool:
-        """Whether a first byte of it has gone out."""
+        """Whether the first byte has been written."""
         ...
 
     @property
     def may_run(self) -> bool:
-        """Whether its last byte has gone out."""
+        """Whether the last byte has been written, so that the server may run the request."""
         ...
 
     def set_timeout(self, seconds: float) -> None:
-        """Give it up after so many seconds."""
+        """End the attempt with a timeout in `seconds` from now."""
         ...
 
     def clear_timeout(self) -> None:
-        """Remove the timeout."""
+        """Remove the timeout of the attempt."""
         ...
 
     def pause(self, *, paused: bool) -> None:
-        """Stop reading its response, or go on."""
+        """Stop reading the response, or resume."""
         ...
 
     def give_up(self, status: Status) -> None:
-        """Stop waiting: it ends within this call, as `status` if it may have run."""
+        """End the attempt within this call, with `status` if it may have run."""
         ...
 
 
@@ -164,23 +165,23 @@
     def start(
         self, server: int, request: IncomingRequest, timeout: float | None, observer: AttemptObserver
     ) -> UpstreamAttempt:
-        """Send an attempt; its server is told to answer within the observer's `remaining_time_ns`.
+        """Start an attempt; the server is told to respond within the observer's `remaining_time_ns`.
 
-        Its end is reported later, never from within this call. Without `timeout`, in seconds, it waits until
-        `set_timeout` or `give_up` is called: its body is still coming.
+        The end of the attempt is reported later, never from within this call. `timeout` is in seconds;
+        None, while the body is still arriving: no timeout until `set_timeout` or `give_up` is called.
         """
         ...
 
     def probe(self, server: int, timeout: float, done: Callable[[Status, tuple[float, ...]], None]) -> None:
-        """Check the health of a server within `timeout` seconds; `done` gets its status and load report."""
+        """Send a health check with a timeout in seconds; `done` receives its status and the load report."""
         ...
 
     def update(self, server: int, address: Address, since_ms: int, state: State) -> None:
-        """Apply what is new of a server: nothing begins any more at one that is not ready."""
+        """Update a server's address, start time and state; no attempt begins at one that is not ready."""
         ...
 
     def forget(self, server: int) -> None:
-        """Forget a server that was removed."""
+        """Drop the state of a server that was removed from the endpoint list."""
         ...
 
     def close_idle(self, server: int) -> None:
@@ -188,7 +189,7 @@
         ...
 
     def sweep(self) -> None:
-        """Close what has been idle for too long; called ten times a second."""
+        """Close connections that have been idle for too long; called ten times a second."""
         ...
 
     def close(self) -> None:
@@ -201,7 +202,7 @@
 
     @property
     def connected(self) -> int:
-        """Clients that are connected, where the protocol knows connections."""
+        """The number of connected clients, where the protocol has connections."""
         ...
 
     def stop_accepting(self) -> None:
@@ -209,11 +210,11 @@
         ...
 
     def close_idle_connections(self) -> None:
-        """Close every connection on which no request is open, has begun or waits to be read."""
+        """Close every connection that has no open, partly read or unread request."""
         ...
 
     def sweep(self) -> None:
-        """Close connections whose clients take too long; called ten times a second."""
+        """Close connections whose clients exceed a timeout; called ten times a second."""
         ...
 
     def close(self) -> None:
@@ -222,28 +223,28 @@
 
 
 class EndpointSource(Protocol):
-    """Reports the servers, by calling `Engine.on_endpoint_update`."""
+    """Reports changes of the endpoint list by calling `Engine.on_endpoint_update`."""
 
     def watch(self, *, on: bool) -> None:
-        """Start or stop the watch of the endpoint list."""
+        """Start or stop watching the endpoint list."""
         ...
 
     def fetch(self) -> None:
-        """Ask once for the whole list."""
+        """Fetch the complete endpoint list once."""
         ...
 
     def close(self) -> None:
-        """Close its connections, and report nothing more."""
+        """Close all connections and stop reporting."""
         ...
 
 
 class GossipSender(Protocol):
-    """Sends messages to other sidecars."""
+    """Sends gossip messages to peer sidecars."""
 
     def send(self, data: bytes, peer: int | None) -> None:
-        """Send to one of them, or to all where `peer` is None."""
+        """Send a message to one peer, or to all peers if `peer` is None."""
         ...
 
     def close(self) -> None:
-        """Close its socket."""
+        """Close the gossip socket."""
         ...
--- a/ochreflow/core/stats.py
+++ b/ochreflow/core/stats.py
@@ -1,6 +1,6 @@
-"""What operators can read: counters since the process began, and their text form.
+"""Statistics for operators: counters since the process started, and their text form.
 
-Nothing here knows of a protocol: a second frontend counts in the same object.
+Independent of any protocol: all frontends count in the same object.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Disposition(IntEnum):
-    """How a request ended, as its client saw it."""
+    """How a request ended from the client's point of view."""
 
     SUCCEEDED = 0
     DECLINED = 1
@@ -20,25 +20,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """Figures of this moment; each is read from its owner when operators query them."""
+    """Current values, read from their owners when an operator queries them."""
 
     outstanding: int  # requests accepted and not yet ended
-    discovered: int  # servers in the list
+    discovered: int  # servers in the endpoint list
     ejected: int  # of these, ejected by the balancer
 
 
 class Stats:
-    """Counters that only grow. Each is raised at one place in the program."""
+    """Monotonic counters. Each is incremented at one place in the program."""
 
     def __init__(self, classes: Sequence[str]) -> None:
-        """Begin with zeros for these classes of requests."""
+        """Start with zeros for the request classes of these names."""
         self.classes = list(classes)
         self.results = [[0] * len(Disposition) for _ in self.classes]
-        self.frontends: dict[str, list[int]] = {}  # by label, the same results once more
+        self.frontends: dict[str, list[int]] = {}  # the same results, by frontend label
         self.forwards = 0
 
     def add_frontend(self, label: str) -> list[int]:
-        """Return the counts of one frontend, by disposition: requests of all classes."""
+        """Return the counts of one frontend by disposition, over all classes."""
         return self.frontends.setdefault(label, [0] * len(Disposition))
 
     def ended(self, class_index: int, disposition: Disposition, frontend: list[int]) -> None:
--- a/ochreflow/policy/__init__.py
+++ b/ochreflow/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions, the events and actions they speak in, and the settings they go by. No I/O."""
+"""The load balancing policy: its decisions, events, actions and settings. No I/O."""
--- a/ochreflow/policy/interface.py
+++ b/ochreflow/policy/interface.py
@@ -1,7 +1,7 @@
-"""What goes into a balancer and what comes out: settings, events, actions. No decisions, no wire.
+"""The interface of the balancer: settings, input events and output actions. No logic, no wire format.
 
-All times are integer nanoseconds of the caller's monotonic clock. Class, tenant, zone and kind are
-positions in the lists of `Settings`.
+All times are integer nanoseconds of the caller's monotonic clock. A class, tenant, zone or kind is given
+as an index into the configured list, such as `Settings.classes`.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 class Effect(IntEnum):
     """Whether a request may run more than once."""
 
-    IDEMPOTENT = 0  # any number of times
+    IDEMPOTENT = 0  # may run any number of times
     IDEMPOTENT_WITH_KEY = 1  # servers drop a retry with the same idempotency key for a while
-    NON_IDEMPOTENT = 2  # at most once
+    NON_IDEMPOTENT = 2  # may run at most once
 
 
 class Scope(IntEnum):
-    """Which servers drop a retry with the same idempotency key."""
+    """The group of servers that drop a retry with the same idempotency key."""
 
     ALL = 0
     ZONE = 1
@@ -30,17 +30,17 @@
     """How an attempt ended."""
 
     OK = 0
-    ERROR = 1  # the server answered with an error; may have run
-    REJECTED = 2  # turned down before any work was done on it: queue full or draining
-    TIMEOUT = 3  # no answer in time; may have run, or run still
-    CONNECT_FAILED = 4  # no connection was made
+    ERROR = 1  # the server responded with an error; the request may have run
+    REJECTED = 2  # the server rejected it before doing any work: queue full or draining
+    TIMEOUT = 3  # no response in time; may have run or may still be running
+    CONNECT_FAILED = 4  # no connection was established
     RESET = 5  # the connection broke; may have run
-    CANCELLED = 6  # called off; may have run
-    NOT_SENT = 7  # never sent, or not completely: it has not run
+    CANCELLED = 6  # cancelled by the sidecar; may have run
+    NOT_SENT = 7  # not sent, or only in part: it has not run
 
 
 class State(IntEnum):
-    """The state of an endpoint in the list."""
+    """The state of an endpoint in the endpoint list."""
 
     REMOVED = 0
     READY = 1
@@ -48,17 +48,17 @@
 
 
 class ListKind(IntEnum):
-    """What an endpoint update holds."""
+    """The content of an endpoint update."""
 
-    DELTA = 0  # only what changed
-    FULL = 1  # complete
-    CACHED = 2  # complete, as last held; may be old
-    FAILED = 3  # a call failed or the subscription broke; no entries
+    DELTA = 0  # only the entries that changed
+    FULL = 1  # the complete list
+    CACHED = 2  # the complete list from a cache; may be stale
+    FAILED = 3  # no entries: a fetch failed or the subscription broke
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests. It never changes: a request is judged by its class as it was on arrival."""
+    """A class of requests. Immutable: the rules of a request are those of its class on arrival."""
 
     name: str
     objective_ns: int
@@ -67,13 +67,13 @@
     late_priority_weight: float
     effect: Effect
     scope: Scope = Scope.ALL
-    window_ns: int = 0
+    window_ns: int = 0  # how long servers remember an idempotency key
     stream: bool = False
 
 
 @dataclass(slots=True)
 class Tenant:
-    """A tenant, and what it may request."""
+    """A tenant and its quota."""
 
     name: str
     share: float
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What a balancer is set up with; it does not change."""
+    """The settings of a balancer; they do not change while it runs."""
 
     classes: list[RequestClass]
     zones: list[str]
@@ -93,7 +93,7 @@
     index: int = 0
     fleet_size: int = 1
     tick_ns: int = 5_000_000
-    polling_required: bool = False  # discovery answers only when asked
+    polling_required: bool = False  # discovery does not push updates and has to be polled
     polling_interval_ns: int = 10_000_000_000
     drain_grace_ns: int = 0
     answer_slack_ns: int = 0
@@ -110,8 +110,8 @@
     max_retry_after_ns: int = 0
     connect_timeout_ns: int = 0
     report_columns: tuple[str, ...] = ()
-    weighted: bool = False  # whether listed weights mean anything
-    goal_worst_class: float = 0.0  # weight of the worst-served class in what the service is judged by
+    weighted: bool = False  # whether the weights in the endpoint list are meaningful
+    goal_worst_class: float = 0.0  # weight of the worst-served class in the service goal
     price_cross_zone: float = 0.0
     price_waste: float = 0.0
     price_peer: float = 0.0
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """An entry of the endpoint list."""
+    """A server in the endpoint list."""
 
     server: int
     zone: int
@@ -127,7 +127,7 @@
     cell: int
     state: State
     weight: float = 1.0
-    started_ns: int = 0  # 0: long ago
+    started_ns: int = 0  # start of the server process; 0: long ago
 
 
 # Events
@@ -144,33 +144,33 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request has arrived."""
+    """A request has arrived from a client."""
 
     id: int
     class_index: int
     tenant: int
-    deadline_ns: int  # on the clock
+    deadline_ns: int  # an instant of the clock, not a duration
     key: int = 0
-    cost_ns: int = 0  # expected work; 0: unknown
+    cost_ns: int = 0  # expected processing time; 0: unknown
     is_retry: bool = False
     is_write: bool = False
-    uploading: bool = False  # its body is still coming: its deadline is set anew by `BodyUploaded`
-    waited_ns: int = 0  # between its arrival and this event, behind others of its client
+    uploading: bool = False  # its body is still arriving; `BodyUploaded` will set a new deadline
+    waited_ns: int = 0  # from its arrival to this event, queued behind other requests of its client
 
 
 @dataclass(slots=True)
 class BodyDiscarded:
-    """The body is not held whole any more: no further attempt could bring it."""
+    """The body of a request is no longer buffered in full, so no further attempt can send it."""
 
     id: int
 
 
 @dataclass(slots=True)
 class BodyUploaded:
-    """The last byte of a body that was still coming has been written: its attempt begins now."""
+    """The last byte of a body that was still arriving has been sent: its attempt counts from now."""
 
     id: int
-    deadline_ns: int
+    deadline_ns: int  # an instant of the clock, as in `Request`
 
 
 @dataclass(slots=True)
@@ -182,13 +182,13 @@
     server: int
     status: Status
     duration_ns: int
-    final: bool  # the request has ended
-    report: tuple[float, ...] = ()
+    final: bool  # whether the request has ended
+    report: tuple[float, ...] = ()  # the server's load, by `Settings.report_columns`
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer has begun to reach the client: its outcome will only tell how it ended."""
+    """A response has begun to stream to the client; the later `Outcome` tells how the stream ended."""
 
     id: int
     attempt: int
@@ -198,7 +198,7 @@
 
 @dataclass(slots=True)
 class RequestCancelled:
-    """The request needs no final response any more: its client has disconnected."""
+    """The request no longer needs a final response: its client has disconnected."""
 
     id: int
 
@@ -215,7 +215,7 @@
 
 @dataclass(slots=True)
 class GossipReceived:
-    """A peer has published something."""
+    """A gossip message of a peer sidecar has arrived."""
 
     sender: int
     data: bytes
@@ -223,7 +223,7 @@
 
 @dataclass(slots=True)
 class Timer:
-    """A timer that was set has gone off."""
+    """A timer set by `SetTimer` has expired."""
 
     token: int
 
@@ -237,12 +237,12 @@
 
     id: int
     server: int
-    timeout_ns: int = 0  # 0: until the client gives up
+    timeout_ns: int = 0  # 0: the time left until the client's deadline
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final: the request has surely had no harmful effect, and a retry does no harm."""
+    """Give the final response "rejected": the request had no harmful effect and may be retried safely."""
 
     id: int
     retry_after_ns: int = 0
@@ -250,14 +250,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final: promises nothing."""
+    """Give the final response "failed": the request may have run, and a retry may not be safe."""
 
     id: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Call off an attempt."""
+    """Cancel an attempt."""
 
     id: int
     attempt: int
@@ -279,7 +279,7 @@
 
 @dataclass(slots=True)
 class PublishGossip:
-    """Send something to one or all peers."""
+    """Send a gossip message to one peer or to all."""
 
     data: bytes
     peer: int | None = None  # None: every peer
@@ -287,7 +287,7 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Subscribe to the endpoint list, or end that."""
+    """Subscribe to the endpoint list, or unsubscribe."""
 
     on: bool = True
 
@@ -301,7 +301,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Set a timer."""
+    """Set a timer; a `Timer` event with the same token follows when it expires."""
 
     after_ns: int
     token: int
@@ -309,7 +309,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """Write a line to the log."""
+    """Write a line to the log of the sidecar."""
 
     text: str
 
