--- a/tests/checker.py
+++ b/tests/checker.py
@@ -1,4 +1,4 @@
-"""The four rules, judged from outside by what went in and what came out. Shares no code with the module."""
+"""Checks the four rules on the events and actions of the decision module alone; shares no code with it."""
 
 from ochreflow.policy.interface import (
     Cancel,
@@ -23,21 +23,21 @@
     pass
 
 
-def require(truth, text):
-    if not truth:
+def require(condition, text):
+    if not condition:
         raise BrokenRuleError(text)
 
 
 class Checker:
-    """Feed it every event before, and every action after, the balancer has seen it."""
+    """Checks one balancer; `observe_event` comes before its handling of an event, `check_actions` after."""
 
     def __init__(self, settings):
         self.settings = settings
         self.servers = {}  # id -> Endpoint as last listed
         self.listed = set()
         self.requests = {}  # id -> [class, deadline, ended, attempts]
-        self.warming_up = {}  # id -> [sends, answers] since the start it was listed with
-        self.answers = []
+        self.warming_up = {}  # id -> [sends, OK responses] since its last listed start
+        self.response_times = []  # of all OK responses
 
     def observe_event(self, now, event):
         if isinstance(event, Membership):
@@ -60,7 +60,7 @@
             if event.final:
                 request[2] = True
             if event.status is Status.OK:
-                self.answers.append(now)
+                self.response_times.append(now)
                 self.warming_up[event.server][1] += 1
         elif isinstance(event, StreamStarted):
             self.requests[event.id][3][event.attempt][2] = "streaming"
@@ -70,38 +70,41 @@
             if isinstance(action, Send):
                 self._check_send(now, action)
             elif isinstance(action, Reject | Fail):
-                require(action.id in self.requests, "answers an unknown request")
+                require(action.id in self.requests, "final response to an unknown request")
                 class_index, _, ended, attempts = self.requests[action.id]
-                require(not ended, "a second final answer")
+                require(not ended, "second final response to a request")
                 if isinstance(action, Reject):
                     self._check_rejection(self.settings.classes[class_index], attempts)
                 self.requests[action.id][2] = True
             elif isinstance(action, Probe):
-                require(self.settings.can_probe, "probes where it may not")
-                require(action.server in self.servers, "probes an unknown server")
+                require(self.settings.can_probe, "probe although probing is off")
+                require(action.server in self.servers, "probe of an unknown server")
             elif isinstance(action, Cancel):
-                require(self.settings.can_cancel, "cancels where it may not")
-                require(action.attempt < len(self.requests[action.id][3]), "cancels what was never sent")
+                require(self.settings.can_cancel, "cancellation although cancelling is off")
+                require(
+                    action.attempt < len(self.requests[action.id][3]),
+                    "cancellation of an attempt that was never sent",
+                )
 
     def _check_rejection(self, spec, attempts):
-        harmless = spec.effect is Effect.IDEMPOTENT or (
+        may_reject = spec.effect is Effect.IDEMPOTENT or (
             spec.effect is Effect.IDEMPOTENT_WITH_KEY and spec.scope is Scope.ALL
         )
-        require(harmless or all(a[2] == "never" for a in attempts), "refuses what may have run")
+        require(may_reject or all(attempt[2] == "never" for attempt in attempts), "refuses what may have run")
 
     def _check_send(self, now, action):
-        require(action.id in self.requests, "sends an unknown request")
+        require(action.id in self.requests, "attempt for an unknown request")
         class_index, deadline, ended, attempts = self.requests[action.id]
         spec = self.settings.classes[class_index]
-        require(not ended and now <= deadline, "sends after the end")
-        require(action.server in self.listed, "sends to a server that is not ready")
+        require(not ended and now <= deadline, "attempt after the final response or the deadline")
+        require(action.server in self.listed, "attempt to a server that is not ready")
         require(len(attempts) < self.settings.max_attempts, "too many attempts")
         target = self.servers[action.server]
         for server, sent, state in attempts:
-            require(state != "streaming", "sends beside a stream")
+            require(state != "streaming", "attempt while another one streams its response")
             if state == "never":
                 continue
-            require(state != "out" or self.settings.hedging, "two attempts out")
+            require(state != "in flight" or self.settings.hedging, "two attempts out")
             require(spec.effect is not Effect.NON_IDEMPOTENT, "an effect twice: unsafe")
             if spec.effect is Effect.IDEMPOTENT_WITH_KEY:
                 require(now < sent + spec.window_ns, "an effect twice: after the window")
@@ -109,23 +112,26 @@
                     require(server.cell == target.cell, "an effect twice: another cell")
                 if spec.scope is Scope.ZONE:
                     require(server.zone == target.zone, "an effect twice: another zone")
-        attempts.append([target, now, "out"])
+        attempts.append([target, now, "in flight"])
         self._check_slow_start(now, target)
 
     def _check_slow_start(self, now, target):
-        """Sends to a cold server: what it answered, twice, and its part of what this sidecar gets done."""
+        """Limit attempts to a cold server by twice its OK responses and its share of all since its start."""
         age = now - target.started_ns
-        warm = self.settings.warm_up_ns
-        if not target.started_ns or age >= warm:
+        warm_up = self.settings.warm_up_ns
+        if not target.started_ns or age >= warm_up:
             return
-        tally = self.warming_up[target.server]
-        tally[0] += 1
+        counts = self.warming_up[target.server]
+        counts[0] += 1
         start = self.settings.start_capacity
-        part = start + (1 - start) * max(age, 0) / warm
-        done = sum(when >= target.started_ns for when in self.answers) / max(len(self.listed), 1)
-        require(tally[0] <= 6 + 2 * tally[1] + 3 * part * done, "pushes a cold server over")
+        share = start + (1 - start) * max(age, 0) / warm_up
+        completed = sum(when >= target.started_ns for when in self.response_times) / max(len(self.listed), 1)
+        require(
+            counts[0] <= 6 + 2 * counts[1] + 3 * share * completed,
+            "attempts to a cold server exceed its share",
+        )
 
     def check_all_answered(self, now):
-        for ident, (_, deadline, ended, _) in self.requests.items():
+        for request_id, (_, deadline, ended, _) in self.requests.items():
             late = now > deadline + self.settings.answer_slack_ns
-            require(ended or not late, f"request {ident} was never answered")
+            require(ended or not late, f"request {request_id} was never answered")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for all tests: KNOWN-RED.txt alone says which failures are passed over."""
+"""Registers the plugin by which only tests listed in KNOWN-RED.txt may be expected to fail."""
 
 from known_red import KnownRed
 
--- a/tests/disconnecting_clients.py
+++ b/tests/disconnecting_clients.py
@@ -1,6 +1,6 @@
-"""Clients that leave at a named instant, and a server that notes every byte: all on sockets without a loop.
+"""Clients that disconnect at a chosen instant, and a server that records every byte, all on plain sockets.
 
-What a test does between two awaits is one turn of the loop: the sidecar finds all of it at once.
+All that a test does between two awaits falls into one iteration of the loop: the sidecar sees it at once.
 """
 
 import asyncio
@@ -18,48 +18,48 @@
 
 
 def connect(port):
-    """A client, connected as far as the system goes: nobody need have accepted it."""
+    """Return a client's socket, connected by the kernel; the sidecar may not have accepted it yet."""
     return socket.create_connection((HOST, port))
 
 
-def disconnect(sock, how):
-    if how == "half-close":
+def disconnect(sock, mode):
+    if mode == "half-close":
         sock.shutdown(socket.SHUT_WR)
         return
-    if how == "reset":
+    if mode == "reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 def sidecar_connection(sidecar, sock):
-    """The sidecar's end of a client's connection."""
+    """Return the sidecar's end of a client's connection."""
     port = sock.getsockname()[1]
-    (front,) = (
-        front
-        for front in sidecar.http.clients.connections
-        if front.transport.get_extra_info("peername")[1] == port
+    (connection,) = (
+        connection
+        for connection in sidecar.http.clients.connections
+        if connection.transport.get_extra_info("peername")[1] == port
     )
-    return front
+    return connection
 
 
-def block_until_eof_readable(front):
-    """Block until the end of its client is there to be read."""
+def block_until_eof_readable(connection):
+    """Block the loop until the sidecar could read the end of the client's stream."""
     poll = select.poll()
-    poll.register(front.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
-    assert poll.poll(20_000), "the end has come"
+    poll.register(connection.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+    assert poll.poll(20_000), "the end of the client's stream did not become readable"
 
 
-def disconnect_while_loop_blocked(sidecar, sock, how):
-    """Leave, and block the loop until the end could have been read for longer than the rule allows."""
-    front = sidecar_connection(sidecar, sock)
-    disconnect(sock, how)
-    block_until_eof_readable(front)
+def disconnect_while_loop_blocked(sidecar, sock, mode):
+    """Disconnect, and block the loop until the end has been readable for longer than the rule allows."""
+    connection = sidecar_connection(sidecar, sock)
+    disconnect(sock, mode)
+    block_until_eof_readable(connection)
     time.sleep(LOOP_BLOCK_S)
 
 
 @dataclass
 class Server:
-    """Takes connections and notes what comes; it answers when the test says so."""
+    """A server that records what it receives and answers when the test says so."""
 
     listening: socket.socket = field(default_factory=lambda: socket.create_server((HOST, 0)))
 
@@ -72,14 +72,14 @@
         return f"{HOST}:{self.listening.getsockname()[1]}"
 
     async def accept(self):
-        """The next connection."""
+        """Return the next connection."""
         sock, _ = await asyncio.get_running_loop().sock_accept(self.listening)
         sock.setblocking(False)
         self.connections.append(ServerConnection(sock))
         return self.connections[-1]
 
     def read_all(self):
-        """All that has been written to it, on any connection, in bytes."""
+        """Return all bytes received so far, on all connections."""
         while True:
             try:
                 sock, _ = self.listening.accept()
@@ -87,14 +87,14 @@
                 break
             sock.setblocking(False)
             self.connections.append(ServerConnection(sock))
-        for taken in self.connections:
-            taken.read_available()
-        return b"".join(bytes(taken.received) for taken in self.connections)
+        for connection in self.connections:
+            connection.read_available()
+        return b"".join(bytes(connection.received) for connection in self.connections)
 
     def close(self):
         self.listening.close()
-        for taken in self.connections:
-            taken.sock.close()
+        for connection in self.connections:
+            connection.sock.close()
 
 
 @dataclass
@@ -106,7 +106,7 @@
     ended: bool = False
 
     def read_available(self):
-        """Read what has come."""
+        """Read the bytes that have arrived."""
         while not self.ended:
             try:
                 data = self.sock.recv(1 << 16)
@@ -118,26 +118,26 @@
             self.ended = not data
 
     async def wait_for(self, part):
-        """Wait until it has come."""
+        """Wait until `part` has been received."""
 
-        def came():
+        def has_arrived():
             self.read_available()
             return part in self.received
 
-        await wait_until(came)
+        await wait_until(has_arrived)
 
     def answer(self, code=200, *lines):
-        """On its way within this call."""
+        """Send a response before this call returns."""
         self.sock.send(http_response(code, b"", *lines))
 
 
 class DelayedConnectLoop:
-    """The loop as the pool uses it, with connections that come up when the test lets them."""
+    """A loop whose connects complete only when the test sets `connect_allowed`."""
 
     def __init__(self, loop):
         self.loop = loop
         self.connect_allowed = asyncio.Event()
-        self.before_use = lambda: None  # in the very turn in which a connection that came up is put to use
+        self.before_use = lambda: None  # runs in the iteration in which the new connection is first used
 
     def __getattr__(self, name):
         return getattr(self.loop, name)
--- a/tests/duplicate_rule.py
+++ b/tests/duplicate_rule.py
@@ -1,6 +1,6 @@
-"""Rule `duplicate`, judged on each byte that is written to a server and on each final response.
+"""Checks the rule `duplicate` on each byte that is written to a server and on each final response.
 
-It knows what was written to servers and what each server answered; it shares no code with the program.
+The check knows what was written to servers and what they answered; it shares no code with the program.
 """
 
 from dataclasses import dataclass, field
@@ -12,14 +12,14 @@
 
 @dataclass(eq=False)
 class Copy:
-    """One copy of a request on its way to a server, as the model sees it."""
+    """One copy of a request that is sent to a server, as the model sees it."""
 
     server: int
-    group: dict  # by scope, as the list said when its first byte went out
+    group: dict  # by scope, as published when the first byte was written
     first_byte_at: int
-    complete: bool = False  # its last byte has been written
+    complete: bool = False  # the last byte has been written
     ended: bool = False
-    never_ran: bool = False  # by its server's word
+    never_ran: bool = False  # its server said so
 
     @property
     def may_have_run(self):
@@ -36,7 +36,7 @@
     responses: list = field(default_factory=list)
     rejected: bool = False
     client_disconnected: bool = False
-    streaming: bool = False  # a server's answer has begun to reach the client
+    streaming: bool = False  # a server's response has begun to reach the client
 
     @property
     def may_reject(self):
@@ -45,13 +45,13 @@
 
 
 class DuplicateRule:
-    """Judges each byte written and each final answer."""
+    """Checks each byte written and each final response; violations are collected in `findings`."""
 
     def __init__(self, settings):
         self.settings = settings
         self.requests = {}
         self.groups = {}  # server -> its groups by scope, as last published
-        self.findings = []  # violations; not raised, since the engine survives exceptions of what it calls
+        self.findings = []  # violations; not raised, since the engine catches exceptions of what it calls
 
     def first_byte(self, now, call, server):
         request = self.requests[call.request_id]
@@ -65,16 +65,16 @@
         spec = request.spec
         if other.ended and not other.may_have_run:
             return
-        what = f"{request_label(request)}: {copy} after {other}"
+        pair = f"{request_label(request)}: {copy} after {other}"
         if not other.ended and not self.settings.hedging:
-            self.findings.append(f"two out: {what}")
+            self.findings.append(f"two in flight without hedging: {pair}")
         if spec.effect is Effect.NON_IDEMPOTENT:
-            self.findings.append(f"unsafe: {what}")
+            self.findings.append(f"unsafe: {pair}")
         if spec.effect is Effect.IDEMPOTENT_WITH_KEY:
             if spec.scope is not Scope.ALL and copy.group[spec.scope] != other.group[spec.scope]:
-                self.findings.append(f"another group: {what}")
+                self.findings.append(f"another group: {pair}")
             if now >= other.first_byte_at + spec.window_ns:
-                self.findings.append(f"after the window: {what}")
+                self.findings.append(f"after the window: {pair}")
 
     def last_byte(self, now, call, copy):
         request = self.requests[call.request_id]
@@ -97,7 +97,7 @@
             self.findings.append(f"{request_label(request)}: invited to repeat after {request.copies}")
 
     def check_at_end(self):
-        """All deadlines are over."""
+        """Check that every request was answered, once all deadlines have passed, and fail on any finding."""
         for request in self.requests.values():
             if not request.responses and not request.client_disconnected and not request.streaming:
                 self.findings.append(f"{request_label(request)}: no answer, after {request.copies}")
--- a/tests/engine_simulation.py
+++ b/tests/engine_simulation.py
@@ -1,4 +1,4 @@
-"""The core and the decision module over a simulated loop, transport and clients, judged by a rule."""
+"""The core and the decision module over a simulated loop, transport and clients, checked by a rule."""
 
 import itertools
 
@@ -23,10 +23,10 @@
 }
 WINDOW_NS = 900 * MS
 DEADLINE_NS = 2 * SECOND
-ANSWER_SLACK_NS = 20 * MS  # after its deadline a request counts as not answered
+ANSWER_SLACK_NS = 20 * MS  # a request without a response this long after its deadline is unanswered
 
 
-def simulated_settings(names, **more):
+def simulated_settings(names, **overrides):
     classes = [
         RequestClass(name, 500 * MS, DEADLINE_NS, 1.0, 0.2, *CLASSES[name], window_ns=WINDOW_NS)
         for name in names
@@ -42,15 +42,15 @@
         "retry_after": True,
         "max_retry_after_ns": SECOND,
     }
-    values.update(more)
+    values.update(overrides)
     return Settings(**values)
 
 
 class EngineSimulation:
-    """An engine over all of it, with servers 1 to `servers` in two zones and three cells."""
+    """An engine over simulated parts, with servers 1 to `servers` in two zones and three cells."""
 
-    def __init__(self, classes=("unsafe",), servers=6, seed=1, **more):
-        self.settings = simulated_settings(classes, **more)
+    def __init__(self, classes=("unsafe",), servers=6, seed=1, **overrides):
+        self.settings = simulated_settings(classes, **overrides)
         self.loop = SimulatedLoop()
         self.rule = DuplicateRule(self.settings)
         self.upstream_transport = SimulatedTransport(self.loop, self.rule)
@@ -66,11 +66,11 @@
             for number in range(1, servers + 1)
         }
         self.version = 0
-        self.names = itertools.count()
+        self.request_ids = itertools.count()
         self.publish()
 
     def publish(self):
-        """Send the complete endpoint list as it is now."""
+        """Give the engine the complete endpoint list in its present state."""
         self.version += 1
         entries = []
         for number, known in self.endpoints.items():
@@ -84,8 +84,8 @@
         self.engine.on_endpoint_update(EndpointUpdate(self.version, True, entries))
 
     def submit(self, class_index=0, complete=True, name=None):
-        """A request comes; with `complete` false, its body goes on coming."""
-        name = next(self.names) if name is None else name
+        """Submit a request; unless `complete`, the end of its body follows by `end_body`."""
+        name = next(self.request_ids) if name is None else name
         body = Body(self.engine.memory, None)
         body.add(b"x")
         if complete:
@@ -110,13 +110,13 @@
         self.engine.requests.client_disconnected(call)
 
     def attempt(self, call, number=-1):
-        """An attempt of a request, by its place among those in flight."""
-        return [one for one in self.upstream_transport.in_flight if one.call is call][number]
+        """Return an attempt of a request by its index among its attempts in flight."""
+        return [attempt for attempt in self.upstream_transport.in_flight if attempt.call is call][number]
 
     def run(self, ns):
         self.loop.run_until(self.loop.now + ns)
 
     def finish(self):
-        """Let all time pass that anyone may wait."""
+        """Run until every request must have been answered, and check the rule."""
         self.run(DEADLINE_NS + ANSWER_SLACK_NS)
         self.rule.check_at_end()
--- a/tests/fault_messages.py
+++ b/tests/fault_messages.py
@@ -1,4 +1,4 @@
-"""Messages and faults that the tests of the fault tool share."""
+"""HTTP messages and faults that the tests of the fault tool share."""
 
 import msgspec
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,11 +1,11 @@
 """The tests that KNOWN-RED.txt lists are expected to fail; the list itself is tested too (see DEVELOPERS.md).
 
 A complete entry among the first `MAX_ENTRIES` is pytest's own strict `xfail`: its test is run, its failure
-does not count, its passing does. No other test may be passed over so. The list is collected as a test file
-(`testpaths` names it), an entry a test: so the whole run judges it and ends in pytest's closing line, and a
-run of one test file does not judge entries of others.
+does not count, its passing does. No other test may be expected to fail. The list is collected as a test file
+(`testpaths` names it), with a test for each entry: a complete run checks the entries and ends in pytest's own
+summary line, and a run of one test file does not check the entries of others.
 
-With pytest-xdist each worker collects all tests and judges entries like a run without workers. The process
+With pytest-xdist each worker collects all tests and checks entries like a run without workers. The process
 that started the workers collects nothing: each worker reports at its end which listed tests it has collected,
 so that the closing summary can print them.
 """
@@ -26,7 +26,7 @@
     """One line of the list."""
 
     line: int  # counted from 1
-    test: str  # pytest's id of it
+    test: str  # pytest's id of the test
     cause: str
     issue: str
 
@@ -34,7 +34,7 @@
         return " | ".join((self.test, self.cause, self.issue))
 
     def missing(self) -> list[str]:
-        """Name the fields that are empty."""
+        """Return the names of the empty fields."""
         return [name for name in ("test", "cause", "issue") if not getattr(self, name)]
 
 
@@ -49,14 +49,14 @@
 
 
 class EntryError(Exception):
-    """An entry that can't stand."""
+    """An entry of the list is invalid."""
 
 
 class EntryItem(pytest.Item):
-    """One entry, judged when all tests are collected."""
+    """The test of one entry; it runs when all tests are collected."""
 
-    def __init__(self, *, entry: Entry, known_red: "KnownRed", **given) -> None:
-        super().__init__(**given)
+    def __init__(self, *, entry: Entry, known_red: "KnownRed", **pytest_arguments) -> None:
+        super().__init__(**pytest_arguments)
         self.entry, self.known_red = entry, known_red
 
     def runtest(self) -> None:
@@ -91,10 +91,10 @@
         self.path = path
         self.entries = parse_entries(path.read_text()) if path.exists() else []
         self.expected = {entry.test: entry for entry in self.entries[:MAX_ENTRIES] if not entry.missing()}
-        self.collected: set[str] = set()  # in this process, or listed ones in a worker
+        self.collected: set[str] = set()  # by this process; of workers, only the listed tests
 
     def faults(self, entry: Entry) -> list[str]:
-        """Say all that is wrong with an entry, once all tests are collected."""
+        """Return all faults of an entry; all tests must have been collected."""
         faults = [f"no {name}" for name in entry.missing()]
         position = self.entries.index(entry)
         if position >= MAX_ENTRIES:
@@ -121,27 +121,27 @@
 
     @pytest.hookimpl(wrapper=True, tryfirst=True)
     def pytest_runtest_makereport(self, item: pytest.Item, call: pytest.CallInfo):
-        """What is neither seen to fail nor to pass: a listed test skipped, another one expected to fail."""
+        """Fail a listed test that is skipped, and an unlisted test that is marked as expected to fail."""
         report = yield
         test = item.stash[COLLECTED_ID]
         listed = test in self.expected
-        forgiven = report.skipped and hasattr(report, "wasxfail")
-        if listed and report.skipped and not forgiven:
+        expected_failure = report.skipped and hasattr(report, "wasxfail")
+        if listed and report.skipped and not expected_failure:
             report.outcome, report.longrepr = "failed", f"in {self.path.name}, but skipped: {test}"
-        elif forgiven and not listed:
+        elif expected_failure and not listed:
             del report.wasxfail
             report.outcome, report.longrepr = "failed", f"fails, and is not in {self.path.name}: {test}"
         return report
 
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
-        """In a worker: report which listed tests are collected."""
+        """Report from a worker which listed tests it has collected."""
         output = getattr(session.config, "workeroutput", None)
         if output is not None:
             output[WORKER_OUTPUT] = sorted(self.collected & self.expected.keys())
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_testnodedown(self, node) -> None:
-        """In the process that started the workers: `node` has ended, without output if it crashed."""
+        """Take over what the worker `node` collected when it ends; a crashed worker has no output."""
         self.collected.update(getattr(node, "workeroutput", {}).get(WORKER_OUTPUT, ()))
 
     def pytest_terminal_summary(self, terminalreporter) -> None:
--- a/tests/line_frontend.py
+++ b/tests/line_frontend.py
@@ -1,7 +1,7 @@
-"""A second frontend, of the tests' own: one request a line, `CLASS NAME MILLISECONDS`, one response a line.
+"""A second frontend for tests: one request per line, `CLASS NAME MILLISECONDS`, and one response per line.
 
-It goes through the same core as HTTP does, over a transport of its own that makes a connection for each
-attempt. Servers here speak both protocols, told apart by the first line.
+It uses the same core as HTTP does, over its own transport, which opens a connection for each attempt. The
+servers here speak both protocols and tell them apart by the first line.
 """
 
 import asyncio
@@ -31,9 +31,8 @@
         self.task = upstream_transport.loop.create_task(self.connect())
 
     async def connect(self):
-        await (
-            self.upstream_transport.connecting_allowed.wait()
-        )  # open, unless a test holds attempts before their first byte
+        # Tests clear the event to hold attempts before their first byte.
+        await self.upstream_transport.connecting_allowed.wait()
         try:
             await self.upstream_transport.loop.create_connection(lambda: self, *self.address)
         except OSError:
@@ -56,8 +55,8 @@
         self.observer.written()
 
     def data_received(self, data):
-        word, _, rest = data.decode().strip().partition(" ")
-        self.end(STATUS_BY_WORD[word], rest)
+        word, _, answer = data.decode().strip().partition(" ")
+        self.end(STATUS_BY_WORD[word], answer)
 
     def connection_lost(self, exc):
         self.end(Status.RESET)
@@ -88,7 +87,7 @@
         self.loop = loop
         self.addresses = {}
         self.waiting = {}
-        self.partial_writes = False  # for tests that want an attempt whose last byte has not gone out
+        self.partial_writes = False  # for tests of an attempt whose last byte has not been written
         self.connecting_allowed = asyncio.Event()
         self.connecting_allowed.set()
 
@@ -135,12 +134,12 @@
         *lines, self.buffer = (self.buffer + data).split(b"\n")
         engine = self.frontend.engine
         for line in lines:
-            name_of_class, name, wait = line.split()
+            class_name, name, timeout_ms = line.split()
             specs = engine.settings.classes
-            class_index = [spec.name for spec in specs].index(name_of_class.decode())
+            class_index = [spec.name for spec in specs].index(class_name.decode())
             body = Body(engine.memory, 0)
             body.end()
-            timeout_ns = int(wait) * 1_000_000
+            timeout_ns = int(timeout_ms) * 1_000_000
             request = IncomingRequest(
                 name,
                 class_index,
@@ -158,8 +157,8 @@
 
     def respond(self, request, response):
         self.open_requests.discard(request)
-        words = ["served", "refused", "failed"][response.disposition]
-        self.transport.write(f"{words} {response.reason.value} {response.retry_after_ns}\n".encode())
+        word = ["served", "refused", "failed"][response.disposition]
+        self.transport.write(f"{word} {response.reason.value} {response.retry_after_ns}\n".encode())
         if self.frontend.closes_on_response:
             self.transport.abort()
 
@@ -205,7 +204,7 @@
 
 @dataclass
 class DualProtocolServer(FakePeer):
-    """A server that speaks both protocols. `handler` names what becomes of each request, by its name."""
+    """A server that speaks both protocols; `handler` maps the name of a request to the way it is handled."""
 
     async def _serve(self, reader, writer):
         self.connections += 1
@@ -216,10 +215,10 @@
                     break
                 http = line.rstrip().endswith(b"HTTP/1.1")
                 if http:
-                    rest = asyncio.StreamReader()
-                    rest.feed_data(line + await reader.readuntil(b"\r\n\r\n"))
-                    rest.feed_eof()
-                    name = (await read_message(rest)).headers["x-request-id"]
+                    head = asyncio.StreamReader()
+                    head.feed_data(line + await reader.readuntil(b"\r\n\r\n"))
+                    head.feed_eof()
+                    name = (await read_message(head)).headers["x-request-id"]
                 else:
                     name = line.decode().strip()
                 self.received.append(name)
@@ -230,13 +229,13 @@
         writer.close()
 
     @staticmethod
-    async def respond(what, http, reader, writer):
-        if what == "silent":
+    async def respond(reaction, http, reader, writer):
+        if reaction == "silent":
             await reader.read()
-        elif what == "reset":
+        elif reaction == "reset":
             reset(writer)
         elif http:
-            code, *lines = {"ok": (200,), "full": (503, "X-Not-Run: 1"), "error": (500,)}[what]
+            code, *lines = {"ok": (200,), "full": (503, "X-Not-Run: 1"), "error": (500,)}[reaction]
             writer.write(http_response(code, b"", *lines))
         else:
-            writer.write(what.encode() + b"\n")
+            writer.write(reaction.encode() + b"\n")
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -1,4 +1,4 @@
-"""Small fake peers and a sidecar in the test's own loop, on loopback with ports that the system picks."""
+"""Fake peers and a sidecar in the test's own loop, on loopback with ports that the system picks."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 
 
 def run(coroutine):
-    """Run a test on the loop that the sidecar uses, with an end in any case."""
+    """Run a test on the loop that the sidecar uses, with a time limit."""
 
     async def bounded():
         async with asyncio.timeout(3 * WAIT_TIMEOUT_S):
@@ -28,17 +28,17 @@
         return runner.run(bounded())
 
 
-async def wait_until(true, what="the condition"):
-    """Wait for something that shows only in state."""
+async def wait_until(condition, description="the condition"):
+    """Poll until `condition()` is true, for a state that no event announces."""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.005)
-    assert true(), what
+    assert condition(), description
 
 
 @dataclass
 class ReceivedMessage:
-    """A message as a fake peer or client received it."""
+    """A message that a fake peer or a client received."""
 
     start_line: str
     headers: dict[str, str]
@@ -68,7 +68,7 @@
 
 
 def reset(writer):
-    """Break a connection as a process that dies does."""
+    """Reset a connection, as the kernel does for a process that dies."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -76,7 +76,7 @@
 
 @dataclass
 class FakePeer:
-    """A peer that does with each message what `handler` says, a coroutine of (message, reader, writer)."""
+    """A server that awaits `handler(message, reader, writer)` for each message."""
 
     handler: object
     received: list[ReceivedMessage] = field(default_factory=list)
@@ -145,8 +145,8 @@
     }
 
 
-def config(known, discovery=f"{HOST}:9", **more):
-    """A configuration as the platform would write it."""
+def config(known, discovery=f"{HOST}:9", **overrides):
+    """Return a configuration as the platform writes it."""
     data = {
         "name": "n0",
         "listen": f"{HOST}:0",
@@ -182,7 +182,7 @@
             "tick-ns": 5 * MS,
         },
     }
-    data.update(more)
+    data.update(overrides)
     return data
 
 
@@ -205,20 +205,20 @@
         self.close()
 
 
-def http_request(cls, ident="9b1f03aa5c7e2d41", deadline="3000m", body=b"", *lines):
-    method = "GET" if cls == "lookup" else "POST"
-    head = [f"{method} /{cls}/part?x=1 HTTP/1.1", "Host: origin.svc", f"X-Request-Id: {ident}"]
+def http_request(class_name, request_id="9b1f03aa5c7e2d41", deadline="3000m", body=b"", *lines):
+    method = "GET" if class_name == "lookup" else "POST"
+    head = [f"{method} /{class_name}/part?x=1 HTTP/1.1", "Host: origin.svc", f"X-Request-Id: {request_id}"]
     if deadline:
         head.append(f"X-Deadline: {deadline}")
-    if cls == "hold":
-        head.append(f"Idempotency-Key: key-of-{ident}")
+    if class_name == "hold":
+        head.append(f"Idempotency-Key: key-of-{request_id}")
     if method == "POST":
         head.append(f"Content-Length: {len(body)}")
     return "\r\n".join([*head, *lines]).encode() + b"\r\n\r\n" + body
 
 
 async def send_request(port, data):
-    """One message on a connection of its own: its answer."""
+    """Send a request on a connection of its own and return the response."""
     reader, writer = await asyncio.open_connection(HOST, port)
     try:
         writer.write(data)
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -1,9 +1,9 @@
-"""A scenario of the lab with the whole program on loopback sockets, in simulated time.
+"""Runs a scenario of the lab with the complete program on loopback sockets, in simulated time.
 
-`play` runs this file as a program, once for each build: nodes, directory, clients and sidecars share one
-loop. Its clock stands still while bytes are under way, however slow the machine is, and leaps to the next
-timer when all is quiet. So what is late is late by what the program waits for, and a build is judged alike
-on a busy machine. What the program's own work takes is not judged here.
+`run_scenario` runs this file as a program, once for each build: nodes, directory, clients and sidecars share
+one loop. Its clock stands still while bytes are in transit, however slow the machine is, and advances to the
+next timer when no socket is ready. Delays therefore stem only from what the program waits for, and a build
+gets the same verdict on a busy machine. The program's own computing time is not judged here.
 """
 
 import asyncio
@@ -18,23 +18,23 @@
 from pathlib import Path
 
 TESTS = Path(__file__).parent
-MIN_WAIT_S = 0.001  # seconds, the least that a selector waits: what the kernel has in hand arrives in less
-STALL_TIMEOUT_S = 60.0  # seconds without a timer or a byte: nothing will come any more
-PLAY_TIMEOUT_S = 300.0  # seconds of real time for one scenario, some 3 on an idle machine
+MIN_WAIT_S = 0.001  # shortest wait of a selector; bytes that the kernel holds arrive sooner
+STALL_TIMEOUT_S = 60.0  # without a timer or a byte for so long, the run is stalled
+RUN_TIMEOUT_S = 300.0  # real time for one scenario, which takes some 3 s on an idle machine
 
 
 class Clock:
-    """What the modules of the program take for the system's clock. In nanoseconds, as floats lose them."""
+    """Replaces the system's clock for the program; counts nanoseconds, as floats are too coarse for them."""
 
     def __init__(self) -> None:
         self.now = 1_000_000_000_000
-        self.epoch_offset_ns = 1_700_000_000_000_000_000  # of the Unix epoch
+        self.epoch_offset_ns = 1_700_000_000_000_000_000  # from `now` to the time since the Unix epoch
 
     def advance(self, seconds: float) -> None:
         self.now += math.ceil(seconds * 1e9)
 
     def install(self) -> None:
-        """Before anything of the program is imported: it takes the functions by their names."""
+        """Replace the functions of `time`, before the program is imported, which binds them by name."""
         time.monotonic_ns = lambda: self.now
         time.monotonic = lambda: self.now / 1e9
         time.time_ns = lambda: self.epoch_offset_ns + self.now
@@ -49,26 +49,26 @@
         self.clock = clock
 
     def select(self, timeout=None):
-        found = super().select(0)
-        if found or timeout == 0:
-            return found
+        ready = super().select(0)
+        if ready or timeout == 0:
+            return ready
         if timeout is None:
-            found = super().select(STALL_TIMEOUT_S)
-            if not found:
+            ready = super().select(STALL_TIMEOUT_S)
+            if not ready:
                 raise RuntimeError("everybody waits, and nothing can come")
-            return found
-        found = super().select(MIN_WAIT_S)
-        if not found:
+            return ready
+        ready = super().select(MIN_WAIT_S)
+        if not ready:
             self.clock.advance(timeout)
-        return found
+        return ready
 
 
 @dataclass
 class Outcome:
-    """What a run came to."""
+    """The result of a run."""
 
     findings: list  # (rule, text) of each
-    crashed: list  # exceptions that nobody caught, and whoever did not end
+    crashed: list  # uncaught exceptions, and sidecars that did not end
     requests: int  # attempts that clients sent
 
     @property
@@ -77,21 +77,21 @@
 
 
 def run_scenario(scenario, run_dir, seed, program=None):
-    """Play it with a build of the program, this one without `program`; the event logs are in `run_dir`."""
+    """Run a scenario with the build in `program`, by default this one; its event logs are in `run_dir`."""
     import msgspec
 
-    given = run_dir / "scenario.json"
-    given.write_bytes(msgspec.json.encode(scenario))
-    done = subprocess.run(
-        [sys.executable, str(Path(__file__)), str(given), str(seed)],
+    scenario_file = run_dir / "scenario.json"
+    scenario_file.write_bytes(msgspec.json.encode(scenario))
+    process = subprocess.run(
+        [sys.executable, str(Path(__file__)), str(scenario_file), str(seed)],
         env={**os.environ, "PYTHONPATH": str(program or TESTS.parent)},
         capture_output=True,
         text=True,
-        timeout=PLAY_TIMEOUT_S,
+        timeout=RUN_TIMEOUT_S,
         check=False,
     )
-    assert done.returncode == 0, done.stderr[-4000:]
-    return Outcome(**json.loads(done.stdout.splitlines()[-1]))
+    assert process.returncode == 0, process.stderr[-4000:]
+    return Outcome(**json.loads(process.stdout.splitlines()[-1]))
 
 
 def main(path: Path, seed: int) -> None:
@@ -110,8 +110,8 @@
         runner.get_loop().set_exception_handler(
             lambda loop, context: crashed.append(f"{context['message']}: {context.get('exception')!r}")
         )
-        runner_of_scenario = SimulatedRunner(scenario, path.parent, seed)
-        result = runner.run(runner_of_scenario.run())
+        scenario_runner = SimulatedRunner(scenario, path.parent, seed)
+        result = runner.run(scenario_runner.run())
     findings = [(finding.rule, finding.text) for finding in result.report.findings]
     requests = sum(counts["asked"] for counts in result.report.by_class.values())
     print(json.dumps({"findings": findings, "crashed": crashed + result.crashes, "requests": requests}))
--- a/tests/simulated_environment.py
+++ b/tests/simulated_environment.py
@@ -1,4 +1,4 @@
-"""The lab's environment with all who take part in one loop, in place of processes: see `simulated.py`."""
+"""The lab's environment with all participants in one loop instead of processes (see `simulated.py`)."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 class InLoopServer:
-    """A fake server; `freeze` stops it as SIGSTOP does a process: its peers see silence."""
+    """A fake server; `freeze` stops it as SIGSTOP stops a process: its peers receive nothing."""
 
     def __init__(self, handler, event_log):
         self.handler, self.event_log = handler, event_log
@@ -31,17 +31,21 @@
     def _connection(self):
         connection = self.handler.service.connection()
         if self.frozen:
-            take = connection.connection_made
+            connection_made_unfrozen = connection.connection_made
 
             def connection_made(transport):
-                take(transport)
+                connection_made_unfrozen(transport)
                 transport.pause_reading()
 
             connection.connection_made = connection_made
         return connection
 
     def _transports(self):
-        return [one.transport for one in self.handler.service.connections if one.transport is not None]
+        return [
+            connection.transport
+            for connection in self.handler.service.connections
+            if connection.transport is not None
+        ]
 
     def freeze(self):
         self.frozen = True
@@ -57,7 +61,7 @@
             transport.resume_reading()
 
     def end(self):
-        """End as a process that is killed: nothing is recorded any more."""
+        """End like a killed process: nothing is recorded any more."""
         self.server.close()
         self.handler.event_log = EventLog(None)
         self.handler.service.abort_all()
@@ -65,7 +69,7 @@
 
 
 class InLoopEnvironment(ProcessEnvironment):
-    """Owns the parts of one run, by the names that the processes would have."""
+    """Owns the servers and sidecars of one run, by the names that their processes would have."""
 
     def __init__(self, scenario, run_dir, seed, event_log):
         super().__init__(scenario, run_dir, seed, event_log)
@@ -75,8 +79,8 @@
     async def start_servers(self, kind, server_options):
         process, dedup_group, addresses = server_options[0]["name"], DeduplicationGroup(), []
         self.servers[process] = []
-        for one in server_options:
-            options = dict(one)
+        for given_options in server_options:
+            options = dict(given_options)
             name, seed, port = options["name"], options.pop("seed", 0), options.pop("port", 0)
             event_log = EventLog(self.run_dir / f"{name}.jsonl")
             handler = make_handler(kind, options, seed, event_log, dedup_group)
@@ -91,11 +95,11 @@
     async def start_sidecar(self, number):
         name = f"sidecar-{number}"
         self.write_config(number, f"{HOST}:0")
-        made = Sidecar(asyncio.get_running_loop(), read_config(str(self.run_dir / f"{name}.json")))
-        server = await asyncio.get_running_loop().create_server(made.http.connection, HOST, 0)
-        made.http.listen(server)
-        made.engine.lifecycle.serve()
-        self.sidecars[name] = made
+        sidecar = Sidecar(asyncio.get_running_loop(), read_config(str(self.run_dir / f"{name}.json")))
+        server = await asyncio.get_running_loop().create_server(sidecar.http.connection, HOST, 0)
+        sidecar.http.listen(server)
+        sidecar.engine.lifecycle.serve()
+        self.sidecars[name] = sidecar
         self.event_log.record(EventKind.PROCESS_STARTED, name=name)
         host, port = server.sockets[0].getsockname()
         self.addresses[name] = f"{host}:{port}"
@@ -129,25 +133,25 @@
             server.thaw()
 
     def sample_sidecars(self):
-        """All are in this process: what it holds is what each sidecar holds at the most."""
+        """Record the resources of this process for each sidecar, as an upper bound: all run in it."""
         for name in self.sidecars:
             self.event_log.record(EventKind.RESOURCES_USED, name=name, **resource_usage(os.getpid()))
 
     async def stop(self):
-        """End the sidecars in order, as SIGTERM does: they answer what is pending; then the rest."""
-        for name, made in self.sidecars.items():
-            made.engine.lifecycle.terminate()
+        """End the sidecars in order as SIGTERM does (they answer pending requests), then the servers."""
+        for name, sidecar in self.sidecars.items():
+            sidecar.engine.lifecycle.terminate()
             try:
-                await asyncio.wait_for(made.engine.lifecycle.stopped, END_TIMEOUT_S)
+                await asyncio.wait_for(sidecar.engine.lifecycle.stopped, END_TIMEOUT_S)
             except TimeoutError:
                 self.crashes.append(f"{name} did not end within {END_TIMEOUT_S:g} s")
-            made.close()
+            sidecar.close()
         for process in list(self.servers):
             await self.end(process, kill=False)
 
 
 class SimulatedRunner(ScenarioRunner):
-    """Plays a scenario with all who take part in one loop."""
+    """Runs a scenario with all participants in one loop."""
 
     def make_environment(self, program):
         return InLoopEnvironment(self.scenario, self.run_dir, self.seed, self.event_log)
--- a/tests/simulated_loop.py
+++ b/tests/simulated_loop.py
@@ -1,4 +1,4 @@
-"""An event loop in simulated time, as far as the core uses one."""
+"""An event loop in simulated time, with the methods that the core uses."""
 
 import heapq
 import itertools
@@ -39,11 +39,11 @@
         return self.call_later(0, callback, *args)
 
     def due_timers(self):
-        """The timers that are due by now, in their order."""
+        """Return the timers that are due now, in the order of their times."""
         return [entry for entry in sorted(self.timers) if entry[0] <= self.now and not entry[2].cancelled]
 
     def fire(self, entry):
-        """Run one timer, whatever its place is among those that are due."""
+        """Run one timer, out of order if the test chooses it so."""
         self.timers.remove(entry)
         heapq.heapify(self.timers)
         handle = entry[2]
@@ -53,7 +53,7 @@
             self.callback_errors.append(error)
 
     def run_until(self, end):
-        """Run all timers up to a time, in order."""
+        """Run all timers up to and including `end`, in order."""
         while self.timers and self.timers[0][0] <= end:
             entry = self.timers[0]
             self.now = max(self.now, entry[0])
--- a/tests/simulated_transport.py
+++ b/tests/simulated_transport.py
@@ -1,10 +1,10 @@
-"""The core's surroundings without sockets: attempts whose steps a test takes one by one, and clients."""
+"""The core's transport and clients without sockets; a test takes each step of an attempt by itself."""
 
 from ochreflow.policy.interface import State, Status
 
 
 class SimulatedAttempt:
-    """An attempt whose steps a test takes one by one."""
+    """An attempt that advances only when the test calls its next step."""
 
     def __init__(self, upstream_transport, server, call, observer):
         self.upstream_transport, self.server, self.call, self.observer = (
@@ -27,7 +27,7 @@
         return self.observer is None
 
     def connect(self):
-        """Its connection is up: its first byte goes out, and its last one unless the socket is full."""
+        """Establish the connection and write the first byte, and the last one unless the socket is full."""
         if self.has_ended or self.begun:
             return
         write_timeout_s = self.observer.write_timeout_s()
@@ -38,18 +38,18 @@
             self.upstream_transport.loop.now, self.call, self.server
         )
         if write_timeout_s < float("inf"):
-            self.write_timer = self.upstream_transport.loop.call_later(write_timeout_s, self._too_late)
+            self.write_timer = self.upstream_transport.loop.call_later(write_timeout_s, self._write_timed_out)
         if not self.call.body.complete:
             self.call.body.stream_to(self)
         elif not self.upstream_transport.socket_full:
             self.finish()
 
     def finish(self):
-        """Its last byte goes out."""
+        """Write the last byte of the request."""
         if self.has_ended or not self.begun or self.may_run or not self.call.body.complete:
             return
         if self.write_timer is not None and self.write_timer.when <= self.upstream_transport.loop.now:
-            self._too_late()
+            self._write_timed_out()
             return
         self.may_run = True
         self.upstream_transport.rule.last_byte(self.upstream_transport.loop.now, self.call, self.copy)
@@ -63,7 +63,7 @@
             self.finish()
 
     def answer(self, status):
-        """Its server ends it. One that proves nothing may come before the request is complete."""
+        """End the attempt; a response that does not prove non-execution may precede the last byte."""
         if self.has_ended or not self.begun:
             return
         if status is Status.REJECTED:
@@ -73,7 +73,7 @@
         self.end(status)
 
     def begin_response(self):
-        """Its server's answer begins to flow."""
+        """Begin to stream the server's response."""
         if self.has_ended or not self.may_run:
             return
         if not self.observer.begin(None, None):
@@ -83,7 +83,7 @@
         if not self.has_ended and not self.begun:
             self.end(Status.CONNECT_FAILED)
 
-    def _too_late(self):
+    def _write_timed_out(self):
         if not self.has_ended and not self.may_run:
             self.end(Status.NOT_SENT)
 
@@ -120,30 +120,30 @@
 
 
 class SimulatedTransport:
-    """Keeps the attempts in flight, in the order of their starts."""
+    """The transport; it keeps the attempts in flight in the order of their starts."""
 
     def __init__(self, loop, rule):
         self.loop, self.rule = loop, rule
         self.in_flight = []
         self.states = {}
-        self.has_idle_connection = False  # a connection stands idle: attempts are written within their start
-        self.socket_full = False  # the socket takes no last byte
-        self.fail_next_start = None  # "before" or "after" the writing, for the next start
+        self.has_idle_connection = False  # attempts are written within `start`
+        self.socket_full = False  # the last byte can't be written
+        self.fail_next_start = None  # raise in the next `start`, "before" or "after" the first byte
         self.on_start = None
 
     def start(self, server, call, timeout, observer):
         attempt = SimulatedAttempt(self, server, call, observer)
         self.in_flight.append(attempt)
-        fails, self.fail_next_start = self.fail_next_start, None
-        if fails == "before":
+        failure, self.fail_next_start = self.fail_next_start, None
+        if failure == "before":
             raise RuntimeError("injected before anything was written")
         if self.states.get(server) is not State.READY:
             self.loop.call_soon(attempt.fail_to_connect)
-        elif self.has_idle_connection or fails == "after":
+        elif self.has_idle_connection or failure == "after":
             if timeout is not None:
                 attempt.set_timeout(timeout)
             self._connect_in_start(attempt)
-            if fails == "after":
+            if failure == "after":
                 raise RuntimeError("injected after it was written")
         elif timeout is not None:
             attempt.set_timeout(timeout)
@@ -152,7 +152,7 @@
         return attempt
 
     def _connect_in_start(self, attempt):
-        """As `connect`, but its end is reported later, never from within the start."""
+        """Connect as `connect` does, but report an end later, never from within `start`."""
         write_timeout_s = attempt.observer.write_timeout_s()
         if write_timeout_s <= 0.0:
             self.loop.call_soon(attempt.end, Status.NOT_SENT)
@@ -165,7 +165,7 @@
     def update(self, server, address, since_ms, state):
         self.states[server] = state
         if state is not State.READY:
-            for attempt in [one for one in self.in_flight if one.server == server and not one.begun]:
+            for attempt in [other for other in self.in_flight if other.server == server and not other.begun]:
                 attempt.give_up(Status.CONNECT_FAILED)
 
     def forget(self, server):
@@ -182,7 +182,7 @@
 
 
 class SimulatedClients:
-    """All clients: the frontend and the response sink of every request."""
+    """All clients: the frontend and response sink of every request."""
 
     connected = 0
 
