--- a/ochreflow/app/operator.py
+++ b/ochreflow/app/operator.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ..core.log import PER_SECOND
+from ..core.log import MAX_LINES_PER_SECOND
 from ..http.clients import HEAD_TIMEOUT_S, IDLE_TIMEOUT_S, SLOW_READER_TIMEOUT_S
 from .operator_hints import Bounds, FixedAtStart, annotation
 from .units import HostPort, Seconds, Size
@@ -24,7 +24,7 @@
 
     format: Literal["plain", "console", "json"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    per_second: Annotated[int, Bounds(1, 100_000)] = PER_SECOND  # lines of any one event
+    per_second: Annotated[int, Bounds(1, 100_000)] = MAX_LINES_PER_SECOND  # lines of any one event
 
 
 class OperatorsTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/ochreflow/app/options.py
+++ b/ochreflow/app/options.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ..core.log import Sink, plain
+from ..core.log import Sink, write_plain_line
 from ..core.ports import Address
 from .config import ConfigError
 
@@ -39,7 +39,7 @@
         """Where the log goes; ConfigError if its form needs a library that is not installed."""
         form = self.file.log.format if self.file is not None else "plain"
         if form == "plain":
-            return plain
+            return write_plain_line
         try:
             from .logs import structured
         except ImportError as error:
--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -118,7 +118,7 @@
 
         gossip = Gossip(config.settings.index, config.peers, config.peers_all, sidecar.engine.on_gossip)
         await self.loop.create_datagram_endpoint(lambda: gossip, local_addr=config.peer_listen)
-        sidecar.engine.use_gossip(gossip)
+        sidecar.engine.set_gossip_sender(gossip)
 
     async def _listen(self, sidecar: Sidecar) -> Address:
         """Accept clients' connections; the address at which that is."""
--- a/ochreflow/app/reload.py
+++ b/ochreflow/app/reload.py
@@ -77,7 +77,7 @@
         file = options.file
         if file is None:
             return
-        log.use(sink, file.log.level, file.log.per_second)
+        log.configure(sink, file.log.level, file.log.per_second)
         timeouts = self.sidecar.http.clients.timeouts
         timeouts.head_s = file.clients.head_within
         timeouts.idle_s = file.clients.idle
--- a/ochreflow/core/endpoints.py
+++ b/ochreflow/core/endpoints.py
@@ -30,7 +30,7 @@
     complete: bool
     entries: list[EndpointRecord]
 
-    def membership(self, kind: ListKind | None = None) -> Membership:
+    def to_membership(self, kind: ListKind | None = None) -> Membership:
         """Return the update as the balancer takes it, as of `kind` where that is given."""
         kind = kind or (ListKind.FULL if self.complete else ListKind.DELTA)
         return Membership(kind, self.version, [entry.endpoint for entry in self.entries])
--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -93,7 +93,7 @@
             source.watch(on=True)
         self._sweep()
 
-    def use_gossip(self, sender: GossipSender) -> None:
+    def set_gossip_sender(self, sender: GossipSender) -> None:
         """Publish gossip through this sender, which is closed with the engine."""
         self.actions.gossip = sender
 
@@ -111,7 +111,7 @@
             self._apply(update)
 
     def _apply(self, update: EndpointUpdate, kind: api.ListKind | None = None) -> None:
-        self.dispatcher.dispatch(update.membership(kind))
+        self.dispatcher.dispatch(update.to_membership(kind))
         self.endpoints.apply(update)
         # After changes too: while servers are being replaced, no full list may ever come.
         self.endpoints.ids.keep(set(self.balancer.endpoints.servers) | set(self.endpoints.listed))
--- a/ochreflow/core/log.py
+++ b/ochreflow/core/log.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from time import monotonic
 
-# The text of each event. Fields that don't stand in the text are appended by `text`.
+# The text of each event. Fields that don't stand in the text are appended by `format_event`.
 EVENTS = {
     "listening": "{name} listens at {host}:{port}",
     "management_listening": "management interface is at {host}:{port}",
@@ -44,12 +44,12 @@
 }
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 RATE_WINDOW_S = 1.0
-PER_SECOND = 100  # lines of one event; a list of servers may name some dozens at once
+MAX_LINES_PER_SECOND = 100  # lines of one event; a list of servers may name some dozens at once
 
 Sink = Callable[[str, str, dict[str, object]], None]
 
 
-def text(event: str, fields: dict[str, object]) -> str:
+def format_event(event: str, fields: dict[str, object]) -> str:
     """Return the plain words of an event."""
     words = EVENTS.get(event, event)
     message = words.format_map(fields) if "{" in words else words
@@ -57,11 +57,11 @@
     return " ".join([message, *rest])
 
 
-def plain(level: str, event: str, fields: dict[str, object]) -> None:
+def write_plain_line(level: str, event: str, fields: dict[str, object]) -> None:
     """Write one line on standard error, and the trace of an exception after it."""
     fields = dict(fields)
     trace = fields.pop("trace", "")
-    print(f"{level.upper()} ochreflow: {text(event, fields)}", file=sys.stderr, flush=True)
+    print(f"{level.upper()} ochreflow: {format_event(event, fields)}", file=sys.stderr, flush=True)
     if trace:
         print(trace, file=sys.stderr, end="", flush=True)
 
@@ -78,12 +78,12 @@
 class Log:
     """Where all parts write. Events over their bound are counted, and the next one written says how many."""
 
-    def __init__(self, sink: Sink = plain, clock: Callable[[], float] = monotonic) -> None:
+    def __init__(self, sink: Sink = write_plain_line, clock: Callable[[], float] = monotonic) -> None:
         """Write to `sink`; `clock` gives seconds."""
         self.clock = clock
-        self.use(sink)
+        self.configure(sink)
 
-    def use(self, sink: Sink, min_level: str = "info", per_second: int = PER_SECOND) -> None:
+    def configure(self, sink: Sink, min_level: str = "info", per_second: int = MAX_LINES_PER_SECOND) -> None:
         """Write to this sink, nothing below `min_level`, and each event `per_second` times at most."""
         self.sink = sink
         self.min_level = LEVELS[min_level]
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -244,7 +244,7 @@
             self.post(Membership(ListKind.FAILED, 0, []))
             return
         self.notified_at.setdefault(news.version, self.loop.now)
-        self.post(news.membership())
+        self.post(news.to_membership())
 
 
 class World:
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -248,7 +248,7 @@
 def test_one_event_is_bounded_and_what_was_suppressed_is_counted():
     now, said = [0.0], []
     log = Log(lambda level, event, fields: said.append((event, fields)), lambda: now[0])
-    log.use(log.sink, "info", 3)
+    log.configure(log.sink, "info", 3)
     for _ in range(10):
         log.info("balancer_message", message="x")
         log.debug("final_response")
