--- a/ochreflow/core/__init__.py
+++ b/ochreflow/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests taken and owed an answer, attempts, limits, life-cycle and counters, whatever the protocol."""
+"""The protocol-independent core: requests, attempts, endpoints, resource limits, lifecycle and counters."""
--- a/ochreflow/core/actions.py
+++ b/ochreflow/core/actions.py
@@ -1,4 +1,4 @@
-"""Executes the actions of the balancer: each kind goes to the part of the core that can do it."""
+"""Executes the balancer's actions: each kind is passed to the part of the core that implements it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ActionExecutor:
-    """Knows who executes which action; owns the endpoint source and the gossip sender."""
+    """Routes each action to the part that executes it; owns the endpoint source and the gossip sender."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         attempts: AttemptManager,
         transports: Sequence[UpstreamTransport],
     ) -> None:
-        """Execute with these; `transports` may grow later."""
+        """Create an executor on these parts; transports may be added to `transports` later."""
         self.loop = loop
         self.dispatcher = dispatcher
         self.requests = requests
@@ -39,7 +39,7 @@
         self.gossip: GossipSender | None = None
 
     def execute(self, action: api.Action) -> None:  # noqa: C901 - a case for each kind of action
-        """Execute one action. The kinds stand in the order of how often they come."""
+        """Execute one action. The most frequent kinds are matched first."""
         match action:
             case api.Send():
                 self.send(action)
@@ -67,28 +67,29 @@
                 assert_never(action)
 
     def send(self, action: api.Send) -> None:
-        """Start an attempt, unless its request has been answered: an event of that is on its way."""
+        """Start an attempt, unless its request has been answered, of which the balancer will hear."""
         pending = self.requests.pending.get(action.id)
         if pending is not None:
             self.attempts.start(pending, action.server, action.timeout_ns)
 
     def set_timer(self, action: api.SetTimer) -> None:
-        """Dispatch a timer event later.
+        """Dispatch a timer event after the action's delay.
 
-        In whole milliseconds, rounded up: the loop counts in these, and an early timer is of no use.
+        The delay is rounded up to whole milliseconds: that is the resolution of the event loop's timers, and
+        a timer must not fire early.
         """
         delay_s = -(-action.after_ns // NS_PER_MS) / 1000
         self.loop.call_later(delay_s, self.dispatcher.dispatch, api.Timer(action.token))
 
     def probe(self, action: api.Probe) -> None:
-        """Check the health of a server, and dispatch the result."""
+        """Probe the health of a server, and dispatch the result."""
         server, started_ns = action.server, self.dispatcher.clock.now()
 
-        def done(status: Status, report: tuple[float, ...]) -> None:
+        def on_probe_result(status: Status, report: tuple[float, ...]) -> None:
             duration_ns = self.dispatcher.clock.now() - started_ns
             self.dispatcher.dispatch(api.ProbeResult(server, status, duration_ns, report))
 
-        self.transports[0].probe(server, PROBE_TIMEOUT_S, done)
+        self.transports[0].probe(server, PROBE_TIMEOUT_S, on_probe_result)
 
     def close_idle(self, action: api.CloseIdle) -> None:
         """Close the idle connections to a server."""
@@ -96,17 +97,17 @@
             upstream_transport.close_idle(action.server)
 
     def publish_gossip(self, action: api.PublishGossip) -> None:
-        """Send a message to one other sidecar, or to all of them."""
+        """Send a gossip message to one other sidecar, or to all of them."""
         if self.gossip is not None:
             self.gossip.send(action.data, action.peer)
 
     def watch(self, action: api.Watch) -> None:
-        """Start or stop the watch of the endpoint list."""
+        """Start or stop watching the endpoint list for changes."""
         if self.source is not None:
             self.source.watch(on=action.on)
 
     def fetch(self) -> None:
-        """Ask once for the whole endpoint list."""
+        """Request the complete endpoint list once."""
         if self.source is not None:
             self.source.fetch()
 
--- a/ochreflow/core/attempt_manager.py
+++ b/ochreflow/core/attempt_manager.py
@@ -1,6 +1,6 @@
-"""The attempts of requests: when their first byte may go out, and what becomes of them.
+"""Attempts of requests: whether their first byte may be sent, and how they end.
 
-`PendingRequest` and `Attempt` stand here together, since each of them refers to the other.
+`PendingRequest` and `Attempt` are both defined here, since each refers to the other.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from .ports import FinalResponse, IncomingRequest, Reason, ResponseSink, UpstreamAttempt
 from .stats import Disposition, Stats
 
-ATTEMPT_MARGIN_NS = 15 * NS_PER_MS  # the last attempt is given up so long before the client's deadline
+ATTEMPT_MARGIN_NS = 15 * NS_PER_MS  # before the client's deadline: attempts have to end by then
 
 
 def format_request_id(request: IncomingRequest) -> str:
@@ -40,14 +40,14 @@
     frontend_binding: FrontendBinding
     watchdog: asyncio.TimerHandle | None = None
     attempts: int = 0  # started so far
-    may_have_run: bool = False  # some attempt has ended without a proof that it did not run
-    unanswered: bool = True  # its final response has not been given
-    uploading: bool = False  # the balancer knows that its body is still coming
-    streaming: Attempt | None = None  # the attempt whose response is already on its way to the client
+    may_have_run: bool = False  # an attempt has ended without proof that it did not run
+    unanswered: bool = True  # the final response has not been given yet
+    uploading: bool = False  # the balancer counts its body as still being received
+    streaming: Attempt | None = None  # the attempt whose response is being streamed to the client
 
 
 class ResponsePath(Protocol):
-    """Where a server's response goes on to the client; see `RequestManager`."""
+    """Forwards a server's response to the client; see `RequestManager`."""
 
     def finish(self, pending: PendingRequest, response: FinalResponse) -> None:
         """Give the one final response."""
@@ -59,7 +59,7 @@
 
 
 class Attempt:
-    """One attempt, from its start to its one end: what the transport reports to. See `AttemptObserver`."""
+    """One attempt, to which its transport reports until its one end; implements `AttemptObserver`."""
 
     __slots__ = (
         "first_byte_permitted",
@@ -77,17 +77,17 @@
     def __init__(
         self, manager: AttemptManager, pending: PendingRequest, server: int, sent_ns: int, timeout_ns: int
     ) -> None:
-        """Begin the next attempt of `pending` at `sent_ns`; `timeout_ns` as in `api.Send`."""
+        """Create the next attempt of `pending`, started at `sent_ns`; `timeout_ns` is as in `api.Send`."""
         self.manager = manager
         self.pending = pending
         self.number = pending.attempts
         self.server = server
-        self.sent_ns = sent_ns  # for a body that was still coming: when its last byte had been written
-        self.timeout_ns = timeout_ns  # from its start; 0: what its request has left
-        self.response_started_ns = 0  # when its response began to go on to the client
-        self.upstream_attempt: UpstreamAttempt | None = None  # None: being started, or failed to start
-        self.first_byte_permitted = False  # its first byte may have gone out
-        self.fully_written = False  # its last byte has gone out
+        self.sent_ns = sent_ns  # start; after an upload, when its last byte was written
+        self.timeout_ns = timeout_ns  # from its start; 0: the remaining time of its request
+        self.response_started_ns = 0  # when its response began to be streamed to the client
+        self.upstream_attempt: UpstreamAttempt | None = None  # None: still being started, or failed to start
+        self.first_byte_permitted = False  # its first byte may have been written
+        self.fully_written = False  # its last byte has been written
 
     @property
     def has_ended(self) -> bool:
@@ -96,7 +96,7 @@
 
     @property
     def may_run(self) -> bool:
-        """Whether its server may have all of it, as far as is known before its end."""
+        """Whether its server may have received all of it, as far as is known before its end."""
         if self.upstream_attempt is None:
             return self.first_byte_permitted
         return self.fully_written or self.upstream_attempt.may_run
@@ -132,7 +132,7 @@
 
 
 class AttemptManager:
-    """Owns the attempts that have not ended, also those of requests that have been answered."""
+    """Owns the attempts that have not ended, including those of requests that have been answered."""
 
     def __init__(
         self,
@@ -141,7 +141,7 @@
         stats: Stats,
         max_attempts: int,
     ) -> None:
-        """Allow `max_attempts` for each request; responses go on along `response_path`."""
+        """Allow `max_attempts` for each request; forward responses through `response_path`."""
         self.response_path = response_path
         self.dispatcher = dispatcher
         self.balancer = dispatcher.balancer
@@ -149,21 +149,23 @@
         self.stats = stats
         self.fault_log = dispatcher.fault_log
         self.max_attempts = max_attempts
-        self.in_flight: dict[tuple[int, int], Attempt] = {}  # by pending id and number
+        self.in_flight: dict[tuple[int, int], Attempt] = {}  # by pending id and attempt number
 
     def of_request(self, pending: PendingRequest) -> list[Attempt]:
         """Return the attempts of a request that have not ended."""
         numbers = range(pending.attempts)
-        return [self.in_flight[pending.id, n] for n in numbers if (pending.id, n) in self.in_flight]
+        return [
+            self.in_flight[pending.id, number] for number in numbers if (pending.id, number) in self.in_flight
+        ]
 
     def may_have_run(self, pending: PendingRequest) -> bool:
-        """Return whether any server may have run it, by ends and by what is still in flight."""
+        """Return whether any server may have run it, judging by ended and in-flight attempts."""
         return pending.may_have_run or any(attempt.may_run for attempt in self.of_request(pending))
 
     # Starting
 
     def start(self, pending: PendingRequest, server: int, timeout_ns: int) -> None:
-        """Start an attempt at `server`, or end it at once where it can't be sent any more."""
+        """Start an attempt at `server`, or end it at once if it can no longer be sent."""
         attempt = Attempt(self, pending, server, self.clock.now(), timeout_ns)
         pending.attempts += 1
         self.in_flight[pending.id, attempt.number] = attempt
@@ -178,16 +180,18 @@
                 server, request, timeout_s, attempt
             )
         except Exception:
-            self.fault_log.log("an attempt could not be started")
+            self.fault_log.log(
+                "upstream transport failed to start an attempt: it is not sent, unless it began before"
+            )
             if not attempt.first_byte_permitted:
                 self.end(attempt, Status.NOT_SENT, None, ())
-            # Else it may run: its end is still reported by its transport, or by the deadline watchdog.
+            # Otherwise it may run: its transport reports its end, or the deadline watchdog ends it.
 
     def remaining_time_ns(self, attempt: Attempt) -> int:
-        """Return what is left to an attempt now: see `AttemptObserver.remaining_time_ns`.
+        """Return the time left to an attempt now: see `AttemptObserver.remaining_time_ns`.
 
-        Guards a server against work that nobody waits for: computed when the attempt was decided on, it was
-        more than the client still waited once a connection had been made late. The client's time runs from
+        It is computed at the time of the write, so that a server does no work that nobody waits for: a value
+        from the time of the decision is too long if connecting took a while. The client's timeout runs from
         the last byte of its body.
         """
         request, now = attempt.pending.request, self.clock.now()
@@ -200,10 +204,10 @@
         return remaining_ns
 
     def write_timeout_s(self, attempt: Attempt) -> float:
-        """Decide whether an attempt's first byte may go out: see `AttemptObserver.write_timeout_s`.
+        """Decide whether an attempt's first byte may be written: see `AttemptObserver.write_timeout_s`.
 
-        The rules are judged at this instant and not at that of the decision: connections are made late, and
-        by then a window may be over, a server may drain, the client may have disconnected or run out of time.
+        The rules are evaluated now, not when the attempt was decided on: connecting takes time, in which a
+        window may end, the server may begin to drain, or the client may disconnect or time out.
         """
         pending = attempt.pending
         request, now = pending.request, self.clock.now()
@@ -211,27 +215,27 @@
             request.body.complete and now >= request.deadline_ns - ATTEMPT_MARGIN_NS
         ):
             return 0.0
-        if request.body.discarded:  # another attempt has streamed it, and the balancer may not know
+        if request.body.discarded:  # another attempt has streamed it; the balancer may not know yet
             return 0.0
         if pending.response_sink.is_disconnected(request):
             return 0.0
         try:
             end_ns = self.balancer.write_by(now, pending.id, attempt.number)
         except Exception:
-            # Guards the response and the connection of whoever is being served in this turn of the loop.
-            self.fault_log.log("the module failed on a first byte")
+            # Protects the response and the connection that are being handled in this loop iteration.
+            self.fault_log.log("balancer failed to decide whether an attempt may be written: it is not sent")
             return 0.0
         return math.inf if end_ns >= NO_END else max(end_ns - now, 0) / NS_PER_S
 
     def body_uploaded(self, attempt: Attempt) -> None:
-        """Count an attempt whose body was still coming as begun now: its last byte has been written."""
+        """Restart the time of an attempt whose body was being received: its last byte has been written."""
         pending = attempt.pending
         pending.uploading = False
         attempt.sent_ns = self.clock.now()
         self.dispatcher.dispatch(api.BodyUploaded(pending.id, pending.request.deadline_ns))
 
     def set_timeouts(self, pending: PendingRequest) -> None:
-        """Limit attempts that were started without a timeout to what the client's deadline leaves."""
+        """Set the timeout of attempts that were started without one, from the client's deadline."""
         remaining_ns = pending.request.deadline_ns - ATTEMPT_MARGIN_NS - self.clock.now()
         for attempt in self.of_request(pending):
             if attempt.upstream_attempt is not None and pending.streaming is not attempt:
@@ -240,7 +244,7 @@
     # Responses and ends
 
     def begin_response(self, attempt: Attempt, head: object, length: int | None) -> bool:
-        """Begin to stream a response to the client; from here on it has no deadline, only stall timeouts."""
+        """Begin to stream a response to the client; from now on only stall timeouts apply, no deadline."""
         pending = attempt.pending
         if not pending.unanswered or pending.streaming is not None or attempt.upstream_attempt is None:
             return False
@@ -256,13 +260,13 @@
         return True
 
     def end(self, attempt: Attempt, status: Status, answer: object, report: tuple[float, ...]) -> None:
-        """End an attempt: a successful response goes to the client, the balancer learns of every end."""
+        """End an attempt: forward a successful response to the client, and notify the balancer of any end."""
         if attempt.has_ended:
-            return  # only the first end counts, whatever a transport that failed reports later
+            return  # only the first end counts, whatever a faulty transport reports later
         pending = attempt.pending
         del self.in_flight[pending.id, attempt.number]
         if attempt.fully_written and status in UNWRITTEN:
-            status = Status.RESET  # `written` was reported before: it may have run
+            status = Status.RESET  # `written` has been reported, so it may have run
         if status not in PROVES_NOT_RUN:
             pending.may_have_run = True
         if log.debugging:
@@ -278,13 +282,13 @@
         )
 
     def give_up(self, attempt: Attempt, status: Status) -> None:
-        """End an attempt within this call, whatever its transport does."""
+        """End an attempt within this call, even if its transport fails to."""
         if attempt.upstream_attempt is not None:
             try:
                 attempt.upstream_attempt.give_up(status)
             except Exception:
-                self.fault_log.log("an attempt could not be given up")
-        if not attempt.has_ended:  # its transport failed: if it may have begun, it may have run
+                self.fault_log.log("upstream transport failed to give up an attempt: it counts as ended")
+        if not attempt.has_ended:  # its transport failed; an attempt that may have begun may have run
             end = status if attempt.first_byte_permitted else Status.NOT_SENT
             self.end(attempt, end, None, ())
 
@@ -295,26 +299,26 @@
             self.give_up(attempt, Status.CANCELLED)
 
     def time_out(self, pending: PendingRequest) -> None:
-        """Give up all attempts of a request whose time is over."""
+        """Give up all attempts of a request whose deadline is reached."""
         for attempt in self.of_request(pending):
             self.give_up(attempt, Status.TIMEOUT)
 
     def cancel_unwritten(self, pending: PendingRequest) -> None:
-        """Cancel the attempts of a request that still wait for a connection.
+        """Cancel the attempts of a request that are still waiting for a connection.
 
-        Guards servers against a request without its body, which is discarded with the final response.
+        The body is discarded with the final response, so a server would get the request without its body.
         """
         for attempt in self.of_request(pending):
             if attempt.upstream_attempt is not None and not attempt.upstream_attempt.begun:
                 self.give_up(attempt, Status.CANCELLED)
 
     def abandon(self, pending: PendingRequest) -> None:
-        """Cancel the attempts of a request whose client or body is gone, unless they may run already."""
+        """Cancel the attempts of a request whose client or body is lost, unless they may already run."""
         for attempt in self.of_request(pending):
             upstream_attempt = attempt.upstream_attempt
             if upstream_attempt is None:
                 continue
-            # What is written in part is cut off, so that it can't run any more.
+            # A partly written request is truncated, so that it can't run.
             if not upstream_attempt.may_run or pending.streaming is attempt:
                 self.give_up(attempt, Status.CANCELLED)
 
--- a/ochreflow/core/clock.py
+++ b/ochreflow/core/clock.py
@@ -1,4 +1,4 @@
-"""The time that the core counts in: nanoseconds, on one clock for a process."""
+"""The clock of the core: one for each process, in nanoseconds."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class Clock:
-    """Monotonic time on the scale of Unix time, in which discovery gives the starts of servers."""
+    """Monotonic time with the epoch of Unix time, in which discovery reports the start times of servers."""
 
     def __init__(self) -> None:
-        """Fix the offset between the two now; later steps of the system's clock don't matter."""
+        """Fix the offset between the two clocks; later steps of the system clock have no effect."""
         self.offset = time_ns() - monotonic_ns()
 
     def now(self) -> int:
-        """Return the present time in nanoseconds."""
+        """Return the current time in nanoseconds."""
         return self.offset + monotonic_ns()
--- a/ochreflow/core/dispatcher.py
+++ b/ochreflow/core/dispatcher.py
@@ -1,4 +1,4 @@
-"""Events to the balancer in the order they came, and the execution of the actions that it answers with."""
+"""Passes events to the balancer in order of arrival, and has the returned actions executed."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class EventDispatcher:
-    """The one caller of `Balancer.handle`. Every other part of the core hands its events in here."""
+    """The only caller of `Balancer.handle`: all other parts of the core dispatch their events here."""
 
     def __init__(self, balancer: Balancer, clock: Clock, fault_log: FaultLog) -> None:
-        """Dispatch to `balancer`, at the time of `clock`; `set_executor` has to be called first."""
+        """Dispatch to `balancer`, with timestamps of `clock`; call `set_executor` before `dispatch`."""
         self.balancer = balancer
         self.clock = clock
         self.fault_log = fault_log
         self.queue: deque[api.Event] = deque()
         self.dispatching = False
-        self.latest_actions: list[api.Action] = []  # of the latest event that the balancer began with
+        self.latest_actions: list[api.Action] = []  # of the latest event that the balancer began to handle
         self.execute: Callable[[api.Action], None]
 
     def set_executor(self, execute: Callable[[api.Action], None]) -> None:
-        """Set what executes actions: it needs this dispatcher, so it is made after it."""
+        """Set the executor of actions, which is created after this dispatcher since it depends on it."""
         self.execute = execute
 
     def dispatch(self, event: api.Event) -> None:
-        """Hand the balancer an event after those that came before it, and execute its actions.
+        """Pass an event to the balancer, after those already queued, and execute the returned actions.
 
-        An event that an action causes waits until all actions of the present event have been executed.
+        An event caused by an action is queued until all actions of the current event have been executed.
         """
         self.queue.append(event)
         if self.dispatching:
@@ -43,8 +43,10 @@
                 try:
                     actions = self.balancer.handle(self.clock.now(), event)
                 except Exception:
-                    # Guards all other requests against a fault in one: the deadline watchdog answers it.
-                    self.fault_log.log("the module failed on an event")
+                    # Protects all other requests from a fault in one, which the deadline watchdog answers.
+                    self.fault_log.log(
+                        "balancer failed to handle an event: only actions decided before that are executed"
+                    )
                     actions = self._actions_before_fault()
                 else:
                     self.latest_actions = actions
@@ -52,13 +54,13 @@
                     try:
                         self.execute(action)
                     except Exception:
-                        self.fault_log.log("an action failed")
+                        self.fault_log.log("balancer action failed: skipped, the next ones are executed")
         finally:
             self.dispatching = False
 
     def _actions_before_fault(self) -> list[api.Action]:
         actions = self.balancer.actions_before_fault()
         if actions is self.latest_actions:
-            return []  # it failed before it began with the event: these are an earlier event's
+            return []  # it failed before it began to handle this event: these belong to an earlier one
         self.latest_actions = actions
         return actions
--- a/ochreflow/core/endpoints.py
+++ b/ochreflow/core/endpoints.py
@@ -1,4 +1,4 @@
-"""The servers that are listed at present, and the numbers by which the balancer knows them."""
+"""The currently listed servers, and the numbers that identify them to the balancer."""
 
 from __future__ import annotations
 
@@ -9,45 +9,45 @@
 from .log import log
 from .ports import Address, UpstreamTransport
 
-MAX_DISTINCT_NAMES = 256  # zones, and kinds, that are told apart
+MAX_DISTINCT_NAMES = 256  # of zones, and of kinds; further names share one number
 
 
 @dataclass(slots=True)
 class EndpointRecord:
-    """One entry of the endpoint list, with what only transports need."""
+    """One entry of the endpoint list, with the fields that only transports need."""
 
     name: str
     endpoint: Endpoint
     address: Address
-    since_ms: int  # its last start, in Unix time; 0: long ago
+    since_ms: int  # the last start, in Unix time; 0: long ago
 
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """What a source reports: the whole list, or what has changed in it."""
+    """An update from an endpoint source: the complete list, or changes of it."""
 
     version: int
     complete: bool
     entries: list[EndpointRecord]
 
     def to_membership(self, kind: ListKind | None = None) -> Membership:
-        """Return the update as the balancer takes it, as of `kind` where that is given."""
+        """Return the update as an event for the balancer, of `kind` if that is given."""
         kind = kind or (ListKind.FULL if self.complete else ListKind.DELTA)
         return Membership(kind, self.version, [entry.endpoint for entry in self.entries])
 
 
 class EndpointIds:
-    """The numbers by which the balancer knows servers, zones and kinds."""
+    """The numbers that identify servers, zones and kinds to the balancer."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
-        """Number the zones and kinds that the configuration names, in their order."""
+        """Number the zones and kinds of the configuration, in their order."""
         self.servers: dict[str, int] = {}
         self.zones = {name: number for number, name in enumerate(zones)}
         self.kinds = {name: number for number, name in enumerate(kinds)}
         self.next_server = 1
 
     def server(self, name: str) -> int:
-        """Return the number of a server, a new one if it has none."""
+        """Return the number of a server; assign the next one if it has none."""
         number = self.servers.get(name)
         if number is None:
             number = self.servers[name] = self.next_server
@@ -63,35 +63,35 @@
         return _number(self.kinds, name)
 
     def keep(self, numbers: set[int]) -> None:
-        """Forget all servers but those of these numbers."""
+        """Forget all servers except those with these numbers."""
         self.servers = {name: number for name, number in self.servers.items() if number in numbers}
 
 
 def _number(numbers: dict[str, int], name: str) -> int:
-    # Guards the memory: lists that go on naming new zones or kinds get one number for all of these.
+    # Bounds the memory: zones or kinds beyond the limit share one number.
     if len(numbers) < MAX_DISTINCT_NAMES:
         return numbers.setdefault(name, len(numbers))
     return numbers.get(name, len(numbers))
 
 
 class EndpointTable:
-    """Owns the list as it is known now, and brings its changes to the transports."""
+    """Owns the current endpoint list, and passes its changes to the transports."""
 
     def __init__(self, ids: EndpointIds, transports: Sequence[UpstreamTransport]) -> None:
-        """Begin with an empty list; `transports` may grow later."""
+        """Begin with an empty list; transports may be added to `transports` later."""
         self.ids = ids
         self.transports = transports
         self.listed: dict[int, EndpointRecord] = {}
 
     def synchronize(self, upstream_transport: UpstreamTransport) -> None:
-        """Bring a transport that is added later up to date."""
+        """Pass all listed servers to a transport that is added later."""
         for server, entry in self.listed.items():
             upstream_transport.update(server, entry.address, entry.since_ms, entry.endpoint.state)
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Apply an update that the balancer has had.
+        """Apply an update that the balancer has already received.
 
-        In this order, since attempts that transports give up on it must not be retried at the same server.
+        The balancer comes first, so that attempts given up by transports are not retried at the same server.
         """
         if update.complete:
             named = {entry.endpoint.server for entry in update.entries}
--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -1,14 +1,15 @@
-"""The core put together: what drives the balancer between frontends, transports and sources.
+"""Assembles the core, which drives the balancer between frontends, transports and endpoint sources.
 
-It knows no protocol. A frontend hands requests in and gets one final response to each; an upstream transport
-sends attempts to servers and reports what their ends prove; an endpoint source reports the servers: `ports`.
+It is independent of protocols. A frontend passes requests in and gets one final response to each; an upstream
+transport sends attempts to servers and reports how they ended; an endpoint source reports the servers. The
+interfaces are in `ports`.
 
     request_manager   requests and their final responses, the deadline watchdog
-    attempt_manager   attempts: when their first byte may go out, what becomes of them
-    dispatcher        events to the balancer
+    attempt_manager   attempts: whether their first byte may be written, and how they end
+    dispatcher        passing events to the balancer
     actions           execution of its actions
     endpoints         the endpoint list
-    lifecycle         readiness, draining, the end of the process
+    lifecycle         readiness, draining, shutdown
 """
 
 from __future__ import annotations
@@ -34,9 +35,9 @@
 
 
 class Engine:
-    """Owns the parts of the core, hands them endpoint updates, and serves operators' queries."""
+    """Owns the parts of the core, passes endpoint updates to them, and serves operators' queries."""
 
-    def __init__(  # noqa: PLR0913 - all that a sidecar is configured with
+    def __init__(  # noqa: PLR0913 - the whole configuration of a sidecar
         self,
         loop: asyncio.AbstractEventLoop,
         settings: Settings,
@@ -46,7 +47,7 @@
         max_open: int,
         seed: int,
     ) -> None:
-        """Make the parts; `max_open` requests are allowed at a time, `seed` is the balancer's."""
+        """Create the parts; allow `max_open` requests at a time, and seed the balancer with `seed`."""
         self.loop = loop
         self.settings = settings
         self.descriptors = usage.descriptors
@@ -75,7 +76,7 @@
     def bind_frontend(
         self, label: str, frontend: Frontend, upstream_transport: UpstreamTransport
     ) -> FrontendBinding:
-        """Add a frontend. Its transport is given the servers that are known, and all updates."""
+        """Add a frontend; its transport gets the servers known so far and all later updates."""
         counts = self.stats.add_frontend(label)
         frontend_binding = FrontendBinding(label, frontend, upstream_transport, counts)
         self.frontend_bindings.append(frontend_binding)
@@ -86,7 +87,7 @@
         return frontend_binding
 
     def start(self, source: EndpointSource, known: EndpointUpdate) -> None:
-        """Begin with the list as it was known last, and with the source of its updates."""
+        """Begin with the last known endpoint list and the source of its updates."""
         self.actions.source = source
         self._apply(known, api.ListKind.CACHED)
         if not self.settings.polling_required:
@@ -94,17 +95,17 @@
         self._sweep()
 
     def set_gossip_sender(self, sender: GossipSender) -> None:
-        """Publish gossip through this sender, which is closed with the engine."""
+        """Publish gossip through `sender`, which is closed with the engine."""
         self.actions.gossip = sender
 
     def log_fault(self, reason: str) -> None:
-        """Log the exception that is being handled, with what failed because of it."""
+        """Log the exception that is being handled; `reason` says what failed and what follows."""
         self.fault_log.log(reason)
 
     # Endpoint updates and gossip
 
     def on_endpoint_update(self, update: EndpointUpdate | None) -> None:
-        """Apply an update of the endpoint list; None: its source has failed."""
+        """Apply an update of the endpoint list; None means that its source has failed."""
         if update is None:
             self.dispatcher.dispatch(api.Membership(api.ListKind.FAILED, 0, []))
         else:
@@ -113,14 +114,14 @@
     def _apply(self, update: EndpointUpdate, kind: api.ListKind | None = None) -> None:
         self.dispatcher.dispatch(update.to_membership(kind))
         self.endpoints.apply(update)
-        # After changes too: while servers are being replaced, no full list may ever come.
+        # Also after changes: while servers are being replaced, a complete list may never arrive.
         self.endpoints.ids.keep(set(self.balancer.endpoints.servers) | set(self.endpoints.listed))
 
     def on_gossip(self, sender: int, data: bytes) -> None:
-        """Hand the balancer a message of another sidecar."""
+        """Pass a gossip message from another sidecar to the balancer."""
         self.dispatcher.dispatch(api.GossipReceived(sender, data))
 
-    # Housekeeping and the end
+    # Housekeeping and shutdown
 
     def _sweep(self) -> None:
         for upstream_transport in self.transports:
@@ -142,14 +143,14 @@
         for frontend_binding in self.frontend_bindings:
             frontend_binding.frontend.close()
 
-    # Operators' queries and orders
+    # Operators' queries and commands
 
     def healthy(self) -> bool:
-        """Return whether clients may be sent here."""
+        """Return whether this sidecar is ready for new clients."""
         return self.lifecycle.ready
 
     def report(self) -> str:
-        """Return the counters and gauges, a line for each."""
+        """Return the counters and gauges, one per line."""
         gauges = Gauges(
             outstanding=len(self.requests.pending),
             discovered=len(self.endpoints.listed),
@@ -158,9 +159,9 @@
         return render(self.stats, gauges)
 
     def drain(self) -> bool:
-        """Begin to drain; False if the process is ending anyway."""
+        """Begin to drain; return False if the process is already terminating."""
         return self.lifecycle.drain()
 
     def undrain(self) -> bool:
-        """Serve again after a drain; False if the process is ending."""
+        """Cancel a drain; return False if the process is terminating."""
         return self.lifecycle.undrain()
--- a/ochreflow/core/fault_log.py
+++ b/ochreflow/core/fault_log.py
@@ -1,4 +1,4 @@
-"""Exceptions that are caught to protect everything else, logged at a bounded rate."""
+"""Logs unexpected exceptions that are caught to keep the process running, at a bounded rate."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 from .log import log
 
-MIN_INTERVAL_S = 1.0  # between two of them
+MIN_INTERVAL_S = 1.0  # between two logged exceptions
 
 
 class FaultLog:
-    """Logs the exception that is being handled, at most one a second."""
+    """Logs unexpected exceptions, at most one a second."""
 
     def __init__(self) -> None:
-        """Begin with nothing logged."""
+        """Allow the first exception to be logged at once."""
         self.logged_at = -math.inf
 
     def log(self, reason: str) -> None:
-        """Log the exception that is being handled, with what failed because of it."""
+        """Log the exception that is being handled; `reason` says what failed and what follows."""
         if monotonic() - self.logged_at >= MIN_INTERVAL_S:
             self.logged_at = monotonic()
             log.exception("internal_error", reason=reason)
--- a/ochreflow/core/frontend_binding.py
+++ b/ochreflow/core/frontend_binding.py
@@ -1,4 +1,4 @@
-"""A frontend as the core knows it."""
+"""A frontend with the state that the core keeps for it."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class FrontendBinding:
-    """A frontend, the transport that its attempts are sent with, its counts and its request ids."""
+    """A frontend, the transport of its attempts, its response counts and its request ids."""
 
     def __init__(
         self, label: str, frontend: Frontend, upstream_transport: UpstreamTransport, counts: list[int]
     ) -> None:
-        """Bind a frontend; `label` names it in the figures, `counts` are its responses by disposition."""
+        """Bind a frontend; `label` names it in statistics, `counts` are its responses by disposition."""
         self.label = label
         self.frontend = frontend
         self.upstream_transport = upstream_transport
         self.counts = counts
-        self.request_ids = RequestIdRegistry()  # an id means a request of this frontend only
+        self.request_ids = RequestIdRegistry()  # ids are unique within one frontend only
--- a/ochreflow/core/log.py
+++ b/ochreflow/core/log.py
@@ -1,7 +1,7 @@
-"""The program's log: events by name, with typed fields, at a bounded rate.
+"""Structured log: named events with typed fields, written at a bounded rate.
 
-This is the only list of events. A sink that the process sets writes them: by default plain lines, which need
-only the standard library.
+`EVENTS` is the only list of events. They are written by a sink that the process sets; the default one writes
+plain lines and needs only the standard library.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from time import monotonic
 
-# The text of each event. Fields that don't stand in the text are appended by `format_event`.
+# The text of each event. `format_event` appends the fields that the text doesn't contain.
 EVENTS = {
     "listening": "{name} listens at {host}:{port}",
     "management_listening": "management interface is at {host}:{port}",
@@ -44,21 +44,21 @@
 }
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 RATE_WINDOW_S = 1.0
-MAX_LINES_PER_SECOND = 100  # lines of one event; a list of servers may name some dozens at once
+MAX_LINES_PER_SECOND = 100  # lines of one event; an endpoint list may log dozens of servers at once
 
 Sink = Callable[[str, str, dict[str, object]], None]
 
 
 def format_event(event: str, fields: dict[str, object]) -> str:
-    """Return the plain words of an event."""
-    words = EVENTS.get(event, event)
-    message = words.format_map(fields) if "{" in words else words
-    rest = [f"{key}={value}" for key, value in fields.items() if f"{{{key}}}" not in words]
-    return " ".join([message, *rest])
+    """Return the text of an event, followed by the fields that it doesn't contain."""
+    template = EVENTS.get(event, event)
+    message = template.format_map(fields) if "{" in template else template
+    extra_fields = [f"{key}={value}" for key, value in fields.items() if f"{{{key}}}" not in template]
+    return " ".join([message, *extra_fields])
 
 
 def write_plain_line(level: str, event: str, fields: dict[str, object]) -> None:
-    """Write one line on standard error, and the trace of an exception after it."""
+    """Write an event as one line to standard error, followed by the traceback of an exception, if any."""
     fields = dict(fields)
     trace = fields.pop("trace", "")
     print(f"{level.upper()} ochreflow: {format_event(event, fields)}", file=sys.stderr, flush=True)
@@ -68,31 +68,31 @@
 
 @dataclass(slots=True)
 class RateWindow:
-    """How often one event came within a second."""
+    """The occurrences of one event within the current second."""
 
     started_s: float
     written: int = 0
-    suppressed: int = 0  # since one was last written
+    suppressed: int = 0  # since the last one that was written
 
 
 class Log:
-    """Where all parts write. Events over their bound are counted, and the next one written says how many."""
+    """The log of all parts. Events over their limit are counted; the next one written has their number."""
 
     def __init__(self, sink: Sink = write_plain_line, clock: Callable[[], float] = monotonic) -> None:
-        """Write to `sink`; `clock` gives seconds."""
+        """Write to `sink`; `clock` returns seconds."""
         self.clock = clock
         self.configure(sink)
 
     def configure(self, sink: Sink, min_level: str = "info", per_second: int = MAX_LINES_PER_SECOND) -> None:
-        """Write to this sink, nothing below `min_level`, and each event `per_second` times at most."""
+        """Write to `sink`, from `min_level` up, at most `per_second` lines of each event a second."""
         self.sink = sink
         self.min_level = LEVELS[min_level]
-        self.debugging = min_level == "debug"  # asked for each request: it must cost nothing otherwise
+        self.debugging = min_level == "debug"  # checked for each request, so it has to be cheap
         self.per_second = per_second
         self.windows: dict[str, RateWindow] = {}  # by event
 
     def write(self, level: str, event: str, fields: dict[str, object]) -> None:
-        """Write an event, unless its level is too low or it came too often within this second."""
+        """Write an event, unless its level is too low or its limit for this second is reached."""
         if LEVELS[level] < self.min_level:
             return
         now = self.clock()
@@ -125,7 +125,7 @@
         self.write("error", event, fields)
 
     def exception(self, event: str, **fields: object) -> None:
-        """Write an error with the trace of the exception that is being handled."""
+        """Write an event of level error, with the traceback of the exception that is being handled."""
         self.write("error", event, {**fields, "trace": traceback.format_exc()})
 
 
--- a/ochreflow/core/request_ids.py
+++ b/ochreflow/core/request_ids.py
@@ -1,4 +1,4 @@
-"""The ids of requests that can't be used again for now."""
+"""Request ids that may not be reused yet."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 from collections.abc import Hashable
 from time import monotonic
 
-RETENTION_S = 4.0  # an id can't be used again for so long after its request has ended, and ...
-MAX_RETAINED_IDS = 8192  # ... no more than so many ids are kept for that
+RETENTION_S = 4.0  # after its request has ended, an id may not be reused for this time
+MAX_RETAINED_IDS = 8192  # bounds the memory for ids of ended requests; the oldest are released first
 
 
 class RequestIdRegistry:
-    """Knows the ids of a frontend's open requests and of those that ended a moment ago.
+    """Holds the ids of a frontend's open requests and of those that have just ended.
 
-    Guards an open request against another one of its id, which its server would take for a second copy of
-    it; and one that has just been answered against running again.
+    It protects an open request from another one with the same id, which a server would take for a second copy
+    of it, and a request that has just been answered from running again.
     """
 
     def __init__(self) -> None:
-        """Begin with all ids free."""
+        """Begin with no ids in use."""
         self.in_use: set[Hashable] = set()
-        self.ended: deque[tuple[float, Hashable]] = deque()  # when, which; the oldest first
+        self.ended: deque[tuple[float, Hashable]] = deque()  # end time in seconds and id, oldest first
 
     def claim(self, request_id: Hashable) -> bool:
-        """Take an id for a request that opens; False if it is in use."""
-        before = monotonic() - RETENTION_S
-        while self.ended and (self.ended[0][0] < before or len(self.ended) > MAX_RETAINED_IDS):
+        """Claim an id for a new request; return False if it is in use."""
+        expired_before = monotonic() - RETENTION_S
+        while self.ended and (self.ended[0][0] < expired_before or len(self.ended) > MAX_RETAINED_IDS):
             self.in_use.discard(self.ended.popleft()[1])
         if request_id in self.in_use:
             return False
@@ -33,5 +33,5 @@
         return True
 
     def release(self, request_id: Hashable) -> None:
-        """Note that its request has ended: the id becomes free after a while."""
+        """Note that the request of this id has ended: the id may be reused after `RETENTION_S`."""
         self.ended.append((monotonic(), request_id))
--- a/ochreflow/core/request_manager.py
+++ b/ochreflow/core/request_manager.py
@@ -1,4 +1,4 @@
-"""Requests from their acceptance to their one final response."""
+"""Manages requests from their acceptance to their one final response."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from .ports import FinalResponse, IncomingRequest, Reason, ResponseSink
 from .stats import Disposition, Stats
 
-WATCHDOG_MARGIN_NS = 8 * NS_PER_MS  # a request still unanswered so long before its deadline is answered then
+WATCHDOG_MARGIN_NS = 8 * NS_PER_MS  # before the deadline: a request without a response is answered then
 
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """How many requests there may be at a time, and how many attempts of each of them."""
+    """Limits on concurrent requests and on the attempts of each request."""
 
     max_open: int
     max_attempts: int
 
 
 class RequestManager:
-    """Owns the requests that have no final response yet, and gives that response to each of them."""
+    """Owns the requests without a final response, and gives each of them exactly one."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         stats: Stats,
         limits: RequestLimits,
     ) -> None:
-        """Begin without requests; `lifecycle` says whether new ones are rejected."""
+        """Begin without requests; `lifecycle` decides whether new ones are rejected."""
         self.loop = loop
         self.lifecycle = lifecycle
         self.dispatcher = dispatcher
@@ -54,13 +54,13 @@
     def accept(
         self, frontend_binding: FrontendBinding, response_sink: ResponseSink, request: IncomingRequest
     ) -> None:
-        """Accept a request: it gets one final response, maybe within this call already."""
+        """Accept a request: it gets one final response, possibly within this call."""
         request_ids = frontend_binding.request_ids
         if self.lifecycle.rejects_new_requests and request.request_id not in request_ids.in_use:
             response = FinalResponse(Disposition.DECLINED, Reason.DRAINING)
             self._reject_new(frontend_binding, response_sink, request, response)
             return
-        # Guards servers against a second copy, here or elsewhere: a request of this id may still run.
+        # A request with this id may still run: servers must not get a second copy of it.
         if not request_ids.claim(request.request_id):
             response = FinalResponse(Disposition.ABORTED, Reason.DUPLICATE_REQUEST_ID)
             self._reject_new(frontend_binding, response_sink, request, response)
@@ -96,7 +96,7 @@
         )
 
     def body_ended(self, request: IncomingRequest) -> None:
-        """Note that the last byte of an accepted request has come: its time runs from now."""
+        """Note that the last byte of an accepted request has been received: its timeout starts now."""
         pending = self.pending.get(request.pending_id)
         if pending is None:
             return
@@ -104,7 +104,7 @@
         self.attempts.set_timeouts(pending)
 
     def body_failed(self, request: IncomingRequest, disposition: Disposition, detail: object = None) -> None:
-        """End an accepted request whose body can't be read to its end; `detail` is for its frontend."""
+        """End an accepted request whose body can't be read completely; `detail` is passed to its frontend."""
         pending = self.pending.get(request.pending_id)
         if pending is None:
             return
@@ -131,7 +131,7 @@
     def record_rejection(
         self, frontend_binding: FrontendBinding, class_index: int, disposition: Disposition
     ) -> None:
-        """Count a response that a frontend gave by itself, to what never became a request."""
+        """Count a response that a frontend gave itself, without an accepted request."""
         self.stats.ended(class_index, disposition, frontend_binding.counts)
 
     def _reject_new(
@@ -141,7 +141,7 @@
         request: IncomingRequest,
         response: FinalResponse,
     ) -> None:
-        """Respond to a request that is not accepted."""
+        """Respond to a request without accepting it."""
         self.stats.ended(request.class_index, response.disposition, frontend_binding.counts)
         if log.debugging:
             _log_final_response(frontend_binding, request, response)
@@ -150,7 +150,7 @@
     # The final response
 
     def reject(self, pending_id: int, retry_after_ns: int) -> None:
-        """Give the balancer's rejection, if there is no final response yet."""
+        """Respond with the balancer's rejection, if there is no final response yet."""
         pending = self.pending.get(pending_id)
         if pending is not None:
             response = FinalResponse(
@@ -159,13 +159,13 @@
             self.finish(pending, response)
 
     def fail(self, pending_id: int) -> None:
-        """Give the balancer's failure, if there is no final response yet."""
+        """Respond with the balancer's failure, if there is no final response yet."""
         pending = self.pending.get(pending_id)
         if pending is not None:
             self.finish(pending, FinalResponse(Disposition.ABORTED, Reason.BALANCER_DECISION))
 
     def finish(self, pending: PendingRequest, response: FinalResponse) -> None:
-        """Give the one final response."""
+        """Give a request its one final response."""
         self._mark_answered(pending)
         self.stats.ended(pending.request.class_index, response.disposition, pending.frontend_binding.counts)
         if log.debugging:
@@ -197,7 +197,7 @@
         pending.watchdog = self.loop.call_later(remaining_ns / NS_PER_S, self._time_out, pending)
 
     def _time_out(self, pending: PendingRequest) -> None:
-        """Give the final response now, whatever the balancer still plans."""
+        """Give the final response now, even if the balancer still plans attempts."""
         if not pending.unanswered or pending.streaming is not None:
             return
         self.attempts.time_out(pending)
@@ -207,13 +207,15 @@
             self.dispatcher.dispatch(api.RequestCancelled(pending.id))
 
     def answer_all(self) -> None:
-        """Give every pending request its final response now: the process is about to end."""
+        """Give every pending request its final response now: the process is about to exit."""
         for pending in list(self.pending.values()):
             try:
                 self._time_out(pending)
             except Exception:
-                # Guards the responses to all others: they would end with the process and without a response.
-                self.dispatcher.fault_log.log("a request could not be answered")
+                # The other requests still have to be answered before the process exits.
+                self.dispatcher.fault_log.log(
+                    "failed to answer a pending request at shutdown: the others are still answered"
+                )
 
 
 def _log_final_response(
