--- a/ochreflow/membership/__init__.py
+++ b/ochreflow/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Where endpoint lists come from: discovery's client, the form of its lists, and gossip between sidecars."""
+"""Fleet membership: the discovery client, the format of endpoint lists, and gossip between sidecars."""
--- a/ochreflow/membership/answer_order.py
+++ b/ochreflow/membership/answer_order.py
@@ -1,4 +1,4 @@
-"""Which answers of discovery may be applied: guards the list against one that is older than what is known."""
+"""Decides which answers of discovery may be applied, so that an older list never replaces a newer one."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 
 
 class AnswerOrder:
-    """Owns the version of the list that is known, and how many answers have been accepted."""
+    """Owns the version of the known endpoint list and the number of accepted answers."""
 
     def __init__(self, version: int) -> None:
-        """Start from the version of a list that is known already."""
-        self.version: int | None = version  # None: a complete list is needed first
+        """Start from the version of the list that is already known."""
+        self.version: int | None = version  # None: only a complete list is accepted next
         self.answers_accepted = 0
 
     def require_complete_list(self) -> None:
-        """Accept nothing but a complete list next, whatever its version."""
+        """Accept only a complete list next, of any version."""
         self.version = None
 
     def check(self, update: EndpointUpdate, accepted_before: int) -> EndpointUpdate:
-        """The update to apply; EndpointListError if there is none.
+        """Return the update to apply; raise EndpointListError if there is none.
 
-        `accepted_before` is how many answers had been accepted as this one was asked for. An answer that
-        comes after a newer one to a later request is replaced by an update without entries. A version that
-        went back without such a request means that discovery has lost its list.
+        `accepted_before` is the number of answers that had been accepted when this one was requested. An
+        answer that arrives after a newer answer to a later request is replaced by an update without entries.
+        If the version decreased without such a request, discovery has lost its list.
         """
         if self.version is None:
             if not update.complete:
-                msg = "changes came in place of the whole list"
+                msg = "received changes, but a complete list is needed first"
                 raise EndpointListError(msg)
         elif update.version < self.version:
             if accepted_before != self.answers_accepted:
                 return EndpointUpdate(self.version, complete=False, entries=[])
             if not update.complete:
                 self.version = None
-                msg = "the index went back"
+                msg = "the index of the list decreased: a complete list is needed next"
                 raise EndpointListError(msg)
         return update
 
     def accept(self, update: EndpointUpdate) -> None:
-        """Note that this update is applied now."""
+        """Note that `update` is being applied."""
         self.version = update.version
         self.answers_accepted += 1
--- a/ochreflow/membership/discovery.py
+++ b/ochreflow/membership/discovery.py
@@ -1,7 +1,7 @@
 """The client of discovery: long polls for changes of the endpoint list, and requests for the complete list.
 
-A long poll (`?after=VERSION&wait_ms=N`) is held by discovery until there is a change. `timeouts` says when
-one that stays unanswered counts as stalled; a request for the complete list (a resync) is sent beside it.
+Discovery holds a long poll (`?after=VERSION&wait_ms=N`) until there is a change. `timeouts` defines when a
+poll without an answer counts as stalled; a request for the complete list (a resync) is then sent in parallel.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 if TYPE_CHECKING:
     from .transport import DiscoveryTransport
 
-COMPLETE_LIST = "/api/targets"
-ANSWER_TIMEOUT_S = 3.5  # beyond a poll's own wait: discovery works through its requests one at a time
-MIN_POLL_INTERVAL_S = 0.1  # between polls that are answered at once without news
+COMPLETE_LIST_PATH = "/api/targets"
+ANSWER_TIMEOUT_S = 3.5  # in addition to a poll's wait: discovery processes its requests one at a time
+MIN_POLL_INTERVAL_S = 0.1  # between polls that are answered immediately without changes
 
 UpdateHandler = Callable[[EndpointUpdate | None, str], None]
-"""Gets an update, or None and the reason of the failure."""
+"""Called with an update, or with None and the reason of the failure."""
 
 
 class DiscoveryClient:
-    """Polls and fetches when the engine says so. A failure is passed on as an update of None."""
+    """Watches and fetches the endpoint list on request. A failure is passed on as an update of None."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        connect: Callable[[Address], DiscoveryTransport],
+        create_transport: Callable[[Address], DiscoveryTransport],
         address: Address,
         ids: EndpointIds,
         version: int,
@@ -48,45 +48,45 @@
     ) -> None:
         """Open a transport to `address`; nothing is sent before `watch` or `fetch`.
 
-        `version` is that of the list already known. `pushed`: discovery is an agent on the own machine that
-        pushes lists and has no caller but this one.
+        `version` is the version of the list that is already known. `pushed` means that discovery is an agent
+        on the same machine that pushes lists and has this client only.
         """
         self.loop = loop
         self.timeouts = timeouts
-        self.connect = connect
+        self.create_transport = create_transport
         self.ids = ids
-        self.order = AnswerOrder(version)
+        self.answer_order = AnswerOrder(version)
         self.on_update = on_update
         self.pushed = pushed
         self.watching = False
-        self.resync_pending = False  # the latest poll has stalled: a complete list is asked for
-        # A poll of an earlier generation still brings its update, but no next poll follows it.
+        self.resync_pending = False  # the latest poll has stalled: a complete list is requested
+        # The answer to a poll of an earlier generation is still applied, but no poll follows it.
         self.watch_generation = 0
         self.stall_timer = StallTimer(loop)  # of the latest poll
         self.polled_at = 0.0  # on the loop's clock, in seconds
         self.failing = False
         self.closed = False
         self.address = address
-        self.transport = connect(address)
+        self.transport = create_transport(address)
 
     @property
     def version(self) -> int | None:
-        """The version of the list that is known; None while a complete list is needed first."""
-        return self.order.version
+        """The version of the known endpoint list; None while a complete list is needed first."""
+        return self.answer_order.version
 
     def switch_address(self, address: Address) -> None:
-        """Go over to another discovery at once, and ask it for a complete list first.
+        """Switch to another discovery at once, and request a complete list from it first.
 
-        Its versions may start anew, and answers of the one before no longer count. When to poll the new one
-        is up to the balancer, since all sidecars switch at once; an agent on the own machine has one caller.
+        Its versions may start again, and answers from the previous address are ignored. The balancer decides
+        when to poll the new one, since all sidecars switch at once; a local agent is polled immediately.
         """
         if self.closed or address == self.address:
             return
         log.info("discovery_address_changed", host=address[0], port=address[1])
-        old, self.address = self.transport, address
-        self.transport = self.connect(address)
-        old.close()
-        self.order.require_complete_list()
+        old_transport, self.address = self.transport, address
+        self.transport = self.create_transport(address)
+        old_transport.close()
+        self.answer_order.require_complete_list()
         self.watch(on=False)
         if self.pushed:
             self.watch(on=True)
@@ -94,15 +94,15 @@
             self.on_update(None)
 
     def watch(self, *, on: bool) -> None:
-        """Begin or stop long polling; no change if it is so already."""
+        """Start or stop long polling; do nothing if `on` is the current state."""
         if on == self.watching:
             return
         self.watching = on
         self._start_generation(resync=False)
 
     def fetch(self) -> None:
-        """Ask once for the complete list."""
-        self._request(COMPLETE_LIST, ANSWER_TIMEOUT_S, self._on_fetch_answer)
+        """Request the complete list once."""
+        self._request(COMPLETE_LIST_PATH, ANSWER_TIMEOUT_S, self._on_fetch_answer)
 
     def close(self) -> None:
         """Stop polling and close the connections; late answers are ignored."""
@@ -124,7 +124,7 @@
             return
         self.polled_at = self.loop.time()
         complete = self.resync_pending or self.version is None
-        target, wait_s = COMPLETE_LIST, 0.0
+        target, wait_s = COMPLETE_LIST_PATH, 0.0
         if not complete:
             target += f"?after={self.version}&wait_ms={self.timeouts.wait_ms}"
             wait_s, stall_s = self.timeouts.wait_ms / 1000, self.timeouts.poll_stall_s
@@ -136,7 +136,7 @@
         self._request(target, wait_s + ANSWER_TIMEOUT_S, partial(self._on_poll_answer, generation))
 
     def _on_stall(self, generation: int, *, complete: bool) -> None:
-        """Stop waiting for a poll that has not answered in time; what it answers later is still applied."""
+        """Stop waiting for a poll that was not answered in time; a later answer is still applied."""
         if generation != self.watch_generation:
             return
         if not complete or self.resync_pending:
@@ -145,9 +145,9 @@
             self._start_generation(resync=True)
             return
         if self.resync_pending:
-            # The balancer counts its time from the failure on, so one more request begins now.
-            self._request(COMPLETE_LIST, ANSWER_TIMEOUT_S, partial(self._on_poll_answer, generation))
-        self._on_failure("no answer")
+            # The balancer starts its retry delay at the failure, so one more request is sent now.
+            self._request(COMPLETE_LIST_PATH, ANSWER_TIMEOUT_S, partial(self._on_poll_answer, generation))
+        self._on_failure("no answer in time")
 
     def _on_poll_answer(self, generation: int, update: EndpointUpdate | None, reason: str) -> None:
         if generation != self.watch_generation:
@@ -166,9 +166,9 @@
             self._schedule_next_poll(generation, update)
 
     def _schedule_next_poll(self, generation: int, update: EndpointUpdate) -> None:
-        """Poll again: at once after news, else not before `MIN_POLL_INTERVAL_S`, so as to spin on no agent.
+        """Poll again: at once after changes, otherwise `MIN_POLL_INTERVAL_S` after the last poll or later.
 
-        The protocol lets 200 ms pass between two polls of one watch.
+        This avoids a tight loop if an agent answers at once; the protocol allows 200 ms between two polls.
         """
         pause_s = 0.0 if update.entries else MIN_POLL_INTERVAL_S - (self.loop.time() - self.polled_at)
         if pause_s > 0.0:
@@ -177,30 +177,30 @@
             self._next_poll(generation)
 
     def _accept_late(self, update: EndpointUpdate) -> None:
-        """Apply the answer to a poll that was given up: discovery counts this sidecar as notified."""
+        """Apply a late answer to a stalled poll: discovery counts this sidecar as notified."""
         try:
             self._accept(update)
         finally:
-            self.watch(on=True)  # the balancer counts on a watch from this update on
+            self.watch(on=True)  # from this update on, the balancer relies on a running watch
 
     # Requests and their answers
 
     def _request(self, target: str, timeout_s: float, on_answer: UpdateHandler) -> None:
-        transport, accepted_before = self.transport, self.order.answers_accepted
+        transport, accepted_before = self.transport, self.answer_order.answers_accepted
 
-        def answered(body: bytes | None, reason: str) -> None:
+        def on_body(body: bytes | None, reason: str) -> None:
             if transport is not self.transport or self.closed:
-                return  # an answer from the address before
+                return  # an answer from a previous address
             update = None
             if body is not None:
                 try:
                     parsed = parse_endpoint_update(json.loads(body), self.ids)
-                    update = self.order.check(parsed, accepted_before)
+                    update = self.answer_order.check(parsed, accepted_before)
                 except (ValueError, RecursionError) as error:
                     reason = str(error)
             on_answer(update, reason)
 
-        transport.get(target, timeout_s, answered)
+        transport.get(target, timeout_s, on_body)
 
     def _on_fetch_answer(self, update: EndpointUpdate | None, reason: str) -> None:
         self._log_transition(update, reason)
@@ -209,17 +209,17 @@
     def _on_failure(self, reason: str) -> None:
         self._log_transition(None, reason)
         self.watch(on=False)
-        if self.pushed:  # the balancer only waits for what an agent pushes: nobody else polls it again
+        if self.pushed:  # for a pushing agent, the balancer does not schedule another poll
             self.loop.call_later(self.timeouts.agent_retry_s, partial(self.watch, on=True))
         self._accept(None)
 
     def _accept(self, update: EndpointUpdate | None) -> None:
         if update is not None:
-            self.order.accept(update)
+            self.answer_order.accept(update)
         self.on_update(update)
 
     def _log_transition(self, update: EndpointUpdate | None, reason: str) -> None:
-        """Log only the first of several failures, and the recovery."""
+        """Log the first of several failures in a row, and the recovery."""
         if self.failing != (update is None):
             self.failing = update is None
             if self.failing:
--- a/ochreflow/membership/endpoint_list.py
+++ b/ochreflow/membership/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The form of discovery's answers: reads an endpoint list or a change of it, and writes a complete list."""
+"""The format of discovery's answers: parses endpoint lists and their changes, formats complete lists."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.REMOVED}
 NS_PER_MS = 1_000_000
-# Operators know the errors in a list by these names: the texts stay, whatever the classes are called.
+# Error texts contain these names, which operators match, instead of the current class names.
 NAMES_IN_TEXTS = {"EndpointListError": "ListError", "AddressError": "ValueError"}
 
 
 class EndpointListError(OchreflowError, ValueError):
-    """An answer that is no endpoint list, or one that may not be applied now; the text says what is wrong."""
+    """Raised if an answer is not a valid endpoint list or may not be applied now; its text says why."""
 
 
 def parse_endpoint_update(data: object, ids: EndpointIds) -> EndpointUpdate:
-    """Read a complete list or a change of it.
+    """Parse a complete list or changes of it; raise EndpointListError if any part is invalid.
 
-    `ids` gets the new names only where all of it can be read; else EndpointListError is raised.
+    New names are added to `ids` only if all of `data` is valid.
     """
     try:
         fields = _list_fields(data)
@@ -41,7 +41,7 @@
 
 
 def format_endpoint_list(version: int, entries: Iterable[EndpointRecord], ids: EndpointIds) -> dict[str, Any]:
-    """The complete list in the form that `parse_endpoint_update` reads."""
+    """Return the complete list in the format that `parse_endpoint_update` reads."""
     zones, kinds = ({number: name for name, number in known.items()} for known in (ids.zones, ids.kinds))
     statuses = {state: status for status, state in STATES.items()}
     return {
@@ -64,7 +64,7 @@
 
 
 def _list_fields(data: object) -> dict[str, Any]:
-    """The fields of the list; EndpointListError if it has no entries."""
+    """Return the fields of the list; raise EndpointListError if its entries are not a list."""
     if not isinstance(data, dict) or not isinstance(data["endpoints"], list):
         msg = "no list of endpoints"
         raise EndpointListError(msg)
@@ -72,7 +72,7 @@
 
 
 def _parse_entry(entry: dict[str, Any]) -> tuple[EndpointRecord, str, str]:
-    """An entry without its ids, with the names of its zone and kind."""
+    """Return the record of an entry, with ids still unset, and the names of its zone and kind."""
     since_ms = int(entry.get("since_ms") or 0)
     if since_ms < 0:
         msg = f"since_ms is {since_ms}"
@@ -82,7 +82,7 @@
         zone=0,
         kind=0,
         cell=int(entry.get("group") or 0),
-        # A status that this version doesn't know must not bring new requests to the server.
+        # A server with a status unknown to this version must not get new requests.
         state=STATES.get(entry["status"], State.DRAINING),
         weight=float(entry.get("weight", 1.0)),
         started_ns=since_ms * NS_PER_MS,
--- a/ochreflow/membership/gossip.py
+++ b/ochreflow/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: datagrams between the sidecars of one fleet."""
+"""Gossip between the sidecars of one fleet, in UDP datagrams."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Sends to peers by their number and passes on what known peers send. Owns the socket."""
+    """Sends messages to peers by their index, and passes on messages from known peers; owns the socket."""
 
     def __init__(
         self,
@@ -21,28 +21,28 @@
         broadcast: Address | None,
         on_message: Callable[[int, bytes], None],
     ) -> None:
-        """`index` is the own place in `peers`; `broadcast`, if any, reaches all of them."""
+        """Create the protocol of the peer at `index` of `peers`; `broadcast`, if any, reaches all of them."""
         self.peers = peers
         self.broadcast = broadcast
         self.on_message = on_message
-        self.numbers = {address: number for number, address in enumerate(peers) if number != index}
+        self.peer_indexes = {address: peer for peer, address in enumerate(peers) if peer != index}
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Keep the transport of the open socket."""
         self.transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Pass on a message of a known peer; all else is ignored."""
-        number = self.numbers.get((addr[0], addr[1]))
-        if number is not None and len(data) <= MAX_DATAGRAM_BYTES:
-            self.on_message(number, data)
+        """Pass on a message from a known peer; ignore all others."""
+        peer = self.peer_indexes.get((addr[0], addr[1]))
+        if peer is not None and len(data) <= MAX_DATAGRAM_BYTES:
+            self.on_message(peer, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore it: datagrams may be lost, and the balancer has no use for an unreachable peer."""
+        """Ignore the error: datagrams may be lost, and the balancer needs no notice of unreachable peers."""
 
     def send(self, data: bytes, peer: int | None) -> None:
-        """Send to one peer, or to all (None); a message over `MAX_DATAGRAM_BYTES` is dropped."""
+        """Send to one peer, or to all if it is None; drop a message longer than `MAX_DATAGRAM_BYTES`."""
         if self.transport is None or self.transport.is_closing() or len(data) > MAX_DATAGRAM_BYTES:
             return
         if peer is None:
--- a/ochreflow/membership/stall_timer.py
+++ b/ochreflow/membership/stall_timer.py
@@ -1,4 +1,4 @@
-"""The timer that notices a poll of discovery that stays unanswered."""
+"""The timer that detects a stalled poll of discovery."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 class StallTimer:
-    """Owns one timer: that of the latest poll."""
+    """Owns the timer of the latest poll."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Not started yet."""
+        """Create a timer that is not started yet."""
         self.loop = loop
         self.handle: asyncio.TimerHandle | None = None
 
     def start(self, delay_s: float, on_stall: Callable[[], None]) -> None:
-        """Call `on_stall` after `delay_s` seconds, unless stopped before."""
+        """Call `on_stall` after `delay_s` seconds, unless the timer is stopped before."""
         self.handle = self.loop.call_later(delay_s, on_stall)
 
     def stop(self) -> None:
-        """Cancel the timer if it has been started."""
+        """Cancel the timer if it is running."""
         if self.handle is not None:
             self.handle.cancel()
             self.handle = None
--- a/ochreflow/membership/transport.py
+++ b/ochreflow/membership/transport.py
@@ -1,4 +1,4 @@
-"""The port behind which the protocol of discovery's calls stands."""
+"""The interface to the protocol in which discovery is called."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from typing import Protocol
 
 AnswerHandler = Callable[[bytes | None, str], None]
-"""Gets the body of an answer, or None and the reason why there is none."""
+"""Called with the body of an answer, or with None and the reason of the failure."""
 
 
 class DiscoveryTransport(Protocol):
     """Sends requests to the discovery at one address."""
 
     def get(self, target: str, timeout_s: float, on_answer: AnswerHandler, /) -> None:
-        """Send one GET; `on_answer` is called exactly once, at the latest after `timeout_s` seconds."""
+        """Send a GET request; `on_answer` is called exactly once, within `timeout_s` seconds."""
         ...
 
     def close(self) -> None:
