--- a/ochreflow/admission/__init__.py
+++ b/ochreflow/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which clients' connections are admitted, and which are evicted without capacity: decisions without I/O."""
+"""Admission of client connections, and their eviction when capacity is short: decisions without I/O."""
--- a/ochreflow/admission/accept_throttle.py
+++ b/ochreflow/admission/accept_throttle.py
@@ -1,10 +1,10 @@
-"""How many waiting connections to accept, and when to pause: a state machine without sockets or clock.
+"""How many pending connections to accept, and when to pause: a state machine without sockets or clock.
 
-Where the system has no descriptor left, accepting fails for a connection that waits, and goes on failing: a
-loop that tries again at once does nothing else. So accepting pauses with exponential backoff while idle
-connections are evicted; a connection whose client waits for a response is never evicted. After a pause the
-number of accepts per loop iteration doubles step by step, because otherwise all connections that arrived
-meanwhile would take the descriptors that responses need.
+When no descriptor is left, accept() fails, and fails again for the same pending connection: a loop that
+retries at once does nothing else. So accepting pauses with exponential backoff while idle connections are
+evicted; a connection whose client waits for a response is never evicted. After a pause the number of accepts
+per loop iteration doubles step by step, because otherwise all connections that arrived during the pause would
+take the descriptors that responses need.
 
 Times are seconds of the caller's monotonic clock.
 """
@@ -15,17 +15,17 @@
 
 DESCRIPTOR_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 MIN_ACCEPTS_PER_ITERATION = 4  # in the first loop iteration after a pause
-MAX_ACCEPTS_PER_ITERATION = 64  # an iteration of the loop must not be long
-MIN_PAUSE_S = 0.01  # responses free descriptors about so often
-MAX_PAUSE_S = 0.32  # a client's system tries to connect again after a second
-MAX_EVICTIONS_PER_PAUSE = 8  # more than one, because the clients of a flood connect again
+MAX_ACCEPTS_PER_ITERATION = 64  # bounds the time of a loop iteration
+MIN_PAUSE_S = 0.01  # about the interval at which responses free descriptors
+MAX_PAUSE_S = 0.32  # below the second after which a client's system retries its SYN
+MAX_EVICTIONS_PER_PAUSE = 8  # more than one, because the clients of a flood reconnect
 
 
 class AcceptThrottle:
-    """Owns whether connections are accepted now."""
+    """Owns the pauses in accepting and the limit on accepts per loop iteration."""
 
     def __init__(self) -> None:
-        """Begin without a pause."""
+        """Start without a pause."""
         self.allowance = MAX_ACCEPTS_PER_ITERATION
         self.paused_until = 0.0
         self.next_pause_s = MIN_PAUSE_S
@@ -41,7 +41,7 @@
         self.allowance = min(self.allowance * 2, MAX_ACCEPTS_PER_ITERATION)
 
     def out_of_descriptors(self, now: float) -> float:
-        """Record that accepting failed for want of descriptors; return the pause in seconds."""
+        """Record that accept() failed because no descriptor was free; return the pause in seconds."""
         pause_s = self.next_pause_s
         self.paused_until = now + pause_s
         self.next_pause_s = min(self.next_pause_s * 2, MAX_PAUSE_S)
--- a/ochreflow/admission/addresses.py
+++ b/ochreflow/admission/addresses.py
@@ -1,4 +1,4 @@
-"""What is kept of each client address, what of it is shown and handed on, and the prefix of an address."""
+"""Records of client addresses, their entries in status and snapshot, and the prefix of an address."""
 
 from __future__ import annotations
 
@@ -7,19 +7,18 @@
 
 Key = TypeVar("Key")
 
-MAX_REPUTATION = 1e9  # more than that was not earned by requests
+MAX_REPUTATION = 1e9  # requests can't earn more; a higher value in a snapshot is invalid
 
 
 @dataclass(slots=True)
 class AddressRecord(Generic[Key]):
-    """What is known of one address."""
+    """The state of one address."""
 
     name: str
     prefix: str
     open_connections: int = 0
-    incomplete: dict[Key, None] = field(
-        default_factory=dict
-    )  # those with an unfinished message, oldest first
+    # Connections whose current message is incomplete, oldest first:
+    incomplete: dict[Key, None] = field(default_factory=dict)
     reputation: float = 0.0  # as of `reputation_at`
     reputation_at: float = 0.0
     rejected: int = 0
@@ -27,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressStatus:
-    """An address as operators see it."""
+    """The state of one address as shown to operators."""
 
     address: str
     open_connections: int
@@ -44,7 +43,7 @@
 
 
 def parse_address_reputation(entry: object) -> AddressReputation | None:
-    """Return an entry of another process's snapshot; None if it is not of that form."""
+    """Parse an entry of another process's snapshot; return None if it is malformed."""
     match entry:
         case [str(address), int() | float() as reputation] if 0.0 < reputation < MAX_REPUTATION:
             return AddressReputation(address, float(reputation))
@@ -53,7 +52,7 @@
 
 
 def prefix_of(address: str) -> str:
-    """Return the /24 of an IPv4 address, the /48 of an IPv6 one, as text; anything else is its own prefix."""
+    """Return the /24 of an IPv4 address or the /48 of an IPv6 address; other text is its own prefix."""
     if ":" in address:
         return ":".join(address.split(":")[:3]) + "::/48"
     match address.split("."):
--- a/ochreflow/admission/count_min_sketch.py
+++ b/ochreflow/admission/count_min_sketch.py
@@ -1,7 +1,7 @@
-"""How often each name arrived recently, for any number of different names, in fixed memory.
+"""Estimates how often each name arrived recently, for any number of names, in fixed memory.
 
-A count-min sketch (Cormode and Muthukrishnan, 2005) over two windows of time: its estimates are never too
-low, and too high only where many other names arrived.
+It is a count-min sketch (Cormode and Muthukrishnan, 2005) over two time windows: its estimates are never too
+low, and too high only if many other names arrived.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 ROWS = 4
 CELLS_PER_ROW = 2048
 CELL_BYTES = 4
-HASH_BYTES = 2  # of the digest, for the cell of one row
+HASH_BYTES = 2  # of the digest, for each row
 
 
 class CountMinSketch:
-    """Counts by name within the current window of time and the one before it. Times in seconds."""
+    """Counts by name in the current time window and the previous one. Times are in seconds."""
 
     def __init__(self, window_s: float = 1.0) -> None:
-        """Begin with nothing counted."""
+        """Start with all counts at 0."""
         self.window_s = window_s
         self.window_start = 0.0
         self.current = _empty_cells()
         self.previous = _empty_cells()
 
     def add(self, name: str, now: float) -> float:
-        """Count one arrival; return the estimate of those within the last window, itself included."""
+        """Count one arrival; return the estimated number within the last `window_s`, including this one."""
         self._rotate(now)
         cells = self._cells(name)
         for cell in cells:
@@ -35,7 +35,7 @@
         return min(self.current[cell] + self.previous[cell] * previous_share for cell in cells)
 
     def _rotate(self, now: float) -> None:
-        """Begin a new window if the current one is over."""
+        """Start a new window if the current one is over."""
         age_s = now - self.window_start
         if age_s < self.window_s:
             return
@@ -44,7 +44,7 @@
 
     @staticmethod
     def _cells(name: str) -> list[int]:
-        """Return the cell of a name in each row."""
+        """Return the index of the name's cell in each row."""
         digest = blake2b(name.encode(), digest_size=HASH_BYTES * ROWS).digest()
         return [
             row * CELLS_PER_ROW
--- a/ochreflow/admission/limits.py
+++ b/ochreflow/admission/limits.py
@@ -1,4 +1,4 @@
-"""What the connections of one address are limited to, and the reasons for which one is rejected."""
+"""Limits on the connections of an address, and the reasons for a rejection."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What one address may have before it has earned any reputation."""
+    """The limits of an address that has no reputation yet, and the share reserved for known addresses."""
 
     max_open: int = 64  # connections
-    max_incomplete: int = 16  # of them, whose client has yet to finish a message, or to begin the first one
-    max_new_per_s: float = 50.0
-    prefix_multiplier: float = 4.0  # a prefix (/24, /48) may have so many times as much as an address
-    reserved_share: float = 0.25  # of the capacity, for known addresses alone
-    half_life_s: float = 60.0  # in which reputation decays to half
-    max_absent: int = 4096  # addresses without a connection whose reputation is kept
+    max_incomplete: int = 16  # connections whose current or first message is not complete
+    max_new_per_s: float = 50.0  # connections
+    prefix_multiplier: float = 4.0  # limits of a prefix (/24, /48), as a multiple of those of an address
+    reserved_share: float = 0.25  # of the capacity, for known addresses only
+    half_life_s: float = 60.0  # of reputation
+    max_absent: int = 4096  # addresses without a connection whose reputation is remembered
 
 
 class RejectionReason(Enum):
--- a/ochreflow/admission/status.py
+++ b/ochreflow/admission/status.py
@@ -1,4 +1,4 @@
-"""What `admission show` prints of the connection admission: plain lines, one fact each."""
+"""The text that `admission show` prints."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def format_status(admission: ConnectionAdmission[Any], now: float) -> str:
-    """Return the limits, how many were rejected and why, and the addresses with most connections."""
+    """Format the limits, the rejections by reason, and the addresses with the most connections."""
     limits = admission.limits
     lines = [
         f"connections: {len(admission.by_connection)} of {admission.capacity()}, "
@@ -24,8 +24,8 @@
         "address                                   open  half written  standing  refused",
     ]
     lines += [
-        f"{one.address:<40} {one.open_connections:>5} {one.incomplete:>13} {one.reputation:>9.1f} "
-        f"{one.rejected:>8}"
-        for one in admission.busiest_addresses(now)
+        f"{row.address:<40} {row.open_connections:>5} {row.incomplete:>13} {row.reputation:>9.1f} "
+        f"{row.rejected:>8}"
+        for row in admission.busiest_addresses(now)
     ]
     return "\n".join(lines) + "\n"
--- a/ochreflow/app/__init__.py
+++ b/ochreflow/app/__init__.py
@@ -1,1 +1,1 @@
-"""What puts the parts together for a process."""
+"""Assembly of the packages into a running process, and its configuration."""
--- a/ochreflow/app/config.py
+++ b/ochreflow/app/config.py
@@ -16,24 +16,24 @@
 from ..policy.interface import Settings
 from ..policy.settings import Transport, nested_settings, nested_transport
 
-MAX_SOCKETS = 1024  # also where the configuration names no limit
-DEFAULT_MEMORY_MB = 192  # where the configuration names no limit
+MAX_SOCKETS = 1024  # also the default
+DEFAULT_MEMORY_MB = 192
 
 
 class ConfigError(OchreflowError):
-    """A configuration that can't be used; the text says why in one line."""
+    """Raised for an invalid configuration; the message gives the reason in one line."""
 
 
 @dataclass(slots=True)
 class Config:
-    """The whole file. Addresses are host and port, limits are counts and bytes."""
+    """The validated content of the file. Addresses are pairs of host and port."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
-    memory: int  # bytes
+    sockets: int  # limit on open file descriptors
+    memory: int  # limit in bytes
     management: Address | None
     peer_listen: Address | None
     peers: list[Address]
@@ -41,13 +41,13 @@
     settings: Settings
     transport: Transport
     endpoint_ids: EndpointIds
-    cached_list: EndpointUpdate  # used until discovery answers
+    cached_list: EndpointUpdate  # used until discovery has answered
 
 
 def read_config(path: str | None) -> Config:
-    """Read and check the file; ConfigError if anything in it is missing or wrong."""
+    """Read and validate the file. Raise ConfigError if a key is missing or a value is invalid."""
     if not path:
-        msg = "GW_CONFIG is not set"
+        msg = "GW_CONFIG is not set: it has to name the configuration file"
         raise ConfigError(msg)
     try:
         with open(path, encoding="utf-8") as file:
@@ -63,7 +63,7 @@
             seed=int(data["seed"], 16),
             sockets=min(int(limits.get("sockets", MAX_SOCKETS)), MAX_SOCKETS),
             memory=int(limits.get("memory_mb", DEFAULT_MEMORY_MB) * MB),
-            management=_management(data),
+            management=_management_address(data),
             peer_listen=split_address(data["peer_listen"]) if data.get("peer_listen") else None,
             peers=[split_address(peer) for peer in data.get("peers", [])],
             peers_all=split_address(data["peers_all"]) if data.get("peers_all") else None,
@@ -73,17 +73,20 @@
             cached_list=parse_endpoint_update(data["known"], ids),
         )
     except KeyError as error:
-        msg = f"{path}: {error} is missing"
+        msg = f"{path}: required key {error} is missing"
         raise ConfigError(msg) from None
     except EndpointListError as error:
-        msg = f"{path}: known is unreadable: {error}"
+        msg = f"{path}: invalid endpoint list in 'known': {error}"
         raise ConfigError(msg) from None
     except (OSError, ValueError, TypeError, AttributeError, RecursionError) as error:
         msg = f"{path}: {' '.join(str(error).split())}"
         raise ConfigError(msg) from None
 
 
-def _management(data: dict[str, Any]) -> Address | None:
-    """The operators' address: two processes may share a configuration, so the environment comes first."""
+def _management_address(data: dict[str, Any]) -> Address | None:
+    """Return the address of the management interface.
+
+    $GW_MANAGEMENT overrides the file, because two processes may share a configuration file.
+    """
     text = os.environ.get("GW_MANAGEMENT") or data.get("management")
     return split_address(text, min_port=0) if text else None
--- a/ochreflow/app/hot_restart_form.py
+++ b/ochreflow/app/hot_restart_form.py
@@ -1,7 +1,7 @@
-"""The form of what two processes of one sidecar send each other: one JSON object on each line.
+"""Messages between two processes of one sidecar: one JSON object on each line.
 
-The first line of a process is its greeting, later ones have only what it holds. Versions run side by side, so
-the keys and their order stay as they are:
+The first line that a process sends is its greeting; later lines contain only its resource usage. Different
+versions run side by side during a restart, so the keys and their order must not change:
 
     {"pid": PROCESS, "list": ENDPOINT_LIST, "known": KNOWN_CLIENTS, "holds": [DESCRIPTORS, CLIENTS, BYTES]}
     {"holds": [DESCRIPTORS, CLIENTS, BYTES]}
@@ -16,15 +16,15 @@
 from typing import Any, NamedTuple
 
 MAX_LINE_BYTES = 4 * 1024 * 1024
-INVALID = (ValueError, TypeError, KeyError, AttributeError, RecursionError)
-"""What the functions below raise for a line that is not of this form."""
+INVALID_MESSAGE_ERRORS = (ValueError, TypeError, KeyError, AttributeError, RecursionError)
+"""The exceptions that the functions below raise for a malformed message."""
 
 
 class ResourceUsage(NamedTuple):
-    """What one process has in use."""
+    """What one process uses at present."""
 
     descriptors: int
-    clients: int  # connections of clients, of the descriptors
+    clients: int  # client connections, which are among the descriptors
     memory_bytes: int
 
 
@@ -33,17 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Inheritance:
-    """What a new process starts with, as another process has it."""
+    """What a running process hands over to a new one."""
 
-    endpoint_list: object  # in discovery's form; None before there is one
-    known_clients: object  # the snapshot of connection admission; None without it, and from earlier versions
+    endpoint_list: object  # in discovery's format; None if there is none yet
+    known_clients: object  # snapshot of connection admission; None if that is off, or from old versions
 
 
-def format_greeting(process: int, inheritance: Inheritance, usage: tuple[int, ...]) -> bytes:
-    """The first line."""
+def format_greeting(pid: int, inheritance: Inheritance, usage: tuple[int, ...]) -> bytes:
+    """Return the first line that a process sends."""
     return _format_line(
         {
-            "pid": process,
+            "pid": pid,
             "list": inheritance.endpoint_list,
             "known": inheritance.known_clients,
             "holds": usage,
@@ -52,28 +52,28 @@
 
 
 def format_usage(usage: tuple[int, ...]) -> bytes:
-    """A later line."""
+    """Return a line that reports a change of usage."""
     return _format_line({"holds": usage})
 
 
 def is_greeting(message: dict[str, Any]) -> bool:
-    """Whether a line names its process."""
+    """Return whether a message is a greeting, which alone has a pid."""
     return "pid" in message
 
 
-def parse_process(greeting: dict[str, Any]) -> int:
-    """The process that a greeting names."""
+def parse_pid(greeting: dict[str, Any]) -> int:
+    """Return the pid of the process that sent a greeting."""
     return int(greeting["pid"])
 
 
 def parse_inheritance(greeting: dict[str, Any]) -> Inheritance:
-    """What a greeting hands over."""
+    """Return what a greeting hands over."""
     return Inheritance(greeting["list"], greeting.get("known"))
 
 
 def parse_usage(message: dict[str, Any]) -> ResourceUsage:
-    """What the process of a line holds; negative numbers count as none."""
-    descriptors, clients, memory_bytes = (max(int(part), 0) for part in message["holds"])
+    """Return the resource usage in a message; negative numbers count as 0."""
+    descriptors, clients, memory_bytes = (max(int(amount), 0) for amount in message["holds"])
     return ResourceUsage(descriptors, clients, memory_bytes)
 
 
--- a/ochreflow/app/hot_restart_link.py
+++ b/ochreflow/app/hot_restart_link.py
@@ -1,4 +1,4 @@
-"""One connection between two processes of a sidecar."""
+"""A connection between two processes of one sidecar."""
 
 from __future__ import annotations
 
@@ -8,47 +8,47 @@
 
 from ..core.log import log
 from .hot_restart_form import (
-    INVALID,
+    INVALID_MESSAGE_ERRORS,
     MAX_LINE_BYTES,
     NO_USAGE,
     Inheritance,
     format_greeting,
     is_greeting,
     parse_inheritance,
-    parse_process,
+    parse_pid,
     parse_usage,
 )
 
 
 class LinkOwner(Protocol):
-    """The process on this side, as its links see it."""
+    """What a link needs to know of its own process."""
 
     loop: asyncio.AbstractEventLoop
     pid: int
     links: dict[Link, None]
 
     def own_inheritance(self) -> Inheritance:
-        """What this process hands over."""
+        """Return what this process hands over to a new one."""
         ...
 
     def own_usage(self) -> tuple[int, ...]:
-        """What this process holds."""
+        """Return the resource usage of this process."""
         ...
 
     def update_others(self) -> None:
-        """What another process holds has changed."""
+        """Handle a change in the usage of another process."""
         ...
 
 
 class Link(asyncio.Protocol):
-    """Lines of JSON either way; see `hot_restart_form`. It lasts as long as both processes do."""
+    """Exchanges lines of JSON with another process, see `hot_restart_form`, while both processes run."""
 
     def __init__(self, owner: LinkOwner) -> None:
-        """Not connected yet."""
+        """Create a link that is not connected yet."""
         self.owner = owner
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
-        self.pid: int | None = None  # known from the greeting on
+        self.pid: int | None = None  # of the other process; known once its greeting has arrived
         self.inheritance = Inheritance(None, None)
         self.usage = NO_USAGE
         self.greeted: asyncio.Future[None] = owner.loop.create_future()
@@ -61,14 +61,14 @@
         self.write(format_greeting(owner.pid, owner.own_inheritance(), owner.own_usage()))
 
     def data_received(self, data: bytes) -> None:
-        """Apply the lines that are complete; the link is closed at the first invalid one."""
+        """Apply all complete lines; close the link at the first invalid one."""
         self.buffer += data
         while (end := self.buffer.find(b"\n")) >= 0:
             line = bytes(self.buffer[:end])
             del self.buffer[: end + 1]
             try:
                 self._apply(json.loads(line))
-            except INVALID:
+            except INVALID_MESSAGE_ERRORS:
                 log.warning("hot_restart_message_invalid")
                 self.close()
                 return
@@ -76,9 +76,9 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 -- the event loop passes it
-        """The other process has ended, in whatever way."""
+        """Forget the other process, however the connection has ended."""
         self.owner.links.pop(self, None)
-        self._end_greeting()
+        self._resolve_greeted()
         if self.pid is not None:
             log.info("hot_restart_peer_disconnected", process=self.pid)
         self.owner.update_others()
@@ -95,13 +95,13 @@
 
     def _apply(self, message: dict[str, Any]) -> None:
         if is_greeting(message):
-            self.pid = parse_process(message)
+            self.pid = parse_pid(message)
             self.inheritance = parse_inheritance(message)
             log.info("hot_restart_peer_connected", process=self.pid)
-            self._end_greeting()
+            self._resolve_greeted()
         self.usage = parse_usage(message)
         self.owner.update_others()
 
-    def _end_greeting(self) -> None:
+    def _resolve_greeted(self) -> None:
         if not self.greeted.done():
             self.greeted.set_result(None)
--- a/ochreflow/app/inherited.py
+++ b/ochreflow/app/inherited.py
@@ -1,4 +1,4 @@
-"""What a process inherits: the platform's listening socket, and the endpoint list of a process beside it."""
+"""What a process inherits: the platform's listening socket, and the endpoint list of a running process."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 def inherited_socket(descriptor: str | None) -> socket.socket | None:
-    """The clients' listening socket, where the platform holds one for every process.
+    """Return the listening socket for clients that the platform passes on, or None if it passes none.
 
-    `descriptor` is the value of $GW_FD; ConfigError if it is no listening TCP socket.
+    `descriptor` is the value of $GW_FD. Raise ConfigError if that is not a listening TCP socket.
     """
     if not descriptor:
         return None
     try:
         return _listening_socket(descriptor)
     except (OSError, ValueError, OverflowError) as error:
-        msg = f"GW_FD {descriptor!r} can't be used: {error}"
+        msg = f"GW_FD {descriptor!r} is not usable: {error}"
         raise ConfigError(msg) from None
 
 
 def _listening_socket(descriptor: str) -> socket.socket:
     if not (descriptor.isascii() and descriptor.isdigit()):
-        msg = "no number"
+        msg = "expected the number of a file descriptor"
         raise ValueError(msg)
     sock = socket.socket(fileno=int(descriptor))
     try:
@@ -35,13 +35,16 @@
         listening = 0
     if not listening or sock.type != socket.SOCK_STREAM:
         sock.detach()
-        msg = "no listening socket"
+        msg = "not a listening TCP socket"
         raise ValueError(msg)
     return sock
 
 
 def inherited_endpoint_list(data: object, ids: EndpointIds) -> EndpointUpdate | None:
-    """The list of a process beside this one, fresher than the configuration's; None if there is none."""
+    """Return the endpoint list of another process, None if it has none or if the list is invalid.
+
+    It is more recent than that of the configuration.
+    """
     if data is None:
         return None
     try:
--- a/ochreflow/app/logs.py
+++ b/ochreflow/app/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: the events of `core.log` written by structlog, as JSON lines or for a console."""
+"""Structured logs: structlog writes the events of `core.log` as JSON lines or for a console."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from ..core.log import Sink
 
 
-def structured(format_name: str) -> Sink:
-    """A sink that writes to standard error in the format "json" or "console"."""
+def structured_sink(format_name: str) -> Sink:
+    """Return a sink that writes to standard error in the format "json" or "console"."""
     render: structlog.typing.Processor
     if format_name == "json":
         render = structlog.processors.JSONRenderer(sort_keys=False)
--- a/ochreflow/app/operator.py
+++ b/ochreflow/app/operator.py
@@ -1,7 +1,7 @@
-"""The operator's own file, `deploy/ochreflow.toml`: its tables, their keys, defaults and bounds.
+"""The operator's file, `deploy/ochreflow.toml`: its tables, their keys, defaults and bounds.
 
-`operator_reader` reads and checks it, `operator_schema` writes its JSON Schema. Only a process that is given
-such a file imports these modules.
+`operator_reader` reads and validates it, `operator_schema` generates its JSON Schema. Only a process that is
+started with such a file imports these modules.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .operator_hints import Bounds, FixedAtStart, annotation
 from .units import HostPort, Seconds, Size
 
-SHARED = FixedAtStart("other processes on the same socket count by it")
+FIXED_SHARED_LIMIT = FixedAtStart("other processes on the same socket rely on this limit")
 
 
 class LogTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -24,24 +24,24 @@
 
     format: Literal["plain", "console", "json"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    per_second: Annotated[int, Bounds(1, 100_000)] = MAX_LINES_PER_SECOND  # lines of any one event
+    per_second: Annotated[int, Bounds(1, 100_000)] = MAX_LINES_PER_SECOND  # lines of each event
 
 
 class OperatorsTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The operators' address; it comes before the platform's."""
+    """The address of the management interface; it overrides the platform's."""
 
     listen: HostPort | None = None
 
 
 class LimitsTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What the sidecar may hold, below what the platform allows."""
+    """Limits on resources, which apply where they are lower than the platform's."""
 
-    memory: Annotated[Size | None, Bounds(24 * 1024**2, 64 * 1024**3), SHARED] = None
-    descriptors: Annotated[int | None, Bounds(64, 1_000_000), SHARED] = None
+    memory: Annotated[Size | None, Bounds(24 * 1024**2, 64 * 1024**3), FIXED_SHARED_LIMIT] = None
+    descriptors: Annotated[int | None, Bounds(64, 1_000_000), FIXED_SHARED_LIMIT] = None
 
 
 class ClientsTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How long a client's connection may take for each step."""
+    """Timeouts of client connections."""
 
     head_within: Annotated[Seconds, Bounds(0.1, 60)] = Seconds(HEAD_TIMEOUT_S)
     idle: Annotated[Seconds, Bounds(0.1, 3600)] = Seconds(IDLE_TIMEOUT_S)
@@ -49,9 +49,9 @@
 
 
 class AdmissionTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Limits on clients' connections by address; see `Limits` of `ochreflow.admission`."""
+    """Limits on client connections by address; see `ochreflow.admission.limits.Limits`."""
 
-    on: Annotated[bool, FixedAtStart("addresses are counted from the start")] = False
+    on: Annotated[bool, FixedAtStart("connections are counted by address from the start")] = False
     open: Annotated[int, Bounds(1, 1_000_000)] = 64
     half_written: Annotated[int, Bounds(1, 1_000_000)] = 16
     new_per_second: Annotated[float, Bounds(0.1, 1_000_000)] = 50.0
@@ -62,7 +62,7 @@
 
 
 class OperatorFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole file; a table that is not there has its defaults."""
+    """The whole file; an absent table has its defaults."""
 
     log: LogTable = LogTable()
     operators: OperatorsTable = OperatorsTable()
@@ -71,8 +71,8 @@
     admission: AdmissionTable = AdmissionTable()
 
 
-def changes(old: OperatorFile, new: OperatorFile) -> Iterator[tuple[str, FixedAtStart | None]]:
-    """The keys that differ, each with what keeps it from changing while the process runs, if anything."""
+def changed_keys(old: OperatorFile, new: OperatorFile) -> Iterator[tuple[str, FixedAtStart | None]]:
+    """Yield each key that differs, with the annotation that forbids its change at run time, if any."""
     for table in OperatorFile.__struct_fields__:
         before, after = getattr(old, table), getattr(new, table)
         hints = get_type_hints(type(before), include_extras=True)
--- a/ochreflow/app/operator_hints.py
+++ b/ochreflow/app/operator_hints.py
@@ -1,4 +1,4 @@
-"""What the types of the operator's file say of its keys: bounds, units, and what is fixed at the start."""
+"""Type annotations of the operator's file: bounds, units, and which keys are fixed at the start."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Bounds of a value, both allowed."""
+    """Inclusive bounds of a value."""
 
     minimum: float
     maximum: float
@@ -20,26 +20,26 @@
 
 @dataclass(frozen=True, slots=True)
 class FixedAtStart:
-    """The key can't change while the process runs; `reason` says why."""
+    """Marks a key that can't change while the process runs; operators are shown `reason`."""
 
     reason: str
 
 
 def plain_type(hint: Any) -> Any:
-    """The type without its annotations."""
+    """Return the type without its annotations."""
     return get_args(hint)[0] if get_origin(hint) is Annotated else hint
 
 
 def annotation(hint: Any, kind: type[Kind]) -> Kind | None:
-    """The annotation of this kind, if there is one."""
+    """Return the annotation of this class, or None."""
     return next((item for item in getattr(hint, "__metadata__", ()) if isinstance(item, kind)), None)
 
 
 def unit_of(plain: Any) -> type[Unit] | None:
-    """The unit in which a value of this type is written; None for one without."""
-    return next((unit for unit in UNITS if unit in alternatives(plain)), None)
+    """Return the unit class of a type, or None if its values are written without a unit."""
+    return next((unit for unit in UNITS if unit in union_members(plain)), None)
 
 
-def alternatives(plain: Any) -> tuple[Any, ...]:
-    """The types of an optional value, or the one type of another."""
+def union_members(plain: Any) -> tuple[Any, ...]:
+    """Return the members of an optional type, or the type alone if it is not optional."""
     return get_args(plain) if type(None) in get_args(plain) else (plain,)
--- a/ochreflow/app/operator_reader.py
+++ b/ochreflow/app/operator_reader.py
@@ -1,4 +1,4 @@
-"""Reads and checks the operator's file. All errors in it are reported at once."""
+"""Reads and validates the operator's file, and reports all its errors at once."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 from ..errors import OchreflowError
 from .operator import OperatorFile
-from .operator_hints import Bounds, alternatives, annotation, plain_type, unit_of
+from .operator_hints import Bounds, annotation, plain_type, union_members, unit_of
 from .units import Unit
 
-MIN_SIMILARITY = 0.6  # of a key that is suggested, of 1
+MIN_SIMILARITY = 0.6  # from 0 to 1, for a key to be suggested in place of an unknown one
 
 
 class OperatorFileError(OchreflowError):
-    """Everything that is wrong with a file, a line each."""
+    """Raised for an invalid file; `errors` has a line for each error."""
 
     def __init__(self, errors: list[str]) -> None:
-        """`errors` has at least one line; the text of the exception is the first one."""
+        """`errors` has at least one line; the exception's message is the first one."""
         more = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
         super().__init__(errors[0] + more)
         self.errors = errors
 
 
 def read_file(path: str) -> OperatorFile:
-    """Read and check a file; OperatorFileError has all that is wrong with it."""
+    """Read and validate a file. Raise OperatorFileError, with all errors, if it is invalid."""
     try:
         with open(path, "rb") as file:
             data = tomllib.load(file)
@@ -43,23 +43,23 @@
 
 
 class _Reader:
-    """Goes through all tables and keys, so that one error does not hide the next."""
+    """Visits all tables and keys, so that one error does not hide the others."""
 
     def __init__(self, path: str) -> None:
         self.path = path
         self.errors: list[str] = []
 
-    def read_table(self, at: str, kind: type[msgspec.Struct], data: object) -> dict[str, Any]:
-        """The values of a table by key. Where `errors` isn't empty they are not to be used."""
+    def read_table(self, table_path: str, table_type: type[msgspec.Struct], data: object) -> dict[str, Any]:
+        """Return the values of a table by key; they are incomplete if `errors` is not empty."""
         if not isinstance(data, dict):
-            self._add_error(at, data, "a table")
+            self._add_error(table_path, data, "a table")
             return {}
-        hints = get_type_hints(kind, include_extras=True)
+        hints = get_type_hints(table_type, include_extras=True)
         values: dict[str, Any] = {}
         for key, raw in data.items():
-            path = f"{at}.{key}" if at else key
+            path = f"{table_path}.{key}" if table_path else key
             if key not in hints:
-                self._add_unknown(path, key, list(hints))
+                self._add_unknown_key(path, key, list(hints))
                 continue
             hint = hints[key]
             if isinstance(hint, type) and issubclass(hint, msgspec.Struct):
@@ -68,17 +68,17 @@
                 values[key] = self._read_value(path, hint, raw)
         return values
 
-    def _read_struct(self, path: str, kind: type[msgspec.Struct], raw: object) -> msgspec.Struct | None:
-        values = self.read_table(path, kind, raw)
-        return None if self.errors else kind(**values)
+    def _read_struct(self, path: str, table_type: type[msgspec.Struct], raw: object) -> msgspec.Struct | None:
+        values = self.read_table(path, table_type, raw)
+        return None if self.errors else table_type(**values)
 
     def _read_value(self, path: str, hint: Any, raw: object) -> object:
-        plain, bounds = plain_type(hint), annotation(hint, Bounds)
-        unit = unit_of(plain)
+        value_type, bounds = plain_type(hint), annotation(hint, Bounds)
+        unit = unit_of(value_type)
         try:
-            value: Any = unit.read(raw) if unit is not None else msgspec.convert(raw, plain)
+            value: Any = unit.parse(raw) if unit is not None else msgspec.convert(raw, value_type)
         except (ValueError, msgspec.ValidationError):
-            self._add_error(path, raw, _expected(plain, unit))
+            self._add_error(path, raw, _expected(value_type, unit))
             return None
         if bounds is not None and not bounds.minimum <= value <= bounds.maximum:
             self._add_error(path, raw, _expected_bounds(bounds, unit))
@@ -88,20 +88,20 @@
         found = repr(raw) if not isinstance(raw, str) else f'"{raw}"'
         self.errors.append(f"{self.path}: {path}: found {found}, wanted {expected}")
 
-    def _add_unknown(self, path: str, key: str, known: list[str]) -> None:
+    def _add_unknown_key(self, path: str, key: str, known: list[str]) -> None:
         similar = get_close_matches(key, known, 1, MIN_SIMILARITY)
-        hint = f"did you mean {similar[0]}?" if similar else f"known here: {', '.join(known)}"
-        self.errors.append(f"{self.path}: {path}: no such key; {hint}")
+        suggestion = f"did you mean {similar[0]}?" if similar else f"known here: {', '.join(known)}"
+        self.errors.append(f"{self.path}: {path}: no such key; {suggestion}")
 
 
-def _expected(plain: Any, unit: type[Unit] | None) -> str:
+def _expected(value_type: Any, unit: type[Unit] | None) -> str:
     if unit is not None:
         return unit.expected
-    if get_origin(plain) is Literal:
-        return "one of " + ", ".join(f'"{word}"' for word in get_args(plain))
-    return "a whole number" if int in alternatives(plain) else str(plain)
+    if get_origin(value_type) is Literal:
+        return "one of " + ", ".join(f'"{choice}"' for choice in get_args(value_type))
+    return "a whole number" if int in union_members(value_type) else str(value_type)
 
 
 def _expected_bounds(bounds: Bounds, unit: type[Unit] | None) -> str:
-    written: Any = unit if unit is not None else str
-    return f"at least {written(bounds.minimum)} and at most {written(bounds.maximum)}"
+    to_text: Any = unit if unit is not None else str
+    return f"at least {to_text(bounds.minimum)} and at most {to_text(bounds.maximum)}"
--- a/ochreflow/app/options.py
+++ b/ochreflow/app/options.py
@@ -1,4 +1,4 @@
-"""What the operator's own file says, in the program's units; without a file, what holds in its place."""
+"""The options of the operator's file, if there is one, in the program's units."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """The values of the file. A property is None where the file does not set it."""
+    """The values of the file. A property is None if the file does not set it."""
 
     path: str | None = None
     file: OperatorFile | None = None
 
     @classmethod
     def read(cls, path: str | None) -> Options:
-        """Read and check the file; ConfigError, in one line, if it can't be used."""
+        """Read and validate the file. Raise ConfigError, with a message of one line, if it is invalid."""
         if path is None:
             return cls()
         try:
             from .operator_reader import OperatorFileError, read_file
         except ImportError as error:
-            msg = f"{path}: {error}: an operator's file needs requirements-cli.txt"
+            msg = f"{path}: {error}: an operator's file needs the packages of requirements-cli.txt"
             raise ConfigError(msg) from None
         try:
             return cls(path, read_file(path))
@@ -36,40 +36,40 @@
             raise ConfigError(str(error)) from None
 
     def sink(self) -> Sink:
-        """Where the log goes; ConfigError if its form needs a library that is not installed."""
-        form = self.file.log.format if self.file is not None else "plain"
-        if form == "plain":
+        """Return the sink of the log. Raise ConfigError if its format needs a package that is missing."""
+        format_name = self.file.log.format if self.file is not None else "plain"
+        if format_name == "plain":
             return write_plain_line
         try:
-            from .logs import structured
+            from .logs import structured_sink
         except ImportError as error:
-            msg = f"{self.path}: log.format: {error}: see requirements-cli.txt"
+            msg = f"{self.path}: log.format: {error}: install requirements-cli.txt"
             raise ConfigError(msg) from None
-        return structured(form)
+        return structured_sink(format_name)
 
     @property
     def memory(self) -> int | None:
-        """The limit of memory, in bytes."""
+        """The limit on memory in bytes."""
         return self.file.limits.memory if self.file is not None else None
 
     @property
     def descriptors(self) -> int | None:
-        """The limit of file descriptors."""
+        """The limit on open file descriptors."""
         return self.file.limits.descriptors if self.file is not None else None
 
     @property
     def operators(self) -> Address | None:
-        """The operators' address, which comes before the platform's."""
+        """The address of the management interface, which overrides the platform's."""
         return self.file.operators.listen if self.file is not None else None
 
-    def changed(self, new: Options) -> list[str]:
-        """The keys that differ; ConfigError names those that can't change while the process runs."""
+    def changed_keys(self, new: Options) -> list[str]:
+        """Return the keys that differ. Raise ConfigError if any of them can't change at run time."""
         if self.file is None or new.file is None:
             return []
-        from .operator import changes
+        from .operator import changed_keys
 
-        found = list(changes(self.file, new.file))
-        if refused := [f"{key} ({fixed.reason})" for key, fixed in found if fixed is not None]:
-            msg = f"{new.path}: can't change while running: {', '.join(refused)}"
+        changes = list(changed_keys(self.file, new.file))
+        if rejected := [f"{key} ({fixed.reason})" for key, fixed in changes if fixed is not None]:
+            msg = f"{new.path}: can't change while running: {', '.join(rejected)}"
             raise ConfigError(msg)
-        return [key for key, _ in found]
+        return [key for key, _ in changes]
--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -1,4 +1,4 @@
-"""The real sidecar as a process: its sockets, signals and exit code."""
+"""The sidecar as a process: its sockets, signals and exit code."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
     from .hot_restart import HotRestart
     from .hot_restart_form import Inheritance
 
-BACKLOG = 512  # connections that wait to be accepted
+BACKLOG = 512  # connections that may wait to be accepted
 GC_THRESHOLDS = (20_000, 20, 50)
 
 
 class Process:
-    """Owns the parts of one process, and the order in which they start and close."""
+    """Owns the components of the process, and the order in which they start and close."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, options: Options) -> None:
-        """Take over the listening socket, if there is one; nothing is started yet."""
+        """Take over the inherited listening socket, if there is one; start nothing yet."""
         self.loop = loop
         self.config = config
         self.options = options
@@ -51,7 +51,10 @@
         self.management: Management | None = None
 
     async def start(self, path: str | None) -> None:
-        """Start all parts; ConfigError if an address can't be bound. `path`: the platform's configuration."""
+        """Start all components. Raise ConfigError if an address can't be bound.
+
+        `path` names the platform's configuration.
+        """
         endpoint_list = await self._start_hot_restart()
         sidecar = self.sidecar = Sidecar(self.loop, self.config, self.usage, endpoint_list)
         management = self.management = Management(self.loop, sidecar.engine)
@@ -64,14 +67,14 @@
             await management.listen(self.options.operators or self.config.management)
             host, port = await self._listen(sidecar)
         except OSError as error:
-            msg = f"can't listen: {error}"
+            msg = f"can't bind a listening socket: {error}"
             raise ConfigError(msg) from None
         sidecar.engine.lifecycle.serve()
         _freeze_collector()
         log.info("listening", name=self.config.name, host=host, port=port)
 
     async def run_until_stopped(self) -> None:
-        """Wait for the end of the graceful shutdown; then close all parts."""
+        """Wait for the end of the graceful shutdown, then close all components."""
         if self.sidecar is None or self.management is None:
             return
         await self.sidecar.engine.lifecycle.stopped
@@ -81,17 +84,17 @@
         self.sidecar.close()
 
     async def _start_hot_restart(self) -> EndpointUpdate | None:
-        """Link to other processes; the endpoint list that one of them hands over."""
+        """Link to the other processes, and return the endpoint list that one of them hands over, or None."""
         directory = os.environ.get("TMPDIR")
         if self.inherited is None or not directory:
-            return None  # only a socket that the platform holds can have another process on it
+            return None  # only a socket that the platform passes on can be shared with another process
         from .hot_restart import HotRestart
 
         self.hot_restart = HotRestart(self.loop, directory, self.usage, self._own_inheritance)
         return inherited_endpoint_list(await self.hot_restart.start(), self.config.endpoint_ids)
 
     def _own_inheritance(self) -> Inheritance:
-        """What a process that starts beside this one is given."""
+        """Return what this process hands over to a new one."""
         from .hot_restart_form import Inheritance
 
         if self.sidecar is None:
@@ -121,7 +124,7 @@
         sidecar.engine.set_gossip_sender(gossip)
 
     async def _listen(self, sidecar: Sidecar) -> Address:
-        """Accept clients' connections; the address at which that is."""
+        """Start to accept client connections; return the address of the listening socket."""
         http = sidecar.http
         if http.clients.admission is not None:
             from ..http.acceptor import Acceptor
@@ -141,9 +144,9 @@
 
 
 def _freeze_collector() -> None:
-    """Keep the garbage collector from looking again at what lives as long as the process.
+    """Exclude the objects that live as long as the process from garbage collection.
 
-    Nor need it run as often as for a program that makes many reference cycles.
+    Raise the thresholds too, because the program creates few reference cycles.
     """
     gc.collect()
     gc.freeze()
@@ -151,17 +154,17 @@
 
 
 async def run(config: Config, options: Options, path: str | None) -> None:
-    """Serve until the graceful shutdown has ended. `path` names the platform's configuration, for reloads."""
+    """Serve until the end of the graceful shutdown; `path` names the platform's configuration."""
     process = Process(asyncio.get_running_loop(), config, options)
     await process.start(path)
     await process.run_until_stopped()
 
 
 def main(operator_file: str | None = None) -> int:
-    """Run until the end is asked for; the exit code. `operator_file` names the operator's own file."""
-    # The loop's own reports of exceptions that nobody caught.
+    """Run until SIGTERM or SIGINT and return the exit code. `operator_file` is a path, or None."""
+    # For the event loop's reports of uncaught exceptions.
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
-    # The default of SIGHUP would end the process while no loop handles it: at the start and at the end.
+    # SIGHUP would by default end the process at its start and end, while the event loop does not handle it.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = os.environ.get("GW_CONFIG")
     try:
--- a/ochreflow/app/reload.py
+++ b/ochreflow/app/reload.py
@@ -1,4 +1,4 @@
-"""New configurations while the process runs: read on SIGHUP, and applied completely or not at all."""
+"""Reload of the configuration on SIGHUP, which is applied completely or not at all."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Reloader:
-    """Applies new configurations one at a time. Owns the task that does."""
+    """Applies new configurations one at a time, and owns the task for that."""
 
     def __init__(
         self,
@@ -28,17 +28,17 @@
         options: Options,
         path: str | None,
     ) -> None:
-        """`path` names the platform's configuration, `options` are those in force."""
+        """`path` names the platform's configuration; `options` are those in effect."""
         self.loop = loop
         self.sidecar = sidecar
         self.management = management
         self.options = options
         self.path = path
         self.task: asyncio.Task[None] | None = None
-        self.reload_requested = False  # requested once more while one was under way
+        self.reload_requested = False  # once more, while a reload was in progress
 
     def request_reload(self) -> None:
-        """Read the configurations again, now or when the reload that is under way has ended."""
+        """Read the configuration again, now or after the reload that is in progress."""
         if self.task is not None and not self.task.done():
             self.reload_requested = True
             return
@@ -55,10 +55,10 @@
                 return
 
     async def _apply_new(self) -> None:
-        """Do first whatever may fail; then apply all of it."""
+        """Run all steps that may fail before applying any change."""
         config: Config = read_config(self.path)
         options = Options.read(self.options.path)
-        changed = self.options.changed(options)
+        changed = self.options.changed_keys(options)
         sink = options.sink()
         if "operators.listen" in changed:
             try:
@@ -72,7 +72,7 @@
             log.info("reload_applied", changed=", ".join(changed))
 
     def apply_options(self, options: Options, sink: Sink) -> None:
-        """Apply what the operator's file says; `sink` is where the log goes from now on."""
+        """Apply the operator's file, if there is one, and write the log to `sink` from now on."""
         self.options = options
         file = options.file
         if file is None:
@@ -86,7 +86,7 @@
             self._apply_admission(file.admission)
 
     def _apply_admission(self, table: AdmissionTable) -> None:
-        """Turn the connection admission on, or give it other limits."""
+        """Turn connection admission on, or change its limits."""
         from ..admission.connection_admission import ConnectionAdmission
         from ..admission.limits import Limits
         from ..admission.status import format_status
--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar: the core, the HTTP frontend and upstream transport, and the discovery client."""
+"""The sidecar: its core, HTTP frontend, upstream transport and discovery client."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 from ..membership.timeouts import long_poll_timeouts
 from .config import Config
 
-CONNECT_TIMEOUT_S = 1.0  # where the settings name none
+CONNECT_TIMEOUT_S = 1.0  # if the settings contain none
 
 
 def system_limit() -> int | None:
-    """The descriptors that the system gives this process; None where it names no limit."""
+    """Return the system's soft limit on the descriptors of this process; None if there is no limit."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return None if soft == resource.RLIM_INFINITY else soft
 
 
 class Sidecar:
-    """Owns the parts; each of them owns its own state."""
+    """Owns the components, each of which owns its own state."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         usage: Usage | None = None,
         cached_list: EndpointUpdate | None = None,
     ) -> None:
-        """Build the parts and start the core with `cached_list`, or else with the configuration's list."""
+        """Create the components and start the core with `cached_list`, by default that of `config`."""
         usage = usage or Usage(Descriptors(config.sockets), Memory(config.memory))
         usage.descriptors.system_limit = system_limit
         usage.descriptors.apply_system_limit()
@@ -71,18 +71,18 @@
         self.engine.start(self.discovery, cached_list)
 
     def format_endpoint_list(self) -> dict[str, Any]:
-        """The endpoint list for a process that starts beside this one; it may be old while this one ends."""
+        """Return the endpoint list for a new process; it may be outdated while this process shuts down."""
         return format_endpoint_list(
             self.discovery.version or 0, self.engine.endpoints.listed.values(), self.endpoint_ids
         )
 
     def known_clients(self) -> object:
-        """The known addresses for a process that begins beside this one; None without admission."""
+        """Return the snapshot of known client addresses for a new process; None without admission."""
         admission = self.http.clients.admission
         return admission.snapshot(monotonic()) if admission is not None else None
 
     def reload(self, config: Config) -> None:
-        """Apply what may change while running of a new configuration: the address of discovery."""
+        """Apply the only part of the configuration that may change at run time: discovery's address."""
         self.discovery.switch_address(config.discovery)
 
     def close(self) -> None:
--- a/ochreflow/app/units.py
+++ b/ochreflow/app/units.py
@@ -1,4 +1,4 @@
-"""Values with their units: times, sizes and addresses as operators write them."""
+"""Times, sizes and addresses in the notation of the operator's file."""
 
 from __future__ import annotations
 
@@ -14,58 +14,58 @@
 
 
 class Seconds(float):
-    """A time in seconds, written with its unit."""
+    """A time in seconds; the file has it with its unit."""
 
     pattern = f"^{TIME.pattern}$"
     expected = 'a time with its unit, such as "250ms", "2.5s" or "1m"'
 
     @classmethod
-    def read(cls, raw: object) -> Seconds:
-        """The time that `raw` writes; ValueError if it is none."""
+    def parse(cls, raw: object) -> Seconds:
+        """Parse a time such as "250ms". Raise ValueError if `raw` is anything else."""
         match = TIME.fullmatch(raw) if isinstance(raw, str) else None
         if match is None:
             raise ValueError
         return cls(float(match[1]) * SECONDS_BY_UNIT[match[2]])
 
     def __str__(self) -> str:
-        """As it is written in the file."""
+        """Return the notation of the file."""
         return f"{self * 1000:g}ms" if self < 1 else f"{float(self):g}s"
 
 
 class Size(int):
-    """A number of bytes, written with its unit."""
+    """A number of bytes; the file has it with its unit."""
 
     pattern = f"^{SIZE.pattern}$"
     expected = 'a size with its unit, such as "64KiB" or "32MiB"'
 
     @classmethod
-    def read(cls, raw: object) -> Size:
-        """The size that `raw` writes; ValueError if it is none."""
+    def parse(cls, raw: object) -> Size:
+        """Parse a size such as "64KiB". Raise ValueError if `raw` is anything else."""
         match = SIZE.fullmatch(raw) if isinstance(raw, str) else None
         if match is None:
             raise ValueError
         return cls(float(match[1]) * BYTES_BY_UNIT[match[2]])
 
     def __str__(self) -> str:
-        """As it is written in the file."""
+        """Return the notation of the file."""
         return f"{int(self) / BYTES_BY_UNIT['MiB']:g}MiB"
 
 
 class HostPort(tuple[str, int]):
-    """A numeric IPv4 address and a port; port 0 lets the system pick one."""
+    """A numeric IPv4 address and a port; the system chooses one for port 0."""
 
     pattern = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
     expected = 'an address and a port, such as "127.0.0.1:9100"'
 
     @classmethod
-    def read(cls, raw: object) -> HostPort:
-        """The address that `raw` writes; ValueError if it is none."""
+    def parse(cls, raw: object) -> HostPort:
+        """Parse an address such as "127.0.0.1:9100". Raise ValueError if `raw` is anything else."""
         if not isinstance(raw, str):
-            raise ValueError  # noqa: TRY004 -- as the other units do: the caller knows one error
+            raise ValueError  # noqa: TRY004 -- the caller catches ValueError alone, for all units
         return cls(split_address(raw, min_port=0))
 
     def __str__(self) -> str:
-        """As it is written in the file."""
+        """Return the notation of the file."""
         return f"{self[0]}:{self[1]}"
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -110,7 +110,7 @@
 
     def known(self, address):
         found = self.admission.addresses.get(address)
-        return found is not None and self.admission._known(self.now, found)
+        return found is not None and self.admission._is_known_address(self.now, found)
 
     def step(self, what, number, address):
         self.now += 0.01 * number
