--- a/ochreflow/cli/__main__.py
+++ b/ochreflow/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ochreflow.cli`: the command where it is not installed."""
+"""Entry point of `python -m ochreflow.cli`, for use where the command is not installed."""
 
 import sys
 
--- a/ochreflow/cli/common.py
+++ b/ochreflow/cli/common.py
@@ -1,12 +1,12 @@
-"""What the commands share: their exit codes, the form of an example, and the reading of an address."""
+"""Shared by the commands: exit codes, the format of examples, and the parsing of addresses."""
 
 from __future__ import annotations
 
 import click
 
 EXIT_OK = 0
-EXIT_FAILURE = 1  # what was asked for could not be done
-EXIT_USAGE_ERROR = 2  # a wrong option, argument or file
+EXIT_FAILURE = 1  # the command could not be carried out
+EXIT_USAGE_ERROR = 2  # an invalid option, argument or file
 EXIT_INTERRUPTED = 130  # by SIGINT, as a shell reports it
 
 
@@ -16,7 +16,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split "HOST:PORT" into a numeric IPv4 host and a port from 0 to 65535; UsageError if it is none."""
+    """Split "HOST:PORT" into a numeric IPv4 host and a port from 0 to 65535, or raise UsageError."""
     from ..core.address import split_address
 
     try:
--- a/ochreflow/cli/duplicates.py
+++ b/ochreflow/cli/duplicates.py
@@ -1,4 +1,4 @@
-"""The command that searches for duplicated effects."""
+"""The command `ochreflow lab duplicates`."""
 
 from __future__ import annotations
 
@@ -9,21 +9,38 @@
 
 from .common import example
 
-CROSSINGS = ("early", "freeze", "second-answer", "spoilt", "sidecars", "servers", "clients", "bursts")
+FAULT_GROUP_NAMES = ("early", "freeze", "second-answer", "spoilt", "sidecars", "servers", "clients", "bursts")
 EXAMPLE = "ochreflow lab duplicates --seed 7 --runs 10 --seconds 5 --build ../other-checkout"
 
 
 @click.command(name="duplicates", epilog=example(EXAMPLE))
-@click.option("--seed", type=click.IntRange(0, 2**32), default=1, show_default=True, help="Of the first run.")
 @click.option(
-    "--runs", type=click.IntRange(1, 10_000), default=1, show_default=True, help="Each with the next seed."
+    "--seed", type=click.IntRange(0, 2**32), default=1, show_default=True, help="Seed of the first run."
 )
-@click.option("--seconds", type=click.FloatRange(2, 60), default=5.0, show_default=True, help="Of each run.")
-@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Runs at a time.")
-@click.option("--build", type=click.Path(path_type=Path), help="Another checkout, whose sidecar is played.")
-@click.option("--without", type=click.Choice(CROSSINGS), multiple=True, help="Leave these faults out.")
 @click.option(
-    "--keep", metavar="FOLDER", type=click.Path(path_type=Path), help="Keep the sidecars' logs there."
+    "--runs",
+    type=click.IntRange(1, 10_000),
+    default=1,
+    show_default=True,
+    help="Number of runs; each uses the next seed.",
+)
+@click.option(
+    "--seconds", type=click.FloatRange(2, 60), default=5.0, show_default=True, help="Length of a run."
+)
+@click.option(
+    "--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Number of runs in parallel."
+)
+@click.option(
+    "--build", type=click.Path(path_type=Path), help="Directory of another checkout, whose sidecar is run."
+)
+@click.option(
+    "--without", type=click.Choice(FAULT_GROUP_NAMES), multiple=True, help="Do not inject these faults."
+)
+@click.option(
+    "--keep",
+    metavar="FOLDER",
+    type=click.Path(path_type=Path),
+    help="Directory that receives the logs of the sidecars.",
 )
 def duplicates(
     seed: int,
@@ -34,9 +51,9 @@
     without: tuple[str, ...],
     keep: Path | None,
 ) -> int:
-    """Search for requests that are repeated, or whose clients are invited to, though they may have run.
+    """Search for requests that are retried, or whose clients are told to retry, though they may have run.
 
-    Sidecars are played on loopback under faults drawn from the seed. Exit code 0: no request broke rule
+    Sidecars run on loopback under faults drawn from the seed. Exit code 0: no request broke rule
     `duplicate`; 1: one did, and its events are printed.
     """
     from ..lab.duplicates.fault_groups import FaultGroup
@@ -44,7 +61,7 @@
     from ..lab.duplicates.search import CHECKOUT, SearchError, SearchOptions, search
 
     if not math.isfinite(seconds):
-        message = f"--seconds: {seconds} is no length"
+        message = f"--seconds: expected a finite number, got {seconds}"
         raise click.UsageError(message)
     fault_groups = frozenset(group for group in FaultGroup if group.value not in without)
     try:
--- a/ochreflow/cli/lab.py
+++ b/ochreflow/cli/lab.py
@@ -1,4 +1,4 @@
-"""The commands below `ochreflow lab`: scenarios, comparisons, measurements and faults."""
+"""The commands of the group `ochreflow lab`: scenarios, comparisons, measurements and fault injection."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @click.group(epilog=example("ochreflow lab fault --help"))
 def lab() -> None:
-    """Stand-ins and tools that break things on purpose."""
+    """Run scenarios with fake servers, compare builds, and inject faults."""
 
 
-def _player(*, simulated: bool) -> Player:
-    """Choose what runs a scenario: processes on loopback, or the decision module alone in simulated time."""
+def _select_player(*, simulated: bool) -> Player:
+    """Return the function that runs a scenario: as processes on loopback, or simulated without sockets."""
     if simulated:
         from ..simulation.simulation import simulate
 
@@ -32,11 +32,13 @@
 
 @lab.command(name="run", epilog=example("ochreflow lab run quiet burst --seeds 3 --out results.jsonl"))
 @click.argument("scenarios", nargs=-1, metavar="SCENARIO...")
-@click.option("--seeds", type=click.IntRange(1, 1000), default=1, show_default=True, help="Runs of each.")
-@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Runs at a time.")
-@click.option("--seconds", type=click.FloatRange(2, 3600), help="In place of the scenario's own length.")
-@click.option("--rehearse", "simulated", is_flag=True, help="The decision module alone, in simulated time.")
-@click.option("--out", metavar="FILE", help="A JSON line for each run is added to it.")
+@click.option("--seeds", type=click.IntRange(1, 1000), default=1, show_default=True, help="Number of seeds.")
+@click.option(
+    "--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Number of runs in parallel."
+)
+@click.option("--seconds", type=click.FloatRange(2, 3600), help="Overrides the length of the scenario.")
+@click.option("--rehearse", "simulated", is_flag=True, help="Simulate the decision module alone.")
+@click.option("--out", metavar="FILE", help="File to which a JSON line for each run is appended.")
 def lab_run(
     scenarios: tuple[str, ...],
     seeds: int,
@@ -46,15 +48,17 @@
     simulated: bool,
     out: str | None,
 ) -> int:
-    """Play scenarios of the library, or of files that end in .toml, and judge each run."""
+    """Run scenarios of the library, or of files that end in .toml, and check the rules for each run."""
     from ..lab.runs import RunPlan, run_all
     from ..lab.scenario import ScenarioError, scenario_names
 
     if not scenarios:
-        message = f"name a scenario: {', '.join(scenario_names())}"
+        message = f"no scenario given; the library has {', '.join(scenario_names())}"
         raise click.UsageError(message)
     try:
-        return run_all(_player(simulated=simulated), RunPlan(list(scenarios), seeds, jobs, seconds, out))
+        return run_all(
+            _select_player(simulated=simulated), RunPlan(list(scenarios), seeds, jobs, seconds, out)
+        )
     except ScenarioError as error:
         raise click.UsageError(str(error)) from None
 
@@ -62,13 +66,21 @@
 @lab.command(name="compare", epilog=example("ochreflow lab compare HEAD~1 . -s burst --seeds 8 --rehearse"))
 @click.argument("a")
 @click.argument("b")
-@click.option("-s", "--scenario", "scenarios", multiple=True, help="Of the library, or a file; else all.")
-@click.option("--seeds", type=click.IntRange(1, 1000), default=8, show_default=True, help="Runs of each.")
-@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Runs at a time.")
-@click.option("--seconds", type=click.FloatRange(2, 3600), help="In place of the scenario's own length.")
-@click.option("--rehearse", "simulated", is_flag=True, help="The decision module alone, in simulated time.")
-@click.option("--out", metavar="FILE", help="A JSON line for each run is added to it.")
-@click.option("--html", metavar="FILE", help="Write a report with plots there.")
+@click.option(
+    "-s",
+    "--scenario",
+    "scenarios",
+    multiple=True,
+    help="Name in the library, or a file; by default all of the library.",
+)
+@click.option("--seeds", type=click.IntRange(1, 1000), default=8, show_default=True, help="Number of seeds.")
+@click.option(
+    "--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Number of runs in parallel."
+)
+@click.option("--seconds", type=click.FloatRange(2, 3600), help="Overrides the length of the scenario.")
+@click.option("--rehearse", "simulated", is_flag=True, help="Simulate the decision module alone.")
+@click.option("--out", metavar="FILE", help="File to which a JSON line for each run is appended.")
+@click.option("--html", metavar="FILE", help="File for a report with plots.")
 def lab_compare(
     a: str,
     b: str,
@@ -81,7 +93,7 @@
     out: str | None,
     html: str | None,
 ) -> int:
-    """Play builds A and B on the same scenarios and seeds, and tell whether B is better.
+    """Run builds A and B on the same scenarios and seeds, and report whether B is better.
 
     A build is "." (this checkout), a git revision, or either with constants changed, such as
     ".,policy/slow_start.py:BURST_S=0.5".
@@ -89,7 +101,7 @@
     try:
         from ..lab.compare import compare
     except ImportError as error:
-        message = f"{error.name} is missing: install requirements-report.txt"
+        message = f"package {error.name} is not installed: install requirements-report.txt"
         raise click.ClickException(message) from None
     from ..lab.builds import BuildError
     from ..lab.runs import RunPlan
@@ -98,7 +110,7 @@
     chosen = list(scenarios) or scenario_names()
     try:
         plan = RunPlan(chosen, seeds, jobs, seconds, out)
-        return compare(_player(simulated=simulated), (a, b), plan, html)
+        return compare(_select_player(simulated=simulated), (a, b), plan, html)
     except (ScenarioError, BuildError) as error:
         raise click.UsageError(str(error)) from None
 
@@ -107,38 +119,46 @@
     name="trace", epilog=example("ochreflow lab trace 'cold start' step --seeds 4 --html limit.html")
 )
 @click.argument("courses", nargs=-1, metavar="[COURSE...]")
-@click.option("--seeds", type=click.IntRange(1, 1000), default=4, show_default=True, help="Runs of each.")
-@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Runs at a time.")
-@click.option("--html", metavar="FILE", help="Write plots of the first seed there.")
+@click.option("--seeds", type=click.IntRange(1, 1000), default=4, show_default=True, help="Number of seeds.")
+@click.option(
+    "--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Number of runs in parallel."
+)
+@click.option("--html", metavar="FILE", help="File for plots of the first seed.")
 def lab_trace(courses: tuple[str, ...], seeds: int, jobs: int, html: str | None) -> int:
-    """Trace the limit on what is in flight, in simulated time, against an oracle that knows the capacity."""
+    """Compare the concurrency limit, in simulated time, with that of an oracle that knows the capacity."""
     from ..simulation.limit_scenarios import LIMIT_SCENARIOS
     from ..simulation.limit_trace_report import run
 
     if unknown := [name for name in courses if name not in LIMIT_SCENARIOS]:
-        message = f"{unknown[0]}: no such course; there are {', '.join(LIMIT_SCENARIOS)}"
+        message = f"{unknown[0]}: no such course; known courses: {', '.join(LIMIT_SCENARIOS)}"
         raise click.UsageError(message)
     return run(list(courses or LIMIT_SCENARIOS), seeds, jobs, html)
 
 
 @lab.command(name="pace", epilog=example("ochreflow lab pace 30/10 30/60 --seeds 4 --jobs 4"))
 @click.argument("fleets", nargs=-1, metavar="[SIDECARS/SERVERS...]")
-@click.option("--seeds", type=click.IntRange(1, 1000), default=20, show_default=True, help="Runs of each.")
-@click.option("--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Runs at a time.")
-@click.option("--slow", is_flag=True, help="Cold servers work at their ramp's speed, not sooner.")
+@click.option("--seeds", type=click.IntRange(1, 1000), default=20, show_default=True, help="Number of seeds.")
+@click.option(
+    "--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Number of runs in parallel."
+)
+@click.option("--slow", is_flag=True, help="Cold servers work at the speed of their slow-start ramp.")
 @click.option(
-    "--unequal", is_flag=True, help="Two kinds of servers, and a cell held down, as the list tells."
+    "--unequal", is_flag=True, help="Two kinds of servers and one slow cell, as the endpoint list tells."
+)
+@click.option(
+    "--program",
+    type=click.Path(path_type=Path),
+    help="Directory of another checkout, whose decision module is simulated.",
 )
-@click.option("--program", type=click.Path(path_type=Path), help="Another checkout, whose module is played.")
 def lab_slow_start(
     fleets: tuple[str, ...], seeds: int, jobs: int, *, slow: bool, unequal: bool, program: Path | None
 ) -> int:
-    """Measure, in simulated time, what all sidecars together send to cold servers against what one bears."""
+    """Measure, in simulated time, the load that all sidecars send to a cold server against its capacity."""
     from ..simulation.slow_start_report import FLEETS, SlowStartPlan, run
 
-    known = [f"{sidecars}/{servers}" for sidecars, servers in FLEETS]
-    if unknown := [name for name in fleets if name not in known]:
-        message = f"{unknown[0]}: no such fleet; there are {', '.join(known)}"
+    fleet_names = [f"{sidecars}/{servers}" for sidecars, servers in FLEETS]
+    if unknown := [name for name in fleets if name not in fleet_names]:
+        message = f"{unknown[0]}: no such fleet; known fleets: {', '.join(fleet_names)}"
         raise click.UsageError(message)
     plan = SlowStartPlan(list(fleets), seeds, jobs, program, slow_while_warming_up=slow, unequal=unequal)
     return run(plan)
@@ -148,14 +168,16 @@
 
 
 @lab.command(epilog=example("ochreflow lab fault --to 127.0.0.1:7070 --script faults.toml --seed 7"))
-@click.option("--to", "target", metavar="ADDRESS", required=True, help="Where traffic goes on.")
+@click.option("--to", "target", metavar="ADDRESS", required=True, help="Where traffic is forwarded to.")
 @click.option("--listen", metavar="ADDRESS", default="127.0.0.1:0", show_default=True)
-@click.option("--script", metavar="FILE", help="A TOML file of [[fault]] tables.")
+@click.option("--script", metavar="FILE", help="TOML file of [[fault]] tables.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--control", metavar="ADDRESS", help="Steer it live: POST /faults, POST /cut, GET /transcript.")
-@click.option("--udp", is_flag=True, help="Datagrams in place of connections.")
+@click.option(
+    "--control", metavar="ADDRESS", help="Listen there for POST /faults, POST /cut and GET /transcript."
+)
+@click.option("--udp", is_flag=True, help="Forward datagrams instead of connections.")
 def fault(target: str, listen: str, script: str | None, seed: int, control: str | None, *, udp: bool) -> int:
-    """Stand between sockets: delay, cut, half-close, garble; the same way for the same seed."""
+    """Forward traffic and inject faults (delay, cut, half-close, garble), the same ones for the same seed."""
     import asyncio
 
     from ..lab.fault.proxy import FaultProxy, serve
@@ -172,6 +194,6 @@
         proxy = FaultProxy(target_address, faults, seed, datagrams=udp)
         asyncio.run(serve(proxy, listen_address, control_address, udp=udp))
     except OSError as error:
-        message = f"can't stand there: {error}"
+        message = f"can't start the proxy: {error}"
         raise click.ClickException(message) from None
     return EXIT_OK
--- a/ochreflow/cli/main.py
+++ b/ochreflow/cli/main.py
@@ -21,10 +21,14 @@
 
 
 @ochreflow.command(epilog=example("ochreflow run --platform config.json --config deploy/ochreflow.toml"))
-@click.option("--config", metavar="FILE", help="The operator's own file.")
-@click.option("--platform", metavar="FILE", help="The platform's configuration; else $GW_CONFIG names it.")
+@click.option("--config", metavar="FILE", help="The operator's file.")
+@click.option(
+    "--platform",
+    metavar="FILE",
+    help="The platform's configuration; default: the file that $GW_CONFIG names.",
+)
 def run(config: str | None, platform: str | None) -> int:
-    """Serve until SIGTERM."""
+    """Run a sidecar until SIGTERM."""
     from ..app.process import main as serve
 
     if platform is not None:
@@ -35,7 +39,7 @@
 @ochreflow.command(epilog=example("ochreflow check deploy/ochreflow.toml"))
 @click.argument("file")
 def check(file: str) -> int:
-    """Check an operator's file: a line for each fault, exit code 2 if there is one."""
+    """Validate an operator's file: print a line for each error, and exit with code 2 if there is one."""
     from ..app.operator_reader import OperatorFileError, read_file
 
     try:
@@ -59,10 +63,10 @@
 
 @ochreflow.command(epilog=example("ochreflow demo --seconds 20"))
 @click.option("--seconds", type=click.FloatRange(5, 600), default=20.0, show_default=True)
-@click.option("--seed", type=int, default=1, show_default=True, help="Of the load and the nodes.")
-@click.option("--keep", metavar="FOLDER", help="Keep the logs and ledgers there.")
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of the load and the nodes.")
+@click.option("--keep", metavar="FOLDER", help="Directory that receives the logs and event logs.")
 def demo(seconds: float, seed: int, keep: str | None) -> int:
-    """Play a sidecar among stand-in nodes that swallow, fail, drain and come up cold; judge the rules."""
+    """Run a sidecar with fake nodes that don't answer, fail, drain and start cold, and check the rules."""
     from ..lab.demo import main as run_demo
 
     return run_demo(seconds, seed, keep)
@@ -73,11 +77,11 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run a command; what was asked wrongly is one plain line and exit code 2."""
+    """Run a command and return its exit code; a usage error prints one line and returns 2."""
     try:
         result = ochreflow.main(arguments, prog_name="ochreflow", standalone_mode=False)
     except click.UsageError as error:
-        print(f"ochreflow: {error.format_message()} (--help tells more)", file=sys.stderr)
+        print(f"ochreflow: {error.format_message()} (see --help)", file=sys.stderr)
         return EXIT_USAGE_ERROR
     except click.ClickException as error:
         print(f"ochreflow: {error.format_message()}", file=sys.stderr)
--- a/ochreflow/cli/management.py
+++ b/ochreflow/cli/management.py
@@ -1,4 +1,4 @@
-"""The commands that call the management address of a running sidecar."""
+"""The commands that call the management interface of a running sidecar."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ManagementResponse:
-    """The response of a sidecar to a call at its management address."""
+    """The response of a sidecar's management interface."""
 
     status: int
     body: str
 
 
 def _call(method: str, address: str, path: str) -> ManagementResponse:
-    """Make one call; ClickException if there is no response."""
+    """Make one call. Raise ClickException if there is no response."""
     host, port = parse_address(address)
     connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT_S)
     try:
@@ -30,21 +30,21 @@
         response = connection.getresponse()
         return ManagementResponse(response.status, response.read().decode())
     except (OSError, http.client.HTTPException) as error:
-        message = f"no answer from {address}: {error or type(error).__name__}"
+        message = f"no response from {address}: {error or type(error).__name__}"
         raise click.ClickException(message) from None
     finally:
         connection.close()
 
 
 def _require_ok(address: str, response: ManagementResponse) -> None:
-    """Raise ClickException with the sidecar's own text if it did not do what was asked."""
+    """Raise ClickException with the sidecar's message if the call failed."""
     if response.status != HTTPStatus.OK:
-        message = f"{address} says no: {response.body.strip()}"
+        message = f"{address} rejected the call: {response.body.strip()}"
         raise click.ClickException(message)
 
 
 def _change_state(address: str, path: str, state: str) -> int:
-    """Order a change of state and print the state that the sidecar is now in."""
+    """Request a change of state and print the new state of the sidecar."""
     _require_ok(address, _call("POST", address, path))
     click.echo(f"{address}: {state}")
     return EXIT_OK
@@ -53,7 +53,7 @@
 @click.command(epilog=example("ochreflow stats 127.0.0.1:9100"))
 @click.argument("address")
 def stats(address: str) -> int:
-    """Print the figures of the sidecar whose operators' address this is."""
+    """Print the statistics of the sidecar with this management address."""
     response = _call("GET", address, "/stats")
     _require_ok(address, response)
     click.echo(response.body, nl=False)
@@ -63,29 +63,29 @@
 @click.command(epilog=example("ochreflow drain 127.0.0.1:9100"))
 @click.argument("address")
 def drain(address: str) -> int:
-    """Empty a sidecar: it answers what it holds and refuses what is new."""
+    """Drain a sidecar: it completes pending requests and rejects new ones."""
     return _change_state(address, "/healthcheck/fail", "draining")
 
 
 @click.command(epilog=example("ochreflow undrain 127.0.0.1:9100"))
 @click.argument("address")
 def undrain(address: str) -> int:
-    """Put a drained sidecar back to work."""
+    """Return a drained sidecar to service."""
     return _change_state(address, "/healthcheck/ok", "serving")
 
 
 @click.group(epilog=example("ochreflow admission show 127.0.0.1:9100"))
 def admission() -> None:
-    """The gate for clients' connections, where [admission] is on."""
+    """Inspect connection admission, if [admission] is on in the operator's file."""
 
 
 @admission.command(name="show", epilog=example("ochreflow admission show 127.0.0.1:9100"))
 @click.argument("address")
 def admission_show(address: str) -> int:
-    """Print caps, refusals with their reasons, and the addresses with most connections."""
+    """Print limits, rejections by reason, and the addresses with the most connections."""
     response = _call("GET", address, "/admission")
     if response.status == HTTPStatus.NOT_FOUND:
-        message = f"{address}: admission is off in its operator's file"
+        message = f"{address}: admission is off in the sidecar's operator file"
         raise click.ClickException(message)
     _require_ok(address, response)
     click.echo(response.body, nl=False)
