--- a/tests/test_answered_at_the_end.py
+++ b/tests/test_answered_at_the_end.py
@@ -177,7 +177,7 @@
         folder = tmp_path / "run"
         folder.mkdir()
         data = config(endpoint_update(1, entry("s1", fake.address)))
-        handed = {"inherited": listening, "folder": folder}
+        handed = {"inherited": listening, "shared_dir": folder}
         clients = [Resending(listening.getsockname()[1], f"c{n}") for n in range(CLIENTS)]
         async with Process(tmp_path / "p0", data, **handed) as first:
             playing = asyncio.gather(*(client.play() for client in clients))
@@ -258,7 +258,7 @@
             changed = {**changed_effects(data), "discovery": f"{HOST}:10"}
             sidecar.path.write_text(json.dumps(changed))
             sidecar.process.send_signal(signal.SIGHUP)
-            await sidecar.heard(b"discovery is now at")
+            await sidecar.wait_for_log(b"discovery is now at")
             go.set()
             assert (await held).code == 502
             assert (await send_request(sidecar.port, http_request("order", "later"))).code == 502
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -1,6 +1,7 @@
-"""Idle clients hold all that they may while discovery is down: what the sidecar itself needs still goes on.
+"""Idle clients use their whole share of descriptors while discovery is down.
 
-All of it is played without the gate, which is off unless an operator's file asks for it.
+Guards against a sidecar that then has no descriptors for its own needs: discovery, operators and attempts.
+The processes run without connection admission, which is off by default.
 """
 
 import asyncio
@@ -39,96 +40,101 @@
 
 pytestmark = pytest.mark.xdist_group("real-time")
 
-LEAST = 256  # descriptors of the least configuration
-LEFT = 71  # descriptors that are left to a process of which others hold the rest: half a share and its own
-LOWERED = 100  # the limit that is set while clients hold their share of that
-CROWD = 300  # idle clients: more than those descriptors
-BACK = 0.5  # seconds after which an idle client that was ended comes again
-GRACE = 0.5  # seconds, as `config` says it
-SLACK = 0.05  # seconds that each limit grows by on real sockets
-TOLD_WITHIN = 6.0  # seconds from discovery's return
-OPERATORS_WITHIN = 1.0  # seconds
-REST = 0.02  # of a core that a sidecar at rest may use beyond what it used without clients; a spin takes all
-LOOK = 2.0  # seconds of one look at the processor time
-PEAK_EVERY = 0.01  # seconds between looks at the descriptors
-HEALTHY = b"GET /healthcheck HTTP/1.1\r\n\r\n"
-HALF = b"POST /order/part HTTP/1.1\r\nHost: origin.svc\r\nX-Requ"
-CALM = '[clients]\nhead_within = "60s"\nidle = "1h"\n'  # an operator's file: idle clients are left alone
-
-
-class Idle(asyncio.Protocol):
-    """A client that connects, says what it says, and stays until it is ended."""
-
-    def __init__(self, crowd, says):
-        self.crowd = crowd
-        self.says = says
+MIN_SOCKETS = 256  # descriptors of the smallest supported configuration
+UNOCCUPIED = 71  # descriptors left to a process whose others are occupied: half a share and its own
+LOWERED_LIMIT = 100  # descriptors; set while clients use their share of MIN_SOCKETS
+IDLE_CLIENT_COUNT = 300  # more than MIN_SOCKETS
+RECONNECT_DELAY_S = 0.5  # of an idle client whose connection was closed
+DRAIN_GRACE_S = 0.5  # as in `config`
+TIMER_SLACK_S = 0.05  # added to each time limit on real sockets
+DISCOVERY_RECOVERY_S = 6.0  # from the restart of discovery until it has sent its list
+MANAGEMENT_TIMEOUT_S = 1.0
+MAX_IDLE_CPU_SHARE = 0.02  # of a core, beyond that without clients; a busy loop uses a whole core
+CPU_SAMPLE_S = 2.0  # time over which processor use is measured
+PEAK_INTERVAL_S = 0.01  # between samples of the number of descriptors
+HEALTHCHECK = b"GET /healthcheck HTTP/1.1\r\n\r\n"
+INCOMPLETE_REQUEST = b"POST /order/part HTTP/1.1\r\nHost: origin.svc\r\nX-Requ"
+LONG_TIMEOUTS = '[clients]\nhead_within = "60s"\nidle = "1h"\n'  # idle clients aren't timed out
+
+
+class IdleClient(asyncio.Protocol):
+    """A client that connects, sends `first_data`, and then does nothing until it is disconnected."""
+
+    def __init__(self, group, first_data):
+        self.group = group
+        self.first_data = first_data
 
     def connection_made(self, transport):
         self.transport = transport
-        self.crowd.here[self] = None
-        self.crowd.came += 1
-        if self.says:
-            transport.write(self.says)
+        self.group.connected[self] = None
+        self.group.connection_count += 1
+        if self.first_data:
+            transport.write(self.first_data)
 
     def connection_lost(self, exc):
-        self.crowd.here.pop(self, None)
-        self.crowd.come_again(self.says)
+        self.group.connected.pop(self, None)
+        self.group.reconnect_later(self.first_data)
 
 
 @dataclass
-class Crowd:
-    """Silent clients, half-written ones and kept ones, by turns; with `again`, who is ended comes again."""
+class IdleClients:
+    """Idle clients that have sent nothing, an incomplete request or a whole one.
+
+    With `reconnects`, a client whose connection is closed connects again.
+    """
 
     port: int
-    again: bool = True
-    came: int = 0
-    here: dict = field(default_factory=dict)
+    reconnects: bool = True
+    connection_count: int = 0
+    connected: dict = field(default_factory=dict)
     tasks: set = field(default_factory=set)
 
-    def begin(self, says):
-        task = asyncio.get_running_loop().create_task(self._connect(says))
+    def start_connecting(self, first_data):
+        task = asyncio.get_running_loop().create_task(self._connect(first_data))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def come_again(self, says):
-        if self.again:
-            asyncio.get_running_loop().call_later(BACK, lambda: self.again and self.begin(says))
+    def reconnect_later(self, first_data):
+        if self.reconnects:
+            asyncio.get_running_loop().call_later(
+                RECONNECT_DELAY_S, lambda: self.reconnects and self.start_connecting(first_data)
+            )
 
-    async def _connect(self, says):
+    async def _connect(self, first_data):
         loop = asyncio.get_running_loop()
         try:
-            await loop.create_connection(lambda: Idle(self, says), HOST, self.port)
+            await loop.create_connection(lambda: IdleClient(self, first_data), HOST, self.port)
         except OSError:
-            self.come_again(says)
+            self.reconnect_later(first_data)
 
-    def is_taken_in(self, process):
-        """Whether the process holds all that are here: none waits to be accepted, or to hear of its end."""
-        here = {one.transport.get_extra_info("sockname")[1] for one in self.here}
-        return here == {other for own, other in connections(process).values() if own == process.port}
+    def all_accepted_by(self, process):
+        """Return whether the process and `connected` agree on which connections are open."""
+        ports = {client.transport.get_extra_info("sockname")[1] for client in self.connected}
+        return ports == {other for own, other in tcp_connections(process).values() if own == process.port}
 
     async def __aenter__(self):
-        for number in range(CROWD):
-            self.begin((b"", HALF, READY)[number % 3])
-        await wait_until(lambda: self.came >= CROWD)
+        for number in range(IDLE_CLIENT_COUNT):
+            self.start_connecting((b"", INCOMPLETE_REQUEST, READY)[number % 3])
+        await wait_until(lambda: self.connection_count >= IDLE_CLIENT_COUNT)
         return self
 
     async def __aexit__(self, *_):
-        self.again = False
+        self.reconnects = False
         for task in list(self.tasks):
             task.cancel()
-        for one in list(self.here):
-            one.transport.abort()
+        for client in list(self.connected):
+            client.transport.abort()
 
 
 class Discovery:
-    """Answers whole lists, and watches once something has changed; can be taken down and brought back."""
+    """Discovery that sends whole lists, after a change in a long poll, and can be stopped and restarted."""
 
-    def __init__(self, listed):
-        self.listed = listed
+    def __init__(self, endpoint_list):
+        self.endpoint_list = endpoint_list
         self.changed = asyncio.Event()
         self.fake = FakePeer(self._answer)
         self.writers = set()
-        self.told = []  # when the present list was written, each time
+        self.sent_at = []  # times at which the current list was sent
         self.port = 0
 
     async def start(self):
@@ -138,10 +144,10 @@
 
     async def _answer(self, got, reader, writer):
         self.writers.add(writer)
-        if f"after={self.listed['index']}&" in got.start_line:
+        if f"after={self.endpoint_list['index']}&" in got.start_line:
             await self.changed.wait()
-        writer.write(http_response(200, json.dumps(self.listed).encode()))
-        self.told.append(monotonic())
+        writer.write(http_response(200, json.dumps(self.endpoint_list).encode()))
+        self.sent_at.append(monotonic())
 
     def down(self):
         self.fake.server.close()
@@ -149,8 +155,8 @@
             reset(writer)
         self.writers.clear()
 
-    async def up(self, listed):
-        self.listed, self.changed, self.told = listed, asyncio.Event(), []
+    async def up(self, endpoint_list):
+        self.endpoint_list, self.changed, self.sent_at = endpoint_list, asyncio.Event(), []
         await self.start()
 
     @property
@@ -159,101 +165,120 @@
 
 
 class Server:
-    """Answers after some seconds: the quicker of two is the one that is used."""
+    """Answers after `response_time_s`; the faster of two servers gets more requests."""
 
-    def __init__(self, takes):
-        self.takes = takes
+    def __init__(self, response_time_s):
+        self.response_time_s = response_time_s
         self.fake = FakePeer(self._answer)
-        self.came = {}  # when each request came, by its id
-        self.twice = []
+        self.arrivals = {}  # time of arrival of each request, by its id
+        self.duplicates = []
 
     async def _answer(self, got, reader, writer):
-        ident = got.headers["x-request-id"]
-        if ident in self.came:
-            self.twice.append(ident)
-        self.came[ident] = monotonic()
-        await asyncio.sleep(self.takes)
+        request_id = got.headers["x-request-id"]
+        if request_id in self.arrivals:
+            self.duplicates.append(request_id)
+        self.arrivals[request_id] = monotonic()
+        await asyncio.sleep(self.response_time_s)
         await answer_ok(got, reader, writer)
 
 
-class Asking:
-    """Requests one after another on new connections; `codes` has each answer, None where there was none."""
+class RequestLoop:
+    """Sends requests one after another on new connections; a code is None if there was no response."""
 
     def __init__(self, port):
         self.port = port
         self.codes = {}
-        self.task = asyncio.get_running_loop().create_task(self._go_on())
+        self.task = asyncio.get_running_loop().create_task(self._send_requests())
 
-    async def _go_on(self):
+    async def _send_requests(self):
         for number in count():
-            ident = f"{number:016x}"
-            self.codes[ident] = None
+            request_id = f"{number:016x}"
+            self.codes[request_id] = None
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                self.codes[ident] = (await send_request(self.port, http_request("order", ident))).code
+                self.codes[request_id] = (
+                    await send_request(self.port, http_request("order", request_id))
+                ).code
             await asyncio.sleep(0.02)
 
     @property
     def answered(self):
         return sum(code == 200 for code in self.codes.values())
 
-    async def go_on(self, times):
-        """Wait until so many more have been answered."""
-        goal = self.answered + times
+    async def wait_for_responses(self, additional):
+        """Wait until `additional` requests more have been answered with 200."""
+        goal = self.answered + additional
         await wait_until(lambda: self.answered >= goal)
 
-    async def end(self):
+    async def stop(self):
         self.task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await self.task
 
 
-class Stage:
-    """Discovery and two servers; the quicker one, which is used most, drains while discovery is down."""
+class DrainScenario:
+    """Discovery and two servers; the faster one, which is used most, drains while discovery is down."""
 
     async def start(self):
-        self.stays, self.drains = Server(takes=0.02), Server(takes=0.0)
-        for server in (self.stays, self.drains):
+        self.remaining_server, self.draining_server = (
+            Server(response_time_s=0.02),
+            Server(response_time_s=0.0),
+        )
+        for server in (self.remaining_server, self.draining_server):
             await server.fake.start()
-        self.discovery = await Discovery(self.list(1, "SERVING")).start()
+        self.discovery = await Discovery(self.endpoint_list(1, "SERVING")).start()
         return self
 
-    def list(self, index, status):
-        second = entry("b", self.drains.fake.address, status=status)
-        return endpoint_update(index, entry("a", self.stays.fake.address), second)
+    def endpoint_list(self, index, status):
+        second = entry("b", self.draining_server.fake.address, status=status)
+        return endpoint_update(index, entry("a", self.remaining_server.fake.address), second)
 
-    def config(self, sockets):
-        data = config(self.list(1, "SERVING"), self.discovery.address, management=f"{HOST}:0")
+    def sidecar_config(self, sockets):
+        data = config(self.endpoint_list(1, "SERVING"), self.discovery.address, management=f"{HOST}:0")
         data["limits"]["sockets"] = sockets
         return data
 
-    def all_lived(self, asking):
-        """Whether what reached a server did so once and was answered, but for the one cut off at the end."""
-        first, second = self.stays, self.drains
-        once = not (first.twice or second.twice or first.came.keys() & second.came.keys())
-        lost = [ident for ident in first.came.keys() | second.came.keys() if asking.codes[ident] != 200]
-        return once and set(lost) <= {max(asking.codes)}
-
-    async def drain_unseen_and_come_back(self, *processes):
-        """Discovery is back with the drain in its list: when it came back, once all processes were told."""
-        back = monotonic()
-        await self.discovery.up(self.list(2, "DRAINING"))
+    def each_request_ran_once_and_was_answered(self, requests):
+        """Return whether each request that reached a server did so once and was answered.
+
+        The last one may have been cancelled by the test.
+        """
+        first, second = self.remaining_server, self.draining_server
+        once = not (first.duplicates or second.duplicates or first.arrivals.keys() & second.arrivals.keys())
+        lost = [
+            request_id
+            for request_id in first.arrivals.keys() | second.arrivals.keys()
+            if requests.codes[request_id] != 200
+        ]
+        return once and set(lost) <= {max(requests.codes)}
+
+    async def restart_discovery_with_drain(self, *processes):
+        """Restart discovery with the drain in its list, and wait until all processes have logged the drain.
+
+        Return the time of the restart.
+        """
+        restarted_at = monotonic()
+        await self.discovery.up(self.endpoint_list(2, "DRAINING"))
         for process in processes:
-            await process.heard(rb"b \(2\) is draining")
-        return back
-
-    async def drain_kept(self, back, asking):
-        """Whether nothing new came to the draining server after the grace; others go on meanwhile."""
-        counts = min(max(self.discovery.told), back + TOLD_WITHIN) + GRACE + SLACK
-        await asyncio.sleep(counts - monotonic())
-        await asking.go_on(20)
-        return max(self.drains.came.values()) <= counts
-
-
-async def operators_heard(process):
-    """Whether the operators' address answers in time, ten times."""
+            await process.wait_for_log(rb"b \(2\) is draining")
+        return restarted_at
+
+    async def drain_is_respected(self, restarted_at, requests):
+        """Return whether the draining server got no request after the grace; other requests continue."""
+        grace_end = (
+            min(max(self.discovery.sent_at), restarted_at + DISCOVERY_RECOVERY_S)
+            + DRAIN_GRACE_S
+            + TIMER_SLACK_S
+        )
+        await asyncio.sleep(grace_end - monotonic())
+        await requests.wait_for_responses(20)
+        return max(self.draining_server.arrivals.values()) <= grace_end
+
+
+async def management_responds(process):
+    """Return whether the management interface answers ten calls in time."""
     for _ in range(10):
-        async with asyncio.timeout(OPERATORS_WITHIN):
-            got = await send_request(process.operators, HEALTHY)
+        async with asyncio.timeout(MANAGEMENT_TIMEOUT_S):
+            got = await send_request(process.management_port, HEALTHCHECK)
         if got.code != 200:
             return False
     return True
@@ -263,55 +288,55 @@
     return process.process.pid
 
 
-def numbers(process):
-    """The descriptors that it holds."""
+def open_descriptors(process):
+    """Return the numbers of the descriptors that the process has open."""
     return {int(name) for name in os.listdir(f"/proc/{pid_of(process)}/fd")}
 
 
-def held(*processes):
-    """How many descriptors they hold, all together."""
-    return sum(len(numbers(process)) for process in processes)
+def open_descriptor_count(*processes):
+    """Return how many descriptors the processes have open together."""
+    return sum(len(open_descriptors(process)) for process in processes)
 
 
-def free(process, limit):
-    """The descriptors that it may still take: the system's limit is on their numbers.
+def free_descriptors(process, limit):
+    """Return the numbers of the descriptors that the process may still open, which the system's limit bounds.
 
-    One of before may lie beyond a limit that was lowered since, so their count tells nothing.
+    The count of open descriptors doesn't tell: older ones may lie beyond a limit that was lowered since.
     """
-    return set(range(limit)) - numbers(process)
+    return set(range(limit)) - open_descriptors(process)
 
 
-def connections(process):
-    """Its own port and the other's of each descriptor that is a connection.
+def tcp_connections(process):
+    """Return the local and the remote port of each descriptor that is a TCP connection.
 
-    Of one moment, and the system writes its table piece by piece: a condition to wait for.
+    The system writes its table piece by piece, so one result may be inconsistent: wait for a condition on it.
     """
     with open(f"/proc/{pid_of(process)}/net/tcp") as table:
         rows = [line.split() for line in table][1:]
     ports = {f"socket:[{row[9]}]": tuple(int(end.split(":")[1], 16) for end in row[1:3]) for row in rows}
     found = {}
-    for number in numbers(process):
-        with contextlib.suppress(FileNotFoundError):  # it was closed since
+    for number in open_descriptors(process):
+        with contextlib.suppress(FileNotFoundError):  # it has been closed meanwhile
             own, other = ports.get(os.readlink(f"/proc/{pid_of(process)}/fd/{number}"), (0, 0))
             if other:
                 found[number] = own, other
     return found
 
 
-class Peak:
-    """The most descriptors that processes were seen to hold together, from its beginning to its end."""
+class DescriptorPeak:
+    """Samples how many descriptors the processes have open together, and keeps the maximum."""
 
     def __init__(self, *processes):
         self.processes = processes
-        self.most = 0
+        self.maximum = 0
 
-    async def _look(self):
+    async def _sample(self):
         while True:
-            self.most = max(self.most, held(*self.processes))
-            await asyncio.sleep(PEAK_EVERY)
+            self.maximum = max(self.maximum, open_descriptor_count(*self.processes))
+            await asyncio.sleep(PEAK_INTERVAL_S)
 
     async def __aenter__(self):
-        self.task = asyncio.get_running_loop().create_task(self._look())
+        self.task = asyncio.get_running_loop().create_task(self._sample())
         return self
 
     async def __aexit__(self, *_):
@@ -320,238 +345,266 @@
             await self.task
 
 
-async def used(process):
-    """The part of a core that it uses at present."""
+async def cpu_share(process):
+    """Return the share of a core that the process uses at present."""
 
-    def taken():
+    def cpu_time_s():
         with open(f"/proc/{pid_of(process)}/schedstat") as file:
             return int(file.read().split()[0]) / 1e9
 
-    before, began = taken(), monotonic()
-    await asyncio.sleep(LOOK)
-    return (taken() - before) / (monotonic() - began)
+    cpu_time_before, start = cpu_time_s(), monotonic()
+    await asyncio.sleep(CPU_SAMPLE_S)
+    return (cpu_time_s() - cpu_time_before) / (monotonic() - start)
 
 
 @pytest.mark.parametrize(
-    ("said", "system", "file"),
-    [(LEAST, LEAST, ""), (LEAST, LEAST, CALM), (1024, LEAST, CALM), (LEAST, 1024, CALM)],
-    ids=["as-said", "never-ended", "system-lower", "system-higher"],
+    ("configured", "system", "file"),
+    [
+        (MIN_SOCKETS, MIN_SOCKETS, ""),
+        (MIN_SOCKETS, MIN_SOCKETS, LONG_TIMEOUTS),
+        (1024, MIN_SOCKETS, LONG_TIMEOUTS),
+        (MIN_SOCKETS, 1024, LONG_TIMEOUTS),
+    ],
+    ids=["as-configured", "no-timeouts", "system-lower", "system-higher"],
 )
-def test_discoverys_return_is_seen_while_idle_clients_hold_all_they_may(tmp_path, said, system, file):
-    """Where the system gave less than the configuration says, clients took all: nobody else was heard."""
+def test_discovery_recovery_is_noticed_while_idle_clients_use_their_whole_share(
+    tmp_path, configured, system, file
+):
+    """Guards against clients that use all descriptors if the system's limit is below the configured one."""
 
     async def play():
         (tmp_path / "o.toml").write_text(file)
-        stage = await Stage().start()
-        process = Process(tmp_path / "c", stage.config(said), descriptors=system)
+        scenario = await DrainScenario().start()
+        process = Process(tmp_path / "c", scenario.sidecar_config(configured), descriptors=system)
         process.arguments = ["--config", str(tmp_path / "o.toml")]
         async with process:
-            await wait_until(lambda: stage.discovery.fake.received)
-            async with Crowd(process.port), Peak(process) as peak:
-                asking = Asking(process.port)
-                await asking.go_on(20)
-                stage.discovery.down()
-                await process.heard(b"discovery failed")
-                assert await operators_heard(process)
-                await asking.go_on(20)
-                await wait_until(lambda: len(stage.drains.came) >= 10)
-                back = await stage.drain_unseen_and_come_back(process)
-                assert await stage.drain_kept(back, asking)
-                assert await operators_heard(process)
-                await asking.end()
-            assert peak.most < LEAST
-            assert stage.all_lived(asking)
+            await wait_until(lambda: scenario.discovery.fake.received)
+            async with IdleClients(process.port), DescriptorPeak(process) as peak:
+                requests = RequestLoop(process.port)
+                await requests.wait_for_responses(20)
+                scenario.discovery.down()
+                await process.wait_for_log(b"discovery failed")
+                assert await management_responds(process)
+                await requests.wait_for_responses(20)
+                await wait_until(lambda: len(scenario.draining_server.arrivals) >= 10)
+                restarted_at = await scenario.restart_discovery_with_drain(process)
+                assert await scenario.drain_is_respected(restarted_at, requests)
+                assert await management_responds(process)
+                await requests.stop()
+            assert peak.maximum < MIN_SOCKETS
+            assert scenario.each_request_ran_once_and_was_answered(requests)
 
     run(play())
 
 
-def test_so_it_is_while_two_processes_are_one_sidecar(tmp_path):
+def test_discovery_recovery_is_noticed_by_two_processes_of_one_sidecar(tmp_path):
     async def play():
-        stage = await Stage().start()
-        folder = tmp_path / "shared"
-        folder.mkdir()
+        scenario = await DrainScenario().start()
+        shared_dir = tmp_path / "shared"
+        shared_dir.mkdir()
         with contextlib.closing(socket.create_server((HOST, 0), backlog=512)) as listening:
             port = listening.getsockname()[1]
             old, new = (
                 Process(
                     tmp_path / name,
-                    stage.config(LEAST),
-                    descriptors=LEAST,
+                    scenario.sidecar_config(MIN_SOCKETS),
+                    descriptors=MIN_SOCKETS,
                     inherited=listening,
-                    folder=folder,
+                    shared_dir=shared_dir,
                 )
                 for name in ("old", "new")
             )
-            async with old, Crowd(port):
-                await wait_until(lambda: stage.discovery.fake.received)
-                asking = Asking(port)
-                stage.discovery.down()
-                await old.heard(b"discovery failed")
+            async with old, IdleClients(port):
+                await wait_until(lambda: scenario.discovery.fake.received)
+                requests = RequestLoop(port)
+                scenario.discovery.down()
+                await old.wait_for_log(b"discovery failed")
                 async with new:
-                    async with Peak(old, new) as peak:
+                    async with DescriptorPeak(old, new) as peak:
                         for process in (old, new):
-                            assert await operators_heard(process)
-                        await asking.go_on(20)
-                        await wait_until(lambda: len(stage.drains.came) >= 10)
-                        back = await stage.drain_unseen_and_come_back(old, new)
-                        assert await stage.drain_kept(back, asking)
-                    assert peak.most < LEAST
+                            assert await management_responds(process)
+                        await requests.wait_for_responses(20)
+                        await wait_until(lambda: len(scenario.draining_server.arrivals) >= 10)
+                        restarted_at = await scenario.restart_discovery_with_drain(old, new)
+                        assert await scenario.drain_is_respected(restarted_at, requests)
+                    assert peak.maximum < MIN_SOCKETS
                     old.process.send_signal(signal.SIGTERM)
                     assert await old.process.wait() == 0
-                    await asking.go_on(20)
-                    assert await operators_heard(new)
-                    await asking.end()
-            assert stage.all_lived(asking)
+                    await requests.wait_for_responses(20)
+                    assert await management_responds(new)
+                    await requests.stop()
+            assert scenario.each_request_ran_once_and_was_answered(requests)
 
     run(play())
 
 
-def test_clients_that_all_come_in_one_turn_of_the_loop_take_no_descriptor_beyond_their_share(tmp_path):
-    """The process is stopped until all of them, an operator and a request wait at its sockets."""
+def test_clients_that_connect_in_one_loop_iteration_stay_within_their_share(tmp_path):
+    """The process is stopped until all clients, a management call and a request wait at its sockets."""
 
     async def play():
-        stage = await Stage().start()
-        async with Process(tmp_path / "c", stage.config(LEAST), descriptors=LEAST) as process:
-            await wait_until(lambda: stage.discovery.fake.received)
-            before = held(process)
+        scenario = await DrainScenario().start()
+        async with Process(
+            tmp_path / "c", scenario.sidecar_config(MIN_SOCKETS), descriptors=MIN_SOCKETS
+        ) as process:
+            await wait_until(lambda: scenario.discovery.fake.received)
+            before = open_descriptor_count(process)
             process.process.send_signal(signal.SIGSTOP)
-            crowd = [socket.socket() for _ in range(CROWD)]
-            for one in crowd:
-                one.setblocking(False)
-                one.connect_ex((HOST, process.port))
+            idle_clients = [socket.socket() for _ in range(IDLE_CLIENT_COUNT)]
+            for client in idle_clients:
+                client.setblocking(False)
+                client.connect_ex((HOST, process.port))
             calls = []
-            for port, said in ((process.operators, HEALTHY), (process.port, http_request("order", "a"))):
+            for port, call in (
+                (process.management_port, HEALTHCHECK),
+                (process.port, http_request("order", "a")),
+            ):
                 calls.append(socket.create_connection((HOST, port)))
-                calls[-1].sendall(said)
-            peak, over = 0, threading.Event()
+                calls[-1].sendall(call)
+            peak, sampling_ended = 0, threading.Event()
 
-            def look():
+            def sample():
                 nonlocal peak
-                while not over.is_set():
-                    peak = max(peak, held(process))
+                while not sampling_ended.is_set():
+                    peak = max(peak, open_descriptor_count(process))
 
-            looking = threading.Thread(target=look)
-            looking.start()
+            sampler = threading.Thread(target=sample)
+            sampler.start()
             process.process.send_signal(signal.SIGCONT)
             for sock in calls:
                 reader, writer = await asyncio.open_connection(sock=sock)
-                async with asyncio.timeout(OPERATORS_WITHIN):
+                async with asyncio.timeout(MANAGEMENT_TIMEOUT_S):
                     assert (await read_message(reader)).code == 200
                 writer.close()
-            share = Descriptors(LEAST).max_clients
-            await wait_until(lambda: peak > before + share // 2)  # it may not have looked yet
-            over.set()
-            looking.join()
+            share = Descriptors(MIN_SOCKETS).max_clients
+            await wait_until(lambda: peak > before + share // 2)  # it may not have sampled yet
+            sampling_ended.set()
+            sampler.join()
             assert peak < before + share + 20
-            for one in crowd:
-                one.close()
+            for client in idle_clients:
+                client.close()
 
     run(play())
 
 
-class Burdened(Process):
-    """A process whose descriptors from `LEFT` on are held from the start, by what it does not know of."""
+class OccupiedProcess(Process):
+    """A process whose descriptors from `UNOCCUPIED` on are occupied from its start, unknown to it."""
 
     def _limit(self):
         super()._limit()
-        for number in range(LEFT, self.descriptors):
+        for number in range(UNOCCUPIED, self.descriptors):
             os.dup2(0, number)
 
 
-@pytest.mark.parametrize("short", [False, True], ids=["by-count", "no-descriptor-left"])
-def test_a_sidecar_full_of_idle_clients_rests(tmp_path, short):
-    """Nobody comes again and nobody is ended, discovery up or down; then with no descriptor at accept."""
+@pytest.mark.parametrize("without_descriptors", [False, True], ids=["by-count", "no-free-descriptor"])
+def test_a_sidecar_full_of_idle_clients_uses_hardly_any_processor_time(tmp_path, without_descriptors):
+    """Guards against a busy loop while no client connects or is closed, with discovery up and down.
+
+    In the second case accept() fails because no descriptor is free.
+    """
 
     async def play():
-        (tmp_path / "o.toml").write_text(CALM)
-        stage = await Stage().start()
-        # With what is held already, clients may hold more by the count than there is.
-        kind = Burdened if short else Process
-        process = kind(tmp_path / "c", stage.config(LEAST), descriptors=LEAST)
+        (tmp_path / "o.toml").write_text(LONG_TIMEOUTS)
+        scenario = await DrainScenario().start()
+        # With occupied descriptors, the process allows clients more descriptors than there are.
+        process_class = OccupiedProcess if without_descriptors else Process
+        process = process_class(tmp_path / "c", scenario.sidecar_config(MIN_SOCKETS), descriptors=MIN_SOCKETS)
         process.arguments = ["--config", str(tmp_path / "o.toml")]
         async with process:
-            await wait_until(lambda: stage.discovery.fake.received)
-            empty = await used(process)
-            share = Descriptors(LEAST).max_clients
+            await wait_until(lambda: scenario.discovery.fake.received)
+            empty = await cpu_share(process)
+            share = Descriptors(MIN_SOCKETS).max_clients
 
             def is_full():
-                is_most = not free(process, LEAST) if short else len(crowd.here) == share
-                return is_most and crowd.is_taken_in(process)
+                at_limit = (
+                    not free_descriptors(process, MIN_SOCKETS)
+                    if without_descriptors
+                    else len(idle_clients.connected) == share
+                )
+                return at_limit and idle_clients.all_accepted_by(process)
 
-            def of_discovery():
-                ports = connections(process).items()
-                return {number for number, (_, other) in ports if other == stage.discovery.port}
+            def discovery_descriptors():
+                ports = tcp_connections(process).items()
+                return {number for number, (_, other) in ports if other == scenario.discovery.port}
 
-            async with Crowd(process.port, again=False) as crowd:
+            async with IdleClients(process.port, reconnects=False) as idle_clients:
                 await wait_until(is_full)
-                clients = set(crowd.here)
-                assert not short or len(clients) < share
-                full = await used(process)
-                await wait_until(of_discovery)
-                calling = of_discovery()
-                assert set(crowd.here) == clients
-                stage.discovery.down()
-                await process.heard(b"discovery failed")
-                down = await used(process)
-                assert set(crowd.here) == clients and crowd.came == CROWD
-                # What its calls held is all that may be free: they are made again, and nobody else comes.
-                assert not short or free(process, LEAST) <= calling
-                assert max(full, down) < empty + REST, (empty, full, down)
-            asking = Asking(process.port)
-            await asking.go_on(20)
-            await asking.end()
+                clients = set(idle_clients.connected)
+                assert not without_descriptors or len(clients) < share
+                full = await cpu_share(process)
+                await wait_until(discovery_descriptors)
+                polling = discovery_descriptors()
+                assert set(idle_clients.connected) == clients
+                scenario.discovery.down()
+                await process.wait_for_log(b"discovery failed")
+                down = await cpu_share(process)
+                assert (
+                    set(idle_clients.connected) == clients
+                    and idle_clients.connection_count == IDLE_CLIENT_COUNT
+                )
+                # Only descriptors of calls to discovery may be free, between retries: no client connects.
+                assert not without_descriptors or free_descriptors(process, MIN_SOCKETS) <= polling
+                assert max(full, down) < empty + MAX_IDLE_CPU_SHARE, (empty, full, down)
+            requests = RequestLoop(process.port)
+            await requests.wait_for_responses(20)
+            await requests.stop()
 
     run(play())
 
 
-def test_a_limit_lowered_under_idle_clients_leaves_what_operators_and_requests_need(tmp_path):
-    """Clients with their share of the old limit held all of the new one: all others were ended at accept.
+def test_a_lowered_limit_evicts_idle_clients_and_leaves_room_for_operators_and_requests(tmp_path):
+    """Guards against clients that keep their share of the old limit and so use all of the new, lower one.
 
-    What is owed an answer does not give way.
+    All other connections were then closed at accept. A connection that waits for its response is not evicted.
     """
 
     async def play():
-        (tmp_path / "o.toml").write_text(CALM)
-        stage = await Stage().start()
-        process = Process(tmp_path / "c", stage.config(LEAST), descriptors=LEAST)
+        (tmp_path / "o.toml").write_text(LONG_TIMEOUTS)
+        scenario = await DrainScenario().start()
+        process = Process(tmp_path / "c", scenario.sidecar_config(MIN_SOCKETS), descriptors=MIN_SOCKETS)
         process.arguments = ["--config", str(tmp_path / "o.toml")]
 
-        def taken_in():
-            return sum(own == process.port for own, _ in connections(process).values())
+        def accepted_count():
+            return sum(own == process.port for own, _ in tcp_connections(process).values())
 
         async with process:
-            await wait_until(lambda: stage.discovery.fake.received)
-            async with Crowd(process.port):
-                stage.stays.takes = stage.drains.takes = 2.0
-                owed = asyncio.create_task(
+            await wait_until(lambda: scenario.discovery.fake.received)
+            async with IdleClients(process.port):
+                scenario.remaining_server.response_time_s = scenario.draining_server.response_time_s = 2.0
+                pending = asyncio.create_task(
                     send_request(process.port, http_request("order", "f" * 16, "30000m"))
                 )
-                await wait_until(lambda: stage.stays.came or stage.drains.came)
-                stage.stays.takes, stage.drains.takes = 0.02, 0.0
-                await wait_until(lambda: taken_in() >= Descriptors(LEAST).max_clients)
-                assert held(process) > LOWERED
-                resource.prlimit(pid_of(process), resource.RLIMIT_NOFILE, (LOWERED, LOWERED))
                 await wait_until(
-                    lambda: taken_in() <= Descriptors(LOWERED).max_clients, "clients keep what they had"
+                    lambda: scenario.remaining_server.arrivals or scenario.draining_server.arrivals
+                )
+                scenario.remaining_server.response_time_s, scenario.draining_server.response_time_s = (
+                    0.02,
+                    0.0,
+                )
+                await wait_until(lambda: accepted_count() >= Descriptors(MIN_SOCKETS).max_clients)
+                assert open_descriptor_count(process) > LOWERED_LIMIT
+                resource.prlimit(pid_of(process), resource.RLIMIT_NOFILE, (LOWERED_LIMIT, LOWERED_LIMIT))
+                await wait_until(
+                    lambda: accepted_count() <= Descriptors(LOWERED_LIMIT).max_clients,
+                    "idle clients were not evicted",
                 )
-                async with Peak(process) as peak:
-                    assert await operators_heard(process)
-                    asking = Asking(process.port)
-                    await asking.go_on(20)
-                    stage.discovery.down()
-                    await process.heard(b"discovery failed")
-                    back = await stage.drain_unseen_and_come_back(process)
-                    assert await stage.drain_kept(back, asking)
-                    assert await operators_heard(process)
-                    await asking.end()
-                assert peak.most < LOWERED
-                assert (await owed).code == 200
+                async with DescriptorPeak(process) as peak:
+                    assert await management_responds(process)
+                    requests = RequestLoop(process.port)
+                    await requests.wait_for_responses(20)
+                    scenario.discovery.down()
+                    await process.wait_for_log(b"discovery failed")
+                    restarted_at = await scenario.restart_discovery_with_drain(process)
+                    assert await scenario.drain_is_respected(restarted_at, requests)
+                    assert await management_responds(process)
+                    await requests.stop()
+                assert peak.maximum < LOWERED_LIMIT
+                assert (await pending).code == 200
 
     run(play())
 
 
-class Silent:
-    """A client's connection without a socket, which has said nothing."""
+class SilentConnection:
+    """A client connection without a socket, on which nothing has been received."""
 
     message_begun = head_completed = has_sent_request = paused = idle = closable = known = False
     message_size, host = 0, HOST
@@ -564,8 +617,8 @@
         self.clients.remove(self)
 
 
-class LatestFirst:
-    """A connection admission that lets all in, and by whose rule the latest goes."""
+class EvictLatestFirst:
+    """A connection admission that admits all connections and evicts the latest one first."""
 
     def admit(self, *_):
         return None
@@ -580,78 +633,90 @@
         return key.known
 
 
-@pytest.mark.parametrize("gate", [None, LatestFirst()], ids=["no-gate", "gate"])
-def test_clients_are_cut_down_to_a_smaller_share_in_steps_and_none_that_is_served(gate):
-    clients = Clients(Descriptors(LEAST))
-    clients.admission = gate
-    come = [Silent(clients, serving=number % 10 == 0) for number in range(clients.descriptors.max_clients)]
-    for one in come:
-        clients.add(one)
+@pytest.mark.parametrize("admission", [None, EvictLatestFirst()], ids=["no-admission", "admission"])
+def test_idle_clients_are_evicted_in_steps_down_to_a_smaller_share(admission):
+    clients = Clients(Descriptors(MIN_SOCKETS))
+    clients.admission = admission
+    connections = [
+        SilentConnection(clients, serving=number % 10 == 0)
+        for number in range(clients.descriptors.max_clients)
+    ]
+    for connection in connections:
+        clients.add(connection)
     clients.sweep()
-    assert list(clients.connections) == come
-    clients.descriptors.system_limit = lambda: LOWERED
+    assert list(clients.connections) == connections
+    clients.descriptors.system_limit = lambda: LOWERED_LIMIT
     clients.sweep()
-    assert len(clients.connections) == len(come) - MAX_EVICTIONS_PER_SWEEP
-    for _ in range(len(come) // MAX_EVICTIONS_PER_SWEEP):
+    assert len(clients.connections) == len(connections) - MAX_EVICTIONS_PER_SWEEP
+    for _ in range(len(connections) // MAX_EVICTIONS_PER_SWEEP):
         clients.sweep()
-    share = Descriptors(LOWERED).max_clients
-    served, silent = ([one for one in come if one.serving is serving] for serving in (True, False))
-    left = share - len(served)
-    assert set(clients.connections) == {*served, *(silent[:left] if gate else silent[-left:])}
-    for one in served:
-        one.serving = False
+    share = Descriptors(LOWERED_LIMIT).max_clients
+    served, silent = (
+        [connection for connection in connections if connection.serving is serving]
+        for serving in (True, False)
+    )
+    free_share = share - len(served)
+    assert set(clients.connections) == {
+        *served,
+        *(silent[:free_share] if admission else silent[-free_share:]),
+    }
+    for connection in served:
+        connection.serving = False
     clients.sweep()
     assert len(clients.connections) == clients.descriptors.connected == share
 
 
-def test_no_known_client_gives_way_to_a_connection_that_is_not_accepted_yet():
-    """With no descriptor at accept, unknown ones of the same turn are no clients yet: the known one went."""
-    clients = Clients(Descriptors(LEAST))
-    clients.admission = LatestFirst()
-    come = [Silent(clients, serving=False) for _ in range(3)]
-    for one in come:
-        clients.add(one)
-    come[0].known = True
+def test_no_known_client_is_evicted_for_a_connection_that_is_not_accepted_yet():
+    """Guards against the eviction of a known client when accept() fails because no descriptor is free.
+
+    Unknown connections of the same loop iteration are not clients yet, so the known one was evicted.
+    """
+    clients = Clients(Descriptors(MIN_SOCKETS))
+    clients.admission = EvictLatestFirst()
+    connections = [SilentConnection(clients, serving=False) for _ in range(3)]
+    for connection in connections:
+        clients.add(connection)
+    connections[0].known = True
     while clients.evict_for_new_connection():
         pass
-    assert list(clients.connections) == [come[0]]
-    assert clients.evict_one()  # for what has been taken it does
+    assert list(clients.connections) == [connections[0]]
+    assert clients.evict_one()  # for a connection that has been accepted it is evicted
 
 
-def test_the_count_goes_by_what_the_system_gives(monkeypatch):
+def test_descriptors_are_lowered_to_the_limit_of_the_system(monkeypatch):
     descriptors = Descriptors(1024)
-    descriptors.lower_to(LEAST)
+    descriptors.lower_to(MIN_SOCKETS)
     assert (
-        descriptors.limit == Descriptors(LEAST).limit
-        and descriptors.max_clients == Descriptors(LEAST).max_clients
+        descriptors.limit == Descriptors(MIN_SOCKETS).limit
+        and descriptors.max_clients == Descriptors(MIN_SOCKETS).max_clients
     )
-    descriptors.lower_to(2 * LEAST)
-    assert descriptors.total == LEAST
+    descriptors.lower_to(2 * MIN_SOCKETS)
+    assert descriptors.total == MIN_SOCKETS
     monkeypatch.setattr(resource, "getrlimit", lambda _: (300, 400))
     assert system_limit() == 300
     monkeypatch.setattr(resource, "getrlimit", lambda _: (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
     assert system_limit() is None
 
 
-def test_so_it_is_while_attempts_hold_what_clients_leave(tmp_path):
-    """By the count no descriptor is left for another attempt; discovery's calls are not of that count."""
+def test_discovery_recovery_is_noticed_while_attempts_use_the_remaining_descriptors(tmp_path):
+    """Guards against calls to discovery without descriptors while attempts use all that the count allows."""
 
     async def play():
-        async def hold(got, reader, writer):
-            await go.wait()
+        async def wait_for_release(got, reader, writer):
+            await release.wait()
             await answer_ok(got, reader, writer)
 
-        go = asyncio.Event()
-        share = Descriptors(LEAST).max_clients
-        servers = [await FakePeer(hold).start() for _ in range(share)]
-        listed = [entry(f"s{number}", server.address) for number, server in enumerate(servers)]
-        discovery = await Discovery(endpoint_update(1, *listed)).start()
-        data = config(endpoint_update(1, *listed), discovery.address, management=f"{HOST}:0")
-        data["limits"]["sockets"] = LEAST
-        async with Process(tmp_path / "c", data, descriptors=LEAST) as process:
+        release = asyncio.Event()
+        share = Descriptors(MIN_SOCKETS).max_clients
+        servers = [await FakePeer(wait_for_release).start() for _ in range(share)]
+        entries = [entry(f"s{number}", server.address) for number, server in enumerate(servers)]
+        discovery = await Discovery(endpoint_update(1, *entries)).start()
+        data = config(endpoint_update(1, *entries), discovery.address, management=f"{HOST}:0")
+        data["limits"]["sockets"] = MIN_SOCKETS
+        async with Process(tmp_path / "c", data, descriptors=MIN_SOCKETS) as process:
             await wait_until(lambda: discovery.fake.received)
             ports = {server.port for server in servers}
-            asked = [
+            responses = [
                 asyncio.create_task(
                     send_request(process.port, http_request("order", f"{number:016x}", "30000m"))
                 )
@@ -659,23 +724,25 @@
             ]
             await wait_until(lambda: sum(len(server.received) for server in servers) == share)
 
-            def held_each():
-                """Connections to clients, and attempts."""
-                ends = connections(process).values()
+            def connection_counts():
+                """Return the number of connections from clients and of those to servers."""
+                ends = tcp_connections(process).values()
                 return sum(own == process.port for own, _ in ends), sum(other in ports for _, other in ends)
 
-            await wait_until(lambda: held_each() == (share, share))
-            async with Crowd(process.port), Peak(process) as peak:
+            await wait_until(lambda: connection_counts() == (share, share))
+            async with IdleClients(process.port), DescriptorPeak(process) as peak:
                 discovery.down()
-                await process.heard(b"discovery failed")
-                assert await operators_heard(process)
-                back = monotonic()
-                await discovery.up(endpoint_update(2, *listed))
-                await wait_until(lambda: discovery.told)
-                assert discovery.told[0] - back < TOLD_WITHIN + GRACE + SLACK
-                assert await operators_heard(process)
-            assert peak.most < LEAST
-            go.set()
-            assert {(await one).code for one in asked} == {200}
+                await process.wait_for_log(b"discovery failed")
+                assert await management_responds(process)
+                restarted_at = monotonic()
+                await discovery.up(endpoint_update(2, *entries))
+                await wait_until(lambda: discovery.sent_at)
+                assert (
+                    discovery.sent_at[0] - restarted_at < DISCOVERY_RECOVERY_S + DRAIN_GRACE_S + TIMER_SLACK_S
+                )
+                assert await management_responds(process)
+            assert peak.maximum < MIN_SOCKETS
+            release.set()
+            assert {(await response).code for response in responses} == {200}
 
     run(play())
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Several processes that are one sidecar: what they hand over, what they count, and how they part."""
+"""Hot restart: what the processes of one sidecar hand over, how they share limits, and how they end."""
 
 import asyncio
 import contextlib
@@ -40,11 +40,11 @@
 
 
 @contextlib.asynccontextmanager
-async def process(folder, pid, listed=None):
-    """A process of a sidecar as the others see it: its links, and the list it inherited."""
-    inheritance = Inheritance(listed, None)
+async def process(shared_dir, pid, endpoint_list=None):
+    """One process of a sidecar: its `HotRestart`, and the endpoint list that it inherited."""
+    inheritance = Inheritance(endpoint_list, None)
     loop = asyncio.get_running_loop()
-    hot_restart = HotRestart(loop, str(folder), usage(), lambda: inheritance, pid)
+    hot_restart = HotRestart(loop, str(shared_dir), usage(), lambda: inheritance, pid)
     inherited = await hot_restart.start()
     try:
         yield hot_restart, inherited
@@ -52,7 +52,7 @@
         hot_restart.close()
 
 
-def test_a_new_process_inherits_the_list_and_both_count_as_one(tmp_path):
+def test_a_new_process_inherits_the_endpoint_list_and_shares_the_limits(tmp_path):
     async def play():
         async with process(tmp_path, 1, {"index": 5}) as (old, inherited):
             assert inherited is None and old.usage.descriptors.limit == 334
@@ -79,8 +79,8 @@
     run(play())
 
 
-def test_stale_sockets_and_invalid_messages_do_no_harm(tmp_path):
-    """A file whose process was killed, a file that is none, and a peer that talks nonsense."""
+def test_stale_socket_files_and_invalid_greetings_are_ignored(tmp_path):
+    """Guards against a start that fails on a killed process's socket, another file or an invalid greeting."""
 
     async def play():
         dead = socket.socket(socket.AF_UNIX)
@@ -88,12 +88,12 @@
         dead.close()
         (tmp_path / "sidecar-8.sock").write_text("no socket")
 
-        async def nonsense(reader, writer):
+        async def send_invalid_greeting(reader, writer):
             writer.write(b'{"pid":"x"}\n')
             await reader.read()
             writer.close()
 
-        server = await asyncio.start_unix_server(nonsense, str(tmp_path / "sidecar-9.sock"))
+        server = await asyncio.start_unix_server(send_invalid_greeting, str(tmp_path / "sidecar-9.sock"))
         async with process(tmp_path, 1) as (hot_restart, inherited):
             assert inherited is None
             await wait_until(lambda: not hot_restart.links)
@@ -103,7 +103,7 @@
     run(play())
 
 
-def test_a_peer_that_says_nothing_does_not_keep_a_new_process_waiting(tmp_path):
+def test_a_process_starts_although_a_peer_sends_no_greeting(tmp_path):
     async def play():
         silent = socket.socket(socket.AF_UNIX)
         silent.bind(str(tmp_path / "sidecar-9.sock"))
@@ -115,48 +115,48 @@
     run(play())
 
 
-def test_the_list_that_is_inherited_reads_as_it_was():
-    names = EndpointIds(["a", "b"], ["std"])
+def test_an_endpoint_list_is_unchanged_by_parsing_and_formatting():
+    ids = EndpointIds(["a", "b"], ["std"])
     written = endpoint_update(
         7,
         entry("s1", "127.0.0.1:1", since_ms=5, group=3, zone="b"),
         entry("s2", "127.0.0.1:2", status="DRAINING"),
     )
-    assert format_endpoint_list(7, parse_endpoint_update(written, names).entries, names) == written
+    assert format_endpoint_list(7, parse_endpoint_update(written, ids).entries, ids) == written
 
 
-def test_a_new_process_knows_what_the_old_one_was_notified_of(tmp_path):
-    """Its own configuration names a server that has left; the old process knows the present one."""
+def test_a_new_process_prefers_the_inherited_list_to_its_configuration(tmp_path):
+    """Guards against a request to a server that has left and is still named in the configuration."""
 
     async def play():
-        fake = await FakePeer(answer_ok).start()
-        gone = await FakePeer(answer_ok).start()
+        present = await FakePeer(answer_ok).start()
+        departed = await FakePeer(answer_ok).start()
         listening = socket.create_server((HOST, 0))
         port = listening.getsockname()[1]
-        folder = tmp_path / "run"
-        folder.mkdir()
-        fresh = config(endpoint_update(5, entry("s2", fake.address)), management=f"{HOST}:0")
-        stale = config(endpoint_update(1, entry("s1", gone.address)), management=f"{HOST}:0")
-        shared = {"inherited": listening, "folder": folder}
+        shared_dir = tmp_path / "run"
+        shared_dir.mkdir()
+        current_config = config(endpoint_update(5, entry("s2", present.address)), management=f"{HOST}:0")
+        outdated_config = config(endpoint_update(1, entry("s1", departed.address)), management=f"{HOST}:0")
+        shared = {"inherited": listening, "shared_dir": shared_dir}
         async with (
-            Process(tmp_path / "a", fresh, **shared) as old,
-            Process(tmp_path / "b", stale, **shared) as new,
+            Process(tmp_path / "a", current_config, **shared) as old,
+            Process(tmp_path / "b", outdated_config, **shared) as new,
         ):
-            old.process.kill()  # at any moment, with its file left behind
+            old.process.kill()  # its socket file remains
             await old.process.wait()
             for n in range(5):
                 assert (await send_request(port, http_request("order", f"id{n}"))).code == 200
-            async with Process(tmp_path / "c", stale, **shared) as newest:
-                assert len(os.listdir(folder)) == 2  # the killed one's is gone
+            async with Process(tmp_path / "c", outdated_config, **shared) as newest:
+                assert len(os.listdir(shared_dir)) == 2  # that of the killed process is removed
                 new.process.send_signal(signal.SIGTERM)
                 for n in range(50):
                     assert (await send_request(port, http_request("order", f"more{n}"))).code == 200
                 assert await new.process.wait() == 0
                 assert (
-                    await send_request(newest.operators, b"GET /healthcheck HTTP/1.1\r\n\r\n")
+                    await send_request(newest.management_port, b"GET /healthcheck HTTP/1.1\r\n\r\n")
                 ).code == 200
-                assert len(os.listdir(folder)) == 1
-        assert not gone.received and len(fake.received) == 55
+                assert len(os.listdir(shared_dir)) == 1
+        assert not departed.received and len(present.received) == 55
         listening.close()
 
     run(play())
@@ -164,11 +164,11 @@
 
 @pytest.fixture
 def recorded():
-    """The greeting of a process of the version before the modules were renamed (commit e51ca60)."""
+    """The greeting of a process of an earlier version (commit e51ca60)."""
     return RECORDED.read_bytes()
 
 
-def test_a_greeting_of_the_version_before_is_inherited(tmp_path, recorded):
+def test_a_greeting_of_an_earlier_version_is_accepted(tmp_path, recorded):
     async def play():
         async def greet(reader, writer):
             writer.write(recorded)
@@ -182,8 +182,8 @@
             assert update.version == 7 and update.complete
             endpoints = [record.endpoint for record in update.entries]
             assert [record.name for record in update.entries] == ["s1", "s2", "s3"]
-            assert [one.state for one in endpoints] == [State.READY, State.DRAINING, State.READY]
-            assert [(one.cell, one.zone, one.weight) for one in endpoints] == [
+            assert [endpoint.state for endpoint in endpoints] == [State.READY, State.DRAINING, State.READY]
+            assert [(endpoint.cell, endpoint.zone, endpoint.weight) for endpoint in endpoints] == [
                 (3, 1, 1.0),
                 (1, 0, 1.0),
                 (1, 0, 0.5),
@@ -197,10 +197,10 @@
     run(play())
 
 
-def test_a_greeting_has_the_form_of_the_version_before_byte_for_byte(recorded):
+def test_a_greeting_is_byte_for_byte_that_of_an_earlier_version(recorded):
     greeting = json.loads(recorded)
-    names = EndpointIds(["a", "b"], ["std"])
-    update = parse_endpoint_update(greeting["list"], names)
-    written = format_endpoint_list(update.version, update.entries, names)
+    ids = EndpointIds(["a", "b"], ["std"])
+    update = parse_endpoint_update(greeting["list"], ids)
+    written = format_endpoint_list(update.version, update.entries, ids)
     assert format_greeting(14024, Inheritance(written, greeting["known"]), (2, 1, 0)) == recorded
     assert format_usage((2, 1, 0)) == b'{"holds":[2,1,0]}\n'
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The operators' address: its calls, its strictness, its bounds, and what the figures say."""
+"""The management interface: its calls, their validation, its limits, and the statistics."""
 
 import asyncio
 import contextlib
@@ -34,8 +34,8 @@
 
 
 @contextlib.asynccontextmanager
-async def managed(sidecar):
-    """The operators' listener of a sidecar: its port."""
+async def management_interface(sidecar):
+    """Serve the management interface of a sidecar, and yield its port."""
     loop = asyncio.get_running_loop()
     listener = Management(loop, sidecar.engine)
     server = await loop.create_server(listener.connection, HOST, 0)
@@ -46,13 +46,13 @@
         listener.close()
 
 
-async def figures(port):
+async def read_statistics(port):
     got = await send_request(port, call("GET", "/stats"))
     assert got.code == 200
     return {name: int(value) for name, value in (line.split("=") for line in got.body.decode().split())}
 
 
-def test_rendering_lists_every_class_from_nought():
+def test_statistics_list_every_class_from_the_start():
     stats = Stats(["a", "b"])
     stats.add_frontend("http")
     stats.ended(1, Disposition.DECLINED, stats.add_frontend("lines"))
@@ -77,55 +77,55 @@
     ]
 
 
-def test_the_figures_follow_what_clients_and_servers_saw(tmp_path):
+def test_statistics_match_what_clients_and_servers_saw(tmp_path):
     async def play():
         async def act(message, reader, writer):
-            ident = message.headers["x-request-id"]
-            if ident == "held":
-                await go.wait()
-            if ident == "full":
+            request_id = message.headers["x-request-id"]
+            if request_id == "held":
+                await release.wait()
+            if request_id == "full":
                 writer.write(http_response(503, b"", "X-Not-Run: 1"))
             else:
-                writer.write(http_response(500 if ident == "bad" else 200, b"x"))
+                writer.write(http_response(500 if request_id == "bad" else 200, b"x"))
 
-        go = asyncio.Event()
+        release = asyncio.Event()
         fake = await FakePeer(act).start()
         data = config(endpoint_update(1, entry("s1", fake.address)))
-        async with Sidecar(tmp_path / "c", data) as sidecar, managed(sidecar) as port:
+        async with Sidecar(tmp_path / "c", data) as sidecar, management_interface(sidecar) as port:
             assert (await send_request(sidecar.port, http_request("order", "good"))).code == 200
             assert (await send_request(sidecar.port, http_request("order", "good"))).code == 409
             assert (await send_request(sidecar.port, http_request("order", "bad"))).code == 502
             assert (await send_request(sidecar.port, http_request("hold", "full", "300m"))).code == 503
-            held = asyncio.create_task(send_request(sidecar.port, http_request("lookup", "held")))
+            pending = asyncio.create_task(send_request(sidecar.port, http_request("lookup", "held")))
             await wait_until(lambda: any(got.headers["x-request-id"] == "held" for got in fake.received))
-            seen = await figures(port)
-            assert seen["app.results.order.succeeded"] == 1
-            assert seen["app.results.order.aborted"] == 2
-            assert seen["app.results.hold.declined"] == 1
-            assert seen["app.results.lookup.succeeded"] == 0
-            assert seen["app.outstanding"] == 1 and seen["app.discovered"] == 1
-            assert seen["app.forwards"] == len(fake.received)
-            go.set()
-            assert (await held).code == 200
-            assert (await figures(port))["app.outstanding"] == 0
+            statistics = await read_statistics(port)
+            assert statistics["app.results.order.succeeded"] == 1
+            assert statistics["app.results.order.aborted"] == 2
+            assert statistics["app.results.hold.declined"] == 1
+            assert statistics["app.results.lookup.succeeded"] == 0
+            assert statistics["app.outstanding"] == 1 and statistics["app.discovered"] == 1
+            assert statistics["app.forwards"] == len(fake.received)
+            release.set()
+            assert (await pending).code == 200
+            assert (await read_statistics(port))["app.outstanding"] == 0
 
     run(play())
 
 
-def test_an_ejected_server_shows(tmp_path):
+def test_an_ejected_server_is_counted(tmp_path):
     async def play():
         fake = await FakePeer(never_answer).start()
         entries = [entry(f"s{n}", fake.address) for n in range(3)]
         async with (
             Sidecar(tmp_path / "c", config(endpoint_update(1, *entries))) as sidecar,
-            managed(sidecar) as port,
+            management_interface(sidecar) as port,
         ):
-            assert (await figures(port))["app.ejected"] == 0
+            assert (await read_statistics(port))["app.ejected"] == 0
             sidecar.engine.balancer.outlier_detector.eject(
                 next(iter(sidecar.engine.balancer.endpoints.servers.values()))
             )
-            seen = await figures(port)
-            assert seen["app.ejected"] == 1 and seen["app.discovered"] == 3
+            statistics = await read_statistics(port)
+            assert statistics["app.ejected"] == 1 and statistics["app.discovered"] == 3
 
     run(play())
 
@@ -144,9 +144,12 @@
         (b"POST /healthcheck/ok HTTP/1.1\r\nContent-Length: 2\r\n\r\nok", 200),
     ],
 )
-def test_each_call_has_one_answer_and_ends(tmp_path, data, code):
+def test_each_call_gets_one_response_and_its_connection_is_closed(tmp_path, data, code):
     async def play():
-        async with Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar, managed(sidecar) as port:
+        async with (
+            Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar,
+            management_interface(sidecar) as port,
+        ):
             reader, writer = await asyncio.open_connection(HOST, port)
             writer.write(data)
             got = await read_message(reader)
@@ -157,26 +160,32 @@
     run(play())
 
 
-def test_silent_callers_are_let_go_and_keep_nobody_out(tmp_path, monkeypatch):
+def test_the_oldest_silent_connection_is_closed_for_a_new_one(tmp_path, monkeypatch):
     monkeypatch.setattr(management, "READ_TIMEOUT_S", 30.0)
 
     async def play():
-        async with Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar, managed(sidecar) as port:
+        async with (
+            Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar,
+            management_interface(sidecar) as port,
+        ):
             callers = [await asyncio.open_connection(HOST, port) for _ in range(management.MAX_CONNECTIONS)]
             callers[0][1].write(b"GET /sta")
             assert (await send_request(port, call("GET", "/healthcheck"))).code == 200
-            assert await callers[0][0].read() == b""  # the oldest made room
+            assert await callers[0][0].read() == b""  # the oldest was closed for the new one
             for _, writer in callers:
                 writer.close()
 
     run(play())
 
 
-def test_half_a_call_is_told_so_in_time(tmp_path, monkeypatch):
+def test_an_incomplete_call_times_out(tmp_path, monkeypatch):
     monkeypatch.setattr(management, "READ_TIMEOUT_S", 0.05)
 
     async def play():
-        async with Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar, managed(sidecar) as port:
+        async with (
+            Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar,
+            management_interface(sidecar) as port,
+        ):
             assert (await send_request(port, b"GET /sta")).code == 408
             reader, writer = await asyncio.open_connection(HOST, port)
             assert await reader.read() == b""
@@ -185,53 +194,58 @@
     run(play())
 
 
-def test_a_drain_empties_the_sidecar_and_can_be_undone(tmp_path, monkeypatch):
+def test_a_drain_closes_all_connections_and_can_be_undone(tmp_path, monkeypatch):
     monkeypatch.setattr(lifecycle, "IDLE_CLOSE_DELAY_S", 0.2)
 
     async def play():
         async def act(message, reader, writer):
             if message.headers["x-request-id"] == "held":
-                await go.wait()
+                await release.wait()
             writer.write(http_response(200, b"served"))
 
-        go = asyncio.Event()
+        release = asyncio.Event()
         fake = await FakePeer(act).start()
         data = config(endpoint_update(1, entry("s1", fake.address)))
-        async with Sidecar(tmp_path / "c", data) as sidecar, managed(sidecar) as port:
+        async with Sidecar(tmp_path / "c", data) as sidecar, management_interface(sidecar) as port:
             idle_reader, idle_writer = await asyncio.open_connection(HOST, sidecar.port)
-            half_reader, half_writer = await asyncio.open_connection(HOST, sidecar.port)
+            partial_reader, partial_writer = await asyncio.open_connection(HOST, sidecar.port)
             idle_writer.write(http_request("order", "first"))
             assert "connection" not in (await read_message(idle_reader)).headers
-            held = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
-            whole = http_request("order", "half", "3000m", b"body")
-            half_writer.write(whole[:30])
-            await wait_until(lambda: any(front.message_begun for front in sidecar.http.clients.connections))
+            pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
+            request = http_request("order", "half", "3000m", b"body")
+            partial_writer.write(request[:30])
+            await wait_until(
+                lambda: any(connection.message_begun for connection in sidecar.http.clients.connections)
+            )
             assert (await send_request(port, call("POST", "/healthcheck/fail"))).code == 200
             assert (await send_request(port, call("GET", "/healthcheck"))).code == 503
             assert (await send_request(sidecar.port, READY)).code == 503
-            got = await send_request(sidecar.port, http_request("order", "late"))  # within the front's delay
+            got = await send_request(sidecar.port, http_request("order", "late"))  # within IDLE_CLOSE_DELAY_S
             assert got.code == 200 and got.headers["connection"] == "close"
             assert await idle_reader.read() == b""
             await wait_until(lambda: sidecar.engine.lifecycle.closing_idle_connections)
-            half_writer.write(whole[30:])  # had begun: answered, not cut
-            assert (await read_message(half_reader)).headers["connection"] == "close"
+            partial_writer.write(request[30:])  # had begun before: it is answered
+            assert (await read_message(partial_reader)).headers["connection"] == "close"
             assert (await send_request(sidecar.port, http_request("order", "later"))).code == 503
-            go.set()
-            assert (await held).headers["connection"] == "close"
+            release.set()
+            assert (await pending).headers["connection"] == "close"
             await wait_until(lambda: not sidecar.http.clients.connections)
             assert (await send_request(port, call("POST", "/healthcheck/ok"))).code == 200
             assert (await send_request(sidecar.port, READY)).code == 200
             got = await send_request(sidecar.port, http_request("order", "again"))
             assert got.code == 200 and "connection" not in got.headers
-            for writer in (idle_writer, half_writer):
+            for writer in (idle_writer, partial_writer):
                 writer.close()
 
     run(play())
 
 
-def test_an_ending_process_cannot_be_called_back(tmp_path):
+def test_a_shutdown_cannot_be_undone(tmp_path):
     async def play():
-        async with Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar, managed(sidecar) as port:
+        async with (
+            Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar,
+            management_interface(sidecar) as port,
+        ):
             sidecar.engine.lifecycle.terminate()
             for path in ("/healthcheck/ok", "/healthcheck/fail"):
                 assert (await send_request(port, call("POST", path))).code == 503
@@ -240,21 +254,21 @@
     run(play())
 
 
-def test_a_request_that_the_system_still_holds_keeps_its_connection(tmp_path):
-    """Guards against a close that crosses a request."""
+def test_a_connection_with_an_unread_request_is_not_closed_as_idle(tmp_path):
+    """Guards against closing a connection as idle while a request waits in its receive buffer."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             await wait_until(lambda: sidecar.http.clients.connections)
-            (front,) = sidecar.http.clients.connections
-            assert front.closable
-            front.transport.pause_reading()
+            (connection,) = sidecar.http.clients.connections
+            assert connection.closable
+            connection.transport.pause_reading()
             writer.write(http_request("order", "unread"))
-            await wait_until(lambda: not front.closable)
+            await wait_until(lambda: not connection.closable)
             sidecar.http.clients.close_idle_connections()
-            front.transport.resume_reading()
+            connection.transport.resume_reading()
             assert (await read_message(reader)).code == 200
             writer.close()
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The programs themselves: `python -m ochreflow` from start to SIGTERM, and the adapter's start."""
+"""`python -m ochreflow` as a process, from start to SIGTERM, and the start of the simulator's adapter."""
 
 import asyncio
 import contextlib
@@ -43,19 +43,19 @@
 
 
 class Process:
-    """The real program, with the port that it says it listens at."""
+    """The sidecar as a process, with the ports that its log reports."""
 
-    def __init__(self, path, data, descriptors=None, inherited=None, folder=None):
+    def __init__(self, path, data, descriptors=None, inherited=None, shared_dir=None):
         path.write_text(json.dumps(data))
         self.path = path
         self.descriptors = descriptors
         self.inherited = inherited
-        self.folder = folder  # what the processes of a sidecar share
+        self.shared_dir = shared_dir  # $TMPDIR of the processes that are one sidecar
         self.port = 0
-        self.operators = 0
+        self.management_port = 0
         self.arguments = []
-        self.lines = []  # of its log
-        self.said = asyncio.Condition()
+        self.lines = []  # of the log
+        self.log_changed = asyncio.Condition()
 
     def _limit(self):
         if self.descriptors is not None:
@@ -63,7 +63,7 @@
 
     def _inherited_environment(self):
         environment = {"GW_FD": str(self.inherited.fileno())} if self.inherited else {}
-        return {**environment, "TMPDIR": str(self.folder)} if self.folder else environment
+        return {**environment, "TMPDIR": str(self.shared_dir)} if self.shared_dir else environment
 
     async def __aenter__(self):
         self.process = await asyncio.create_subprocess_exec(
@@ -78,33 +78,33 @@
             pass_fds=[self.inherited.fileno()] if self.inherited else [],
         )
         self.log = asyncio.create_task(self._read())
-        await self.heard(rb"listen(s at|ing)")
+        await self.wait_for_log(rb"listen(s at|ing)")
         return self
 
     async def _read(self):
-        """All of its log; what it says of its ports is noted."""
+        """Read and return the whole log, and note the ports that it reports."""
         async for line in self.process.stderr:
-            for name, before in (("operators", rb"management interface is at"), ("port", rb"listens at")):
-                if match := re.search(before + rb" 127\.0\.0\.1:(\d+)", line):
+            for name, text in (("management_port", rb"management interface is at"), ("port", rb"listens at")):
+                if match := re.search(text + rb" 127\.0\.0\.1:(\d+)", line):
                     setattr(self, name, int(match[1]))
             if match := re.search(rb'"port": (\d+), "event": "listening"', line):
                 self.port = int(match[1])
-            async with self.said:
+            async with self.log_changed:
                 self.lines.append(line)
-                self.said.notify_all()
-        async with self.said:
-            self.said.notify_all()
+                self.log_changed.notify_all()
+        async with self.log_changed:
+            self.log_changed.notify_all()
         return b"".join(self.lines)
 
-    async def heard(self, pattern):
-        """Wait for a line that matches."""
-        async with self.said, asyncio.timeout(WAIT_TIMEOUT_S):
+    async def wait_for_log(self, pattern):
+        """Wait for a log line that matches."""
+        async with self.log_changed, asyncio.timeout(WAIT_TIMEOUT_S):
             while not any(re.search(pattern, line) for line in self.lines):
-                assert not self.log.done(), "it ended before it said so"
-                await self.said.wait()
+                assert not self.log.done(), "the process ended without a log line that matches"
+                await self.log_changed.wait()
 
-    async def rest(self):
-        """The lines of a process that has ended."""
+    async def all_lines(self):
+        """Return all log lines, once the process has ended."""
         await self.log
         return self.lines
 
@@ -118,70 +118,70 @@
     async def play():
         async def act(message, reader, writer):
             if message.headers["x-request-id"] == "held":
-                await go.wait()
+                await release.wait()
             writer.write(http_response(200, b"served"))
 
-        go = asyncio.Event()
+        release = asyncio.Event()
         fake = await FakePeer(act).start()
         async with Process(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             got = await send_request(sidecar.port, READY)
             assert got.code == 200 and "connection" not in got.headers
             idle_reader, idle_writer = await asyncio.open_connection(HOST, sidecar.port)
-            used_reader, used_writer = await asyncio.open_connection(HOST, sidecar.port)
-            held_reader, held_writer = await asyncio.open_connection(HOST, sidecar.port)
-            held_writer.write(http_request("order", "held"))
+            kept_reader, kept_writer = await asyncio.open_connection(HOST, sidecar.port)
+            pending_reader, pending_writer = await asyncio.open_connection(HOST, sidecar.port)
+            pending_writer.write(http_request("order", "held"))
             await wait_until(lambda: fake.received)
             sidecar.process.send_signal(signal.SIGTERM)
-            await sidecar.heard(b"terminating")  # a request may be read before a signal sent before it
+            await sidecar.wait_for_log(b"terminating")  # else a request may be read before the signal
             assert (await send_request(sidecar.port, READY)).code == 503
             got = await send_request(sidecar.port, http_request("order", "new"))
             assert got.code == 200
-            used_writer.write(http_request("order", "kept"))
-            got = await read_message(used_reader)
-            assert got.code == 200 and "connection" not in got.headers  # it may have nowhere else to go yet
-            assert await used_reader.read() == b""
-            assert await idle_reader.read() == b""  # closed when nothing more is taken
+            kept_writer.write(http_request("order", "kept"))
+            got = await read_message(kept_reader)
+            assert got.code == 200 and "connection" not in got.headers  # there may be no other process yet
+            assert await kept_reader.read() == b""
+            assert await idle_reader.read() == b""  # closed once no new connections are accepted
             with pytest.raises(OSError):
                 await asyncio.open_connection(HOST, sidecar.port)
             assert sidecar.process.returncode is None
-            go.set()
-            assert (await read_message(held_reader)).code == 200
-            assert await held_reader.read() == b""
+            release.set()
+            assert (await read_message(pending_reader)).code == 200
+            assert await pending_reader.read() == b""
             assert await sidecar.process.wait() == 0
             assert b"Traceback" not in await sidecar.log
-            for writer in (idle_writer, used_writer, held_writer):
+            for writer in (idle_writer, kept_writer, pending_writer):
                 writer.close()
 
     run(play())
 
 
-def test_a_planned_end_leaves_nothing_unanswered_when_the_platform_kills(tmp_path):
-    """Guards requests with longer deadlines than the platform waits before it kills."""
+def test_a_graceful_shutdown_ends_before_the_platform_kills_the_process(tmp_path):
+    """Guards against a request without a response, because its deadline is after the platform's kill."""
 
     async def play():
-        async def silent_always(message, reader, writer):
+        async def never_answer(message, reader, writer):
             await reader.read()
 
-        fake = await FakePeer(silent_always).start()
+        fake = await FakePeer(never_answer).start()
         async with Process(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
-            held = asyncio.create_task(send_request(sidecar.port, http_request("order", "held", "30000m")))
+            pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "held", "30000m")))
             await wait_until(lambda: fake.received)
             loop = asyncio.get_running_loop()
             start = loop.time()
             sidecar.process.send_signal(signal.SIGTERM)
-            assert (await held).code == 502
+            assert (await pending).code == 502
             assert await sidecar.process.wait() == 0
             assert loop.time() - start < 3.7
 
     run(play())
 
 
-def test_it_survives_running_out_of_descriptors(tmp_path):
+def test_the_process_survives_running_out_of_descriptors(tmp_path):
     async def play():
         fake = await FakePeer(answer_ok).start()
         data = config(endpoint_update(1, entry("s1", fake.address)))
         async with Process(tmp_path / "c", data) as sidecar:
-            # It counts with the limit that it finds at its start, so accept fails by a later one only.
+            # With a limit that the process finds at its start, accept() would not fail.
             resource.prlimit(sidecar.process.pid, resource.RLIMIT_NOFILE, (40, 40))
             assert (await send_request(sidecar.port, http_request("lookup", "before"))).code == 200
             flood = []
@@ -219,7 +219,7 @@
     ],
     ids=str,
 )
-def test_a_bad_configuration_is_one_line_and_a_failure(tmp_path, change):
+def test_an_invalid_configuration_prints_one_line_and_fails(tmp_path, change):
     path = tmp_path / "c"
     env = {**os.environ, "GW_CONFIG": str(path)}
     if isinstance(change, str):
@@ -235,7 +235,7 @@
     assert done.stderr.startswith(b"ochreflow: ") and done.stderr.count(b"\n") == 1
 
 
-def test_it_is_ready_while_discovery_is_down(tmp_path):
+def test_the_sidecar_is_ready_while_discovery_is_down(tmp_path):
     async def play():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(
@@ -247,51 +247,51 @@
     run(play())
 
 
-class Discovery:
-    """One that is of no use, in each way; what it gets is in `called`."""
+class UnresponsiveDiscovery:
+    """Discovery that never answers; `called` is set once a call is open or has failed."""
 
     def __init__(self):
-        self.called = asyncio.Event()  # a call is under way, or was broken
+        self.called = asyncio.Event()
 
     async def __aenter__(self):
-        self.server = await asyncio.start_server(self._meet, HOST, 0)
+        self.server = await asyncio.start_server(self._serve_call, HOST, 0)
         self.address = f"{HOST}:{self.server.sockets[0].getsockname()[1]}"
         return self
 
     async def __aexit__(self, *_):
         self.server.close()
 
-    async def _meet(self, reader, writer):
+    async def _serve_call(self, reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         self.write(writer)
         self.called.set()
         with contextlib.suppress(OSError):
-            await reader.read()  # until the sidecar lets go
+            await reader.read()  # until the sidecar closes the connection
         writer.close()
 
     def write(self, writer):
-        """It hangs."""
+        """Write nothing."""
 
 
-class Silent(Discovery):
-    """Half an answer, and no more."""
+class PartialDiscovery(UnresponsiveDiscovery):
+    """Sends half a response and no more."""
 
     def write(self, writer):
         writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{"index": 1,')
 
 
-class Unavailable(Discovery):
+class UnavailableDiscovery(UnresponsiveDiscovery):
     def write(self, writer):
         writer.write(http_response(503, b""))
 
 
-class Resetting(Discovery):
+class ResettingDiscovery(UnresponsiveDiscovery):
     def write(self, writer):
         reset(writer)
 
 
-class Refusing(Discovery):
-    """Nobody listens at its address."""
+class RefusingDiscovery(UnresponsiveDiscovery):
+    """Refuses connections: no socket listens at its address."""
 
     async def __aenter__(self):
         with socket.create_server((HOST, 0)) as sock:
@@ -303,33 +303,43 @@
         pass
 
 
-class Unconnected(Refusing):
-    """Connections to it never come up: its backlog is full, and it takes none."""
+class UnconnectedDiscovery(RefusingDiscovery):
+    """Never completes a connection: its backlog is full, and it accepts none."""
 
     async def __aenter__(self):
         self.sock = socket.socket()
         self.sock.bind((HOST, 0))
         self.sock.listen(0)
-        where = self.sock.getsockname()
-        self.address = f"{HOST}:{where[1]}"
+        address = self.sock.getsockname()
+        self.address = f"{HOST}:{address[1]}"
         self.waiting = []
         for _ in range(4):
-            one = socket.socket()
-            one.setblocking(False)
-            self.waiting.append(one)
+            client = socket.socket()
+            client.setblocking(False)
+            self.waiting.append(client)
             with contextlib.suppress(BlockingIOError):
-                one.connect(where)
+                client.connect(address)
         self.called.set()
         return self
 
     async def __aexit__(self, *_):
-        for one in (*self.waiting, self.sock):
-            one.close()
+        for sock in (*self.waiting, self.sock):
+            sock.close()
 
 
-@pytest.mark.parametrize("kind", [Refusing, Unconnected, Discovery, Silent, Resetting, Unavailable])
+@pytest.mark.parametrize(
+    "kind",
+    [
+        RefusingDiscovery,
+        UnconnectedDiscovery,
+        UnresponsiveDiscovery,
+        PartialDiscovery,
+        ResettingDiscovery,
+        UnavailableDiscovery,
+    ],
+)
 def test_readiness_does_not_depend_on_discovery(tmp_path, kind):
-    """Ready, and serving from the list of its configuration, with its first call open or broken."""
+    """Guards against a start that waits for discovery: the configuration's list is enough to serve."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
@@ -348,8 +358,8 @@
 
 
 @pytest.mark.parametrize("linked", [False, True])
-def test_a_start_loads_nothing_that_only_other_configurations_need(tmp_path, linked):
-    """Guards the processor time of a start: what links to other processes is loaded where there are any."""
+def test_a_start_imports_only_modules_that_its_configuration_needs(tmp_path, linked):
+    """Guards the processor time of a start: links to other processes are imported only if configured."""
     with socket.socket(type=socket.SOCK_DGRAM) as sock:
         sock.bind((HOST, 0))
         port = sock.getsockname()[1]
@@ -358,10 +368,10 @@
     code = """
 import os, signal, sys
 from ochreflow.app import process
-said = process.log.info
-def info(what, **fields):
-    said(what, **fields)
-    if what == "listening":
+log_info = process.log.info
+def info(event, **fields):
+    log_info(event, **fields)
+    if event == "listening":
         print(" ".join(sys.modules))
         os.kill(os.getpid(), signal.SIGTERM)
 process.log.info = info
@@ -390,8 +400,8 @@
     assert linked or not loaded & {"pathlib", "urllib.parse", "ipaddress"}
 
 
-def test_the_build_leaves_the_bytecode_of_all_that_a_start_loads(tmp_path):
-    """Guards the processor time of a start: what is not compiled is compiled at each, on a read-only disk."""
+def test_the_build_compiles_all_modules_that_a_start_imports(tmp_path):
+    """Guards the processor time of a start, which compiles missing bytecode each time on a read-only disk."""
     shutil.copytree(ROOT / "ochreflow", tmp_path / "ochreflow", ignore=shutil.ignore_patterns("__pycache__"))
     build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"].split(" && ")
     env = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}
@@ -411,10 +421,10 @@
         [sys.executable, "-c", code], cwd=tmp_path, env=env, capture_output=True, text=True, timeout=60
     )
     assert done.returncode == 0, done.stderr
-    counted, place = done.stdout.splitlines()
-    assert Path(place).is_relative_to(tmp_path)
-    number, *uncompiled = counted.split()
-    assert int(number) > 30 and not uncompiled
+    first_line, package_path = done.stdout.splitlines()
+    assert Path(package_path).is_relative_to(tmp_path)
+    module_count, *uncompiled = first_line.split()
+    assert int(module_count) > 30 and not uncompiled
 
 
 def test_the_deploy_file_starts_the_adapter():
@@ -428,7 +438,7 @@
         assert (ROOT / path).exists()
 
 
-def test_both_forms_of_the_settings_read_alike():
+def test_nested_and_flat_settings_parse_alike():
     text = """\
 ceilings.cancel=true
 ceilings.send-cap=3
@@ -456,26 +466,29 @@
     assert nested_settings(nested) == parse_settings(text)
 
 
-def test_a_new_configuration_switches_to_the_new_discovery_and_keeps_serving(tmp_path):
-    """Guards SIGHUP, which ended the process: whole list first, the old one let go, bad files ignored."""
+def test_a_reload_switches_to_the_new_discovery_and_keeps_serving(tmp_path):
+    """Guards against SIGHUP ending the process.
+
+    Invalid files are ignored. The call to the old discovery is closed, and the new one sends a whole list.
+    """
 
     async def play():
-        async def old_watch(message, reader, writer):
-            await reader.read()  # a watch that waits
-            left.set()
+        async def poll_old(message, reader, writer):
+            await reader.read()  # a long poll that stays open
+            old_poll_closed.set()
 
-        async def new_watch(message, reader, writer):
+        async def poll_new(message, reader, writer):
             if len(moved.received) > 1:
                 await reader.read()
-            else:  # its index is far behind the old one's
+            else:  # its index is far lower than the old discovery's
                 writer.write(
                     http_response(200, json.dumps(endpoint_update(2, entry("s2", after.address))).encode())
                 )
 
-        left = asyncio.Event()
+        old_poll_closed = asyncio.Event()
         before = await FakePeer(answer_ok).start()
         after = await FakePeer(answer_ok).start()
-        old, moved = await FakePeer(old_watch).start(), await FakePeer(new_watch).start()
+        old, moved = await FakePeer(poll_old).start(), await FakePeer(poll_new).start()
         data = config(endpoint_update(900, entry("s1", before.address)), old.address)
         async with Process(tmp_path / "c", data) as sidecar:
             await wait_until(lambda: old.received)
@@ -487,7 +500,7 @@
             sidecar.path.write_text(json.dumps({**data, "discovery": moved.address}))
             for _ in range(50):
                 sidecar.process.send_signal(signal.SIGHUP)
-            await left.wait()
+            await old_poll_closed.wait()
             await wait_until(lambda: len(moved.received) == 2)
             assert moved.received[0].start_line == "GET /api/targets HTTP/1.1"
             assert "after=2&" in moved.received[1].start_line
@@ -507,7 +520,7 @@
 
 
 def test_the_listening_socket_is_inherited_and_outlives_its_processes(tmp_path):
-    """Two processes on the platform's socket: the old one ends, and no connection is refused."""
+    """Two processes share the platform's socket: when the old one ends, no connection is refused."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
@@ -526,17 +539,18 @@
             assert (await send_request(port, http_request("order", "after"))).code == 200
             new.process.kill()
             await new.process.wait()
-            # in the backlog
-            waits = asyncio.create_task(send_request(port, http_request("order", "between")))
+            waiting = asyncio.create_task(
+                send_request(port, http_request("order", "between"))
+            )  # in the backlog
             async with Process(tmp_path / "c", data, inherited=listening):
-                assert (await waits).code == 200
+                assert (await waiting).code == 200
         listening.close()
 
     run(play())
 
 
 @pytest.mark.parametrize("text", ["x", "99", "0"])
-def test_a_descriptor_that_cannot_be_listened_at_is_one_line_and_a_failure(tmp_path, text):
+def test_an_unusable_inherited_descriptor_prints_one_line_and_fails(tmp_path, text):
     path = tmp_path / "c"
     path.write_text(json.dumps(config(endpoint_update(1))))
     done = subprocess.run(
@@ -556,10 +570,14 @@
     async def play():
         data = config(endpoint_update(1), management=f"{HOST}:0")
         async with Process(tmp_path / "c", data) as sidecar:
-            assert (await send_request(sidecar.operators, b"GET /healthcheck HTTP/1.1\r\n\r\n")).code == 200
+            assert (
+                await send_request(sidecar.management_port, b"GET /healthcheck HTTP/1.1\r\n\r\n")
+            ).code == 200
             assert (
                 b"app.results.order.succeeded=0"
-                in (await send_request(sidecar.operators, b"GET /stats HTTP/1.1\r\n\r\n")).body.splitlines()
+                in (
+                    await send_request(sidecar.management_port, b"GET /stats HTTP/1.1\r\n\r\n")
+                ).body.splitlines()
             )
 
     run(play())
--- a/tests/test_tool_exceptions.py
+++ b/tests/test_tool_exceptions.py
@@ -1,25 +1,25 @@
-"""Each exception from a check of ruff or mypy names the rule and says why it is made."""
+"""Each suppression of a ruff or mypy check names the rule and a reason."""
 
 import re
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-EXCEPTION = re.compile(r"# (?:noqa|type: ignore)\b.*")
+SUPPRESSION = re.compile(r"# (?:noqa|type: ignore)\b.*")
 WITH_REASON = re.compile(r"# (?:noqa: [A-Z]+\d+|type: ignore\[[a-z-]+\]) +(?:--? |# )\S+ \S+")
 
 
-def exceptions():
-    """All lines of the program, the tests and the benchmarks that make an exception, but for this file's."""
+def suppressions():
+    """Yield place and text of each suppression in all source files but this one."""
     for folder in ("ochreflow", "tests", "benchmarks"):
         for path in sorted((ROOT / folder).rglob("*.py")):
             if path == Path(__file__):
                 continue
             for number, line in enumerate(path.read_text().splitlines(), 1):
-                if found := EXCEPTION.search(line):
+                if found := SUPPRESSION.search(line):
                     yield f"{path.relative_to(ROOT)}:{number}", found[0]
 
 
-def test_every_exception_names_its_rule_and_its_reason():
-    found = dict(exceptions())
-    assert found, "no exception was found: the pattern is out of date"
+def test_every_suppression_names_its_rule_and_a_reason():
+    found = dict(suppressions())
+    assert found, "no suppression was found: the pattern is out of date"
     assert {place: text for place, text in found.items() if not WITH_REASON.match(text)} == {}
