--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -158,8 +158,8 @@
             return
         if server and request.uploading:
             # It ended before its body was through.
-            self.outcome_recorder.learn(
-                server, self.context.now, request.class_index, event, written_off=False
+            self.outcome_recorder.update_estimates(
+                server, self.context.now, request.class_index, event, presumed_lost=False
             )
         elif server and request.streaming and event.status is Status.RESET:
             # It began to answer, and broke.
@@ -199,7 +199,7 @@
         if request is None or not request.uploading:
             return
         request.uploading, request.deadline = False, event.deadline_ns
-        attempt = request.attempts[-1] = request.attempts[-1]._replace(sent=self.context.now)
+        attempt = request.attempts[-1] = request.attempts[-1]._replace(sent_at=self.context.now)
         server = attempt.server
         if self.endpoints.servers.get(server.id) is server:  # else it has left
             self._count_in_flight(request, server, len(request.attempts) - 1)
@@ -253,7 +253,7 @@
 
     def _schedule_retry(self, request: RequestState) -> None:
         """Retry after a backoff; or end the request."""
-        delay = self.retry_policy.delay(request)
+        delay = self.retry_policy.reserve_retry(request)
         if delay is not None:
             request.retry_scheduled = True
             due_ns = self.context.now + max(delay, 1)
@@ -305,11 +305,11 @@
         attempt = request.attempts[number]
         if attempt.state is not IN_FLIGHT:
             return
-        server, sent = attempt.server, attempt.sent
+        server, sent = attempt.server, attempt.sent_at
         silent = server.last_alive_at <= sent
         if timer.rechecks:
             if not silent:
-                self.outlier_detector.write_off(server, (request.id, number))
+                self.outlier_detector.presume_lost(server, (request.id, number))
         elif not silent:
             # A latency that is known late is of no use.
             self.limiter.record_latency(server, request.class_index, self.context.now - sent)
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -76,7 +76,7 @@
         self.completed_units = 0.0  # target latencies of what was answered since the last update
         self.first_update_at = 0  # 0: none yet
         self.limit = 1e9  # until the first update
-        self.update_interval_ns = int(context.shortest * UPDATE_INTERVAL)
+        self.update_interval_ns = int(context.shortest_deadline_ns * UPDATE_INTERVAL)
         self.class_share = [1.0] * len(latency.class_mean)
 
     def record_answer(self, server: Server, class_index: int, duration_ns: int) -> None:
@@ -146,7 +146,7 @@
         self.first_update_at = self.first_update_at or self.context.now
         passed = max(self.context.now - self.updated_at, 1)
         self.updated_at = self.context.now
-        weight = min(passed / self.context.shortest, 1.0)
+        weight = min(passed / self.context.shortest_deadline_ns, 1.0)
         self.target_inflight += weight * (self.completed_units / passed - self.target_inflight)
         self.completed_units = 0.0
         self.peak_inflight = max(self.endpoints.inflight, self.peak_inflight * PEAK_DECAY)
@@ -160,7 +160,7 @@
 
     def _ceiling(self) -> float:
         """Return the highest limit that the answers seen so far justify."""
-        if self.context.now - self.first_update_at < self.context.shortest:
+        if self.context.now - self.first_update_at < self.context.shortest_deadline_ns:
             # No answers to go by yet.
             return UNTESTED_HEADROOM * (self.peak_inflight + self.endpoints.ready_count)
         # A limit that follows what is in flight lets a surge in before the first late answer.
@@ -222,7 +222,10 @@
     def decay(self) -> None:
         """Let what was seen fade with time towards the prior."""
         samples = MIN_PRESSURE_SAMPLES * SECOND / max(self.latency.answer_rate, 1.0)
-        span = min(max(PRESSURE_HALF_LIFE * self.context.shortest, samples), self.context.shortest)
+        span = min(
+            max(PRESSURE_HALF_LIFE * self.context.shortest_deadline_ns, samples),
+            self.context.shortest_deadline_ns,
+        )
         decay = 0.5 ** ((self.context.now - self.pressure_at) / span)
         self.pressure_at = self.context.now
         self.pressure_sum *= decay
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -50,9 +50,9 @@
         columns = context.settings.report_columns
         load_columns = [columns.index(name) for name in ("inflight", "queue") if name in columns]
         self.load_column = load_columns[0] if load_columns else None
-        self.cross = context.settings.price_cross_zone * CROSS_ZONE_WEIGHT
+        self.cross_zone_penalty = context.settings.price_cross_zone * CROSS_ZONE_WEIGHT
 
-    def delay(self, server: Server, class_index: int) -> float:
+    def expected_delay(self, server: Server, class_index: int) -> float:
         """Expected delay by the design: (in-flight + 1) x smoothed latency.
 
         With low traffic it is drawn about the estimate, the wider the older the estimate is: most of
@@ -62,11 +62,13 @@
         last_heard_at = server.last_heard_at
         if (
             self.endpoints.low_traffic
-            and self.context.now - server.load_reported_at < LOAD_REPORT_HALF_LIFE * self.context.shortest
+            and self.context.now - server.load_reported_at
+            < LOAD_REPORT_HALF_LIFE * self.context.shortest_deadline_ns
         ):
             group = self.group(server)
             known = 0.5 ** (
-                (self.context.now - server.load_reported_at) / (LOAD_REPORT_HALF_LIFE * self.context.shortest)
+                (self.context.now - server.load_reported_at)
+                / (LOAD_REPORT_HALF_LIFE * self.context.shortest_deadline_ns)
             )
             load = max(group.load + (server.load - group.load) * known, len(server.in_flight))
             delay = (
@@ -74,18 +76,22 @@
                 * (server.latency_per_request or group.latency_per_request)
                 * self.latency.class_mean[class_index]
             )
-            delay = max(delay, self.silence(server))
+            delay = max(delay, self.silence_ns(server))
             last_heard_at = server.load_reported_at
         else:
-            delay = (len(server.in_flight) + 1) * self.slowness(server) * self.latency.class_mean[class_index]
+            delay = (
+                (len(server.in_flight) + 1)
+                * self.estimated_relative_latency(server)
+                * self.latency.class_mean[class_index]
+            )
         if self.endpoints.low_traffic:
             stale = 1.0 - 0.5 ** (
-                (self.context.now - last_heard_at) / (STALE_HALF_LIFE * self.context.shortest)
+                (self.context.now - last_heard_at) / (STALE_HALF_LIFE * self.context.shortest_deadline_ns)
             )
             delay *= self.context.random.expovariate(1.0) ** (stale / STALE_SHARPNESS)
         return delay
 
-    def slowness(self, server: Server) -> float:
+    def estimated_relative_latency(self, server: Server) -> float:
         """Smoothed latency in class means, aged towards the mean, raised by an unanswered attempt."""
         forget = (
             ESTIMATE_HALF_LIFE_GAPS
@@ -101,11 +107,11 @@
         if server.in_flight:
             _, class_index = next(iter(server.in_flight.values()))
             relative_latency = max(
-                relative_latency, self.silence(server) / self.latency.class_mean[class_index]
+                relative_latency, self.silence_ns(server) / self.latency.class_mean[class_index]
             )
         return relative_latency
 
-    def silence(self, server: Server) -> float:
+    def silence_ns(self, server: Server) -> float:
         """Silence with work outstanding is evidence before any time-out: a hung server."""
         if not server.in_flight:
             return 0.0
@@ -138,7 +144,7 @@
             best: Server | None = None
             lowest = 0.0
             for server, extra in self.candidates(request, avoided):
-                delay = self.delay(server, request.class_index) + extra
+                delay = self.expected_delay(server, request.class_index) + extra
                 if best is None or delay < lowest:
                     best, lowest = server, delay
             if best is not None:
@@ -151,7 +157,7 @@
     def candidates(self, request: RequestState, tried: Collection[Server]) -> list[tuple[Server, float]]:
         """Candidates, with what is added to their delay for crossing zones."""
         if not self.endpoints.low_traffic:
-            cross = self.cross * request.spec.objective_ns
+            cross = self.cross_zone_penalty * request.spec.objective_ns
             pairs = [(server, 0.0) for server in self.sample_pair(self.endpoints.local, request, tried)]
             return pairs + [
                 (server, cross) for server in self.sample_pair(self.endpoints.remote, request, tried)
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -77,7 +77,8 @@
     def needed_subset_size(self) -> int:
         """Servers of a side to sample from: so few that each is heard from about once a deadline."""
         return max(
-            MIN_SUBSET_SIZE, int(self.request_rate * SUBSET_DEADLINES * self.context.shortest / SECOND)
+            MIN_SUBSET_SIZE,
+            int(self.request_rate * SUBSET_DEADLINES * self.context.shortest_deadline_ns / SECOND),
         )
 
     def count_request(self) -> None:
@@ -85,8 +86,8 @@
         if not self.first_request_at:
             self.first_request_at = self.request_rate_at = self.context.now
         span = min(
-            self.context.now - self.first_request_at + self.context.shortest,
-            REQUEST_RATE_DEADLINES * self.context.shortest,
+            self.context.now - self.first_request_at + self.context.shortest_deadline_ns,
+            REQUEST_RATE_DEADLINES * self.context.shortest_deadline_ns,
         )
         self.request_rate = (
             self.request_rate * max(0.0, 1.0 - (self.context.now - self.request_rate_at) / span)
--- a/ochreflow/policy/latency.py
+++ b/ochreflow/policy/latency.py
@@ -22,7 +22,7 @@
         self.answer_rate, self.answer_rate_at = 0.0, 0  # own requests answered per second, smoothed
         self.baseline = list(self.class_mean)
 
-    def learn(self, class_index: int, duration_ns: int) -> None:
+    def update_mean(self, class_index: int, duration_ns: int) -> None:
         """Take the latency of an answer into the mean and mean deviation of its class."""
         class_mean = self.class_mean[class_index]
         weight = max(CLASS_SMOOTHING, 1.0 / (self.sample_counts[class_index] + 1))
@@ -36,23 +36,23 @@
 
     def count_answer(self) -> None:
         """Count an answer of an own request."""
-        tau = self.context.settings.overload_for_ns or self.context.shortest
+        tau = self.context.settings.overload_for_ns or self.context.shortest_deadline_ns
         self.answer_rate = (
             self.answer_rate * max(0.0, 1.0 - (self.context.now - self.answer_rate_at) / tau) + SECOND / tau
         )
         self.answer_rate_at = self.context.now
 
-    def learn_baseline(self, class_index: int, duration_ns: int, *, pressed: bool) -> None:
+    def update_baseline(self, class_index: int, duration_ns: int, *, under_pressure: bool) -> None:
         """Take an answer into the baseline of its class, hardly so while servers are under pressure."""
         if self.sample_counts[class_index] < BASELINE_AVERAGED_SAMPLES:
             step = 1.0 / (self.sample_counts[class_index] + 1)
         else:
             step = min(
                 (self.context.now - self.baseline_at[class_index])
-                / (BASELINE_DEADLINES * self.context.shortest),
+                / (BASELINE_DEADLINES * self.context.shortest_deadline_ns),
                 0.1,
             )
-            if pressed:
+            if under_pressure:
                 step *= BASELINE_DRIFT_UNDER_PRESSURE
         self.baseline_at[class_index] = self.context.now
         self.baseline[class_index] += step * (duration_ns - self.baseline[class_index])
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -73,7 +73,7 @@
     def schedule_half_open(self, server: Server) -> None:
         """Put off the next trial of an ejected server, longer each time."""
         growth = min(BASE_EJECTION_DEADLINES * EJECTION_GROWTH**server.ejections, MAX_EJECTION_FACTOR)
-        wait = self.context.shortest * growth
+        wait = self.context.shortest_deadline_ns * growth
         server.ejections += 1
         jitter = self.context.random.uniform(1.0 - EJECTION_JITTER, 1.0 + EJECTION_JITTER)
         server.half_open_at = self.context.now + int(wait * jitter)
@@ -99,15 +99,15 @@
         server.relative_latency = min(server.relative_latency, READMITTED_RELATIVE_LATENCY)
         self.endpoints.rebuild()
 
-    def write_off(self, server: Server, attempt: AttemptKey) -> None:
+    def presume_lost(self, server: Server, attempt: AttemptKey) -> None:
         """Take an attempt that is overdue twice out of what is in flight: its answer is most likely lost.
 
         Guards against a network that drops answers: attempts that never come back filled a shrinking limit
         until their deadlines, and all requests were rejected.
         """
-        if attempt not in server.written_off:
+        if attempt not in server.presumed_lost:
             self.endpoints.inflight -= not server.ejected
-            server.written_off.add(attempt)
+            server.presumed_lost.add(attempt)
 
     def overdue_after(self, server: Server, class_index: int, remaining_ns: int) -> int:
         """Return after how many ns an attempt is overdue: a slow server is given its time."""
--- a/ochreflow/policy/retry_policy.py
+++ b/ochreflow/policy/retry_policy.py
@@ -36,7 +36,7 @@
         """Whether the budget and the rules allow a full retry now."""
         return self.tokens >= 1.0 and self.safety_rules.attempts_allowed(request)
 
-    def delay(self, request: RequestState) -> int | None:
+    def reserve_retry(self, request: RequestState) -> int | None:
         """Return the backoff before the next retry, in ns, and pay for it; None: no use, or not allowed."""
         remaining_ns = request.deadline - self.context.now - self.context.settings.tick_ns
         ceiling = min(MAX_BACKOFF_SHARE, BASE_BACKOFF_SHARE * 2 ** min(request.retries, MAX_BACKOFF_EXPONENT))
--- a/ochreflow/policy/safety_rules.py
+++ b/ochreflow/policy/safety_rules.py
@@ -44,7 +44,9 @@
         if request.spec.effect is not Effect.IDEMPOTENT_WITH_KEY:
             return NO_END
         begun = [
-            one.decided for n, one in enumerate(request.attempts) if n != but and one.state is not NEVER_RAN
+            one.decided_at
+            for n, one in enumerate(request.attempts)
+            if n != but and one.state is not NEVER_RAN
         ]
         return min(begun) + request.spec.window_ns - self.context.settings.tick_ns if begun else NO_END
 
--- a/ochreflow/policy/slow_start.py
+++ b/ochreflow/policy/slow_start.py
@@ -50,7 +50,9 @@
     def update_loads(self) -> None:
         """Learn the load of warm servers by group, of a cell as a part of its kinds'. None warm: it stays."""
         passed = self.context.now - max(self.loads_at, self.endpoints.first_request_at)
-        if passed < LOAD_UPDATE_INTERVAL * max(self.context.shortest, self.context.settings.warm_up_ns):
+        if passed < LOAD_UPDATE_INTERVAL * max(
+            self.context.shortest_deadline_ns, self.context.settings.warm_up_ns
+        ):
             return
         span = min(self.context.now - self.endpoints.first_request_at, self.context.settings.warm_up_ns) + 1
         work_by_side: dict[bool, list[float]] = defaultdict(list)
@@ -66,9 +68,9 @@
                     work_by_cell[remote, server.cell].append(server.completed_work / known)
             server.completed_work = 0.0
         weight = min(passed / span, 1.0)
-        _follow(self.side_loads, work_by_side, passed, weight)
-        _follow(self.kind_loads, work_by_kind, passed, weight)
-        _follow(self.cell_loads, work_by_cell, passed, weight)
+        _smooth_loads(self.side_loads, work_by_side, passed, weight)
+        _smooth_loads(self.kind_loads, work_by_kind, passed, weight)
+        _smooth_loads(self.cell_loads, work_by_cell, passed, weight)
         self.loads_at = self.context.now
 
     def baseline_load(self, server: Server) -> float:
@@ -82,7 +84,7 @@
         if server.tokens_updated_at:
             server.slow_start_tokens = min(server.slow_start_tokens, 0.0)
 
-    def give_back(self, server: Server, class_index: int, sent: int) -> None:
+    def refund_tokens(self, server: Server, class_index: int, sent: int) -> None:
         """Return the tokens of an attempt decided at `sent` ns that no connection came up for."""
         if server.tokens_updated_at and sent >= server.start_learned_at:
             server.slow_start_tokens += self.latency.cost(class_index)
@@ -132,7 +134,9 @@
         return server.slow_start_tokens >= need
 
 
-def _follow(loads: dict[Key, float], work: Mapping[Key, list[float]], passed: int, weight: float) -> None:
+def _smooth_loads(
+    loads: dict[Key, float], work: Mapping[Key, list[float]], passed: int, weight: float
+) -> None:
     """Move the load of each group towards the mean of what its servers did in the `passed` ns."""
     for group, each in work.items():
         load = sum(each) / len(each) * SECOND / passed
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -77,7 +77,7 @@
         self.now = self.log_at = 0
         self.actions: list[Action] = []
         self.timers: list[ScheduledTimer] = []
-        self.shortest = min(spec.deadline_ns for spec in settings.classes)
+        self.shortest_deadline_ns = min(spec.deadline_ns for spec in settings.classes)
 
     def schedule(self, timer: ScheduledTimer) -> None:
         """Add a timer to the heap."""
@@ -98,13 +98,15 @@
         self.id = entry.server
         self.rank = rank  # by the own seed: each sidecar samples from others
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
-        self.written_off: set[AttemptKey] = set()  # in flight, but their answers are not waited for any more
+        self.presumed_lost: set[AttemptKey] = (
+            set()
+        )  # in flight, but their answers are not waited for any more
         self.listed = True
         self.restart(entry, now)
 
     def awaited_count(self) -> int:
         """Count the attempts in flight whose answers are still waited for."""
-        return len(self.in_flight) - len(self.written_off)
+        return len(self.in_flight) - len(self.presumed_lost)
 
     def restart(self, entry: Endpoint, now: int) -> None:
         """Forget what was learned: this is another incarnation of the server."""
@@ -143,8 +145,8 @@
     server: Server
     zone: int  # of its server when its first byte went out, as far as that is known
     cell: int
-    decided: int  # ns: its window runs from here
-    sent: int  # ns: the same, or when the body that was still coming was through
+    decided_at: int  # ns: its window runs from here
+    sent_at: int  # ns: the same, or when the body that was still coming was through
     state: AttemptState = IN_FLIGHT
 
 
--- a/ochreflow/policy/tenant_quota.py
+++ b/ochreflow/policy/tenant_quota.py
@@ -22,7 +22,7 @@
         tenants = len(context.settings.tenants)
         self.counts = [0.0] * tenants  # first attempts since the quotas were judged
         self.request_rates = [0.0] * tenants  # first attempts per second, smoothed
-        self.judged_at = 0
+        self.updated_at = 0
         self.over_quota: list[float] = []  # the part of each tenant's traffic that is over its quota
         self.peer_rates: dict[int, tuple[int, list[float]]] = {}
         self.rates = struct.Struct(f"<{tenants}I")  # the gossip: first attempts a second by tenant
@@ -30,10 +30,10 @@
     def count(self, tenant: int) -> None:
         """Count a first attempt; now and then judge how much of each tenant's traffic is over its quota."""
         self.counts[tenant] += 1.0
-        passed = self.context.now - self.judged_at
-        if passed < QUOTA_UPDATE_INTERVAL * self.context.shortest:
+        passed = self.context.now - self.updated_at
+        if passed < QUOTA_UPDATE_INTERVAL * self.context.shortest_deadline_ns:
             return
-        known, self.judged_at = self.judged_at, self.context.now
+        known, self.updated_at = self.updated_at, self.context.now
         if known:  # the first span has no beginning
             for number, counts in enumerate(self.counts):
                 self.request_rates[number] += REQUEST_RATE_SMOOTHING * (
@@ -45,12 +45,14 @@
                 min(int(request_rate * RATE_STEPS_PER_S), 0xFFFFFFFF) for request_rate in self.request_rates
             ]
             self.context.actions.append(PublishGossip(self.rates.pack(*steps)))
-        self.judge()
+        self.update_over_quota()
 
-    def judge(self) -> None:
+    def update_over_quota(self) -> None:
         """Work out the part of each tenant's traffic that is over its quota."""
         tenants = self.context.settings.tenants
-        fresh = self.context.now - PEER_RATE_LIFETIME * QUOTA_UPDATE_INTERVAL * self.context.shortest
+        fresh = (
+            self.context.now - PEER_RATE_LIFETIME * QUOTA_UPDATE_INTERVAL * self.context.shortest_deadline_ns
+        )
         peers = [rates for when, rates in self.peer_rates.values() if when >= fresh]
         if len(peers) + 1 >= self.context.settings.fleet_size:
             # All are heard: the shares are known as they are stated, over all sidecars together.
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -276,7 +276,7 @@
         warm = await FakePeer(answer_ok).start()
         stage = Stage(tmp_path, [entry("s0", server.address), entry("s1", warm.address)])
         given = []
-        stage.engine.balancer.slow_start.give_back = lambda server, class_index, sent: given.append(
+        stage.engine.balancer.slow_start.refund_tokens = lambda server, class_index, sent: given.append(
             (server.id, class_index)
         )
         async with stage.sidecar as sidecar:
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -108,7 +108,7 @@
     balancer, now = make(entries=entries)
     now, _ = trickle(balancer, now, range(40), lambda server: (40 if server % 2 else 120) * MS)
     unheard = {
-        server.kind: balancer.picker.slowness(server)
+        server.kind: balancer.picker.estimated_relative_latency(server)
         for server in balancer.endpoints.outside_subset
         if not server.samples
     }
@@ -138,11 +138,11 @@
     now, used = trickle(balancer, now, range(40), lambda server: 40 * MS)
     server = balancer.endpoints.servers[used[-1]]
     before = server.relative_latency
-    balancer.outcome_recorder.sample(server, 10.0)  # at once: one of many
+    balancer.outcome_recorder.record_sample(server, 10.0)  # at once: one of many
     small = server.relative_latency - before
     server.relative_latency = before
     balancer.context.now += 20 * SECOND
-    balancer.outcome_recorder.sample(server, 10.0)
+    balancer.outcome_recorder.record_sample(server, 10.0)
     assert server.relative_latency - before > 4 * small
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -386,7 +386,7 @@
     for ident, server in sent.items():  # each is told in the end, and counted once
         balancer.handle(now, Outcome(ident, 0, server, Status.TIMEOUT, 2 * SECOND, True))
     assert balancer.endpoints.inflight == 0 and not any(
-        s.in_flight or s.written_off for s in balancer.endpoints.servers.values()
+        s.in_flight or s.presumed_lost for s in balancer.endpoints.servers.values()
     )
 
 
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -24,14 +24,14 @@
     slow_start.allows(server, 0, consume=True)
     taken = server.slow_start_tokens
     balancer.context.now += 200 * MS
-    slow_start.give_back(server, 0, sent)
+    slow_start.refund_tokens(server, 0, sent)
     assert server.slow_start_tokens == taken + balancer.latency.cost(0)
     # Its pace was another life's: the new one owes nothing for it.
     server = restarted(balancer, now + SECOND)
     balancer.context.now += SECOND
     slow_start.allows(server, 0, consume=False)
     fresh = server.slow_start_tokens
-    slow_start.give_back(server, 0, sent)
+    slow_start.refund_tokens(server, 0, sent)
     assert server.slow_start_tokens == fresh
 
 
@@ -43,9 +43,9 @@
     server = balancer.endpoints.servers[1]
     slow_start.allows(server, 0, consume=False)
     fresh = server.slow_start_tokens
-    slow_start.give_back(server, 0, sent)
+    slow_start.refund_tokens(server, 0, sent)
     assert server.slow_start_tokens == fresh
-    slow_start.give_back(server, 0, notified_at)
+    slow_start.refund_tokens(server, 0, notified_at)
     assert server.slow_start_tokens == fresh + balancer.latency.cost(0)
 
 
@@ -53,7 +53,7 @@
     balancer, now = make_balancer(entries=[endpoint(1), endpoint(2)])
     server = balancer.endpoints.servers[1]
     balancer.slow_start.allows(server, 0, consume=True)
-    balancer.slow_start.give_back(server, 0, now)
+    balancer.slow_start.refund_tokens(server, 0, now)
     assert server.slow_start_tokens == 0.0
 
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -243,12 +243,14 @@
 
 
 def broken_answers(monkeypatch):
-    monkeypatch.setattr(RetryPolicy, "delay", lambda self, request: SECOND * 3600)
+    monkeypatch.setattr(RetryPolicy, "reserve_retry", lambda self, request: SECOND * 3600)
 
 
 def broken_slow_start(monkeypatch):
     monkeypatch.setattr(SlowStart, "allows", lambda self, server, class_index, *, consume: True)
-    monkeypatch.setattr(EndpointPicker, "slowness", lambda self, server: 1e-3 if server.started else 1.0)
+    monkeypatch.setattr(
+        EndpointPicker, "estimated_relative_latency", lambda self, server: 1e-3 if server.started else 1.0
+    )
 
 
 @pytest.mark.parametrize(
