--- a/ochreflow/policy/latency.py
+++ b/ochreflow/policy/latency.py
@@ -1,29 +1,34 @@
-"""Latency by class: an exponentially smoothed mean with its deviation, a slow baseline, the answer rate."""
+"""Latency estimates by class: an exponentially smoothed mean, its mean deviation and a slow baseline.
+
+The rate at which requests of this sidecar are answered is estimated here as well.
+"""
 
 from .state_records import SECOND, Context
 
-CLASS_SMOOTHING = 0.03  # the class mean moves slower than any server, being the common yardstick
-UNKNOWN_LATENCY_SHARE = 0.25  # of the objective: the class mean before any answer
-BASELINE_AVERAGED_SAMPLES = 30  # answers of a class that are simply averaged into its baseline
-BASELINE_DEADLINES = 25.0  # shortest deadlines over which it moves then, slower than any trouble lasts
-# ... and this part of that under pressure, lest it never forgives a wrong start.
+# Weight of a new sample; lower than that of a single server, since servers are compared with the class mean.
+CLASS_SMOOTHING = 0.03
+UNKNOWN_LATENCY_SHARE = 0.25  # share of the objective that is the class mean before the first answer
+BASELINE_AVERAGED_SAMPLES = 30  # first answers of a class, which its baseline averages with equal weights
+BASELINE_DEADLINES = 25.0  # time constant after that, in shortest deadlines: longer than an outage lasts
+# Factor on the baseline's step under pressure; above 0, so that the baseline can recover from a wrong start.
 BASELINE_DRIFT_UNDER_PRESSURE = 0.1
 
 
 class LatencyEstimates:
-    """Estimates of each class, in nanoseconds: the yardstick that servers are held against."""
+    """Estimates of each class's latency in ns, with which the latencies of servers are compared."""
 
     def __init__(self, context: Context) -> None:
-        """Start from a part of each class's latency objective."""
+        """Start from a share of each class's latency objective."""
         self.context = context
         self.class_mean = [spec.objective_ns * UNKNOWN_LATENCY_SHARE for spec in context.settings.classes]
         self.deviation = [class_mean / 2 for class_mean in self.class_mean]
         self.sample_counts, self.baseline_at = [0] * len(self.class_mean), [0] * len(self.class_mean)
-        self.answer_rate, self.answer_rate_at = 0.0, 0  # own requests answered per second, smoothed
+        # Requests of this sidecar answered a second, smoothed, and the time of the last answer.
+        self.answer_rate, self.answer_rate_at = 0.0, 0
         self.baseline = list(self.class_mean)
 
     def update_mean(self, class_index: int, duration_ns: int) -> None:
-        """Take the latency of an answer into the mean and mean deviation of its class."""
+        """Update the mean and mean deviation of a class with the latency of an answer."""
         class_mean = self.class_mean[class_index]
         weight = max(CLASS_SMOOTHING, 1.0 / (self.sample_counts[class_index] + 1))
         self.sample_counts[class_index] += 1
@@ -31,19 +36,23 @@
         self.class_mean[class_index] = class_mean + weight * (duration_ns - class_mean)
 
     def raise_class_mean(self, class_index: int, duration_ns: int) -> None:
-        """A living server was too slow: all may be, so let the yardstick follow, or time-outs multiply."""
+        """Raise the mean of a class towards the duration of an attempt that timed out at a live server.
+
+        All servers may have become slow; a mean that did not follow would make ever more attempts overdue.
+        """
         self.class_mean[class_index] += CLASS_SMOOTHING * max(0.0, duration_ns - self.class_mean[class_index])
 
     def count_answer(self) -> None:
-        """Count an answer of an own request."""
-        tau = self.context.settings.overload_for_ns or self.context.shortest_deadline_ns
+        """Count an answer to a request of this sidecar."""
+        time_constant_ns = self.context.settings.overload_for_ns or self.context.shortest_deadline_ns
         self.answer_rate = (
-            self.answer_rate * max(0.0, 1.0 - (self.context.now - self.answer_rate_at) / tau) + SECOND / tau
+            self.answer_rate * max(0.0, 1.0 - (self.context.now - self.answer_rate_at) / time_constant_ns)
+            + SECOND / time_constant_ns
         )
         self.answer_rate_at = self.context.now
 
     def update_baseline(self, class_index: int, duration_ns: int, *, under_pressure: bool) -> None:
-        """Take an answer into the baseline of its class, hardly so while servers are under pressure."""
+        """Update the baseline of a class with an answer; servers under pressure change it less."""
         if self.sample_counts[class_index] < BASELINE_AVERAGED_SAMPLES:
             step = 1.0 / (self.sample_counts[class_index] + 1)
         else:
@@ -58,7 +67,7 @@
         self.baseline[class_index] += step * (duration_ns - self.baseline[class_index])
 
     def cost(self, class_index: int) -> float:
-        """Return the work of a class in units of the classes' mean, by their baselines."""
+        """Return the work of a request of a class, in requests of mean work, by the classes' baselines."""
         return self.baseline[class_index] / self.mean_baseline()
 
     def mean_baseline(self) -> float:
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -11,70 +11,70 @@
 from .interface import Action, Endpoint, Log, Request, RequestClass, Settings, State, Status
 
 SECOND = 1_000_000_000
-UNWRITTEN = frozenset(
-    (Status.CONNECT_FAILED, Status.NOT_SENT)
-)  # ends of attempts that cost no server any work
+# Statuses of attempts that caused no work on any server.
+UNWRITTEN = frozenset((Status.CONNECT_FAILED, Status.NOT_SENT))
+# Statuses that prove that the server did not run the request.
 PROVES_NOT_RUN = UNWRITTEN | {Status.REJECTED}
-# Of a request's time so much may pass with nothing sent, while another attempt is still of use.
+# Share of a request's time that may pass before an attempt reaches a server; later retries are of no use.
 MAX_UNSENT_SHARE = 0.45
 
 
 class AttemptState(Enum):
-    """What is known of an attempt's run at its server."""
+    """Whether the server has run an attempt, as far as is known."""
 
     IN_FLIGHT = 0
     NEVER_RAN = 1
     MAY_HAVE_RUN = 2
 
 
-# Members by themselves: Python 3.11 looks up a member of an enumeration by a call.
+# Module-level aliases: in Python 3.11, access to an enumeration member through its class is a function call.
 IN_FLIGHT, NEVER_RAN, MAY_HAVE_RUN = AttemptState
 
 
 class TimerKind(IntEnum):
-    """What a timer is for; timers that fall due together ring in this order."""
+    """The purpose of a timer; timers that are due at the same time fire in this order."""
 
     OVERDUE = 0  # an attempt is late
     RETRY = 1  # a backoff is over
-    POLL = 2  # the endpoint list is to be asked for
+    POLL = 2  # discovery is due to be polled for the endpoint list
 
 
 OVERDUE, RETRY, POLL = TimerKind
 
 
 class ScheduledTimer(NamedTuple):
-    """An entry of the timer heap; its fields are in the order in which timers ring."""
+    """An entry of the timer heap; the order of its fields is the order in which timers fire."""
 
     due_ns: int
     kind: TimerKind
     request_id: int = 0
-    rechecks: int = 0  # how often the attempt was overdue before: 0 or 1
+    rechecks: int = 0  # how often the attempt has been overdue before: 0 or 1
     attempt: int = 0
 
 
-# Names an attempt: the id of its request, and its number within that request. A bare pair, as one is made for
-# each attempt and each outcome.
+# Identifies an attempt: the id of its request and its number within that request. A plain tuple is cheap; one
+# is created for each attempt and each outcome.
 AttemptKey = tuple[int, int]
 
 
 class InFlightAttempt(NamedTuple):
-    """What a server's record holds of an attempt that is in flight."""
+    """An attempt in flight, as recorded for its server."""
 
     since_ns: int
     class_index: int
 
 
 class Context:
-    """The settings, the event's time, the random numbers, the timers, and the actions of this event.
+    """State shared by the parts of the balancer: settings, current time, random numbers, timers and actions.
 
-    The balancer sets the time and empties the actions before each event.
+    The balancer sets the time and clears the actions before it handles an event.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Start without a time, timers or actions; the same seed gives the same random numbers."""
         self.settings = settings
         self.random = random.Random(seed)
-        self.now = self.log_at = 0
+        self.now = self.next_log_at = 0
         self.actions: list[Action] = []
         self.timers: list[ScheduledTimer] = []
         self.shortest_deadline_ns = min(spec.deadline_ns for spec in settings.classes)
@@ -84,69 +84,72 @@
         heapq.heappush(self.timers, timer)
 
     def log(self, text: str) -> None:
-        """One line a second at most: the report keeps only a few hundred."""
-        if self.now >= self.log_at:
-            self.log_at = self.now + SECOND
+        """Log a line, at most one a second: the report keeps only a few hundred."""
+        if self.now >= self.next_log_at:
+            self.next_log_at = self.now + SECOND
             self.actions.append(Log(text))
 
 
 class Server:
-    """What this sidecar believes of one server."""
+    """What this sidecar knows and estimates about one server."""
 
     def __init__(self, entry: Endpoint, rank: float, now: int) -> None:
-        """Start from an entry of the list; `rank` orders the servers of a subset."""
+        """Start from an entry of the endpoint list; servers join the subset in the order of `rank`."""
         self.id = entry.server
-        self.rank = rank  # by the own seed: each sidecar samples from others
+        self.rank = rank  # random by this sidecar's seed, so that sidecars choose different subsets
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
-        self.presumed_lost: set[AttemptKey] = (
-            set()
-        )  # in flight, but their answers are not waited for any more
+        # Attempts in flight whose answers are no longer expected.
+        self.presumed_lost: set[AttemptKey] = set()
         self.listed = True
         self.restart(entry, now)
 
     def awaited_count(self) -> int:
-        """Count the attempts in flight whose answers are still waited for."""
+        """Return the number of attempts in flight whose answers are still expected."""
         return len(self.in_flight) - len(self.presumed_lost)
 
     def restart(self, entry: Endpoint, now: int) -> None:
-        """Forget what was learned: this is another incarnation of the server."""
+        """Reset all estimates: the entry describes another incarnation of the server."""
         self.zone, self.kind, self.cell = entry.zone, entry.kind, entry.cell
         self.ready = entry.state is State.READY
         self.started = entry.started_ns
-        self.start_learned_at = now  # when this sidecar heard of that start
-        # Not heard from: counts at the mean, one that is warming up too, which slow start protects.
-        self.relative_latency = 1.0
+        self.start_learned_at = now  # when this sidecar learned of that start
+        # Until its first answer a server counts as average, even while it warms up: slow start protects it.
+        self.relative_latency = 1.0  # smoothed latency, in class means
         self.samples = self.last_heard_at = self.last_alive_at = 0
-        self.success_rate = 1.0  # smoothed part of its answers that are no errors
-        self.answering = True  # whether the latest attempt that ended was answered, if only by an error
-        self.load, self.load_reported_at = 0.0, 0  # requests held, as last reported, and when
-        self.latency_per_request = 0.0  # smoothed latency for each request held, in class means; 0: not known
+        self.success_rate = 1.0  # smoothed share of its answers that are not errors
+        self.answering = True  # whether the attempt that ended last was answered, even by an error
+        self.load, self.load_reported_at = 0.0, 0  # requests in progress as last reported, and when
+        # Smoothed latency for each request in progress, in class means; 0: unknown.
+        self.latency_per_request = 0.0
         self.consecutive_failures, self.ejections, self.half_open_at = 0.0, 0, 0
         self.ejected = self.half_open_in_flight = False
         self.slow_start_tokens, self.tokens_updated_at = 0.0, 0
-        self.completed_work = 0.0  # answered since the last tally, in requests of mean work
+        self.completed_work = 0.0  # answered since the last update of the loads, in requests of mean work
 
 
 class EndpointGroup:
-    """What this sidecar believes of servers that the list describes alike: of one kind, local or remote."""
+    """Estimates for the servers of one kind that are either all local or all remote."""
 
     def __init__(self) -> None:
         """Start at the mean of all servers."""
         self.relative_latency = 1.0  # smoothed latency, in class means
         self.samples = self.reports = 0
-        self.load = 0.0  # mean of what is reported
+        self.load = 0.0  # smoothed mean of the reported loads
         self.latency_per_request = 1.0
-        self.weight_bias = 0.0  # logarithm of the weight with which its servers are sampled
+        self.weight_bias = 0.0  # natural logarithm of the weight with which its servers are sampled
 
 
 class Attempt(NamedTuple):
-    """One attempt. Lists move servers to other groups: it may have run in the one that it was sent to."""
+    """One attempt of a request.
+
+    It keeps its own zone and cell: an update of the list may move its server after the attempt was sent.
+    """
 
     server: Server
-    zone: int  # of its server when its first byte went out, as far as that is known
-    cell: int
-    decided_at: int  # ns: its window runs from here
-    sent_at: int  # ns: the same, or when the body that was still coming was through
+    zone: int  # zone of its server when the first byte was sent, as far as is known
+    cell: int  # cell of its server at that time
+    decided_at: int  # ns; the idempotency window starts here
+    sent_at: int  # ns; `decided_at`, or the end of the upload for a body that was still arriving
     state: AttemptState = IN_FLIGHT
 
 
@@ -154,7 +157,7 @@
     """A request that has no final response yet."""
 
     def __init__(self, request: Request, spec: RequestClass, now: int) -> None:
-        """Take up a request of the class `spec` at `now`."""
+        """Start to track a request of the class `spec` that arrived at `now`."""
         self.id, self.class_index, self.tenant, self.spec = (
             request.id,
             request.class_index,
@@ -163,18 +166,18 @@
         )
         self.deadline = request.deadline_ns
         self.first_send_by = now + int(MAX_UNSENT_SHARE * (self.deadline - now))
-        self.reached_server = False  # some attempt has reached a server
+        self.reached_server = False  # at least one attempt has reached a server
         self.age = 0  # ns since the client's first attempt, as far as is known
-        self.attempts: list[Attempt] = []  # by number
-        self.retries = 0  # delays waited so far
-        self.retry_paid = False  # the next retry has been paid for
-        self.retry_scheduled = False  # a retry waits in the timer heap
+        self.attempts: list[Attempt] = []  # indexed by attempt number
+        self.retries = 0  # backoffs drawn so far
+        self.retry_paid = False  # the tokens for the next retry have been taken
+        self.retry_scheduled = False  # a retry is in the timer heap
         self.streaming = False
-        self.uploading = request.uploading  # its body still comes: no server works on it yet
-        self.body_discarded = False  # its body can't be brought again
+        self.uploading = request.uploading  # its body is still arriving: no server works on it yet
+        self.body_discarded = False  # its body cannot be sent again
 
     def record_end(self, number: int, status: Status) -> bool:
-        """Record the end of an attempt; False for one that has ended before or was never decided."""
+        """Record the end of an attempt; return False if it had ended already or does not exist."""
         if number >= len(self.attempts) or self.attempts[number].state is not IN_FLIGHT:
             return False
         state = NEVER_RAN if status in PROVES_NOT_RUN else MAY_HAVE_RUN
@@ -183,9 +186,9 @@
         return True
 
     def any_in_flight(self) -> bool:
-        """Whether an attempt may still be answered."""
+        """Return whether any attempt may still be answered."""
         return any(attempt.state is IN_FLIGHT for attempt in self.attempts)
 
     def never_ran(self) -> bool:
-        """Whether each attempt is proven not to have run; one in flight may have."""
+        """Return whether every attempt is proven not to have run; one in flight may have run."""
         return all(attempt.state is NEVER_RAN for attempt in self.attempts)
--- a/ochreflow/policy/tenant_quota.py
+++ b/ochreflow/policy/tenant_quota.py
@@ -1,82 +1,86 @@
-"""Tenant quotas: in overload, what tenants request beyond theirs is shed first. Peers gossip their rates."""
+"""Tenant quotas: in overload, requests of tenants over their quota are shed first.
+
+Sidecars gossip their request rates by tenant, so that a quota is checked against the rate at all sidecars.
+"""
 
 import struct
 
 from .interface import GossipReceived, PublishGossip
 from .state_records import SECOND, Context
 
-QUOTA_UPDATE_INTERVAL = 0.5  # shortest deadlines between judgements: bursts rise within seconds
-REQUEST_RATE_SMOOTHING = 0.5  # weight of the latest such span
-# Times the median tenant's use of its quota is within quota, where not all peers are heard.
+QUOTA_UPDATE_INTERVAL = 0.5  # shortest deadlines between updates: bursts build up within seconds
+REQUEST_RATE_SMOOTHING = 0.5  # weight of the rate since the last update
+# Multiple of the median tenant's use of its quota that still counts as within quota, while the rates of some
+# peers are unknown.
 QUOTA_TOLERANCE = 1.3
-PEER_RATE_LIFETIME = 6.0  # such spans until a peer's word no longer counts
-RATE_STEPS_PER_S = 64  # steps of a request a second in the peers' message
+PEER_RATE_LIFETIME = 6.0  # update intervals after which the rates that a peer published expire
+RATE_STEPS_PER_S = 64  # the gossip message carries rates in units of 1/64 request a second
 
 
 class TenantQuotas:
-    """Measures how much of each tenant's traffic is over its quota."""
+    """Estimates the share of each tenant's traffic that is over its quota."""
 
     def __init__(self, context: Context) -> None:
         """Start without traffic."""
         self.context = context
         tenants = len(context.settings.tenants)
-        self.counts = [0.0] * tenants  # first attempts since the quotas were judged
-        self.request_rates = [0.0] * tenants  # first attempts per second, smoothed
+        self.counts = [0.0] * tenants  # first attempts since the last update
+        self.request_rates = [0.0] * tenants  # first attempts a second, smoothed
         self.updated_at = 0
-        self.over_quota: list[float] = []  # the part of each tenant's traffic that is over its quota
-        self.peer_rates: dict[int, tuple[int, list[float]]] = {}
-        self.rates = struct.Struct(f"<{tenants}I")  # the gossip: first attempts a second by tenant
+        self.over_quota: list[float] = []  # by tenant, the share of its traffic that is over its quota
+        self.peer_rates: dict[int, tuple[int, list[float]]] = {}  # by peer: time received, rates by tenant
+        self.gossip_format = struct.Struct(f"<{tenants}I")  # first attempts a second by tenant
 
     def count(self, tenant: int) -> None:
-        """Count a first attempt; now and then judge how much of each tenant's traffic is over its quota."""
+        """Count a first attempt; once in each update interval publish the rates and update the shares."""
         self.counts[tenant] += 1.0
-        passed = self.context.now - self.updated_at
-        if passed < QUOTA_UPDATE_INTERVAL * self.context.shortest_deadline_ns:
+        elapsed_ns = self.context.now - self.updated_at
+        if elapsed_ns < QUOTA_UPDATE_INTERVAL * self.context.shortest_deadline_ns:
             return
-        known, self.updated_at = self.updated_at, self.context.now
-        if known:  # the first span has no beginning
-            for number, counts in enumerate(self.counts):
+        previous_update_at, self.updated_at = self.updated_at, self.context.now
+        if previous_update_at:  # the first interval has no known start
+            for number, count in enumerate(self.counts):
                 self.request_rates[number] += REQUEST_RATE_SMOOTHING * (
-                    counts * SECOND / passed - self.request_rates[number]
+                    count * SECOND / elapsed_ns - self.request_rates[number]
                 )
         self.counts = [0.0] * len(self.counts)
         if self.context.settings.can_gossip and self.context.settings.fleet_size > 1:
             steps = [
                 min(int(request_rate * RATE_STEPS_PER_S), 0xFFFFFFFF) for request_rate in self.request_rates
             ]
-            self.context.actions.append(PublishGossip(self.rates.pack(*steps)))
+            self.context.actions.append(PublishGossip(self.gossip_format.pack(*steps)))
         self.update_over_quota()
 
     def update_over_quota(self) -> None:
-        """Work out the part of each tenant's traffic that is over its quota."""
+        """Compute the share of each tenant's traffic that is over its quota."""
         tenants = self.context.settings.tenants
-        fresh = (
+        oldest_valid_at = (
             self.context.now - PEER_RATE_LIFETIME * QUOTA_UPDATE_INTERVAL * self.context.shortest_deadline_ns
         )
-        peers = [rates for when, rates in self.peer_rates.values() if when >= fresh]
+        peers = [rates for received_at, rates in self.peer_rates.values() if received_at >= oldest_valid_at]
         if len(peers) + 1 >= self.context.settings.fleet_size:
-            # All are heard: the shares are known as they are stated, over all sidecars together.
-            part = 1.0
+            # The rates of all sidecars are known: compare their sums with the quotas as they are configured.
+            quota_share = 1.0
             request_rates = [sum(rates) for rates in zip(self.request_rates, *peers, strict=True)]
         else:
-            # Only own traffic is seen: the own part of each share is guessed from the tenants' middle.
+            # Some rates are unknown: estimate this sidecar's share of the quotas from the median tenant.
             request_rates = self.request_rates
             pairs = zip(request_rates, tenants, strict=True)
-            loads = sorted(
+            quota_uses = sorted(
                 request_rate / tenant.quota_per_s
                 for request_rate, tenant in pairs
                 if tenant.quota_per_s > 0.0
             )
-            part = loads[(len(loads) - 1) // 2] * QUOTA_TOLERANCE if loads else 0.0
+            quota_share = quota_uses[(len(quota_uses) - 1) // 2] * QUOTA_TOLERANCE if quota_uses else 0.0
         self.over_quota = [
-            1.0 - tenant.quota_per_s * part / request_rate
-            if request_rate > tenant.quota_per_s * part > 0.0
+            1.0 - tenant.quota_per_s * quota_share / request_rate
+            if request_rate > tenant.quota_per_s * quota_share > 0.0
             else 0.0
             for request_rate, tenant in zip(request_rates, tenants, strict=True)
         ]
 
     def record_gossip(self, event: GossipReceived) -> None:
-        """A peer's rates by tenant; anything of another length is not ours and skipped."""
-        if len(event.data) == self.rates.size and event.sender < self.context.settings.fleet_size:
-            rates = [value / RATE_STEPS_PER_S for value in self.rates.unpack(event.data)]
+        """Record a peer's rates by tenant; ignore messages of another length or from unknown senders."""
+        if len(event.data) == self.gossip_format.size and event.sender < self.context.settings.fleet_size:
+            rates = [value / RATE_STEPS_PER_S for value in self.gossip_format.unpack(event.data)]
             self.peer_rates[event.sender] = (self.context.now, rates)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -57,8 +57,8 @@
     ),
     "no repeat beyond the class": (
         "policy/safety_rules.py",
-        "apart = at.cell != server.cell if spec.scope",
-        "apart = at.zone != server.zone if spec.scope",
+        "attempt.cell != server.cell if spec.scope",
+        "attempt.zone != server.zone if spec.scope",
         KILLED,
     ),
     "drains kept": (
