--- a/ochreflow/admission/limits.py
+++ b/ochreflow/admission/limits.py
@@ -20,7 +20,7 @@
 
 
 class RejectionReason(Enum):
-    """Why a connection was rejected."""
+    """The reason for the rejection of a connection, as shown to operators."""
 
     ADDRESS_CONNECTIONS = "address has too many open"
     PREFIX_CONNECTIONS = "prefix has too many open"
--- a/ochreflow/app/hot_restart.py
+++ b/ochreflow/app/hot_restart.py
@@ -37,7 +37,7 @@
         own_inheritance: Callable[[], Inheritance],
         pid: int | None = None,
     ) -> None:
-        """`own_inheritance` returns what this process hands over to a new one; `pid` is its own pid."""
+        """`own_inheritance` returns the state to hand over to a new process; `pid` is that of this one."""
         self.loop = loop
         self.directory = Path(directory)
         self.usage = usage
@@ -76,7 +76,7 @@
         return len({link.pid for link in self.links if link.pid is not None})
 
     def own_usage(self) -> tuple[int, ...]:
-        """Return what this process uses: descriptors, client connections, bytes of memory."""
+        """Return the usage of this process: descriptors, client connections, bytes of memory."""
         return self.usage.own_usage()
 
     def update_others(self) -> None:
--- a/ochreflow/app/hot_restart_form.py
+++ b/ochreflow/app/hot_restart_form.py
@@ -21,7 +21,7 @@
 
 
 class ResourceUsage(NamedTuple):
-    """What one process uses at present."""
+    """The resources that a process uses."""
 
     descriptors: int
     clients: int  # client connections, which are among the descriptors
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Inheritance:
-    """What a running process hands over to a new one."""
+    """The state that a running process hands over to a new one."""
 
     endpoint_list: object  # in discovery's format; None if there is none yet
     known_clients: object  # snapshot of connection admission; None if that is off, or from old versions
@@ -67,7 +67,7 @@
 
 
 def parse_inheritance(greeting: dict[str, Any]) -> Inheritance:
-    """Return what a greeting hands over."""
+    """Return the state that a greeting hands over."""
     return Inheritance(greeting["list"], greeting.get("known"))
 
 
--- a/ochreflow/app/hot_restart_link.py
+++ b/ochreflow/app/hot_restart_link.py
@@ -21,14 +21,14 @@
 
 
 class LinkOwner(Protocol):
-    """What a link needs to know of its own process."""
+    """The part of `HotRestart` that its links use."""
 
     loop: asyncio.AbstractEventLoop
     pid: int
     links: dict[Link, None]
 
     def own_inheritance(self) -> Inheritance:
-        """Return what this process hands over to a new one."""
+        """Return the state that this process hands over to a new one."""
         ...
 
     def own_usage(self) -> tuple[int, ...]:
--- a/ochreflow/app/inherited.py
+++ b/ochreflow/app/inherited.py
@@ -1,4 +1,4 @@
-"""What a process inherits: the platform's listening socket, and the endpoint list of a running process."""
+"""Inherited state: the platform's listening socket, and the endpoint list of a running process."""
 
 from __future__ import annotations
 
--- a/ochreflow/app/operator.py
+++ b/ochreflow/app/operator.py
@@ -20,7 +20,7 @@
 
 
 class LogTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What is written to standard error, and how."""
+    """The format, level and rate limit of the log on standard error."""
 
     format: Literal["plain", "console", "json"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -94,7 +94,7 @@
         return inherited_endpoint_list(await self.hot_restart.start(), self.config.endpoint_ids)
 
     def _own_inheritance(self) -> Inheritance:
-        """Return what this process hands over to a new one."""
+        """Return the state that this process hands over to a new one."""
         from .hot_restart_form import Inheritance
 
         if self.sidecar is None:
--- a/ochreflow/cli/lab.py
+++ b/ochreflow/cli/lab.py
@@ -143,7 +143,7 @@
 )
 @click.option("--slow", is_flag=True, help="Cold servers work at the speed of their slow-start ramp.")
 @click.option(
-    "--unequal", is_flag=True, help="Two kinds of servers and one slow cell, as the endpoint list tells."
+    "--unequal", is_flag=True, help="Two kinds of servers and one slow cell, both named in the endpoint list."
 )
 @click.option(
     "--program",
