--- a/ochreflow/simulator_adapter/__init__.py
+++ b/ochreflow/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the balancers behind the simulator's wire, on the standard streams: `sim` of the deploy file."""
+"""Adapter that runs balancers for the simulator on the standard streams: `sim` in `deploy/balancer.toml`."""
--- a/ochreflow/simulator_adapter/__main__.py
+++ b/ochreflow/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the adapter: `python -m ochreflow.simulator_adapter`."""
+"""Entry point of the adapter: `python -m ochreflow.simulator_adapter`."""
 
 from __future__ import annotations
 
--- a/ochreflow/simulator_adapter/actions.py
+++ b/ochreflow/simulator_adapter/actions.py
@@ -1,6 +1,6 @@
-"""Actions of the decision module, encoded as records of the simulator's wire.
+"""Encoder for the decision module's actions, as records of the simulator's wire protocol.
 
-Each record is 24 bytes long: code, instance, and the fields of the wire's page in its order.
+Each record is 24 bytes long: code, instance, and then the fields in the order of the protocol's page.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from .frames import Reply
 
 
-def _packer(code: ActionCode, fields: str) -> Callable[..., bytes]:
-    """Return what packs a record of this code, given the instance and the fields in this format."""
-    return partial(struct.Struct(f"<BH{fields}").pack, int(code))
+def _packer(code: ActionCode, fields_format: str) -> Callable[..., bytes]:
+    """Return a function that packs the instance and the field values into a record with this code."""
+    return partial(struct.Struct(f"<BH{fields_format}").pack, int(code))
 
 
 _pack_share = _packer(ActionCode.SHARE, "III9x")  # recipient; msg: offset, length
@@ -37,48 +37,48 @@
 def encode_actions(  # noqa: C901 - one short case for each action of the closed union
     instance: int, actions: Iterable[api.Action], reply: Reply
 ) -> None:
-    """Append the records of an instance's actions, in their order. Those that come most often stand first."""
-    add = reply.records.append
+    """Append the records of an instance's actions, in order. The most frequent actions are matched first."""
+    append_record = reply.records.append
     for action in actions:
         match action:
             case api.Send():
-                add(_pack_dispatch(instance, action.id, action.timeout_ns, action.server))
+                append_record(_pack_dispatch(instance, action.id, action.timeout_ns, action.server))
             case api.SetTimer():
-                add(_pack_set_timer(instance, action.after_ns, action.token))
+                append_record(_pack_set_timer(instance, action.after_ns, action.token))
             case api.Reject():
-                add(_pack_turn_away(instance, action.id, action.retry_after_ns))
+                append_record(_pack_turn_away(instance, action.id, action.retry_after_ns))
             case api.Fail():
-                add(_pack_abort(instance, action.id))
+                append_record(_pack_abort(instance, action.id))
             case api.Cancel():
-                add(_pack_retract(instance, action.id, action.attempt))
+                append_record(_pack_retract(instance, action.id, action.attempt))
             case api.PublishGossip():
                 peer = ALL_PEERS if action.peer is None else action.peer
-                _add_with_tail(reply, partial(_pack_share, instance, peer), action.data)
+                _append_with_tail(reply, partial(_pack_share, instance, peer), action.data)
             case api.Probe():
-                add(_pack_touch(instance, action.server))
+                append_record(_pack_touch(instance, action.server))
             case api.CloseIdle():
-                add(_pack_hang_up(instance, action.server))
+                append_record(_pack_hang_up(instance, action.server))
             case api.Watch():
-                add(_pack_follow(instance, action.on))
+                append_record(_pack_follow(instance, action.on))
             case api.Fetch():
-                add(_pack_resolve(instance))
+                append_record(_pack_resolve(instance))
             case api.Log():
-                _add_with_tail(reply, partial(_pack_trace, instance), action.text.encode())
+                _append_with_tail(reply, partial(_pack_trace, instance), action.text.encode())
             case _:
                 raise _unknown_action(action)
 
 
 def encode_internal_error(instance: int, text: str, reply: Reply) -> None:
-    """Append the record that the decision module has failed for an instance, with a text that says how."""
-    _add_with_tail(reply, partial(_pack_internal_error, instance), text.encode())
+    """Append a record that reports a failure of the decision module for an instance; `text` describes it."""
+    _append_with_tail(reply, partial(_pack_internal_error, instance), text.encode())
 
 
-def _add_with_tail(reply: Reply, pack: Callable[..., bytes], data: bytes) -> None:
-    """Append a record whose last two fields are the offset and the length of its data in the tail."""
+def _append_with_tail(reply: Reply, pack: Callable[..., bytes], data: bytes) -> None:
+    """Append a record that ends with the offset and length of its data, and append the data to the tail."""
     reply.records.append(pack(len(reply.tail), len(data)))
     reply.tail += data
 
 
 def _unknown_action(action: Never) -> TypeError:
-    """Let the type checker refuse a union with an action that has no case; at run time, say which it was."""
-    return TypeError(f"no action: {action!r}")
+    """Return the error for an action without a case; the type checker reports such a case as well."""
+    return TypeError(f"unknown action: {action!r}")
--- a/ochreflow/simulator_adapter/codes.py
+++ b/ochreflow/simulator_adapter/codes.py
@@ -1,7 +1,7 @@
-"""The numbers of the simulator's wire by the words of its page, and what they mean to the decision module.
+"""Codes of the simulator's wire protocol, named as on its page, and the decision module's terms for them.
 
-Naming a member of an enum costs 0.1 us in Python 3.11, so what runs for each record looks codes up in tables
-and sets that are built from them here and beside their use.
+Accessing an enum member costs 0.1 us in Python 3.11, so the code that runs for each record uses tables and
+sets that are built from the members once, here or in the module that uses them.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 class EventCode(IntEnum):
     """First byte of an event record."""
 
-    NEW_INSTANCE = 16  # an instance comes up empty
-    ENDPOINTS = 17  # discovery's report on the servers
+    NEW_INSTANCE = 16  # an instance starts without state
+    ENDPOINTS = 17  # discovery's list of servers, or changes to it
     INBOUND = 18  # a client's request
-    FIRST = 19  # a streamed answer has started
+    FIRST = 19  # a streamed response has started
     SETTLED = 20  # an attempt has finished
-    DROPPED = 21  # the client has left
-    BELL = 22  # a timer has come due
-    HEALTH = 23  # what a probe found
+    DROPPED = 21  # the client has disconnected
+    BELL = 22  # a timer has expired
+    HEALTH = 23  # the result of a probe
     NOTE_FROM = 24  # a message from another instance
     STOP = 25  # the instance has been killed
     SNAPSHOT_ROWS = 26  # a numbered list of servers, shared by all instances
@@ -29,24 +29,24 @@
 
 HOST_EVENTS = frozenset(
     (EventCode.NEW_INSTANCE, EventCode.STOP, EventCode.SNAPSHOT_ROWS)
-)  # for the host itself
+)  # handled by the host, not passed to a balancer
 
 
 class ActionCode(IntEnum):
     """First byte of an action record."""
 
     SHARE = 16  # send a message to one instance, or to all
-    RETRACT = 17  # stop waiting on an attempt
+    RETRACT = 17  # cancel an attempt
     FOLLOW = 18  # subscribe to discovery
     INTERNAL_ERROR = 19  # the decision module has failed
     HANG_UP = 20  # close idle connections to a server
-    TRACE = 21  # a line for the report
+    TRACE = 21  # a line of text for the report
     TOUCH = 22  # probe a server
-    TURN_AWAY = 23  # final answer: rejected
-    RESOLVE = 24  # ask discovery once
+    TURN_AWAY = 23  # final response: rejected
+    RESOLVE = 24  # fetch discovery's list once
     DISPATCH = 25  # start an attempt
-    ABORT = 26  # final answer: failed
-    SET_TIMER = 27  # ask for a `BELL`
+    ABORT = 26  # final response: failed
+    SET_TIMER = 27  # request a `BELL` event
 
 
 class ReasonCode(IntEnum):
@@ -63,7 +63,7 @@
 
 
 class ScopeCode(IntEnum):
-    """`scope` of `ENDPOINTS`: what a list holds."""
+    """`scope` of `ENDPOINTS`: the kind of list."""
 
     DELTA = 0
     FULL = 1
@@ -72,7 +72,7 @@
 
 
 class PhaseCode(IntEnum):
-    """`phase` of one line of a list."""
+    """`phase` of a list entry: the state of a server."""
 
     GONE = 0
     READY = 1
@@ -82,7 +82,7 @@
 class InboundOption(IntEnum):
     """Bits of `opts` of `INBOUND`."""
 
-    COST_VALID = 1  # `effort-ns` means something
+    COST_VALID = 1  # `effort-ns` is set
     CLIENT_RETRY = 2
     WRITE = 4
 
--- a/ochreflow/simulator_adapter/errors.py
+++ b/ochreflow/simulator_adapter/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the adapter: the input is no frame of the wire, and each class says in which way."""
+"""Errors of the adapter: one class for each way in which the input violates the wire protocol."""
 
 from __future__ import annotations
 
@@ -6,60 +6,60 @@
 
 
 class FrameError(OchreflowError):
-    """The input is no frame of this protocol; nothing that follows it can be read."""
+    """The input is not a valid frame, so that nothing after it can be read."""
 
 
 class TruncatedInputError(FrameError):
     """The input ended inside a frame."""
 
     def __init__(self, missing: int) -> None:
-        """Take how many bytes are missing."""
-        super().__init__(f"input ended {missing} bytes short")
+        """Report the number of missing bytes."""
+        super().__init__(f"input ended inside a frame: {missing} bytes are missing")
 
 
 class ShortFrameError(FrameError):
-    """A frame is too short for the clock and the number of records."""
+    """A frame is too short for its header, the clock and the number of records."""
 
     def __init__(self) -> None:
-        """Need nothing: the header has one size."""
-        super().__init__("frame shorter than its header")
+        """Use a fixed text, since the header has a fixed size."""
+        super().__init__("frame is shorter than its header")
 
 
 class RecordCountError(FrameError):
-    """A frame announces more records than it has room for."""
+    """The record count of a frame is more than its size allows."""
 
     def __init__(self, size: int, count: int) -> None:
-        """Take the frame's size in bytes, without its length field, and the announced number of records."""
+        """Report the frame's size in bytes, without its length field, and its record count."""
         super().__init__(f"frame of {size} bytes cannot hold {count} records")
 
 
 class TailRangeError(FrameError):
-    """A field points behind the end of the frame's tail."""
+    """A field refers to data beyond the end of the frame's tail."""
 
     def __init__(self, end: int) -> None:
-        """Take the offset in the tail, in bytes, that the field reaches to."""
-        super().__init__(f"tail ends before byte {end}")
+        """Report the end of that data, as an offset into the tail in bytes."""
+        super().__init__(f"a field refers to data up to byte {end} of the tail, which is shorter")
 
 
 class UnknownListError(FrameError):
-    """`ENDPOINTS` names a list that no `SNAPSHOT_ROWS` has defined."""
+    """An `ENDPOINTS` record refers to a list that no `SNAPSHOT_ROWS` record has defined."""
 
     def __init__(self, number: int) -> None:
-        """Take the list's number."""
-        super().__init__(f"list {number} was never sent")
+        """Report the list's number."""
+        super().__init__(f"ENDPOINTS refers to list {number}, which no SNAPSHOT_ROWS has defined")
 
 
 class UnknownClassError(FrameError):
-    """`INBOUND` names a class that the instance's settings do not have."""
+    """An `INBOUND` record refers to a request class that the instance's settings do not define."""
 
     def __init__(self, request_id: int, class_index: int) -> None:
-        """Take the request's id and the position that it names in the list of classes."""
-        super().__init__(f"request {request_id} is of unknown class {class_index}")
+        """Report the request's id and its index into the list of classes."""
+        super().__init__(f"request {request_id} has the unknown class index {class_index}")
 
 
 class UnknownEventError(FrameError):
-    """An event record begins with a code that the protocol does not have."""
+    """An event record has a code that the protocol does not define."""
 
     def __init__(self, code: int) -> None:
-        """Take the code."""
-        super().__init__(f"event code {code} is unknown")
+        """Report the code."""
+        super().__init__(f"unknown event code {code}")
--- a/ochreflow/simulator_adapter/host.py
+++ b/ochreflow/simulator_adapter/host.py
@@ -1,7 +1,7 @@
-"""Runs balancers behind the simulator's wire: frames in, events to the balancers, actions out.
+"""Host that runs balancers for the simulator: reads frames of events, and answers each with their actions.
 
-It decides nothing. Input that is no frame of the protocol ends the process with one plain line on standard
-error and a non-zero exit. An exception of the decision module goes out as the wire's `INTERNAL_ERROR`.
+Invalid input ends the process with one line on standard error and a non-zero exit code. An exception of the
+decision module is reported to the simulator as an `INTERNAL_ERROR` record.
 """
 
 from __future__ import annotations
@@ -21,54 +21,58 @@
 
 
 class Host:
-    """Runs any number of balancers behind one pair of streams; they share nothing but lists of servers."""
+    """Runs any number of balancers, which share nothing but the lists of servers."""
 
     def __init__(self) -> None:
-        """Begin without any instance."""
-        self.balancers: dict[int, Balancer] = {}  # by the number of their instance
-        self.lists: dict[int, list[api.Endpoint]] = {}  # by the number of the list
+        """Begin with no instances."""
+        self.balancers: dict[int, Balancer] = {}  # by instance number
+        self.lists: dict[int, list[api.Endpoint]] = {}  # by list number
 
     def reply_to(self, body: bytes) -> bytes:
-        """Answer one frame, given without its length field.
+        """Return the reply to one frame, which is given without its length field.
 
-        Raises `FrameError` for what is no frame, and `SettingError` for settings that can't be read.
+        Raise `FrameError` for an invalid frame, and `SettingError` for invalid settings.
         """
         batch = EventBatch.parse(body)
         reply = Reply()
-        for at in batch.record_offsets():
-            self._take_record(batch, at, reply)
+        for record_offset in batch.record_offsets():
+            self._handle_record(batch, record_offset, reply)
         return reply.to_bytes()
 
-    def _take_record(self, batch: EventBatch, at: int, reply: Reply) -> None:
-        """Handle the record that begins at this offset."""
-        code = batch.body[at]
-        (instance,) = INSTANCE.unpack_from(batch.body, at)
+    def _handle_record(self, batch: EventBatch, record_offset: int, reply: Reply) -> None:
+        """Handle the record at this offset; report an exception of the decision module in the reply."""
+        code = batch.body[record_offset]
+        (instance,) = INSTANCE.unpack_from(batch.body, record_offset)
         try:
             if code in HOST_EVENTS:
-                self._take_host_event(code, instance, batch, at)
+                self._handle_host_event(code, instance, batch, record_offset)
             else:
-                self._take_event(code, instance, batch, at, reply)
+                self._handle_event(code, instance, batch, record_offset, reply)
         except (FrameError, SettingError):
             raise
-        except Exception as error:  # the wire has a word for any failure of the decision module
+        except Exception as error:  # the protocol reports any failure of the decision module
             traceback.print_exc(file=sys.stderr)
             encode_internal_error(instance, f"{type(error).__name__}: {error}", reply)
 
-    def _take_host_event(self, code: int, instance: int, batch: EventBatch, at: int) -> None:
-        """Start or stop the instance, or keep a list, which is of no instance."""
+    def _handle_host_event(self, code: int, instance: int, batch: EventBatch, record_offset: int) -> None:
+        """Start or stop the instance, or store a list, which belongs to no instance."""
         match code:
             case EventCode.NEW_INSTANCE:
-                new = decode_new_instance(batch, at)
-                self.balancers[instance] = Balancer(parse_settings(new.settings_text), new.seed)
+                new_instance = decode_new_instance(batch, record_offset)
+                self.balancers[instance] = Balancer(
+                    parse_settings(new_instance.settings_text), new_instance.seed
+                )
             case EventCode.STOP:
                 self.balancers.pop(instance, None)
             case EventCode.SNAPSHOT_ROWS:
-                number, entries = decode_server_list(batch, at)
+                number, entries = decode_server_list(batch, record_offset)
                 self.lists[number] = entries
 
-    def _take_event(self, code: int, instance: int, batch: EventBatch, at: int, reply: Reply) -> None:
-        """Give an event to its instance and write down the actions; an unknown instance has none."""
-        event = decode_event(code, batch, at, self.lists)
+    def _handle_event(
+        self, code: int, instance: int, batch: EventBatch, record_offset: int, reply: Reply
+    ) -> None:
+        """Let the instance handle an event and append its actions; ignore events of unknown instances."""
+        event = decode_event(code, batch, record_offset, self.lists)
         balancer = self.balancers.get(instance)
         if event is None or balancer is None:
             return
@@ -80,8 +84,7 @@
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer each frame until the input ends.
 
-    Raises `FrameError` where the input is no frame or ends inside one, and `SettingError` for settings that
-    can't be read.
+    Raise `FrameError` if a frame is invalid or truncated, and `SettingError` for invalid settings.
     """
     host = Host()
     for body in read_batches(source):
@@ -90,7 +93,7 @@
 
 
 def main() -> int:
-    """Serve on the standard streams; the exit code, 1 where the input was broken."""
+    """Serve on standard input and output; return the exit code, 1 after invalid input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (FrameError, SettingError) as error:
