--- a/ochreflow/http/__init__.py
+++ b/ochreflow/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: clients' connections, connections to servers, and the operators' address."""
+"""HTTP/1.1: client connections, connections to servers, and the management interface."""
--- a/ochreflow/http/acceptor.py
+++ b/ochreflow/http/acceptor.py
@@ -1,7 +1,7 @@
-"""Accepts the clients' connections where `[admission]` is on.
+"""Accepts client connections while `[admission]` is on.
 
-A connection that is rejected costs a descriptor for a moment and nothing else: no transport is made. So does
-one whose client left while it waited in the backlog, and it is not counted. While the system has no
+A rejected connection costs only a descriptor for a moment: no transport is created for it. The same holds for
+a connection whose client left while it waited in the backlog, and it is not counted. While the system has no
 descriptor left, connections wait in the backlog; see `ochreflow.admission.accept_throttle`.
 """
 
@@ -19,7 +19,7 @@
 
 
 class Acceptor:
-    """Owns a listening socket; gives who is let in to the loop."""
+    """Owns a listening socket, and passes each admitted connection to the event loop."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         connection_factory: Callable[[], ClientConnection],
         clients: Clients,
     ) -> None:
-        """Start to accept on `sock`; `connection_factory` makes the protocol of each connection."""
+        """Start accepting on `sock`; `connection_factory` creates the protocol of each connection."""
         self.loop = loop
         self.sock = sock
         self.connection_factory = connection_factory
@@ -40,15 +40,15 @@
         loop.add_reader(sock, self._on_readable)
 
     def _on_readable(self) -> None:
-        """Connections wait."""
+        """Accept as many waiting connections as the throttle allows."""
         count = 0
         for _ in range(self.accept_throttle.accepts_allowed(monotonic())):
             try:
                 sock, address = self.sock.accept()
             except (BlockingIOError, InterruptedError):
-                break  # none is left, or another process of this sidecar took it
+                break  # the backlog is empty, or another process of this sidecar accepted the connection
             except ConnectionAbortedError:
-                continue  # its client has left
+                continue  # the client has disconnected
             except OSError as error:
                 self._pause(error)
                 return
@@ -57,8 +57,8 @@
         self.accept_throttle.accepted(count)
 
     def _admit(self, sock: socket.socket, host: str) -> None:
-        # Guards the places of those that stay: a client that has left would keep its place for some turns of
-        # the loop, and those behind it in the backlog would be refused.
+        # A client that has left would keep its place for some iterations of the loop, and clients behind it
+        # in the backlog would be rejected.
         if _disconnected_without_data(sock):
             sock.close()
             return
@@ -73,12 +73,12 @@
     async def _connect(self, client: ClientConnection, sock: socket.socket) -> None:
         try:
             await self.loop.connect_accepted_socket(lambda: client, sock)
-        except OSError:  # it left meanwhile
+        except OSError:  # the client disconnected meanwhile
             self.clients.withdraw(client)
             sock.close()
 
     def _pause(self, error: OSError) -> None:
-        """Let what waits for nothing make room, and leave the rest in the backlog for a while."""
+        """Evict clients that wait for nothing, and leave new connections in the backlog for a while."""
         wait = self.accept_throttle.out_of_descriptors(monotonic())
         evicted = 0
         if error.errno in DESCRIPTOR_ERRNOS:
@@ -93,7 +93,7 @@
         self.loop.add_reader(self.sock, self._on_readable)
 
     def close(self) -> None:
-        """Close the own descriptor only: another process may go on listening on the same socket."""
+        """Close this process's descriptor only: another process may go on listening on the same socket."""
         if self.sock.fileno() < 0:
             return
         if self.resume_timer is not None:
@@ -104,7 +104,7 @@
 
 
 def _disconnected_without_data(sock: socket.socket) -> bool:
-    """Whether the peer has ended its sending or reset the connection, and nothing that it sent is unread."""
+    """Return whether the peer has shut down sending or reset the connection, with no data left to read."""
     try:
         return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except (BlockingIOError, InterruptedError):
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -1,4 +1,4 @@
-"""The clients' connections all together: their share of descriptors, and how long each may take."""
+"""All client connections: their quota of descriptors, and the time limits on each of them."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 from ..core.limits import Descriptors
 from ..core.log import log
 
-HEAD_TIMEOUT_S = 2.6  # seconds from connecting, or from a message's first byte, until its head has come
-MIN_BODY_BYTES_PER_S = 32_000  # measured over one `HEAD_TIMEOUT_S` at a time: clients may send 64 kB a second
-IDLE_TIMEOUT_S = 2.0  # seconds that a connection is kept with no request open
-SLOW_READER_TIMEOUT_S = 5.0  # in which a client may read nothing of a response
-# Of the clients' quota of descriptors: when more have sent nothing, it is no burst of the usual ones.
+HEAD_TIMEOUT_S = 2.6  # from connecting, or from a message's first byte, until its head is complete
+MIN_BODY_BYTES_PER_S = 32_000  # averaged over one `HEAD_TIMEOUT_S` at a time; clients may send 64 kB a second
+IDLE_TIMEOUT_S = 2.0  # for which a connection without an open request is kept
+SLOW_READER_TIMEOUT_S = 5.0  # for which a client may read nothing of a response
+# Share of the clients' quota of descriptors: more clients than this that have sent nothing are not a burst of
+# normal clients.
 MAX_SILENT_SHARE = 0.25
-STALE_AFTER_S = 0.5  # without a byte of an unfinished message: slow clients write a piece more often
-# Clients closed in one sweep for a quota that has become smaller: a turn of the loop must not be long.
+STALE_AFTER_S = 0.5  # without a byte of an unfinished message; slow clients write more often
+# Clients closed in one sweep after the quota has shrunk: a sweep must not block the event loop for long.
 MAX_EVICTIONS_PER_SWEEP = 32
-FIRST_REQUEST_DELAY_S = 0.02  # seconds in which a new connection's first request may well be on its way
+FIRST_REQUEST_DELAY_S = 0.02  # for which a new connection's first request may still be in flight
 
 
 @dataclass(slots=True)
 class ClientTimeouts:
-    """How long clients may take, in seconds. A change holds from the next sweep on."""
+    """Time limits on clients, in seconds. A change takes effect at the next sweep."""
 
     head_s: float = field(default_factory=lambda: HEAD_TIMEOUT_S)
     idle_s: float = field(default_factory=lambda: IDLE_TIMEOUT_S)
@@ -33,49 +34,49 @@
 
 
 class Client(Protocol):
-    """What is asked of a client's connection here."""
+    """A client connection, as far as `Clients` uses it."""
 
-    message_begun: bool  # a message has begun and not ended
-    head_completed: bool  # since `Clients` last reclassified it
-    has_sent_request: bool  # whether it has ever sent a whole message
-    paused: bool
-    message_size: int
+    message_begun: bool  # whether a message has begun and is incomplete
+    head_completed: bool  # whether a head was completed since the last `Clients.reclassify`
+    has_sent_request: bool  # whether it has ever sent a complete message
+    paused: bool  # whether reading is paused
+    message_size: int  # bytes received of the current message
 
     @property
     def serving(self) -> bool:
-        """Whether a response is pending, or not yet acknowledged by the client's machine."""
+        """Whether a response is pending, or not yet acknowledged by the client's host."""
         ...
 
     @property
     def idle(self) -> bool:
-        """Whether no request is queued or served, and no response is on its way out."""
+        """Whether no request is queued or served, and no response is being written."""
         ...
 
     @property
     def closable(self) -> bool:
-        """Whether it can be closed at once without harm."""
+        """Whether it can be closed at once without losing a request or a response."""
         ...
 
     @property
     def draining(self) -> bool:
-        """Whether its sending has ended, and only its client's close is waited for."""
+        """Whether sending has been shut down, and the connection waits for its client to close."""
         ...
 
     @property
     def host(self) -> str:
-        """The address of its client; empty where that can't be told."""
+        """The address of its client; empty if unknown."""
         ...
 
     def recent_body_bytes(self) -> int | None:
-        """Bytes of the body since the last call; None if some of the time nothing was read."""
+        """Return the bytes of the body since the last call; None if reading was paused in between."""
         ...
 
     def expire(self) -> None:
-        """End it: its next message has not come in time."""
+        """End the connection, whose next message has not arrived in time."""
         ...
 
     def close(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
         ...
 
 
@@ -89,22 +90,22 @@
 
 
 class ConnectionAdmission(Protocol):
-    """What decides on connections by their addresses, where that is asked for; see `ochreflow.admission`."""
+    """Decides on connections by their addresses, if configured; see `ochreflow.admission`."""
 
     def admit(self, now: float, key: Client, address: str) -> Rejection | None:
-        """Decide on a new connection; None: it is admitted."""
+        """Return why a new connection is rejected; None if it is admitted."""
         ...
 
     def message_begun(self, now: float, key: Client) -> Client | None:
-        """Record a message that has begun; the connection that is to be ended for it, if any."""
+        """Record that a message has begun; return the connection to end because of it, if any."""
         ...
 
     def message_complete(self, key: Client) -> None:
-        """Record that a connection has no unfinished message any more."""
+        """Record that a connection no longer has an unfinished message."""
         ...
 
     def request_completed(self, now: float, key: Client) -> None:
-        """Record a request that has had its response."""
+        """Record that a request has been answered."""
         ...
 
     def connection_closed(self, key: Client) -> None:
@@ -112,35 +113,35 @@
         ...
 
     def snapshot(self, now: float) -> Sequence[tuple[str, float]]:
-        """What is known of addresses, for the next process."""
+        """Return what is known of addresses, for the next process."""
         ...
 
     def restore(self, now: float, snapshot: object) -> None:
-        """Take over what another process knew of addresses."""
+        """Load what another process knew of addresses."""
         ...
 
     def eviction_candidate(self, now: float, keys: Iterable[Client]) -> Client:
-        """Which of these connections is to be closed first."""
+        """Return the connection to close first."""
         ...
 
     def is_known(self, now: float, key: Client) -> bool:
-        """Whether a connection's address is a known one."""
+        """Return whether the address of a connection is known."""
         ...
 
 
 class Clients:
-    """Owns the lists of connections and their count; evicts some where descriptors are short.
+    """Owns the lists of connections and their count; evicts connections when descriptors run short.
 
-    Every connection is in `incomplete` while a message is to be completed, in `idle` when nothing is open, in
-    `draining` when only its client's close is waited for, or in none of them. Those in `incomplete` are in
-    `last_received` too, by their latest byte. All are in the order of time, so that a sweep costs nothing for
-    those that are in time.
+    Every connection is in `incomplete` while it has an unfinished message, in `idle` while it has no open
+    request, in `draining` while it waits for its client to close, or in none of them. Those in `incomplete`
+    are also in `last_received`, by the time of their latest byte. All lists are ordered by time, so that a
+    sweep costs nothing for connections within their limits.
     """
 
     def __init__(self, descriptors: Descriptors) -> None:
-        """Take part in the count of descriptors, with no connection yet."""
+        """Start without connections; every connection is counted in `descriptors`."""
         self.descriptors = descriptors
-        self.applied_total = descriptors.total  # as the clients were last cut down to their share of it
+        self.applied_total = descriptors.total  # the total for which the quota was last enforced
         self.timeouts = ClientTimeouts()
         self.admission: ConnectionAdmission | None = None
         self.connections: dict[Client, None] = {}
@@ -148,11 +149,11 @@
         self.last_received: dict[Client, float] = {}
         self.idle: dict[Client, float] = {}
         self.draining: dict[Client, None] = {}
-        self.admitted: set[Client] = set()  # by the connection admission, and not added yet
+        self.admitted: set[Client] = set()  # admitted connections that are not added yet
         descriptors.evictors.append(self.evict_one)
 
     def admit(self, client: Client, host: str) -> bool:
-        """Whether the connection admission, if there is one, lets in a connection from this address."""
+        """Return whether a connection from this address is admitted; True without admission control."""
         rejection = self.admission.admit(monotonic(), client, host) if self.admission is not None else None
         if rejection is not None:
             log.info("connection_rejected", address=host, reason=rejection.value)
@@ -161,13 +162,13 @@
         return True
 
     def withdraw(self, client: Client) -> None:
-        """It was admitted, and ended before it was added."""
+        """Forget a connection that was admitted and ended before it was added."""
         self.admitted.discard(client)
         if self.admission is not None:
             self.admission.connection_closed(client)
 
     def add(self, client: Client) -> None:
-        """Add a new connection, if it is admitted; over the clients' quota, one of them is evicted."""
+        """Add a new connection if it is admitted; over the clients' quota, evict one."""
         if client not in self.admitted and not self.admit(client, client.host):
             client.close()
             return
@@ -182,7 +183,7 @@
             other.close()
 
     def remove(self, client: Client) -> None:
-        """Forget a connection that is lost."""
+        """Forget a connection that is closed."""
         self._forget(client)
         if client in self.connections:
             del self.connections[client]
@@ -192,12 +193,12 @@
             self.admission.connection_closed(client)
 
     def _forget(self, client: Client) -> None:
-        for places in (self.incomplete, self.last_received, self.idle):
-            places.pop(client, None)
+        for times in (self.incomplete, self.last_received, self.idle):
+            times.pop(client, None)
         self.draining.pop(client, None)
 
     def reclassify(self, client: Client) -> None:
-        """Note what a connection does now: after it was read, and after a response."""
+        """Update the lists that a connection is in; called after reading from it and after each response."""
         self.idle.pop(client, None)
         if client not in self.connections:
             return
@@ -209,7 +210,7 @@
         elif client.message_begun:
             if client.head_completed:
                 client.head_completed = False
-                self.incomplete.pop(client, None)  # a body has a time of its own
+                self.incomplete.pop(client, None)  # a body has a time limit of its own
             now = monotonic()
             self.incomplete.setdefault(client, now)
             self.last_received.pop(client, None)
@@ -224,36 +225,37 @@
             self._record_message_complete(client)
 
     def _record_message_complete(self, client: Client) -> None:
-        """Tell the connection admission that its messages have come to their end."""
+        """Tell the connection admission that the connection has no unfinished message."""
         if self.admission is not None:
             self.admission.message_complete(client)
             if client.idle:
                 self.admission.request_completed(monotonic(), client)
 
     def _record_message_begun(self, admission: ConnectionAdmission, now: float, client: Client) -> None:
-        """Record that a message has begun; with too many of its address unfinished, the oldest is ended."""
-        late = admission.message_begun(now, client)
-        if late is not None and late is not client:
-            self._forget(late)
-            late.expire()
+        """Record that a message has begun; end the oldest if too many of its address are unfinished."""
+        oldest = admission.message_begun(now, client)
+        if oldest is not None and oldest is not client:
+            self._forget(oldest)
+            oldest.expire()
 
     def _choose_eviction(self, new: Client) -> Client:
-        """The connection to close for a new one over the quota.
+        """Return the connection to close for a new one over the quota.
 
-        Guards the usual clients, slow ones too, against those that connect by hundreds and send nothing.
+        Protects normal clients, slow ones included, against clients that connect by the hundred and send
+        nothing.
 
-        First goes one that has its last response and only does not close; then one with an unfinished message
-        and no byte of it for long; then, where many have sent nothing at all, one of these; then the one that
-        was served longest ago, which can connect again.
+        The order is: a connection that has its last response and only has to be closed by its client; one
+        whose unfinished message has stalled; one that has sent nothing at all, if there are many of these;
+        the one that has been idle longest, whose client can connect again.
         """
         now = monotonic()
         if self.admission is not None:
-            could = [one for one in self.connections if self._is_evictable(one)]
-            return self.admission.eviction_candidate(now, could or [new])
+            evictable = [other for other in self.connections if self._is_evictable(other)]
+            return self.admission.eviction_candidate(now, evictable or [new])
         draining = next((client for client in self.draining if not client.serving), None)
         if draining is not None:
             return draining
-        incomplete = [client for client in self.last_received if not client.serving]  # at least the new one
+        incomplete = [client for client in self.last_received if not client.serving]  # includes the new one
         if self.last_received[incomplete[0]] <= now - STALE_AFTER_S:
             return incomplete[0]
         silent = [client for client in incomplete if not client.message_size and not client.has_sent_request]
@@ -265,56 +267,60 @@
         return silent[0] if self.last_received[silent[0]] <= now - FIRST_REQUEST_DELAY_S else incomplete[0]
 
     def evict_one(self) -> bool:
-        """Close one that waits for nothing, in favour of accepted requests; False if each has one pending.
+        """Close one connection that waits for nothing; return False if there is none.
 
-        Guards accepted requests against a lack of descriptors: their attempts need some.
+        Protects accepted requests against a lack of descriptors: their attempts need some.
         """
         return self._evict(1) > 0
 
     def evict_for_new_connection(self) -> bool:
-        """The same for a connection that is not accepted yet: no known client goes for one that is not known.
+        """Evict one for a connection that is not accepted yet, unless all evictable clients are known ones.
 
-        Those accepted in this turn are not among the clients yet, so a known one may be all that could go.
+        The new connection counts as unknown, and a known client is not evicted for an unknown one.
+        Connections accepted in this iteration of the loop are not among the clients yet, so that known
+        clients may be the only evictable ones.
         """
         now = monotonic()
-        if self.admission is not None and all(self.admission.is_known(now, one) for one in self._evictable()):
+        if self.admission is not None and all(
+            self.admission.is_known(now, client) for client in self._evictable()
+        ):
             return False
         return self.evict_one()
 
     def _evictable(self) -> Iterable[Client]:
-        """Those that wait for nothing, the oldest first."""
-        closable = (one for one in self.idle if one.closable)
+        """Return the connections that wait for nothing, the oldest first."""
+        closable = (client for client in self.idle if client.closable)
         return chain(
-            (one for one in self.draining if not one.serving),
+            (client for client in self.draining if not client.serving),
             closable,
-            (one for one in self.last_received if not one.serving),
+            (client for client in self.last_received if not client.serving),
         )
 
     def _is_evictable(self, client: Client) -> bool:
-        """Whether it is one of those that wait for nothing."""
+        """Return whether a connection waits for nothing."""
         if client in self.last_received or client.draining:
             return not client.serving
         return client.closable
 
     def _evict(self, limit: int) -> int:
-        """Close up to so many that wait for nothing; how many they were."""
+        """Close up to `limit` connections that wait for nothing; return how many were closed."""
         if self.admission is None:
-            going = list(islice(self._evictable(), limit))
+            evicted = list(islice(self._evictable(), limit))
         else:
-            remaining, going = dict.fromkeys(self._evictable()), []
-            while remaining and len(going) < limit:
-                going.append(self.admission.eviction_candidate(monotonic(), remaining))
-                del remaining[going[-1]]
-        for one in going:
-            self._forget(one)
-            one.close()
-        return len(going)
+            remaining, evicted = dict.fromkeys(self._evictable()), []
+            while remaining and len(evicted) < limit:
+                evicted.append(self.admission.eviction_candidate(monotonic(), remaining))
+                del remaining[evicted[-1]]
+        for client in evicted:
+            self._forget(client)
+            client.close()
+        return len(evicted)
 
     def _enforce_quota(self) -> None:
-        """Cut down to a share that has become smaller, as soon as enough of them wait for nothing.
+        """Evict clients after the quota has shrunk, as soon as enough of them wait for nothing.
 
-        Guards operators, discovery and requests: a new connection takes the place of one client, so clients
-        that are over their share stay over it, and with no descriptor left every new connection is ended.
+        Protects operators, discovery and requests: a new connection replaces only one client, so clients over
+        the quota would stay over it, and with no descriptor left every new connection would be closed.
         """
         self.descriptors.apply_system_limit()
         if self.descriptors.total < self.applied_total:
@@ -325,12 +331,15 @@
                 self.applied_total = self.descriptors.total
 
     def sweep(self) -> None:
-        """Guards descriptors and memory against clients that never end a message or never come back."""
+        """Enforce the quota and the time limits.
+
+        Protects descriptors and memory against clients that never finish a message or never come back.
+        """
         self._enforce_quota()
         now = monotonic()
-        for client in _since(self.incomplete, now - self.timeouts.head_s):
+        for client in _entered_by(self.incomplete, now - self.timeouts.head_s):
             received = client.recent_body_bytes()
-            # What is not being read may have come long ago.
+            # While reading is paused, the body may have arrived long ago.
             if (
                 client.paused
                 or received is None
@@ -341,18 +350,19 @@
             else:
                 self._forget(client)
                 client.expire()
-        for client in _since(self.idle, now - self.timeouts.idle_s):
+        for client in _entered_by(self.idle, now - self.timeouts.idle_s):
             client.expire()
 
     def close_idle_connections(self) -> None:
-        """Close every connection on which nothing is open, has begun or waits to be read.
+        """Close every connection on which no request is open, has begun or waits to be read.
 
-        Not one that has never asked: its first request may be on its way, and its time is short anyway.
+        A connection that has never sent a request stays open: its first request may be in flight, and its
+        time limit is short anyway.
         """
         for client in list(self.connections):
             if client.has_sent_request and client.closable:
                 client.close()
 
 
-def _since(places: dict[Client, float], time: float) -> list[Client]:
-    return [client for client, _ in takewhile(lambda place: place[1] <= time, places.items())]
+def _entered_by(times: dict[Client, float], limit: float) -> list[Client]:
+    return [client for client, _ in takewhile(lambda entry: entry[1] <= limit, times.items())]
--- a/ochreflow/http/closing_connection.py
+++ b/ochreflow/http/closing_connection.py
@@ -1,8 +1,8 @@
-"""Closes a client's connection in a way that lets the client read its last responses.
+"""Closes a client connection in a way that lets the client read its last responses.
 
-The draining close: the own sending ends first, and the connection is closed when the client closes, or when
-it has taken nothing more for a while. Closing at once with input unread would reset the connection, and the
-machine of the client would throw away what its program has not read.
+A draining close shuts down sending first, and closes the connection when the client closes, or when the
+client has received nothing more for a while. Closing at once with input unread would reset the connection,
+and the client's host would discard what the client has not read.
 """
 
 from __future__ import annotations
@@ -17,44 +17,44 @@
 from .response_format import CLIENT_DISCONNECTED_RESPONSE
 from .socket_progress import peer_disconnected, unacknowledged
 
-DRAINING_CLOSE_TIMEOUT_S = 2.0  # in which a client may read nothing more of its last responses
+DRAINING_CLOSE_TIMEOUT_S = 2.0  # for which a client may receive nothing more of its last responses
 
 
 @dataclass(slots=True)
 class StreamedResponse:
-    """A response that is forwarded to the client while it comes from the server."""
+    """A response that is forwarded to the client while it arrives from the server."""
 
     chunked: bool
     keep_alive: bool
-    pause: Pause  # tells its source to hold back
+    pause: Pause  # pauses and resumes reading from the server
 
 
 class ClosingConnection(RequestReader):
-    """The closing part of a client's connection. It owns the timer of a draining close."""
+    """The closing part of a client connection. Owns the timer of a draining close."""
 
     def __init__(self, context: ConnectionContext) -> None:
-        """Open, with nothing written."""
+        """Start open, with nothing written."""
         super().__init__(context)
         self.streamed: StreamedResponse | None = None
-        self.end_delimits = False  # only its end delimits the response that was last begun
-        self.write_paused = False  # the client leaves responses unread
+        self.end_delimits = False  # whether only the end of the connection delimits the latest response
+        self.write_paused = False  # whether the client leaves responses unread
         self.draining_timer: asyncio.TimerHandle | None = (
-            None  # sending has ended, the client's close is awaited
+            None  # runs while the connection waits for its client to close
         )
         self.unacknowledged_at_check = 0  # bytes, when the draining close was last checked
 
     @property
     def draining(self) -> bool:
-        """Whether its sending has ended, and only its client's close is waited for."""
+        """Whether sending has been shut down, and the connection waits for its client to close."""
         return self.draining_timer is not None
 
     def close_if_disconnected(self) -> bool:
-        """Close it if its client has left, as far as can be read at this instant; whether it has.
+        """Close the connection if its client has disconnected; return whether it has.
 
-        The end may lie unread in the socket, behind other bytes or not: since the loop was busy, or since
-        nothing is read at present. A client that has ended only its own sending is taken for one that has
-        left: the protocol says that one that closes has gone away, and from here both look alike until
-        something is written.
+        The end of the stream may be unread in the socket, behind other bytes or not, because the loop was
+        busy or because reading is paused. A client that has only shut down its sending counts as
+        disconnected: the protocol says that a client that closes has gone away, and both look alike from here
+        until something is written.
         """
         if self.closed or self.transport is None or self.transport.is_closing():
             return True
@@ -64,17 +64,17 @@
         return True
 
     def _close_after_disconnect(self) -> None:
-        """Close after its client has ended its sending.
+        """Close after the client has shut down its sending.
 
-        Guards a request that may run against being sent again: by a client that only ended its sending and
-        still reads, a close without a response is taken for one of a request that was not read.
+        The response keeps a client that still reads from sending a request again that may run: it would take
+        a close without a response as proof that the request was not read.
         """
         if self.current is not None and self.streamed is None:
             self._write(CLIENT_DISCONNECTED_RESPONSE)
         self.close()
 
     def _close_gracefully(self) -> None:
-        """Close once what was written has gone, in a way that lets the client read it."""
+        """Close once everything written has been sent, so that the client can read it."""
         if self.transport is None or self.transport.is_closing():
             return
         if self.read_state is not READ_ENDED and self.discarding and self.message_begun:
@@ -84,19 +84,19 @@
             self._start_draining_close()
 
     def _start_draining_close(self) -> None:
-        """End the own sending, and close when the client does.
+        """Shut down sending, and close when the client does.
 
-        Guards the last responses against being lost: closing with input unread resets the connection. The
-        rest of a message that had its response before its end is read and discarded, or its client might
-        never come to read. Whatever else a client sends is left unread: it was never accepted, so the client
-        can send it again.
+        Protects the last responses: closing with input unread resets the connection. The rest of a message
+        that was answered before its end is read and discarded, since its client might otherwise never start
+        to read. Whatever else a client sends is left unread: it was never accepted, so the client can send it
+        again.
         """
         if self.transport is None or self.transport.is_closing() or self.draining_timer is not None:
             return
         self._discard_queue()
-        rest_comes = self.read_state is READ_ENDED or (self.discarding and self.message_begun)
+        rest_expected = self.read_state is READ_ENDED or (self.discarding and self.message_begun)
         self.read_state = READ_ENDED
-        if rest_comes:
+        if rest_expected:
             self.context.disconnect_monitor.remove(self.transport)
             self.transport.resume_reading()
         else:
@@ -115,20 +115,20 @@
 
     def _check_draining_close(self) -> None:
         assert self.transport is not None
-        # A slow client may go on reading. One that takes nothing of what waits to be written has a time of
-        # its own, `ClientTimeouts.slow_reader_s`.
+        # A slow client may go on reading. One that receives nothing of what waits to be written has a time
+        # limit of its own, `ClientTimeouts.slow_reader_s`.
         if self.write_paused or 0 < unacknowledged(self.transport) < self.unacknowledged_at_check:
             self._schedule_draining_check()
         else:
             self.close()
 
     def _truncate(self) -> None:
-        """Close after a part of a response, so that its client sees that it is truncated."""
+        """Close after part of a response, so that the client sees that it is truncated."""
         if self.end_delimits:
             self._reset()
         else:
-            # Its framing tells. A reset would take away what went before it, and its own beginning: a client
-            # that has read nothing of a response sends its request again.
+            # The framing shows the truncation. A reset would discard the responses before it and its own
+            # beginning, and a client that has read nothing of a response sends its request again.
             self._start_draining_close()
 
     def _write(self, data: bytes) -> None:
@@ -136,9 +136,9 @@
             self.transport.write(data)
 
     def close(self) -> None:
-        """Close at once: what its client's machine has not received of the responses may be lost."""
+        """Close at once: responses that the client's host has not received may be lost."""
         if self.end_delimits and (self.streamed is not None or self.write_paused):
-            self._reset()  # the end alone would look like that of a complete response
+            self._reset()  # an orderly close would look like the end of a complete response
         elif self.transport is not None:
             self.transport.abort()
 
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -1,7 +1,7 @@
-"""A client's connection: hands its requests to the core one at a time, and writes one response to each.
+"""A client connection: passes its requests to the core one at a time, and writes one response to each.
 
-Three classes, each on top of the one before: `RequestReader` reads and queues requests, `ClosingConnection`
-closes, and `ClientConnection` serves the queue.
+It consists of three classes, each derived from the one before: `RequestReader` reads and queues requests,
+`ClosingConnection` closes the connection, and `ClientConnection` serves the queue.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 
 
 class ClientConnection(ClosingConnection):
-    """One request after another, one response to each in their order. It is the core's response sink."""
+    """Serves the requests of a client in their order. It is the response sink of the core."""
 
     def __init__(self, context: ConnectionContext) -> None:
-        """Expect the transport and the first request."""
+        """Start without a transport, and with an empty queue."""
         super().__init__(context)
         self.serving_queue = False
         self.write_stall: StallTimer | None = None
@@ -46,15 +46,15 @@
 
     @property
     def serving(self) -> bool:
-        """Whether a response is pending, or written and not yet acknowledged by the client's machine."""
+        """Whether a response is pending, or written and not yet acknowledged by the client's host."""
         return self.current is not None or bool(self.queue) or not self.delivered
 
     @property
     def delivered(self) -> bool:
-        """Whether the client's machine has all that was written to it.
+        """Whether the client's host has received everything that was written.
 
-        Until then a close may take it away: one that crosses bytes from the client resets the connection, and
-        the system throws away what it has not passed on.
+        Until then a close may lose data: a close that crosses bytes from the client resets the connection,
+        and the system discards what it has not sent yet.
         """
         if self.closed or self.transport is None or not self.has_sent_request:
             return True
@@ -62,37 +62,37 @@
 
     @property
     def no_message_begun(self) -> bool:
-        """Whether no message has begun to arrive, not even in what the system holds unread."""
+        """Whether no message has begun to arrive, not even in the socket's receive buffer."""
         if not self.idle or self.message_begun or self.closed or self.transport is None:
             return False
         return unread_bytes(self.transport) == 0
 
     @property
     def closable(self) -> bool:
-        """Whether it can be closed at once: nothing has begun, and its client has all responses."""
+        """Whether it can be closed at once: no message has begun, and the client has all responses."""
         return self.no_message_begun and self.delivered
 
     @property
     def host(self) -> str:
-        """Where its client is; empty where that can't be told."""
+        """The address of its client; empty if unknown."""
         peer = self.transport.get_extra_info("peername") if self.transport is not None else None
         return str(peer[0]) if isinstance(peer, tuple) else ""
 
-    # The transport's calls
+    # Called by the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the clients' connections."""
+        """Register with the client connections."""
         transport = cast(asyncio.Transport, transport)
         self.transport = transport
         transport.set_write_buffer_limits(high=0)
         self.clients.add(self)
 
     def eof_received(self) -> None:
-        """Close: the client has ended its sending."""
+        """Close, since the client has shut down its sending."""
         self._close_after_disconnect()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Release all that the connection holds, and tell the core that its client is gone."""
+        """Release the resources of the connection, and notify the core that its client has disconnected."""
         self.closed = True
         if self.write_stall is not None:
             self.write_stall.stop()
@@ -109,8 +109,8 @@
                 body.discard()
         self.queue.clear()
         self.uploading = self.streamed = self.body = None
-        # Guards the memory: the two refer to each other, and a day of ever new connections would leave
-        # them all to the collector, which comes seldom.
+        # Parser and connection refer to each other. Without this, each closed connection would stay in memory
+        # until the cyclic garbage collector runs, which is seldom.
         del self.parser
         self.clients.remove(self)
         if self.transport is not None:
@@ -120,8 +120,8 @@
         self.engine.lifecycle.client_disconnected()
 
     def pause_writing(self) -> None:
-        """Hold the streamed response back: the client reads more slowly than it comes."""
-        # Guards the memory against clients that ask and do not read.
+        """Pause the streamed response: the client reads more slowly than it arrives."""
+        # Clients that send requests and do not read the responses must not use up the memory.
         self.write_paused = True
         if self.write_stall is None and self.transport is not None:
             pending_bytes = partial(unacknowledged, self.transport)
@@ -132,7 +132,7 @@
             self.streamed.pause(paused=True)
 
     def resume_writing(self) -> None:
-        """Go on: the client has taken all that was written."""
+        """Resume serving: the client has received everything that was written."""
         self.write_paused = False
         if self.write_stall is not None:
             self.write_stall.stop()
@@ -145,26 +145,26 @@
             self.close()
 
     def expire(self) -> None:
-        """End it: its next message is late. Requests that were queued before it get their responses first."""
+        """End the connection, whose next message is late; requests queued before it are answered first."""
         if self.message_begun:
             self._reject(408, "the request took too long to come")
             self._serve_queue()
         elif self.closable:
             self.close()
         elif self.no_message_begun:
-            self._close_gracefully()  # what its client has not taken yet keeps the time that it needs
+            self._close_gracefully()  # its client may still be receiving a response
 
     # Requests and responses
 
     def _serve_queue(self) -> None:
-        """Take up what waits, one at a time."""
+        """Serve the queue, one request at a time."""
         if self.serving_queue:
             return
         self.serving_queue = True
         try:
             while self.queue and self.current is None and not self.write_paused and not self.closed:
                 if isinstance(self.queue[0], HttpRequest) and self.close_if_disconnected():
-                    break  # its end may lie behind what has just been read, or was not read at all
+                    break  # the end of the stream may be unread, behind what has just been read
                 item = self.queue.popleft()
                 if isinstance(item, HttpRequest):
                     self.current = item
@@ -194,21 +194,21 @@
         return keep_alive and not (self.engine.lifecycle.responses_announce_close and not self.queue)
 
     def _release_request(self, request: HttpRequest) -> None:
-        """Of what was held of a request; what still comes of it is read and thrown away."""
+        """Release the memory of a request; the rest of its body is read and discarded."""
         self._release(request.reserved_bytes)
         request.body.discard()
         if request is self.uploading:
             self.uploading = None
             self.discarding = True
 
-    # What the core calls: see `ResponseSink`
+    # Called by the core, see `ResponseSink`
 
     def is_disconnected(self, request: IncomingRequest) -> bool:
-        """Whether its client has left: a request over HTTP/1.1 can't be cancelled but with its connection."""
+        """Return whether the client has disconnected, the only way to cancel a request in HTTP/1.1."""
         return self.current is not request or self.close_if_disconnected()
 
     def respond(self, request: IncomingRequest, response: FinalResponse) -> None:
-        """Write the final response to the request that is being served."""
+        """Write the final response to the current request."""
         current = self.current
         if current is not request or current is None:
             return
@@ -220,7 +220,7 @@
         self.clients.reclassify(self)
 
     def begin(self, request: IncomingRequest, head: object, length: int | None, pause: Pause) -> None:
-        """Begin to stream a server's response to the client, from its first bytes."""
+        """Write the head of a server's response that is streamed to the client."""
         current = self.current
         if current is not request or current is None:
             return
@@ -242,7 +242,7 @@
             self._write(b"%x\r\n%s\r\n" % (len(data), data) if self.streamed.chunked else data)
 
     def end(self, request: IncomingRequest, *, complete: bool) -> None:
-        """End the streamed response; a truncated one must not look complete."""
+        """End the streamed response; if it is not complete, the client must see that."""
         current, streamed = self.current, self.streamed
         if current is not request or current is None or streamed is None:
             return
--- a/ochreflow/http/discovery_transport.py
+++ b/ochreflow/http/discovery_transport.py
@@ -1,4 +1,4 @@
-"""GET requests of the sidecar's own to one HTTP/1.1 service, such as the directory of endpoints."""
+"""Sends the sidecar's own GET requests to one HTTP/1.1 service, such as the directory of endpoints."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from .response import Response
 from .upstream import Upstreams
 
-CONNECT_TIMEOUT_S = 2.0  # as long as a response may take: `policy/endpoint_set.py` counts on no more
+CONNECT_TIMEOUT_S = 2.0  # as for a response; `policy/endpoint_set.py` relies on this maximum
 IDLE_TIMEOUT_S = 30.0
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 MAX_DESCRIPTORS = 1024
 MAX_MEMORY_BYTES = 192 * MB
-SERVICE = 0  # the number of the one target
+SERVICE_ID = 0  # of the only target
 
 
 class HttpDiscoveryTransport:
-    """A connection pool of its own: the cap on connections to servers must not keep the list unread."""
+    """Uses its own connection pool, so that the limit on connections to servers cannot block discovery."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address) -> None:
-        """Connect to `address` as requests need it."""
+        """Prepare requests to `address`; connections are opened on demand."""
         self.host = f"{address[0]}:{address[1]}"
         descriptors, memory = Descriptors(MAX_DESCRIPTORS), Memory(MAX_MEMORY_BYTES)
         self.upstreams = Upstreams(loop, descriptors, memory, CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S)
-        self.upstreams.update(SERVICE, address, 0, State.READY)
+        self.upstreams.update(SERVICE_ID, address, 0, State.READY)
 
     def get(self, target: str, timeout_s: float, done: Callable[[bytes | None, str], None]) -> None:
-        """Request `target` once; `done` gets the body of a 200, or None and what there was instead of one."""
+        """Request `target` once; `done` gets the body of a 200 response, or None and the reason."""
 
         def ended(_: Exchange, status: Status, response: Response | None) -> None:
             if status is Status.OK and response is not None:
@@ -40,7 +40,7 @@
                 done(None, status.name if response is None else f"answer {response.code}")
 
         head = f"GET {target} HTTP/1.1\r\nHost: {self.host}\r\nAccept: application/json\r\n\r\n".encode()
-        self.upstreams.start(SERVICE, Exchange(lambda: head, ended, MAX_RESPONSE_BYTES), timeout_s)
+        self.upstreams.start(SERVICE_ID, Exchange(lambda: head, ended, MAX_RESPONSE_BYTES), timeout_s)
 
     def close(self) -> None:
         """Close all connections to the service."""
--- a/ochreflow/http/exchange.py
+++ b/ochreflow/http/exchange.py
@@ -1,8 +1,8 @@
-"""One request on its way to one server, from its start to its one end.
+"""One request to one server, from its start to its end.
 
-An exchange is written at most once and never repeats itself. Whether to try again is for the decision module,
-so the end of an exchange has to say exactly what is known: a request that the system never took whole can't
-have run, and any other may have.
+An exchange is written at most once and never retried. The decision module decides about retries, so the
+status of an exchange must be exact: a request cannot have run if the system never accepted its last byte;
+any other request may have run.
 """
 
 from __future__ import annotations
@@ -16,44 +16,44 @@
 from ..policy.interface import Status
 from .response import Response
 
-MIN_TIMER_DELAY_S = 0.001  # seconds: a timer that is due at once would fire within the call that sets it
+MIN_TIMER_DELAY_S = 0.001  # a timer without delay would fire within the call that sets it
 
 Done = Callable[["Exchange", Status, Response | None], None]
 
 
 class Relay(Protocol):
-    """Receives a response that is passed on while it comes. The end of the exchange says how it ended."""
+    """Receives a response that is forwarded while it arrives; the exchange reports how the response ended."""
 
-    def begin(self, answer: Response, length: int | None) -> bool:
-        """Take the head; False if nobody wants the response any more."""
+    def begin(self, head: Response, length: int | None) -> bool:
+        """Receive the head; return False if no client waits for the response any more."""
         ...
 
     def part(self, data: bytes) -> None:
-        """Take the next part of the body."""
+        """Receive the next part of the body."""
         ...
 
 
 class ServerConnection(Protocol):
-    """What an exchange needs of the connection that it is written on."""
+    """The connection of an exchange, as far as the exchange uses it."""
 
     exchange: Exchange | None
 
     @property
     def unwritten(self) -> bool:
-        """Whether the system has not taken the last byte of the request, so that it can't have run."""
+        """Whether the system has not accepted the request's last byte, so that it cannot have run."""
         ...
 
     @property
     def arrived(self) -> bool:
-        """Whether the server's machine has acknowledged all of the request."""
+        """Whether the server's host has acknowledged the whole request."""
         ...
 
     def discard_unsent(self) -> None:
-        """Have the system discard what it still holds when the connection is closed."""
+        """Make the system discard unsent bytes when the connection is closed."""
         ...
 
     def pause_response(self, *, paused: bool) -> None:
-        """Stop reading the response for now, or read on."""
+        """Pause or resume reading the response."""
         ...
 
     def close(self) -> None:
@@ -95,42 +95,42 @@
         *,
         idempotent: bool = True,
     ) -> None:
-        """Make an exchange; nothing is sent until it is given to the pool."""
-        # Called as the request is written, since its head tells the time that is left. None: it has ended.
+        """Create an exchange; nothing is sent before `Upstreams.start`."""
+        # Called when the request is written, since the head states the remaining time; None after the end.
         self.head: Callable[[], bytes] | None = head
         self.done: Done | None = done
         self.response_limit = response_limit  # bytes of a response's body that are buffered
-        self.written = written  # called once, when the last byte has been handed to the system
-        self.body = body  # follows the head, and may still be coming
-        self.relay = relay  # for a response too long to be buffered; None: every response is buffered
-        self.write_timeout_s = write_timeout_s  # called as its first byte is due
-        self.idempotent = idempotent  # its method is: sending it again does no harm
-        self.generation = 0  # of its server when it was started
-        self.rejected = False  # it must not begin any more, and its end has been scheduled
-        self.write_timer: asyncio.TimerHandle | None = None  # fires when the request must have arrived
-        self.paused = False  # the relay takes no more at present
-        self.connection: ServerConnection | None = None  # from the first byte on
-        self.opening: asyncio.Task[None] | None = None  # while a connection is being made
+        self.written = written  # called once, when the system has accepted the last byte
+        self.body = body  # sent after the head, and may be incomplete
+        self.relay = relay  # gets a response too long to be buffered; None: every response is buffered
+        self.write_timeout_s = write_timeout_s  # called just before the first byte is written
+        self.idempotent = idempotent  # whether its method is
+        self.generation = 0  # of its target, at the start
+        self.rejected = False  # it must not be sent any more, and its end is scheduled
+        self.write_timer: asyncio.TimerHandle | None = None  # fires when the request must be acknowledged
+        self.paused = False  # whether the relay accepts no more data at present
+        self.connection: ServerConnection | None = None  # set when the first byte is written
+        self.opening: asyncio.Task[None] | None = None  # the task that is opening a connection for it
         self.timer: asyncio.TimerHandle | None = None
-        self.loop: asyncio.AbstractEventLoop | None = None  # from its start on
+        self.loop: asyncio.AbstractEventLoop | None = None  # set by `Upstreams.start`
 
     @property
     def ended(self) -> bool:
-        """Whether its one end has been told."""
+        """Whether its result has been reported."""
         return self.done is None
 
     @property
     def begun(self) -> bool:
-        """Whether its first byte has been handed to the system."""
+        """Whether the system has accepted its first byte."""
         return self.connection is not None
 
     @property
     def may_run(self) -> bool:
-        """Whether its last byte has been handed to the system."""
+        """Whether the system has accepted its last byte."""
         return self.connection is not None and not self.connection.unwritten
 
-    def end(self, status: Status, answer: Response | None = None) -> None:
-        """End it; only the first call counts."""
+    def end(self, status: Status, response: Response | None = None) -> None:
+        """End the exchange and report its result; only the first call has an effect."""
         done, self.done = self.done, None
         if done is None:
             return
@@ -138,12 +138,12 @@
         if self.write_timer is not None:
             self.write_timer.cancel()
             self.write_timer = None
-        # These refer to whoever refers to this exchange, a cycle that only the collector would free.
+        # These refer back to the exchange, a cycle that only the garbage collector would free.
         self.head = self.written = self.relay = self.write_timeout_s = None
-        done(self, status, answer)
+        done(self, status, response)
 
     def set_timeout(self, seconds: float) -> None:
-        """Give it up after so long."""
+        """Give up the exchange after `seconds`, in place of any earlier time-out."""
         self.clear_timeout()
         if not self.ended and self.loop is not None:
             self.timer = self.loop.call_later(max(seconds, MIN_TIMER_DELAY_S), self.give_up, Status.TIMEOUT)
@@ -155,13 +155,13 @@
             self.timer = None
 
     def pause(self, *, paused: bool) -> None:
-        """Backpressure: read the response no further until its relay can take more."""
+        """Pause or resume reading the response, as backpressure from its relay."""
         self.paused = paused
         if self.connection is not None and not self.ended:
             self.connection.pause_response(paused=paused)
 
-    def limit_write_time(self, seconds: float) -> None:
-        """Cut it off if the server's machine has not got all of it after so long."""
+    def set_write_timeout(self, seconds: float) -> None:
+        """Give up the exchange if the server's host has not acknowledged the request after `seconds`."""
         if self.loop is not None and not self.ended and seconds < math.inf:
             self.write_timer = self.loop.call_later(seconds, self._on_write_timeout)
 
@@ -170,18 +170,18 @@
         if connection is None or connection.arrived:
             return
         connection.discard_unsent()
-        # What the system still held may have arrived all the same, with its acknowledgement on the way.
+        # Bytes in the send buffer may have arrived all the same, with their acknowledgement in flight.
         self.give_up(Status.NOT_SENT if connection.unwritten else Status.CANCELLED)
 
     def give_up(self, status: Status) -> None:
-        """Stop waiting. Its connection is closed first, so that no later attempt overlaps with it."""
+        """End the exchange, after closing its connection, so that no later attempt overlaps with it."""
         if self.ended:
             return
         if self.opening is not None:
             self.opening.cancel()
         connection = self.connection
         if (connection is None or connection.unwritten) and status is not Status.NOT_SENT:
-            status = Status.CONNECT_FAILED  # the system never took its last byte: it can't have run
+            status = Status.CONNECT_FAILED  # the system never accepted its last byte: it cannot have run
         if connection is not None:
             connection.exchange = None
             connection.close()
--- a/ochreflow/http/framing.py
+++ b/ochreflow/http/framing.py
@@ -1,4 +1,4 @@
-"""How a request's body is framed on its way to a server."""
+"""Frames the body of a request to a server."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def chunk(data: bytes | bytearray) -> bytes:
-    """One chunk of a chunked body; nothing for no data, since an empty chunk ends the body."""
+    """Return `data` as one chunk of a chunked body; empty for no data, since an empty chunk ends the body."""
     return b"%x\r\n%s\r\n" % (len(data), data) if data else b""
 
 
 def frame_body(body: Body) -> bytes:
-    """The end of the head, which says how the body is framed, and all that is held of it."""
+    """Return the last lines of the head, which state how the body is framed, and the buffered body."""
     length = len(body.buffered) if body.complete else body.length
     if length is not None:
         return b"Content-Length: %d\r\n\r\n%s" % (length, body.buffered)
--- a/ochreflow/http/frontend.py
+++ b/ochreflow/http/frontend.py
@@ -1,4 +1,4 @@
-"""The frontend of HTTP/1.1: its listening sockets, and all connections of clients."""
+"""The HTTP/1.1 frontend: its listening sockets and all client connections."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 LABEL = "http"
 
 
-class Listening(Protocol):
-    """A listening socket, or a server of the loop."""
+class Listener(Protocol):
+    """A listening socket, or a server of the event loop."""
 
     def close(self) -> None:
-        """Accept nothing any more."""
+        """Stop accepting connections."""
         ...
 
 
 class HttpFrontend:
-    """The frontend of HTTP/1.1: it owns the listening sockets and the clients' connections."""
+    """The HTTP/1.1 frontend. Owns the listening sockets and the client connections."""
 
     def __init__(self, engine: Engine, upstream_transport: UpstreamTransport) -> None:
-        """Bind the frontend to the core; nothing listens yet."""
+        """Bind the frontend to the core; `listen` adds listening sockets."""
         self.clients = Clients(engine.descriptors)
         self.frontend_binding = engine.bind_frontend(LABEL, self, upstream_transport)
         self.disconnect_monitor = DisconnectMonitor(engine.loop)
@@ -38,14 +38,14 @@
             RequestParser(engine.settings),
             self.disconnect_monitor,
         )
-        self.servers: list[Listening] = []
+        self.servers: list[Listener] = []
 
     def connection(self) -> ClientConnection:
-        """The protocol for a new connection."""
+        """Create the protocol for a new connection."""
         return ClientConnection(self.context)
 
-    def listen(self, server: Listening) -> None:
-        """Own a listening socket, whose connections `connection` makes."""
+    def listen(self, server: Listener) -> None:
+        """Take ownership of a listener that creates its connections with `connection`."""
         self.servers.append(server)
 
     @property
@@ -60,7 +60,7 @@
         self.servers.clear()
 
     def close_idle_connections(self) -> None:
-        """Close every connection on which nothing is open."""
+        """Close every connection on which no request is open."""
         self.clients.close_idle_connections()
 
     def sweep(self) -> None:
@@ -68,7 +68,7 @@
         self.clients.sweep()
 
     def close(self) -> None:
-        """Close everything, at once."""
+        """Close the listening sockets and all client connections at once."""
         self.stop_accepting()
         self.disconnect_monitor.close()
         for client in list(self.clients.connections):
--- a/ochreflow/http/load_reports.py
+++ b/ochreflow/http/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: what servers say of themselves, as figures that the decision module can use."""
+"""Parses load reports: the figures that servers report about themselves, for the decision module."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from ..policy.settings import canonical_column
 
-FIGURE = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")  # plain numbers: no sign, no exponent, nothing endless
+NUMBER = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")  # no sign, no exponent, a limited number of digits
 
 
 class LoadReportParser:
-    """Parses load reports by the names of their fields, in the order that the module expects."""
+    """Parses load reports into the order of columns that the decision module expects."""
 
     def __init__(self, columns: tuple[str, ...]) -> None:
-        """Expect the fields named `columns`, in this order."""
+        """Expect the fields named in `columns`, and return them in this order."""
         self.columns = columns
         self.indexes = {column.encode(): index for index, column in enumerate(columns)}
 
     def parse(self, text: bytes) -> tuple[float, ...]:
-        """The figures; none at all if one is missing, comes twice or is unreadable."""
+        """Return the figures; an empty tuple if one is missing, repeated or malformed."""
         values: list[float | None] = [None] * len(self.columns)
         for pair in text.split(b","):
             name, _, value = pair.partition(b"=")
@@ -27,7 +27,7 @@
             if index is None:
                 index = self.indexes.get(canonical_column(name.decode("latin-1")).encode())
             if index is not None:
-                if values[index] is not None or not FIGURE.fullmatch(value.strip()):
+                if values[index] is not None or not NUMBER.fullmatch(value.strip()):
                     return ()
                 values[index] = float(value)
         known = [value for value in values if value is not None]
--- a/ochreflow/http/management.py
+++ b/ochreflow/http/management.py
@@ -1,7 +1,7 @@
-"""The operators' address: one small HTTP/1.1 call per connection, each handed to the `Operations` part.
+"""The management interface: one small HTTP/1.1 request per connection, passed on to `Operations`.
 
-It holds no state of the sidecar. It is bounded on its own, so that callers that send nothing can keep
-neither the next caller nor any client out.
+It holds no state of the sidecar. It has limits of its own, so that callers that send nothing can block
+neither the next caller nor any client.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from ..core.ports import Address
 
 BACKLOG = 512
-MAX_CONNECTIONS = 8  # connections at a time; the reserve of descriptors has room for them
+MAX_CONNECTIONS = 8  # at a time; `Descriptors.RESERVE` has room for them
 MAX_REQUEST_BYTES = 8 * 1024
-READ_TIMEOUT_S = 0.9  # seconds from connecting until the whole call has come
-RESPONSE_READ_TIMEOUT_S = 2.0  # seconds until the caller has taken its answer
+READ_TIMEOUT_S = 0.9  # from connecting until the request is complete
+RESPONSE_READ_TIMEOUT_S = 2.0  # for the caller to receive the response
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -31,47 +31,47 @@
 }
 
 
-Route = tuple[bytes, Callable[[], tuple[int, str]]]  # the method, and what gives code and body
+Route = tuple[bytes, Callable[[], tuple[int, str]]]  # the method, and the handler that returns code and body
 
 
 class Operations(Protocol):
-    """What can be asked of a sidecar, by whatever protocol."""
+    """The operations of a sidecar that operators may request, independent of the protocol."""
 
     def healthy(self) -> bool:
-        """Whether clients may be sent to this sidecar."""
+        """Return whether clients may be sent to this sidecar."""
         ...
 
     def report(self) -> str:
-        """The figures, a line for each."""
+        """Return the statistics, one per line."""
         ...
 
     def drain(self) -> bool:
-        """Begin a drain; False if the process is ending."""
+        """Begin a drain; return False if the process is terminating."""
         ...
 
     def undrain(self) -> bool:
-        """End a drain; False if the process is ending."""
+        """Cancel a drain; return False if the process is terminating."""
         ...
 
 
 class Management:
-    """All calls together."""
+    """The management server: its listening socket, routes and connections."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, operations: Operations) -> None:
-        """Know the routes; nothing listens yet."""
+        """Set up the routes; `listen` opens the socket."""
         self.loop = loop
-        self.connections: dict[ManagementConnection, None] = {}  # in the order they came
+        self.connections: dict[ManagementConnection, None] = {}  # in the order of their arrival
         self.server: asyncio.Server | None = None
-        self.address: Address | None = None  # as it was asked for
+        self.address: Address | None = None  # as requested; port 0 is not resolved
         self.routes: dict[bytes, Route] = {
-            b"/healthcheck": (b"GET", lambda: _yes_or_no(yes=operations.healthy())),
+            b"/healthcheck": (b"GET", lambda: _yes_or_no_response(yes=operations.healthy())),
             b"/stats": (b"GET", lambda: (200, operations.report())),
-            b"/healthcheck/fail": (b"POST", lambda: _yes_or_no(yes=operations.drain())),
-            b"/healthcheck/ok": (b"POST", lambda: _yes_or_no(yes=operations.undrain())),
+            b"/healthcheck/fail": (b"POST", lambda: _yes_or_no_response(yes=operations.drain())),
+            b"/healthcheck/ok": (b"POST", lambda: _yes_or_no_response(yes=operations.undrain())),
         }
 
     async def listen(self, address: Address | None) -> None:
-        """Move to an address, or to none. OSError if it can't be bound: then the old one stays."""
+        """Listen on `address` only, or nowhere if None. On OSError from binding, the old address stays."""
         if address == self.address:
             return
         server = None
@@ -84,19 +84,19 @@
         self.server, self.address = server, address
 
     def connection(self) -> ManagementConnection:
-        """The protocol for a new connection."""
+        """Create the protocol for a new connection."""
         return ManagementConnection(self)
 
     def admit(self, connection: ManagementConnection) -> None:
-        """Count a new connection; over the limit, an older one is dropped."""
+        """Add a new connection; over the limit, drop an older one."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
-            # Who has been silent longest goes first. A new caller is not yet known to be silent.
+            # Drop the oldest one without a response. The new caller has had no time to send a request.
             others = [other for other in self.connections if other is not connection]
             next((other for other in others if not other.answered), others[0]).drop()
 
     def answer(self, method: bytes, target: bytes) -> tuple[int, str, str]:
-        """Code, body and further header lines."""
+        """Return status code, body and additional header lines."""
         route = self.routes.get(target.split(b"?", 1)[0])
         if route is None:
             return 404, "unknown path\n", ""
@@ -107,22 +107,22 @@
         return code, body, ""
 
     def close(self) -> None:
-        """Stop listening, and drop all connections."""
+        """Stop listening and drop all connections."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
             connection.drop()
 
 
-def _yes_or_no(*, yes: bool) -> tuple[int, str]:
+def _yes_or_no_response(*, yes: bool) -> tuple[int, str]:
     return (200, "yes\n") if yes else (503, "no\n")
 
 
 class ManagementConnection(asyncio.Protocol):
-    """One connection: reads one call, answers it, closes."""
+    """One connection: reads one request, responds and closes."""
 
     def __init__(self, management: Management) -> None:
-        """Expect one call."""
+        """Start without a transport, expecting one request."""
         self.management = management
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
@@ -133,15 +133,15 @@
         self.answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the time limit for the call."""
+        """Start the time-out of the request."""
         self.transport = cast(asyncio.Transport, transport)
         self.timer = self.management.loop.call_later(READ_TIMEOUT_S, self._expire)
         self.management.admit(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come, and answer once the call is complete, invalid or too long."""
+        """Parse received data, and respond once the request is complete, invalid or too long."""
         if self.answered:
-            return  # one call per connection: what follows is not read
+            return  # one request per connection: later data is ignored
         self.size += len(data)
         try:
             self.parser.feed_data(data)
@@ -154,25 +154,25 @@
                 answer = self.management.answer(method, self.target)
             except Exception:
                 self._write(500, "the call failed\n")
-                raise  # the loop logs it
+                raise  # the event loop logs it
             self._write(*answer)
         elif self.size > MAX_REQUEST_BYTES:
             self._write(400, "the call is too long\n")
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the target."""
         self.target += url
 
     def on_message_complete(self) -> None:
-        """Note that the call is complete."""
+        """Record that the request is complete."""
         self.complete = True
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Release the connection's place and timer."""
+        """Release the slot and the timer of the connection."""
         self.management.connections.pop(self, None)
         if self.timer is not None:
             self.timer.cancel()
-        del self.parser  # the two refer to each other
+        del self.parser  # breaks the reference cycle
 
     def _expire(self) -> None:
         if self.size:
@@ -191,10 +191,10 @@
         if self.timer is not None:
             self.timer.cancel()
         self.timer = self.management.loop.call_later(RESPONSE_READ_TIMEOUT_S, self.drop)
-        self.transport.close()  # once what was written has gone
+        self.transport.close()  # after all written data has been sent
 
     def drop(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
         self.management.connections.pop(self, None)
--- a/ochreflow/http/request_parser.py
+++ b/ochreflow/http/request_parser.py
@@ -1,7 +1,6 @@
-"""What a request means: its class, deadline, key and the rest, parsed from its head.
+"""Parses the head of a request into its class, deadline, key and other attributes.
 
-This is where the words of the wire for a request (`X-Deadline`, `X-Key` ...) become fields of an
-`IncomingRequest`.
+The header fields of a request (`X-Deadline`, `X-Key` ...) become fields of an `IncomingRequest` here.
 """
 
 from __future__ import annotations
@@ -17,41 +16,41 @@
 from ..errors import OchreflowError
 from ..policy.interface import Effect, RequestClass, Settings
 
-DEADLINE = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
+DEADLINE_PATTERN = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
 DEADLINE_UNITS_NS = {b"m": 1_000_000, b"u": 1_000}
-COST = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")  # in microseconds
+COST_PATTERN = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")  # in microseconds
 COST_UNIT_NS = 1000
 KEY_DIGEST_BYTES = 8
 
 
 class RequestError(OchreflowError):
-    """A request that is answered by the frontend and never reaches the decision module."""
+    """A request that the frontend answers itself, without the decision module."""
 
     def __init__(self, code: int, text: str, class_index: int | None = None) -> None:
-        """`code` and `text` go to the client."""
+        """Respond to the client with `code` and `text`."""
         super().__init__(text)
         self.code = code
-        self.class_index = class_index  # where its class is known; only then it counts as a request
+        self.class_index = class_index  # None if unknown; then it is not counted as a request
         self.keep_alive = True
 
 
 @dataclass(slots=True, eq=False)
 class HttpRequest(IncomingRequest):
-    """A request as its client sent it."""
+    """A request as received from its client."""
 
     method: bytes
     target: bytes
-    headers: list[bytes]  # whole lines, as they are forwarded
+    headers: list[bytes]  # complete lines, as they are forwarded
     keep_alive: bool
-    reserved_bytes: int = 0  # of memory, for it without its body
-    is_http_1_0: bool = False  # its client knows no chunks
+    reserved_bytes: int = 0  # memory reserved for the request without its body
+    is_http_1_0: bool = False  # its client does not understand chunked encoding
 
 
 class RequestParser:
-    """Knows from the settings which classes and tenants there are."""
+    """Parses requests by the classes and tenants of the settings."""
 
     def __init__(self, settings: Settings) -> None:
-        """Take the classes and tenants over from the settings."""
+        """Index the classes and tenants by name."""
         self.specs = settings.classes
         self.classes = {spec.name.encode(): number for number, spec in enumerate(settings.classes)}
         self.tenants = {tenant.name.encode(): number for number, tenant in enumerate(settings.tenants)}
@@ -67,13 +66,13 @@
         *,
         keep_alive: bool,
     ) -> HttpRequest:
-        """Parse a head: `headers` by lower-case names, `lines` to forward. RequestError if invalid."""
-        class_index = self._class_of(target)
+        """Parse a head, with `headers` by lower-case name and `lines` to forward; RequestError if invalid."""
+        class_index = self._parse_class(target)
         spec = self.specs[class_index]
-        request_id = _request_id(spec, class_index, method, headers)
+        request_id = _parse_request_id(spec, class_index, method, headers)
         timeout_ns = spec.deadline_ns
         if (value := headers.get(b"x-deadline")) is not None:
-            # The class's deadline covers all attempts; a client that states more does not wait for it.
+            # The deadline of the class covers all attempts; a client cannot extend it.
             timeout_ns = min(timeout_ns, _parse_deadline(value))
         tenant = self._parse_tenant(headers.get(b"x-tenant")) if self.tenants else 0
         cost = _parse_cost(headers.get(b"x-cost-hint"))
@@ -95,9 +94,9 @@
             keep_alive,
         )
 
-    def _class_of(self, target: bytes) -> int:
+    def _parse_class(self, target: bytes) -> int:
         path = target
-        if not path.startswith(b"/"):  # the absolute form, as to a proxy
+        if not path.startswith(b"/"):  # the absolute form, as sent to a proxy
             try:
                 path = httptools.parse_url(target).path or b"/"
             except httptools.HttpParserInvalidURLError:
@@ -116,22 +115,24 @@
         return self.tenants[value]
 
 
-def _request_id(spec: RequestClass, class_index: int, method: bytes, headers: dict[bytes, bytes]) -> bytes:
-    """Its id, if it has the method and the headers that its class demands."""
+def _parse_request_id(
+    spec: RequestClass, class_index: int, method: bytes, headers: dict[bytes, bytes]
+) -> bytes:
+    """Return the request id, if the request has the method and the headers that its class requires."""
     if method != (b"GET" if spec.effect is Effect.IDEMPOTENT else b"POST"):
         raise RequestError(405, "the method is not that of the class", class_index)
     request_id = headers.get(b"x-request-id")
     if not request_id:
         raise RequestError(400, "X-Request-Id is missing", class_index)
-    # Guards the rule on effects: without the key no server could drop a repeat.
+    # Without the key no server could detect a duplicate, so a retry could run the request twice.
     if spec.effect is Effect.IDEMPOTENT_WITH_KEY and not headers.get(b"idempotency-key"):
         raise RequestError(400, "Idempotency-Key is missing", class_index)
     return request_id
 
 
 def _parse_deadline(value: bytes) -> int:
-    """The time in nanoseconds."""
-    match = DEADLINE.fullmatch(value.strip())
+    """Return the timeout in nanoseconds."""
+    match = DEADLINE_PATTERN.fullmatch(value.strip())
     if match is None:
         raise RequestError(400, "X-Deadline is no number with a unit m or u")
     return int(float(match[1]) * DEADLINE_UNITS_NS[match[2]])
@@ -140,7 +141,7 @@
 def _parse_cost(value: bytes | None) -> int:
     if value is None:
         return 0
-    if COST.fullmatch(value) is None:
+    if COST_PATTERN.fullmatch(value) is None:
         raise RequestError(400, "X-Cost-Hint is no number")
     return int(float(value) * COST_UNIT_NS)
 
--- a/ochreflow/http/request_reader.py
+++ b/ochreflow/http/request_reader.py
@@ -1,7 +1,7 @@
-"""Reads requests from a client's connection, checks their framing, and queues them.
+"""Reads requests from a client connection, checks their framing, and queues them.
 
-Backpressure: nothing more is read while too many requests are queued, or while a body that is streamed to a
-server waits for that server. Limits on sizes are checked here, before anything is kept.
+Backpressure: reading is paused while too many requests are queued, or while a body that is streamed to a
+server waits for that server. Size limits are checked here, before anything is buffered.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 MAX_BODY_BYTES = 40 * 1024 * 1024  # messages reach 32 MB
 MAX_HEADERS_BYTES = 32 * 1024
-MAX_FRAMING_FACTOR = 8  # bytes on the socket for each one of a body, in the smallest of chunks
-MAX_PIPELINED_REQUESTS = 16  # queued before a client is read no further
+MAX_FRAMING_FACTOR = 8  # bytes on the socket per byte of body, with the smallest chunks
+MAX_PIPELINED_REQUESTS = 16  # queued before reading is paused
 READY_TARGET = b"/-/ready"
-# Twice or in two forms, each reader may believe another one.
+# If one of these is repeated, in the same or another form, sidecar and server may use different values.
 SINGLE_VALUE_HEADERS = frozenset(
     (
         b"host",
@@ -44,41 +44,41 @@
 
 
 class ReadState(Enum):
-    """How far a connection is read. Each state follows those before it, and none of them comes back."""
+    """Whether a connection is still read. States only change in this order."""
 
     OPEN = auto()
-    CLOSING_AFTER_MESSAGE = auto()  # the response is written; the rest of its request is read, then it closes
-    ENDED = auto()  # nothing more is parsed: where a next request begins is not known, or it is closing
+    CLOSING_AFTER_MESSAGE = auto()  # the response is written; it closes after the rest of the request
+    ENDED = auto()  # nothing more is parsed: the framing is lost, or the connection is closing
 
 
-# Looking a member up takes 196 ns, a global 14 ns: these are asked for several times in each request.
+# Looking up an enum member takes 196 ns, a global 14 ns; these are used several times per request.
 READ_ENDED = ReadState.ENDED
 CLOSING_AFTER_MESSAGE = ReadState.CLOSING_AFTER_MESSAGE
 
 
 @dataclass(slots=True)
 class ReadinessCheck:
-    """A question whether this sidecar takes requests."""
+    """A request for the readiness of this sidecar."""
 
     keep_alive: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionContext:
-    """What all connections of the front have in common."""
+    """What all client connections of a frontend share."""
 
     engine: Engine
     frontend_binding: FrontendBinding
     clients: Clients
     request_parser: RequestParser
-    disconnect_monitor: DisconnectMonitor  # of those that are not read at present
+    disconnect_monitor: DisconnectMonitor  # of connections whose reading is paused
 
 
 class RequestReader(asyncio.Protocol, Client):
-    """The reading part of a client's connection. It owns the parser, the coming message, and the queue."""
+    """The reading part of a client connection. Owns the parser, the incomplete message and the queue."""
 
     def __init__(self, context: ConnectionContext) -> None:
-        """Expect the first message."""
+        """Start without a transport, expecting the first message."""
         self.context = context
         self.engine: Engine = context.engine
         self.clients: Clients = context.clients
@@ -86,28 +86,28 @@
         self.transport: asyncio.Transport | None = None
         self.queue: deque[HttpRequest | ReadinessCheck | RequestError] = deque()
         self.current: HttpRequest | None = None  # the request that is being served
-        self.uploading: HttpRequest | None = None  # queued or served before its body had come
+        self.uploading: HttpRequest | None = None  # a request whose body is still arriving
         self.read_state = ReadState.OPEN
         self.closed = False
-        self.paused = False  # no more is read until some of the queue has been served
-        self.paused_recently = False  # since the last call of `recent_body_bytes`
-        self.head_completed = False  # since `Clients` last reclassified it
-        self.body_size_at_sweep = 0  # at the last call of `recent_body_bytes`
-        self.has_sent_request = False  # whether it has ever sent a whole message
-        self.reserved_bytes = 0  # of memory, for the heads of queued requests
-        self._begin()
-
-    def _begin(self) -> None:
-        self.message_begun = False  # a message has begun and not ended
+        self.paused = False  # whether reading is paused
+        self.paused_recently = False  # whether it was paused since the last `recent_body_bytes`
+        self.head_completed = False  # whether a head was completed since the last `Clients.reclassify`
+        self.body_size_at_sweep = 0  # bytes, at the last `recent_body_bytes`
+        self.has_sent_request = False  # whether it has ever sent a complete message
+        self.reserved_bytes = 0  # memory reserved for the heads of its requests
+        self._start_message()
+
+    def _start_message(self) -> None:
+        self.message_begun = False  # whether a message has begun and is incomplete
         self.duplicate_header = False
         self.target = b""
         self.headers: dict[bytes, bytes] = {}
         self.forwarded_lines: list[bytes] = []
-        self.body: Body | None = None  # from the end of the headers on
-        self.message_size = 0  # of all that came of this message
+        self.body: Body | None = None  # set at the end of the headers
+        self.message_size = 0  # bytes received of this message
         self.headers_bytes = 0
-        self.message_reserved_bytes = 0  # of what is held of its headers
-        self.discarding = False  # its response is written: the rest is read and thrown away
+        self.message_reserved_bytes = 0  # memory reserved for its headers
+        self.discarding = False  # its response is written: the rest is read and discarded
 
     @property
     def in_body(self) -> bool:
@@ -115,17 +115,17 @@
         return self.body is not None
 
     def recent_body_bytes(self) -> int | None:
-        """Bytes of the body that is coming; None if some of the time nothing was read."""
+        """Return the bytes of the body since the last call; None if reading was paused in between."""
         size = self.body.size if self.body is not None else 0
         received, self.body_size_at_sweep = size - self.body_size_at_sweep, size
         paused, self.paused_recently = self.paused_recently, False
         return None if paused else received
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come, then serve what it has completed."""
+        """Parse received data, then serve the requests that it completed."""
         if self.read_state is READ_ENDED or self.closed:
             return
-        # Guards a server against the rest of a body that flows into it, and whose client has left by then.
+        # The rest of a body must not be sent to a server after its client has disconnected.
         if self.uploading is not None and self.close_if_disconnected():
             return
         self.message_size += len(data)
@@ -138,54 +138,54 @@
             self._reject(400, "unreadable request")
         except httptools.HttpParserError:
             self._reject(400, "malformed request")
-        # Guards the memory: the parser itself holds a header line of any length.
+        # The parser itself buffers a header line of any length.
         if self.message_size > (MAX_BODY_BYTES * MAX_FRAMING_FACTOR if self.in_body else MAX_HEADERS_BYTES):
             self._reject(431, "headers are too long")
         self._serve_queue()
         self.clients.reclassify(self)
 
-    # The parser's calls
+    # Called by the parser
 
     def on_message_begin(self) -> None:
-        """Note that a message has begun."""
+        """Record that a message has begun."""
         self.message_begun = True
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header line; those of a trailer are ignored."""
+        """Store a header line; those of a trailer are ignored."""
         if self.in_body:  # a trailer
             return
         self.headers_bytes += len(name) + len(value) + len(b": \r\n")
-        low, value = name.lower(), value.strip(b" \t")  # white space round a value is not part of it
-        if low in SINGLE_VALUE_HEADERS and low in self.headers:
+        lower_name, value = name.lower(), value.strip(b" \t")  # white space around a value is not part of it
+        if lower_name in SINGLE_VALUE_HEADERS and lower_name in self.headers:
             self.duplicate_header = True
-        self.headers[low] = value
-        if low not in NOT_FORWARDED:
+        self.headers[lower_name] = value
+        if lower_name not in NOT_FORWARDED:
             self.forwarded_lines.append(name + b": " + value + b"\r\n")
 
     def on_headers_complete(self) -> None:
-        """Check the framing, and expect the body."""
+        """Check the framing and prepare for the body."""
         length = self.headers.get(b"content-length")
         chunked = b"transfer-encoding" in self.headers
-        stated = int(length[:12]) if length is not None and length.isdigit() else 0
+        stated_length = int(length[:12]) if length is not None and length.isdigit() else 0
         if length is not None and not length.isdigit():
             self._reject(400, "Content-Length is no number")
             return
-        self.body = Body(self.engine.memory, None if chunked else stated)
+        self.body = Body(self.engine.memory, None if chunked else stated_length)
         self.body.on_reading_change = self._update_reading
         self.head_completed = True
         self.body_size_at_sweep = 0
         if self.headers_bytes + len(self.target) > MAX_HEADERS_BYTES:
             self._reject(431, "headers are too long")
         elif chunked and self.parser.get_http_version() == "1.0":
-            # Such a message's framing is faulty (RFC 9112, 6.1): where it ends can't be believed.
+            # The framing of such a message is faulty (RFC 9112, 6.1): its end cannot be determined.
             self._reject(400, "HTTP/1.0 knows no Transfer-Encoding")
         elif self.headers.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
             self._reject(501, "Transfer-Encoding must be chunked")
-        elif stated > MAX_BODY_BYTES:
+        elif stated_length > MAX_BODY_BYTES:
             self._reject(413, "the body is too large")
         elif not self._reserve(self.headers_bytes):
             self._reject(503, "too much is held")
@@ -193,7 +193,7 @@
             self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Add a part of the body."""
         if self.read_state is READ_ENDED or self.discarding or self.body is None:
             return
         if self.body.size + len(data) > MAX_BODY_BYTES:
@@ -201,10 +201,10 @@
         elif not self.body.add(data):
             self._reject(503, "too much is held")
         elif self.uploading is None and len(self.body.buffered) > MAX_BUFFERED_BYTES:
-            self._enqueue_message()  # too long to be buffered: it is forwarded while it comes
+            self._enqueue_message()  # too long to be buffered: it is streamed
 
     def on_message_complete(self) -> None:
-        """Queue the request, or end the body of one that is under way already."""
+        """Queue the request, or end its body if the request is queued or served already."""
         if self.read_state is READ_ENDED or self.body is None:
             return
         if self.parser.should_upgrade():
@@ -220,13 +220,13 @@
         elif not self.discarding:
             self.body.end()
             self._enqueue_message()
-        self._begin()
+        self._start_message()
         if self.read_state is CLOSING_AFTER_MESSAGE:
             self._close_gracefully()
         self._update_reading()
 
     def _enqueue_message(self) -> None:
-        """Queue the message that has come, or whose body is still coming."""
+        """Queue the current message, whose body may be incomplete."""
         assert self.body is not None
         keep_alive = self.parser.should_keep_alive()
         item: HttpRequest | ReadinessCheck | RequestError
@@ -248,9 +248,9 @@
                 )
                 item.reserved_bytes = self.message_reserved_bytes
                 item.is_http_1_0 = self.parser.get_http_version() == "1.0"
-            except RequestError as problem:
-                problem.keep_alive = keep_alive
-                item = problem
+            except RequestError as error:
+                error.keep_alive = keep_alive
+                item = error
         self.queue.append(item)
         if not isinstance(item, HttpRequest):
             self._release(self.message_reserved_bytes)
@@ -260,7 +260,7 @@
             self.uploading = item
 
     def _reject(self, code: int, text: str) -> None:
-        """Respond to the requests before it, then with this, and close: the next one can't be found."""
+        """Respond with an error after the requests before it, then close, since the framing is lost."""
         if self.read_state is READ_ENDED:
             return
         self.read_state = READ_ENDED
@@ -278,17 +278,17 @@
             self._release(request.reserved_bytes)
             self.queue[self.queue.index(request)] = RequestError(code, text, request.class_index)
         elif self.current is None and not self.queue:
-            self._close_gracefully()  # it has had its response
+            self._close_gracefully()  # the message has been answered already
 
     def _discard_queue(self) -> None:
-        """Discard the requests that will not be served any more."""
+        """Discard the queued requests, which will not be served."""
         for item in self.queue:
             if isinstance(item, HttpRequest):
                 item.body.discard()
         self.queue.clear()
 
     def _update_reading(self) -> None:
-        """Read only while what is read can be queued or forwarded: backpressure on the client."""
+        """Pause or resume reading, depending on whether more data can be queued or forwarded."""
         if self.transport is None or self.transport.is_closing() or self.read_state is READ_ENDED:
             return
         stop = len(self.queue) >= MAX_PIPELINED_REQUESTS or (
@@ -316,11 +316,11 @@
         self.engine.memory.release(size)
         self.reserved_bytes -= size
 
-    # What the connection does with it
+    # Implemented by the derived classes
 
     @abstractmethod
     def close_if_disconnected(self) -> bool:
-        """Close it if its client has left; whether it has."""
+        """Close the connection if its client has disconnected; return whether it has."""
 
     @abstractmethod
     def _serve_queue(self) -> None: ...
--- a/ochreflow/http/response.py
+++ b/ochreflow/http/response.py
@@ -1,10 +1,10 @@
 """Parses a server's responses, one after another, from the bytes of one connection.
 
-Nothing is known here of sockets or of what waits for the response: whoever reads the connection feeds the
-bytes in, and asks afterwards whether the response is complete, invalid, or to be relayed.
+The parser does not know sockets or exchanges: the connection feeds it the received bytes, and checks
+afterwards whether the response is complete, invalid, or to be relayed.
 
-A short response is buffered until it is complete. A longer one, and one whose length is not stated, can be
-taken out in parts as it comes.
+A short response is buffered until it is complete. A longer one, or one without a stated length, can be taken
+out in parts as it arrives.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from ..core.limits import Memory
 from ..policy.interface import Status
 
-MAX_HEADERS_BYTES = 32 * 1024  # bytes of a response's head and of all its framing
-MAX_RELAYED_BODY_BYTES = 40 * 1024 * 1024  # of the body of a response that is relayed; messages reach 32 MB
-MAX_FRAMING_FACTOR = 8  # bytes on the socket for each one of a body, in the smallest of chunks
+MAX_HEADERS_BYTES = 32 * 1024  # of a response's head and the framing of its body
+MAX_RELAYED_BODY_BYTES = 40 * 1024 * 1024  # messages reach 32 MB
+MAX_FRAMING_FACTOR = 8  # bytes on the socket per byte of body, with the smallest chunks
 OK = 200
-MIN_FINAL_CODE = 200  # a response below is an interim one
-REJECTION_CODES = (503, 504)  # the codes with which a server may say that it did not run the request
-NOT_RUN = b"1"  # the value of the header that says so
+MIN_FINAL_CODE = 200  # lower codes are interim responses
+REJECTION_CODES = (503, 504)  # codes with which a server may state that it did not run the request
+NOT_RUN = b"1"  # the value of `X-Not-Run` that states this
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -46,12 +46,12 @@
     code: int
     headers: list[tuple[bytes, bytes]]
     body: bytes
-    not_run: bool  # the server says that it did not run the request
-    load: bytes
+    not_run: bool  # the server states that it did not run the request
+    load: bytes  # the load report; empty if there is none
 
 
 def classify(response: Response) -> Status:
-    """What a response proves. Only the header proves that a request never ran, not the code alone."""
+    """Return the status that a response proves; only `X-Not-Run` proves that the request did not run."""
     if response.code == OK:
         return Status.OK
     if response.code in REJECTION_CODES and response.not_run:
@@ -60,22 +60,22 @@
 
 
 class ResponseParser:
-    """Parses a response at a time: `start` for each request, then `feed`, and `end` at the end of stream."""
+    """Parses one response at a time: `start` for each request, then `feed`; `end` at the end of stream."""
 
     def __init__(self, memory: Memory) -> None:
-        """Reserve what is buffered in `memory`."""
+        """Account for buffered data in `memory`."""
         self._memory = memory
         self._parser = httptools.HttpResponseParser(self)
-        self._reserved = 0  # bytes of the body that the memory is reserved for
+        self._reserved = 0  # bytes of memory reserved for the body
         self.start(0, may_relay=False)
 
-    # What the connection calls
+    # Called by the connection
 
     def start(self, buffer_limit: int, *, may_relay: bool) -> None:
         """Expect the response to the next request, of which at most `buffer_limit` bytes are buffered."""
         self._buffer_limit = buffer_limit
         self._may_relay = may_relay
-        self._size = 0  # of all that came for this request
+        self._size = 0  # bytes received for this request
         self._relayed = 0  # bytes of the body that have been taken out
         self.relaying = False
         self.invalid = False
@@ -87,15 +87,15 @@
         self._in_body = False
         self._length = b""
         self._encoding = b""
-        self._not_run: set[bytes] = set()  # the values of the header that says so
+        self._not_run: set[bytes] = set()  # the values of `X-Not-Run`
         self._load = b""
-        self._until_end = False  # only the connection's end delimits it
+        self._until_end = False  # only the end of the connection delimits the body
         self.keep_alive = False
         self.complete: Response | None = None
-        self.surplus = False  # more came after the complete response
+        self.surplus = False  # data followed the complete response
 
     def feed(self, data: bytes) -> None:
-        """Parse what has come. Afterwards the response may be `complete` or `invalid`."""
+        """Parse received data; the response may be `complete` or `invalid` afterwards."""
         self._size += len(data)
         try:
             self._parser.feed_data(data)
@@ -105,17 +105,17 @@
             else:
                 self._note_surplus()
         if self.complete is None and self._size > self._size_limit():
-            self.invalid = True  # guards against an endless response filling the memory
+            self.invalid = True  # an endless response must not fill the memory
 
     def end(self) -> bool:
-        """Take the end of the stream; whether the response is complete by it."""
+        """Handle the end of the stream; return whether it completes the response."""
         if not self._until_end or self.invalid:
             return False
         self._complete()
         return True
 
     def needs_relay(self) -> bool:
-        """Whether the response is of use to its client, and too long to buffer or of a length not told."""
+        """Return whether the response is successful, and too long to buffer or without a stated length."""
         if not self._may_relay or not self._in_body or not self._body:
             return False
         return self._parser.get_status_code() == OK and (
@@ -123,13 +123,13 @@
         )
 
     def start_relay(self) -> tuple[Response, int | None]:
-        """Its head, and the length of its body if that is told. The body is to be taken out in parts."""
+        """Return the head and the stated length of the body, if any; `take_part` returns the body."""
         self.relaying = True
         length = None if self._encoding or self._until_end else int(self._length)
         return self._response(b""), length
 
     def take_part(self) -> bytes:
-        """Take out what has come of the body."""
+        """Remove and return the received part of the body."""
         data = b"".join(self._body)
         self._body = []
         self._release_memory()
@@ -137,12 +137,12 @@
         return data
 
     def release(self) -> None:
-        """Let go of what the response took."""
+        """Release the memory of the response."""
         self._release_memory()
         self._body, self._headers, self.complete = [], [], None
 
     def close(self) -> None:
-        """Drop the reference cycle with the underlying parser; nothing can be fed in any more."""
+        """Break the reference cycle with the underlying parser; `feed` must not be called any more."""
         del self._parser
 
     def _size_limit(self) -> int:
@@ -153,12 +153,12 @@
         )
 
     @property
-    def _says_not_run(self) -> bool:
-        """Whether the server says so without contradicting itself."""
+    def _states_not_run(self) -> bool:
+        """Whether the server states, without contradicting itself, that it did not run the request."""
         return self._not_run == {NOT_RUN}
 
     def _note_surplus(self) -> None:
-        """More has come after the complete response: one of the two belongs to another request."""
+        """Handle data after the complete response: one of the two belongs to another request."""
         assert self.complete is not None
         self.surplus = True
         self.complete.not_run = False
@@ -167,48 +167,48 @@
         self._memory.release(self._reserved)
         self._reserved = 0
 
-    # What the underlying parser calls
+    # Called by the underlying parser
 
     def on_message_begin(self) -> None:
-        """Note a surplus message."""
+        """Record a message after the complete response."""
         if self.complete is not None:
             self._note_surplus()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header line of the head or a trailer."""
+        """Process a header line of the head or of the trailer."""
         if self.complete is not None:
             return
-        low, value = name.lower(), value.strip(b" \t")
-        if low == b"x-not-run":
-            if not self._in_body or value != NOT_RUN:  # a trailer can contradict the head, but proves nothing
+        lower_name, value = name.lower(), value.strip(b" \t")
+        if lower_name == b"x-not-run":
+            if not self._in_body or value != NOT_RUN:  # a trailer can only contradict the head
                 self._not_run.add(value)
         elif self._in_body:
-            return  # another trailer
-        elif low == b"x-load":
+            return  # any other trailer field
+        elif lower_name == b"x-load":
             self._load = value
-        elif low == b"content-length":
+        elif lower_name == b"content-length":
             self._length = value
-        elif low == b"transfer-encoding":
+        elif lower_name == b"transfer-encoding":
             self._encoding = self._encoding + b", " + value if self._encoding else value
-        elif low not in HOP_BY_HOP:
+        elif lower_name not in HOP_BY_HOP:
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Find out how the body is delimited, and whether it can fit."""
+        """Determine how the body is delimited, and whether it can fit."""
         code = self._parser.get_status_code()
         if self.complete is not None or code < MIN_FINAL_CODE:
             return
         self._in_body = True
         max_body_bytes = MAX_RELAYED_BODY_BYTES if self._may_relay and code == OK else self._buffer_limit
-        # What can't fit is known to be of no use before it comes.
+        # A body that cannot fit is rejected before it arrives.
         if self._encoding:
             self.invalid = self._encoding.lower() != b"chunked"
         elif self._length:
             self.invalid = not self._length.isdigit() or int(self._length) > max_body_bytes
-        elif code == OK or (code in REJECTION_CODES and self._says_not_run):
-            self._until_end = True  # only a whole response is of use to a client, or proves anything
+        elif code == OK or (code in REJECTION_CODES and self._states_not_run):
+            self._until_end = True  # only a complete response can be forwarded, or proves anything
         else:
-            self._complete()  # the head says all; its body has no end but the connection's
+            self._complete()  # the head is sufficient; only the end of the connection would end the body
 
     def on_body(self, data: bytes) -> None:
         """Buffer a part of the body."""
@@ -223,19 +223,18 @@
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Complete the response; an interim one is dropped."""
+        """Complete the response; an interim response is dropped."""
         if self.complete is not None:
             return
         code = self._parser.get_status_code()
-        if (
-            code < MIN_FINAL_CODE
-        ):  # an interim response, the final one follows; its size counts on, or it had no bound
+        if code < MIN_FINAL_CODE:
+            # The final response follows. `_size` is kept, or interim responses would have no limit.
             self._start_message()
             return
         if self.invalid:
             return
-        # Asked here, since the parser answers for the next message as soon as this call is over: asked
-        # later it is always no, and every request pays for a connection of its own.
+        # Read here, since the parser resets the flag for the next message after this call: later it would
+        # always be False, and every request would need a new connection.
         self.keep_alive = self._parser.should_keep_alive()
         self._complete()
 
@@ -243,4 +242,4 @@
         self.complete = self._response(b"" if self.relaying else b"".join(self._body))
 
     def _response(self, body: bytes) -> Response:
-        return Response(self._parser.get_status_code(), self._headers, body, self._says_not_run, self._load)
+        return Response(self._parser.get_status_code(), self._headers, body, self._states_not_run, self._load)
--- a/ochreflow/http/response_format.py
+++ b/ochreflow/http/response_format.py
@@ -1,6 +1,6 @@
-"""Formats what is written to clients: heads, header lines, and responses that no server gave.
+"""Formats responses to clients: heads, header lines, and responses of the sidecar itself.
 
-This is where the reasons of a final response become codes and texts of the wire.
+The reason of a final response is mapped to its status code and body here.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from ..core.stats import Disposition
 from .response import OK, Response
 
-DECLINED_CODES = (429, 503)  # a client may send the request again
+DECLINED_CODES = (429, 503)  # a client may retry the request
 REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
@@ -25,7 +25,7 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-# Code and body of a response without a server's, by whether trying again is harmless.
+# Code and body of responses without a server's response; `DECLINED` if a retry is harmless.
 LOCAL_RESPONSES = {
     (Disposition.DECLINED, Reason.BALANCER_DECISION): (503, b"refused\n"),
     (Disposition.ABORTED, Reason.BALANCER_DECISION): (502, b"failed\n"),
@@ -41,14 +41,14 @@
 
 
 def disposition_of(code: int) -> Disposition:
-    """What a client takes a response with this code for."""
+    """Return how a client interprets a response with this code."""
     if code == OK:
         return Disposition.SUCCEEDED
     return Disposition.DECLINED if code in DECLINED_CODES else Disposition.ABORTED
 
 
 def format_head(code: int, headers: bytes, *, keep_alive: bool) -> bytes:
-    """Status line and header lines, with the empty line that ends them."""
+    """Return status line and header lines, with the empty line that ends them."""
     return b"HTTP/1.1 %d %s\r\n%s%s\r\n" % (
         code,
         REASON_PHRASES.get(code, b"Unknown"),
@@ -58,23 +58,23 @@
 
 
 def format_headers(response: Response) -> bytes:
-    """The header lines of a server's response."""
+    """Return the header lines of a server's response."""
     return b"".join(b"%s: %s\r\n" % header for header in response.headers)
 
 
 def format_response(code: int, headers: bytes, body: bytes, *, keep_alive: bool) -> bytes:
-    """A complete response whose body has a stated length."""
+    """Return a complete response, with the length of its body stated."""
     return format_head(code, headers + b"Content-Length: %d\r\n" % len(body), keep_alive=keep_alive) + body
 
 
 def format_final_response(response: FinalResponse) -> tuple[int, bytes, bytes]:
-    """Code, header lines and body of a final response."""
+    """Return code, header lines and body of a final response."""
     answer = response.answer
     if response.disposition is Disposition.SUCCEEDED:
         assert isinstance(answer, Response)
         return OK, format_headers(answer), answer.body
     if response.reason is Reason.INVALID_BODY:
-        invalid: tuple[int, bytes] = response.detail  # type: ignore[assignment]  # as `reject` gave it
+        invalid: tuple[int, bytes] = response.detail  # type: ignore[assignment]  # as passed to `body_failed`
         return invalid[0], b"", invalid[1]
     code, body = LOCAL_RESPONSES[response.disposition, response.reason]
     headers = b""
--- a/ochreflow/http/socket_progress.py
+++ b/ochreflow/http/socket_progress.py
@@ -1,7 +1,7 @@
-"""Whether a peer is still connected, and whether a slow one still reads what is written to it.
+"""Detects peers that have disconnected, and peers that have stopped reading.
 
-All of it is asked of the system: `TIOCOUTQ` and `FIONREAD` for the bytes in its buffers, `POLLRDHUP` for the
-end of the peer's sending, which can be seen behind bytes that have not been read.
+The system reports both: `TIOCOUTQ` and `FIONREAD` return the bytes in its buffers, and `POLLRDHUP` shows that
+the peer has shut down sending, even behind bytes that have not been read.
 """
 
 from __future__ import annotations
@@ -13,70 +13,71 @@
 from collections.abc import Callable
 from fcntl import ioctl
 
-IOCTL_RESULT = bytes(4)  # the buffer for the integer that a request of `ioctl` gives
-# Between two polls of the connections that are not read. By the protocol no attempt may begin more than 0.1 s
-# after its client has left. Two polls in half of that allow for an iteration of the loop as long.
+IOCTL_BUFFER = bytes(4)  # the buffer for the integer that `ioctl` returns
+# Between two polls of the connections that are not read. The protocol allows no attempt to begin more than
+# 0.1 s after its client has disconnected. Two polls take half of that, which leaves the other half for an
+# iteration of the loop.
 DISCONNECT_POLL_INTERVAL_S = 0.1 / 4
 
 
 def queued_by_system(fd: int) -> int:
-    """Bytes written to a socket that its peer's machine has not acknowledged; 0 for one that is closed."""
-    return int.from_bytes(ioctl(fd, termios.TIOCOUTQ, IOCTL_RESULT), sys.byteorder) if fd >= 0 else 0
+    """Return the bytes written to a socket that the peer's host has not acknowledged; 0 if it is closed."""
+    return int.from_bytes(ioctl(fd, termios.TIOCOUTQ, IOCTL_BUFFER), sys.byteorder) if fd >= 0 else 0
 
 
 def unacknowledged(transport: asyncio.Transport) -> int:
-    """Bytes that the peer's machine has not acknowledged: the transport's own buffer and the system's."""
+    """Return the bytes that the peer's host has not acknowledged, in the buffers of transport and system."""
     fd = transport.get_extra_info("socket").fileno()
     return transport.get_write_buffer_size() + queued_by_system(fd)
 
 
 def unread_bytes(transport: asyncio.Transport) -> int:
-    """Bytes that have arrived and that the system still holds."""
+    """Return the bytes in the receive buffer of the system."""
     fd = transport.get_extra_info("socket").fileno()
-    return int.from_bytes(ioctl(fd, termios.FIONREAD, IOCTL_RESULT), sys.byteorder) if fd >= 0 else 0
+    return int.from_bytes(ioctl(fd, termios.FIONREAD, IOCTL_BUFFER), sys.byteorder) if fd >= 0 else 0
 
 
 def peer_disconnected(transport: asyncio.Transport) -> bool:
-    """Whether the peer has ended its sending or reset the connection, also behind bytes not read yet."""
+    """Return whether the peer has shut down sending or reset the connection, even behind unread bytes."""
     fd = transport.get_extra_info("socket").fileno()
     if fd < 0:
         return True
     poller = select.poll()
-    poller.register(fd, select.POLLRDHUP)  # a reset and an end of both ways are always told
+    poller.register(fd, select.POLLRDHUP)  # a reset and a full close are always reported
     return bool(poller.poll(0))
 
 
 class DisconnectMonitor:
-    """Reports peers that disconnect while nothing is read from them, which no reader of the loop reports.
+    """Reports peers that disconnect while reading from them is paused, so that the loop does not report it.
 
-    One system call polls all of them, and only while there are any: its cost grows with their number by a
-    tenth of a microsecond each. It owns its timer; `close` stops it.
+    One system call polls all connections, at a cost of a tenth of a microsecond for each, and only while
+    there are any. The monitor owns its timer, which `close` stops.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Watch nothing yet."""
+        """Start without connections to watch."""
         self.loop = loop
         self.poller = select.poll()
         self.fds: dict[asyncio.Transport, int] = {}
-        self.callbacks: dict[int, Callable[[], object]] = {}  # by descriptor
+        self.callbacks: dict[int, Callable[[], object]] = {}  # by file descriptor
         self.timer: asyncio.TimerHandle | None = None
 
     def add(self, transport: asyncio.Transport, callback: Callable[[], object]) -> None:
-        """Call `callback` once the peer has disconnected, and at each poll after that until it is removed.
+        """Call `callback` when the peer has disconnected, and at each later poll until `remove`.
 
-        The first call comes at most `DISCONNECT_POLL_INTERVAL_S` and an iteration of the loop after the end
-        can be read. The transport has to be removed before its socket is closed, at the latest in
-        `connection_lost`.
+        The first call comes at most `DISCONNECT_POLL_INTERVAL_S` and an iteration of the loop after the
+        system can report the disconnect. The transport must be removed before its socket is closed, at the
+        latest in `connection_lost`.
         """
         fd = transport.get_extra_info("socket").fileno()
         self.fds[transport] = fd
         self.callbacks[fd] = callback
-        self.poller.register(fd, select.POLLRDHUP)  # a reset and an end of both ways are always told
+        self.poller.register(fd, select.POLLRDHUP)  # a reset and a full close are always reported
         if self.timer is None:
             self.timer = self.loop.call_later(DISCONNECT_POLL_INTERVAL_S, self._poll)
 
     def remove(self, transport: asyncio.Transport) -> None:
-        """Watch a transport no longer; one that is not watched is ignored."""
+        """Stop watching a transport, if it is watched."""
         fd = self.fds.pop(transport, None)
         if fd is not None:
             del self.callbacks[fd]
@@ -99,34 +100,34 @@
 
 
 class StallTimer:
-    """Gives up a peer that has acknowledged nothing of what is to be written for `timeout_s` seconds."""
+    """Detects a peer that acknowledges none of the pending bytes for `timeout_s` seconds."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         pending_bytes: Callable[[], int],
         timeout_s: float,
-        give_up: Callable[[], None],
+        on_stall: Callable[[], None],
     ) -> None:
-        """Start at once; `give_up` is called at most once."""
+        """Start the timer; `on_stall` is called at most once."""
         self.loop = loop
-        self.pending_bytes = pending_bytes  # how many the peer's machine has not acknowledged
+        self.pending_bytes = pending_bytes  # returns the bytes that the peer's host has not acknowledged
         self.timeout_s = timeout_s
-        self.give_up = give_up
+        self.on_stall = on_stall
         self.last_pending = pending_bytes()
         self.timer: asyncio.TimerHandle | None = loop.call_later(timeout_s, self._check)
 
     def _check(self) -> None:
         pending = self.pending_bytes()
-        if pending == self.last_pending:  # also of one that closes once all is written: it never would
+        if pending == self.last_pending:  # also if the transport is closing: it would never finish writing
             self.timer = None
-            self.give_up()
+            self.on_stall()
             return
         self.last_pending = pending
         self.timer = self.loop.call_later(self.timeout_s, self._check)
 
     def stop(self) -> None:
-        """Give up nothing any more."""
+        """Cancel the timer."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/ochreflow/http/socket_stream.py
+++ b/ochreflow/http/socket_stream.py
@@ -1,8 +1,8 @@
-"""A connected socket that knows exactly which bytes the system has taken, and that closes at once.
+"""A connected socket that knows exactly which bytes the system has accepted, and that closes immediately.
 
-An event loop's transport offers neither. It hands what it has buffered to the system by itself, and reports
-that later, by a callback. Its `abort` only schedules the close, and until the loop's next turn it goes on
-sending: a request that was given up half-written could still become whole at its server.
+A transport of the event loop offers neither. It sends buffered bytes on its own, and reports that later, by a
+callback. Its `abort` only schedules the close, and it goes on sending until the loop's next iteration: a
+half-written request that was given up could still be completed at its server.
 """
 
 from __future__ import annotations
@@ -14,63 +14,63 @@
 
 from .socket_progress import queued_by_system
 
-READ_SIZE_BYTES = 64 * 1024  # bytes taken from the system at a time
-MAX_READS_PER_CALLBACK = 16  # after which other connections get their turn
+READ_SIZE_BYTES = 64 * 1024  # per `recv`
+MAX_READS_PER_CALLBACK = 16  # then other connections are served
 
 
 class StreamOwner(Protocol):
-    """Whoever is told of what comes in on a stream, and of its state. Called with the stream open."""
+    """Receives the data and the state changes of a stream while the stream is open."""
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes that have come."""
+        """Handle received data."""
         ...
 
     def eof_received(self) -> None:
-        """The peer has ended its sending."""
+        """Handle the end of the stream: the peer has shut down sending."""
         ...
 
     def connection_broken(self) -> None:
-        """Nothing can be sent or received any more."""
+        """Handle an error of the socket: nothing can be sent or received any more."""
         ...
 
     def pause_writing(self) -> None:
-        """Some of what was written waits for the system."""
+        """Pause writing: the system has not accepted all written bytes."""
         ...
 
     def resume_writing(self) -> None:
-        """The system has taken all that was written."""
+        """Resume writing: the system has accepted all written bytes."""
         ...
 
 
 class SocketStream:
     """Reads from and writes to a non-blocking socket, which it owns.
 
-    Bytes leave only in `begin`, in `write` and when the loop reports that the socket has room, never after
-    `close`. So at any time `unsent` is exactly what the peer can't have got and never will once it is closed.
+    Bytes are sent only in `begin`, in `write` and when the loop reports that the socket is writable, never
+    after `close`. So the peer cannot have received the bytes in `unsent`, and never will after `close`.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, owner: StreamOwner) -> None:
-        """Own a connected, non-blocking socket; nothing is read until `resume_reading`."""
+        """Take ownership of a connected, non-blocking socket; reading starts with `resume_reading`."""
         self.loop = loop
         self.sock = sock
-        self.owner: StreamOwner | None = owner  # None: closed, so that the two don't refer to each other
-        self.unsent = bytearray()  # written, and not taken by the system
+        self.owner: StreamOwner | None = owner  # None after `close`, to break the reference cycle
+        self.unsent = bytearray()  # written, and not accepted by the system
         self.closed = False
-        self.failed = False  # a write has failed: the owner is about to hear of it
+        self.failed = False  # a write has failed; `connection_broken` is scheduled
         self.reading = False
         self.waiting_for_writable = False
 
     # Reading
 
     def resume_reading(self) -> None:
-        """Tell the owner of what comes in, from now on."""
+        """Start or resume passing received data to the owner."""
         if self.closed or self.reading:
             return
         self.reading = True
         self.loop.add_reader(self.sock, self._on_readable)
 
     def pause_reading(self) -> None:
-        """Leave what comes in to the system."""
+        """Stop reading; received data stays in the buffer of the system."""
         if self.reading:
             self.reading = False
             self.loop.remove_reader(self.sock)
@@ -85,7 +85,7 @@
         self.loop.call_soon(self._on_readable)
 
     def _read_once(self) -> bool:
-        """Whether there may be more to read."""
+        """Read once; return whether there may be more to read."""
         owner = self.owner
         assert owner is not None  # nothing is read once closed
         try:
@@ -96,21 +96,21 @@
             owner.connection_broken()
             return False
         if not data and self.failed:
-            owner.connection_broken()  # the failed write took the error: this is no orderly end
+            owner.connection_broken()  # the failed write consumed the error: not an orderly end
             return False
         if not data:
-            self.pause_reading()  # the end would be reported again in each turn
+            self.pause_reading()  # or the loop would report the end again in each iteration
             owner.eof_received()
             return False
         try:
             owner.data_received(data)
         except Exception:
-            owner.connection_broken()  # its state is unknown now
+            owner.connection_broken()  # the state of the owner is unknown now
             raise
         return True
 
     def is_idle(self) -> bool:
-        """Whether the peer has neither sent anything nor ended the connection, as far as can be read now."""
+        """Return whether there is neither unread data nor an end of the connection."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -122,9 +122,10 @@
     # Writing
 
     def begin(self, message: bytes) -> bool:
-        """Write the beginning of a message; False if the connection was found dead, with none of it sent.
+        """Write the beginning of a message; return False if the connection is dead and nothing was sent.
 
-        What the system has no room for is `unsent`, and the owner is told only when it no longer is.
+        Bytes that the system does not accept stay in `unsent`. The owner's `pause_writing` is not called for
+        them, only `resume_writing`.
         """
         try:
             sent = self.sock.send(message)
@@ -136,7 +137,7 @@
         return True
 
     def write(self, data: bytes) -> None:
-        """Continue a message. What the system has no room for is `unsent` until it has."""
+        """Continue a message; bytes that the system does not accept yet stay in `unsent`."""
         sent = 0
         if not self.unsent and not self.closed and not self.failed:
             try:
@@ -176,7 +177,7 @@
             self.loop.remove_writer(self.sock)
 
     def _fail(self) -> None:
-        """Tell the owner in a turn of its own: it is in the middle of a write."""
+        """Report the failure in the next iteration of the loop, since the owner is still writing."""
         self.failed = True
         self.loop.call_soon(self._report_failure)
 
@@ -185,14 +186,14 @@
             self.owner.connection_broken()
 
     def unacknowledged(self) -> int:
-        """Bytes that the peer's machine has not acknowledged, `unsent` or held by the system."""
-        kept = queued_by_system(self.sock.fileno()) if not self.closed else 0
-        return len(self.unsent) + kept
+        """Return the bytes that the peer's host has not acknowledged, `unsent` or in the send buffer."""
+        queued = queued_by_system(self.sock.fileno()) if not self.closed else 0
+        return len(self.unsent) + queued
 
-    # The end
+    # Closing
 
     def discard_on_close(self) -> None:
-        """Have the system throw away what it still holds when this is closed, in place of sending it on."""
+        """Make the system discard its send buffer when this stream is closed, instead of sending it."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
     def close(self) -> None:
--- a/ochreflow/http/upstream.py
+++ b/ochreflow/http/upstream.py
@@ -1,7 +1,7 @@
-"""The pool of connections to servers, and the exchanges that wait for one.
+"""The pool of connections to servers, and the exchanges that wait for a connection.
 
-Whether an exchange may still be sent is asked again as its first byte is to be written, in one place
-(`Upstreams._try_send`): a connection may come up long after the decision to send.
+Whether an exchange may still be sent is checked again just before its first byte is written, in one place
+(`Upstreams._try_send`): a connection may be established long after the decision to send.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from .exchange import Exchange
 from .upstream_connection import Connection, Target
 
-IDLE_TIMEOUT_SHARE = 0.7  # of the time after which a server may close an idle connection itself
+IDLE_TIMEOUT_SHARE = 0.7  # of the time after which a server may close an idle connection
 
 
 class SendResult(Enum):
-    """What became of an exchange that was to be sent on a connection."""
+    """The result of sending an exchange on a connection."""
 
     STARTED = auto()  # its first byte has been written
-    REJECTED = auto()  # it must not be sent any more; the connection can be used for others
-    DEAD = auto()  # the connection was found dead, with nothing of the exchange sent
+    REJECTED = auto()  # it must not be sent any more; the connection stays usable
+    DEAD = auto()  # the connection is dead, and nothing of the exchange was sent
 
 
 class Upstreams:
-    """All connections to servers, by server."""
+    """Owns all connections to servers."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         connect_timeout: float,
         idle_timeout: float,
     ) -> None:
-        """Know no server yet. Times in seconds."""
+        """Start without servers; times are in seconds."""
         self.loop = loop
         self.descriptors = descriptors
         self.memory = memory
@@ -49,10 +49,10 @@
         self.targets: dict[int, Target] = {}
         self.connections: set[Connection] = set()
 
-    # The list
+    # The endpoint list
 
     def update(self, server: int, address: tuple[str, int], since_ms: int, state: State) -> None:
-        """Take a server's entry of the list. Idle connections to an earlier start or address are closed."""
+        """Apply a server's entry of the endpoint list; a restart or move closes its idle connections."""
         target = self.targets.get(server)
         if target is None:
             target = self.targets[server] = Target(address, since_ms)
@@ -63,12 +63,12 @@
         target.accepts_requests = state is State.READY
         if not target.accepts_requests:
             self.close_idle(server)
-            # What still waits for a connection would be sent to a server that is to get nothing new.
+            # Exchanges that still wait for a connection must not be sent to a server that is not ready.
             for exchange in list(target.opening):
                 exchange.give_up(Status.CONNECT_FAILED)
 
     def forget(self, server: int) -> None:
-        """Drop a server that is gone; exchanges under way keep their connections."""
+        """Forget a server that was removed; exchanges in progress keep their connections."""
         target = self.targets.pop(server, None)
         if target is not None:
             target.accepts_requests = False
@@ -76,9 +76,10 @@
     # Exchanges
 
     def start(self, server: int, exchange: Exchange, timeout: float | None) -> None:
-        """Send an exchange; its end is told later, never from within this call.
+        """Send an exchange; its result is reported later, never from within this call.
 
-        Without a time-out it waits until it is told to wait no longer: its body is still coming.
+        Without a `timeout`, in seconds, it waits until `set_timeout` or `give_up` is called: its body is
+        incomplete.
         """
         target = self.targets.get(server)
         if target is None or not target.accepts_requests:
@@ -91,11 +92,11 @@
         self._find_connection(target, exchange)
 
     def _find_connection(self, target: Target, exchange: Exchange) -> None:
-        """Send an exchange on an idle connection, now or once that is settled, or on a new one."""
+        """Send an exchange on an idle connection, now or once it has settled, or on a new one."""
         while target.idle:
             connection = self._take_idle(target)
             if not self._may_carry(connection, exchange):
-                # One waits; where several would, the connections are too few for the requests.
+                # One exchange waits for a connection to settle; for further ones, new connections are opened.
                 if target.settling and not self.descriptors.full:
                     self._return_idle(connection)
                     break
@@ -107,12 +108,12 @@
                 self.loop.call_soon(exchange.end, Status.NOT_SENT)
             if result is not SendResult.DEAD:
                 return
-            connection.close()  # found dead before anything was written: no attempt was made
+            connection.close()  # dead before anything was written: not counted as an attempt
         self._open(target, exchange)
 
     @staticmethod
     def _take_idle(target: Target) -> Connection:
-        """The most recently used connection that is settled, else the one that has been idle longest."""
+        """Remove and return the most recently used settled connection, or else the one idle longest."""
         if target.idle[-1].settled:
             return target.idle.pop()
         settled = bisect.bisect_right(target.idle, 0, key=lambda idle: not idle.settled)
@@ -120,45 +121,46 @@
 
     @staticmethod
     def _return_idle(connection: Connection) -> None:
-        """Put a connection that was not used back in its place."""
+        """Put an unused connection back into its place in the list of idle ones."""
         bisect.insort(connection.target.idle, connection, key=lambda idle: idle.idle_since)
 
     @staticmethod
     def _may_carry(connection: Connection, exchange: Exchange) -> bool:
-        """Whether no second response to the request before can come any more, or it would do no harm.
+        """Return whether a late second response to the previous request cannot come or would do no harm.
 
-        Taken for the response to an unsafe request, a late refusal would have it sent again while a server
-        runs it.
+        A late rejection that was taken for the response to an unsafe request would cause a retry while a
+        server still runs the request.
         """
         return exchange.idempotent or connection.settled
 
     def _send_when_settled(self, connection: Connection, exchange: Exchange) -> None:
-        """Wait with nothing sent on a connection: a second response that comes meanwhile closes it."""
+        """Send an exchange once a connection has settled; a second response before then closes it."""
         target = connection.target
         target.opening[exchange] = None
         target.settling += 1
 
-        def settled() -> None:
+        def on_settled() -> None:
             target.settling -= 1
-            self.keep(connection)
-            if exchange in target.opening:  # it was not sent there
+            self.release(connection)
+            if exchange in target.opening:  # it was not sent on this connection
                 del target.opening[exchange]
                 if not exchange.ended and not exchange.rejected:
                     self._find_connection(target, exchange)
 
-        self.loop.call_later(connection.settles_in(), settled)
+        self.loop.call_later(connection.settles_in(), on_settled)
 
     @staticmethod
     def _try_send(connection: Connection, exchange: Exchange) -> SendResult:
-        """Write an exchange if it still may be sent; the one place where an exchange begins.
+        """Write an exchange if it may still be sent; the only place where an exchange begins.
 
-        It may not if its server has restarted or moved since it was chosen, or if its time to write is over.
+        It may not be sent if its server has restarted or moved since the server was chosen, or if no time is
+        left to write it.
         """
         target = connection.target
         current = (
             target.accepts_requests and exchange.generation == connection.generation == target.generation
         )
-        current = current and not exchange.rejected  # its end will say that it never ran: that must stay true
+        current = current and not exchange.rejected  # its scheduled result states that it never ran
         timeout_s = (
             exchange.write_timeout_s() if exchange.write_timeout_s is not None and current else math.inf
         )
@@ -167,17 +169,17 @@
             return SendResult.REJECTED
         if not connection.send(exchange):
             return SendResult.DEAD
-        exchange.limit_write_time(timeout_s)
+        exchange.set_write_timeout(timeout_s)
         return SendResult.STARTED
 
     def _open(self, target: Target, exchange: Exchange) -> None:
         if self.descriptors.full and not self.close_oldest() and not self.descriptors.evict_idle_connection():
-            # The own lack says nothing of the server, which must not be held to have failed.
+            # A local lack of descriptors must not count as a failure of the server.
             self.loop.call_soon(exchange.end, Status.NOT_SENT)
             return
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-        except OSError:  # out of descriptors in spite of the count: room for the repeat, which is due soon
+        except OSError:  # out of descriptors in spite of the count: make room for the retry, due soon
             if not self.close_oldest():
                 self.descriptors.evict_idle_connection()
             self.loop.call_soon(exchange.end, Status.NOT_SENT)
@@ -187,7 +189,7 @@
         self.connections.add(connection)
         self.descriptors.in_use += 1
         target.opening[exchange] = None
-        # Not to be cancelled before its first turn: nothing of it would run, nor let the connection go.
+        # Must not be cancelled before its first step: it would not run at all, and leak the connection.
         self.loop.create_task(self._connect(target, exchange, connection))
 
     async def _connect(self, target: Target, exchange: Exchange, connection: Connection) -> None:
@@ -205,13 +207,13 @@
         self._use(connection, exchange)
 
     def _use(self, connection: Connection, exchange: Exchange) -> None:
-        """Use a connection that has come up, or has failed to, for the exchange that it was made for."""
-        if exchange.ended or exchange.connection is not None:  # it is over, or took one that came free
-            self.keep(connection)
+        """Use a connection, established or failed, for the exchange that it was opened for."""
+        if exchange.ended or exchange.connection is not None:  # it has ended, or uses another connection
+            self.release(connection)
             return
         result = SendResult.DEAD if connection.closed else self._try_send(connection, exchange)
         if result is SendResult.REJECTED:
-            self.keep(connection)
+            self.release(connection)
             exchange.end(Status.NOT_SENT)
         elif result is SendResult.DEAD:
             connection.close()
@@ -219,14 +221,14 @@
 
     # The pool
 
-    def keep(self, connection: Connection) -> None:
-        """Use a free connection for an exchange that waits, or keep it for the next one."""
+    def release(self, connection: Connection) -> None:
+        """Use a free connection for a waiting exchange, or add it to the idle ones."""
         target = connection.target
         if connection.closed or not target.accepts_requests or connection.generation != target.generation:
             connection.close()
             return
-        # The connection that is being made for a waiting exchange will be kept in place of this one.
-        # An exchange that has just been given up is among them until its task has ended.
+        # The connection that is being opened for a waiting exchange becomes idle instead of this one.
+        # An exchange that was just given up stays in `opening` until its task has ended.
         waiting = [exchange for exchange in target.opening if not exchange.ended]
         for exchange in waiting:
             if not self._may_carry(connection, exchange):
@@ -243,17 +245,17 @@
         connection.idle_since = monotonic()
         target.idle.append(connection)
         if waiting:
-            self.loop.call_later(connection.settles_in(), self._offer, connection)
+            self.loop.call_later(connection.settles_in(), self._reuse_settled, connection)
 
-    def _offer(self, connection: Connection) -> None:
-        """Use a connection that is settled by now for an exchange that waits, if it is still idle."""
+    def _reuse_settled(self, connection: Connection) -> None:
+        """Use a connection that has settled for a waiting exchange, if the connection is still idle."""
         target = connection.target
         if connection in target.idle and target.opening:
             target.idle.remove(connection)
-            self.keep(connection)
+            self.release(connection)
 
-    def dropped(self, connection: Connection) -> None:
-        """Neither count nor use a connection any more: it closes."""
+    def remove(self, connection: Connection) -> None:
+        """Remove a connection that is closing from the pool and from the count of descriptors."""
         self.connections.discard(connection)
         self.descriptors.in_use -= 1
         if connection in connection.target.idle:
@@ -267,7 +269,7 @@
                 connection.close()
 
     def close_oldest(self) -> bool:
-        """Close the connection that has been idle longest; False if none is idle."""
+        """Close the connection that has been idle longest; return False if none is idle."""
         oldest = [target.idle[0] for target in self.targets.values() if target.idle]
         if not oldest:
             return False
--- a/ochreflow/http/upstream_connection.py
+++ b/ochreflow/http/upstream_connection.py
@@ -1,4 +1,4 @@
-"""Connections to servers, each with at most one exchange on it."""
+"""Connections to servers, each with at most one exchange at a time."""
 
 from __future__ import annotations
 
@@ -17,90 +17,90 @@
 from .socket_progress import StallTimer
 from .socket_stream import SocketStream
 
-# Seconds without a byte after which a peer is given up. A buffered response can be replaced by another
-# attempt, so it is given up sooner than one that is relayed, or than a request that a server reads slowly.
+# Time-outs without a byte of progress. Another attempt can replace a buffered response, so its time-out is
+# shorter than that of a relayed response or of a request that a server reads slowly.
 RESPONSE_STALL_TIMEOUT_S = 1.0
 RELAY_STALL_TIMEOUT_S = 2.5
-# Seconds after a response within which a second one to the same request may come. No setting says how late it
-# can be; this is the slack by which the protocol lets each time limit on sockets grow.
+# Time after a response within which a second response to the same request may arrive. No setting states how
+# late it can be; the protocol extends each time limit on sockets by this slack.
 SETTLING_TIME_S = 0.05
 
 
 class ConnectionPool(Protocol):
-    """Owns the connections to servers, and is told when one comes free or closes."""
+    """Owns the connections to servers; each connection reports when it is free or closing."""
 
     loop: asyncio.AbstractEventLoop
     memory: Memory
 
-    def keep(self, connection: Connection) -> None:
-        """Take a connection that can carry another exchange."""
+    def release(self, connection: Connection) -> None:
+        """Return a connection to the pool, which can be used for another exchange."""
         ...
 
-    def dropped(self, connection: Connection) -> None:
-        """Neither count nor use a connection any more: it closes."""
+    def remove(self, connection: Connection) -> None:
+        """Remove a connection that is closing."""
         ...
 
 
 class Target:
-    """A server's address, and the connections to it."""
+    """A server's address and the idle connections to it."""
 
     def __init__(self, address: tuple[str, int], since_ms: int) -> None:
-        """A server at `address` that started at `since_ms`."""
+        """Describe a server at `address` that started at `since_ms`."""
         self.address = address
         self.since_ms = since_ms
-        self.generation = 0  # grows with each restart or move; connections of an earlier one are not reused
+        self.generation = 0  # incremented by a restart or move; earlier connections are not reused
         self.accepts_requests = True
         self.idle: list[Connection] = []  # by `idle_since`, the most recently used last
-        self.opening: dict[Exchange, None] = {}  # exchanges that wait for a connection, in their order
-        self.settling = 0  # of these, those that wait for an idle connection to settle
+        self.opening: dict[Exchange, None] = {}  # exchanges that wait for a connection, in order of arrival
+        self.settling = 0  # the number of these that wait for an idle connection to settle
 
 
 class Connection:
-    """A connection to a server, with at most one exchange on it."""
+    """A connection to a server, with at most one exchange at a time."""
 
     def __init__(self, pool: ConnectionPool, target: Target, sock: socket.socket) -> None:
-        """Own a socket that is being connected."""
+        """Take ownership of a socket that is not connected yet."""
         self.pool = pool
         self.target = target
         self.generation = target.generation
         self.stream = SocketStream(pool.loop, sock, self)
         self.exchange: Exchange | None = None
-        self.uploading: Body | None = None  # a request body of which more is to come
-        self.chunking = False  # that body is sent in chunks
-        self.write_stall: StallTimer | None = None  # runs while a body waits for the server to read
-        self.response_paused = False  # nothing is read while the response's client is slower
+        self.uploading: Body | None = None  # a request body that is still arriving
+        self.chunking = False  # whether that body is sent in chunks
+        self.write_stall: StallTimer | None = None  # runs while a body waits for the server to read it
+        self.response_paused = False  # whether reading is paused for a slower client
         self.closed = False
         self.idle_since = 0.0
-        self.answered_at = -math.inf  # when the last response on it was complete
+        self.answered_at = -math.inf  # when its last response was complete
         self.response = ResponseParser(pool.memory)
-        self.last_read = 0.0  # when the last bytes of the response came
+        self.last_read = 0.0  # when the last bytes of the response arrived
         self.read_stall: asyncio.TimerHandle | None = None  # runs while a response is incomplete
 
     def connected(self) -> None:
-        """Start to read: the socket is connected."""
+        """Start reading, since the socket is connected."""
         self.stream.resume_reading()
 
-    # What has been written
+    # Writing
 
     @property
     def unwritten(self) -> bool:
-        """Whether the system has not taken the last byte of the request: it can't have run.
+        """Whether the system has not accepted the last byte of the request, so that it cannot have run.
 
-        This is judged by the bytes that were handed over, and holds for good once the connection is closed.
+        The value is final once the connection is closed.
         """
         return bool(self.stream.unsent) or self.uploading is not None
 
     @property
     def arrived(self) -> bool:
-        """Whether the server's machine has acknowledged all of the request."""
+        """Whether the server's host has acknowledged the whole request."""
         return not self.unwritten and self.stream.unacknowledged() == 0
 
     def discard_unsent(self) -> None:
-        """Have the system discard what it still holds when this is closed, in place of sending it on."""
+        """Make the system discard its send buffer when this connection is closed, instead of sending it."""
         self.stream.discard_on_close()
 
     def pause_writing(self) -> None:
-        """Take no more of a body that is still coming: some of the request waits for the socket."""
+        """Pause the streamed body: part of the request waits for the socket."""
         if self.uploading is None:
             return
         self.uploading.set_blocked(blocked=True)
@@ -110,7 +110,7 @@
             )
 
     def resume_writing(self) -> None:
-        """Go on with the body, or tell that the request is written: nothing waits for the socket any more."""
+        """Resume the streamed body, or report that the request is written: all bytes are accepted."""
         self._stop_write_stall()
         if self.uploading is not None:
             self.uploading.set_blocked(blocked=False)
@@ -127,11 +127,11 @@
             self.exchange.written()
 
     def body_part(self, data: bytes) -> None:
-        """Send the next part of a body that is still coming."""
+        """Send the next part of the streamed body."""
         self.stream.write(chunk(data) if self.chunking else data)
 
     def body_end(self) -> None:
-        """Complete the request: the last part of its body has been sent."""
+        """Complete the request after the last part of its body."""
         assert self.uploading is not None
         self.uploading = None
         if self.chunking:
@@ -140,7 +140,7 @@
             self._notify_written()
 
     def pause_response(self, *, paused: bool) -> None:
-        """Stop reading for now, or read on. A server is not blamed for the time in which it was not read."""
+        """Pause or resume reading; time while reading is paused does not count towards the stall time-out."""
         if self.closed or paused == self.response_paused:
             return
         self.response_paused = paused
@@ -150,12 +150,12 @@
             self.last_read = monotonic()
             self.stream.resume_reading()
 
-    # The stream's calls
+    # Called by the stream
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come of the response, and act on it."""
+        """Parse received data, and relay or complete the response."""
         if self.exchange is None:
-            self.close()  # what follows could be taken for the response to the next request
+            self.close()  # the data could be taken for the response to the next request
             return
         self.response.feed(data)
         if self.response.invalid:
@@ -170,17 +170,17 @@
                 self._watch_for_stall()
 
     def _watch_for_stall(self) -> None:
-        """Give up a response that stops half-way: it would be waited for until the deadline."""
+        """Give up a response that stalls; otherwise the exchange would wait until its deadline."""
         timeout_s = RELAY_STALL_TIMEOUT_S if self.response.relaying else RESPONSE_STALL_TIMEOUT_S
-        silent = 0.0 if self.exchange is not None and self.exchange.paused else monotonic() - self.last_read
-        if silent >= timeout_s:
+        silent_s = 0.0 if self.exchange is not None and self.exchange.paused else monotonic() - self.last_read
+        if silent_s >= timeout_s:
             self.read_stall = None
             self.connection_broken()
             return
-        self.read_stall = self.pool.loop.call_later(timeout_s - silent, self._watch_for_stall)
+        self.read_stall = self.pool.loop.call_later(timeout_s - silent_s, self._watch_for_stall)
 
     def _relay(self) -> bool:
-        """Pass on what has come of a response that is not buffered; False if nobody takes it."""
+        """Relay received data of a response that is not buffered; return False if no client waits for it."""
         relay = self.exchange.relay if self.exchange is not None else None
         response = self.response
         if relay is None:
@@ -196,14 +196,14 @@
         return True
 
     def eof_received(self) -> None:
-        """Take the end of the stream for the end of a response that nothing else delimits."""
+        """Complete a response that only the end of the stream delimits, or treat the end as an error."""
         if self.exchange is not None and self.response.end():
             self._finish()  # a process that dies resets its connections, so this is an orderly end
         else:
             self.connection_broken()
 
     def connection_broken(self) -> None:
-        """Close it; the exchange on it, if any, has ended without a complete response."""
+        """Close the connection, and end its exchange, if any, without a complete response."""
         exchange, self.exchange = self.exchange, None
         never_ran = self.unwritten
         self.close()
@@ -213,7 +213,7 @@
     # Requests
 
     def send(self, exchange: Exchange) -> bool:
-        """Write an exchange that may be sent; False if the connection was found dead, with nothing sent."""
+        """Write an exchange that may be sent; return False if the connection is dead and nothing was sent."""
         # A server may have closed an idle connection while the loop was busy. A request written after that
         # would count as one that may have run.
         if not self.stream.is_idle():
@@ -234,7 +234,7 @@
         return True
 
     def _upload(self, body: Body) -> None:
-        """Send the rest of a body as it comes."""
+        """Stream the rest of a body as it arrives."""
         self.uploading = body
         self.chunking = body.length is None
         body.stream_to(self)
@@ -247,15 +247,15 @@
         exchange, response = self.exchange, self.response.complete
         assert exchange is not None and response is not None
         status = classify(response)
-        # Where part of the request is still on its way, what has come is no answer to it, and the rest may
-        # arrive after the connection is closed.
+        # A rejection proves nothing while part of the request is in flight: it cannot be the response to the
+        # whole request, whose rest may arrive after the connection is closed.
         unproven = status is Status.REJECTED and not self.arrived
         self.exchange = None
         self.answered_at = monotonic()
         self.pause_response(paused=False)
         self._release_response()
         if self.response.keep_alive and not self.unwritten and not self.response.surplus and not unproven:
-            self.pool.keep(self)
+            self.pool.release(self)
         else:
             self.close()
         if unproven and not self.unwritten:
@@ -265,19 +265,19 @@
 
     @property
     def settled(self) -> bool:
-        """Whether its last response is so long ago that a second one to that request would have come.
+        """Whether a second response to the last request would have arrived by now.
 
-        Only its place says which request a response belongs to: a late second one would be taken for that to
-        the next request.
+        Responses are matched to requests only by their order: a late second response would be taken for the
+        response to the next request.
         """
         return self.settles_in() == 0.0
 
     def settles_in(self) -> float:
-        """Seconds until it is settled."""
+        """Return the seconds until the connection is settled."""
         return max(self.answered_at + SETTLING_TIME_S - monotonic(), 0.0)
 
     def _release_response(self) -> None:
-        """Stop the timers of the exchange, and release the response's memory."""
+        """Stop the stall timers, and release the memory of the response."""
         if self.read_stall is not None:
             self.read_stall.cancel()
             self.read_stall = None
@@ -289,10 +289,10 @@
         if self.closed:
             return
         self.closed = True
-        self.pool.dropped(self)
+        self.pool.remove(self)
         self._release_response()
         if self.uploading is not None:
             self.uploading.discard()
         self.stream.close()
-        # The response's parser may be at work in this very call, so its references are dropped later.
+        # This call may come from the parser, so its reference cycle is broken later.
         self.pool.loop.call_soon(self.response.close)
--- a/ochreflow/http/upstream_transport.py
+++ b/ochreflow/http/upstream_transport.py
@@ -1,4 +1,4 @@
-"""Carries attempts to servers over HTTP/1.1."""
+"""Sends attempts and health checks to servers over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -13,54 +13,58 @@
 from .response import Response
 from .upstream import Upstreams
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 class HttpUpstreamTransport:
-    """The upstream transport of HTTP/1.1: attempts and health checks on pooled connections."""
+    """The HTTP/1.1 upstream transport, which uses pooled connections."""
 
     def __init__(self, upstreams: Upstreams, report_columns: tuple[str, ...]) -> None:
-        """Use a pool; `report_columns` are the fields of a load report."""
+        """Send on connections of `upstreams`; `report_columns` names the fields of a load report."""
         self.upstreams = upstreams
         self.load_report_parser = LoadReportParser(report_columns)
         self.probe_path = b"/-/load" if report_columns else b"/-/healthy"
 
     def start(
-        self, server: int, request: IncomingRequest, timeout: float | None, watcher: AttemptObserver
+        self, server: int, request: IncomingRequest, timeout: float | None, observer: AttemptObserver
     ) -> UpstreamAttempt:
-        """Begin an attempt; `timeout` in seconds, None: until its observer ends it."""
+        """Start an attempt; `timeout` is in seconds, None if its observer sets or ends it later."""
         assert isinstance(request, HttpRequest)
-        payload = self._payload(request)
+        request_lines = self._format_request_lines(request)
         body: Body | None = request.body
         if not request.is_write and request.body.complete and not request.body.size:
             body = None
 
         def head() -> bytes:
-            remaining_ms = max(watcher.remaining_time_ns() // MS, 1)
-            return b"%sX-Deadline: %dm\r\n%s" % (payload, remaining_ms, b"\r\n" if body is None else b"")
+            remaining_ms = max(observer.remaining_time_ns() // NS_PER_MS, 1)
+            return b"%sX-Deadline: %dm\r\n%s" % (
+                request_lines,
+                remaining_ms,
+                b"\r\n" if body is None else b"",
+            )
 
         def done(_: Exchange, status: Status, response: Response | None) -> None:
             report: tuple[float, ...] = ()
             if response is not None and response.load and self.load_report_parser.columns:
                 report = self.load_report_parser.parse(response.load)
-            watcher.ended(status, response, report)
+            observer.ended(status, response, report)
 
         exchange = Exchange(
             head,
             done,
             MAX_BUFFERED_BYTES,
-            watcher.written,
+            observer.written,
             body,
-            watcher,
-            watcher.write_timeout_s,
+            observer,
+            observer.write_timeout_s,
             idempotent=not request.is_write,
         )
         self.upstreams.start(server, exchange, timeout)
         return exchange
 
     @staticmethod
-    def _payload(request: HttpRequest) -> bytes:
-        """The head, less what is known only as it is written: the time left, and the framing of the body."""
+    def _format_request_lines(request: HttpRequest) -> bytes:
+        """Return request line and header lines; the deadline and the body's framing are added on sending."""
         return b"%s %s HTTP/1.1\r\n%s" % (request.method, request.target, b"".join(request.headers))
 
     def probe(self, server: int, timeout: float, done: Callable[[Status, tuple[float, ...]], None]) -> None:
@@ -76,11 +80,11 @@
         self.upstreams.start(server, Exchange(lambda: head, ended, MAX_BUFFERED_BYTES), timeout)
 
     def update(self, server: int, address: Address, since_ms: int, state: State) -> None:
-        """Take a server's entry of the endpoint list."""
+        """Apply a server's entry of the endpoint list."""
         self.upstreams.update(server, address, since_ms, state)
 
     def forget(self, server: int) -> None:
-        """Drop a server that is gone from the list."""
+        """Forget a server that was removed from the endpoint list."""
         self.upstreams.forget(server)
 
     def close_idle(self, server: int) -> None:
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -240,10 +240,10 @@
                 raise ZeroDivisionError("of the program")
 
             engine = sidecar.engine
-            sidecar.upstream_transport._payload = broken
+            sidecar.upstream_transport._format_request_lines = broken
             assert (await send_request(sidecar.port, http_request("order", "ab", "300m"))).code == 503
             assert not engine.requests.pending and not engine.attempts.in_flight
-            del sidecar.upstream_transport._payload
+            del sidecar.upstream_transport._format_request_lines
             assert (await send_request(sidecar.port, http_request("order", "cd"))).code == 200
 
     run(play())
