--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -1,8 +1,8 @@
-"""Every decision of a sidecar. The types it takes and returns are in `ochreflow/policy/interface.py`.
+"""All decisions of a sidecar. The types it takes and returns are in `ochreflow/policy/interface.py`.
 
-`Balancer` takes events and owns the pending requests; each concern has a module that owns what it learns:
+`Balancer` handles events and owns the pending requests. Each concern has a module that owns its state:
 `endpoint_set`, `latency`, `slow_start`, `safety_rules`, `endpoint_picker`, `concurrency_limiter`,
-`tenant_quota`, `outlier_detection`, `outcome_recorder`, `retry_policy`. The ordinary path of a request is
+`tenant_quota`, `outlier_detection`, `outcome_recorder`, `retry_policy`. The usual path of a request is
 `_on_request` -> `EndpointPicker.pick` -> `ConcurrencyLimiter.admit` -> `_send` -> `_on_outcome`, and for a
 failed attempt `_schedule_retry` -> `_retry`.
 """
@@ -40,17 +40,17 @@
 )
 from .tenant_quota import TenantQuotas
 
-# Of the time to the deadline or the objective, the Retry-After of a rejection: a retry has the other half.
+# Greatest Retry-After of a rejection, as a share of the remaining time: the client's retry has the rest.
 RETRY_AFTER_SHARE = 0.5
-MIN_RETRY_AFTER_JITTER = 0.5  # of that after jitter, lest rejected clients come back together
+MIN_RETRY_AFTER_JITTER = 0.5  # least share of it after jitter, so that rejected clients don't return together
 MAX_TIMER_TOKEN = 0xFFFFFFFF
 
 
 class Balancer:
-    """Decides for one sidecar what is done about each event; holds the pending requests."""
+    """Decides which actions one sidecar takes for each event, and holds its pending requests."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start without servers or requests; the same seed and events give the same actions."""
+        """Start without servers or requests; the same seed and events yield the same actions."""
         self.context = context = Context(settings, seed)
         self.latency = LatencyEstimates(context)
         self.endpoints = EndpointSet(context)
@@ -73,21 +73,21 @@
         )
         self.retry_policy = RetryPolicy(context, self.latency, self.safety_rules)
         self.pending: dict[int, RequestState] = {}
-        self.timer_armed = self.timer_token = 0
+        self.timer_due_ns = self.timer_token = 0  # of the timer that was set last; 0: none is set
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
-        """Take one event at the given time; return what to do, in order."""
+        """Handle one event at the given time; return the actions to take, in order."""
         context = self.context
         context.now, context.actions = now_ns, []
         self._dispatch(event)
-        if context.timers and (not self.timer_armed or context.timers[0].due_ns < self.timer_armed):
-            self.timer_armed = context.timers[0].due_ns
+        if context.timers and (not self.timer_due_ns or context.timers[0].due_ns < self.timer_due_ns):
+            self.timer_due_ns = context.timers[0].due_ns
             self.timer_token = (self.timer_token + 1) & MAX_TIMER_TOKEN
-            context.actions.append(api.SetTimer(max(self.timer_armed - now_ns, 1), self.timer_token))
+            context.actions.append(api.SetTimer(max(self.timer_due_ns - now_ns, 1), self.timer_token))
         return context.actions
 
     def actions_before_fault(self) -> list[Action]:
-        """Return what was decided for the latest event before `handle` raised; it is to be done still."""
+        """Return the actions decided before `handle` raised; the caller must still take them."""
         return self.context.actions
 
     def _dispatch(self, event: Event) -> None:  # noqa: C901  # one case for each event of the union
@@ -115,13 +115,16 @@
             case _:
                 assert_never(event)
 
-    def write_by(self, now_ns: int, ident: int, number: int) -> int:
-        """Until when an attempt's last byte may go out, judged anew as its first one is to; 0: it may not."""
+    def write_by(self, now_ns: int, request_id: int, number: int) -> int:
+        """Return the time in ns by which the last byte of an attempt must be sent; 0: do not send it.
+
+        The caller asks again before it sends the first byte: the attempt may not be allowed any more.
+        """
         self.context.now = now_ns
-        if (request := self.pending.get(ident)) is None:
+        if (request := self.pending.get(request_id)) is None:
             return 0
         server = request.attempts[number].server
-        # It may have moved since the decision.
+        # An update of the list may have moved the server to another zone or cell since the decision.
         request.attempts[number] = request.attempts[number]._replace(zone=server.zone, cell=server.cell)
         return self.safety_rules.write_by(request, server, number)
 
@@ -157,20 +160,20 @@
         if request is None:
             return
         if server and request.uploading:
-            # It ended before its body was through.
+            # The attempt ended before its upload was complete, so it was not counted as in flight.
             self.outcome_recorder.update_estimates(
                 server, self.context.now, request.class_index, event, presumed_lost=False
             )
         elif server and request.streaming and event.status is Status.RESET:
-            # It began to answer, and broke.
+            # The connection broke after the response had started.
             self.outlier_detector.record_failure(server, 1.0, MAX_EJECTED_SHARE)
-        settled = request.record_end(event.attempt, event.status)
+        newly_ended = request.record_end(event.attempt, event.status)
         if event.final:
             self._forget(request)
-        elif not settled:
+        elif not newly_ended:
             return
         elif event.status is Status.ERROR:
-            self._end(request)  # a plain error is an answer: the design does not retry it
+            self._end(request)  # an error is a valid answer and is not retried
         elif not request.retry_scheduled:
             self._schedule_retry(request)
 
@@ -179,11 +182,11 @@
             self._forget(self.pending[event.id])
 
     def _on_stream(self, event: api.StreamStarted) -> None:
-        """A response has begun: its server's latency is known, the rest is the client's speed."""
+        """Record the latency of a response that has started; its further duration depends on the client."""
         request = self.pending.get(event.id)
         if request is None:
             return
-        request.streaming = True  # nothing more may be sent for it
+        request.streaming = True  # no further attempt may be sent
         self.outcome_recorder.record_end(
             Outcome(event.id, event.attempt, event.server, Status.OK, event.duration_ns, final=False)
         )
@@ -194,14 +197,14 @@
             self.pending[event.id].body_discarded = True
 
     def _on_uploaded(self, event: api.BodyUploaded) -> None:
-        """From here on the attempt is like any other: its server has all of it."""
+        """Count an attempt as in flight from now on: its server has the whole request."""
         request = self.pending.get(event.id)
         if request is None or not request.uploading:
             return
         request.uploading, request.deadline = False, event.deadline_ns
         attempt = request.attempts[-1] = request.attempts[-1]._replace(sent_at=self.context.now)
         server = attempt.server
-        if self.endpoints.servers.get(server.id) is server:  # else it has left
+        if self.endpoints.servers.get(server.id) is server:  # it may have been removed meanwhile
             self._count_in_flight(request, server, len(request.attempts) - 1)
 
     def _on_probe(self, event: api.ProbeResult) -> None:
@@ -212,7 +215,7 @@
     def _on_timer(self, event: api.Timer) -> None:
         now = self.context.now
         if event.token == self.timer_token:
-            self.timer_armed = 0
+            self.timer_due_ns = 0
         while self.context.timers and self.context.timers[0].due_ns <= now:
             timer = heapq.heappop(self.context.timers)
             if timer.kind is POLL:
@@ -230,33 +233,34 @@
     def _send(self, request: RequestState, server: Server) -> None:
         number = len(request.attempts)
         self.slow_start.allows(server, request.class_index, consume=True)
-        # Both or, where something fails, neither: else its number means another attempt to whoever sends it.
+        # The attempt and its action are added with no step in between that can fail: otherwise the caller and
+        # this module would number the attempts differently.
         request.attempts.append(Attempt(server, server.zone, server.cell, self.context.now, self.context.now))
-        # No time-out of its own: an overdue attempt is judged by what its server did meanwhile.
+        # The attempt has no time-out: `_on_overdue` decides by what its server has answered meanwhile.
         self.context.actions.append(api.Send(request.id, server.id))
         request.retry_paid = False
         if server.ejected:
             server.half_open_in_flight = True
-        if not request.uploading:  # else its server has no work with it before the body is through
+        if not request.uploading:  # a server does not start to work before it has the whole body
             self._count_in_flight(request, server, number)
 
     def _count_in_flight(self, request: RequestState, server: Server, number: int) -> None:
-        """Its server has the whole of an attempt: it is in flight from now on."""
-        overdue = self.outlier_detector.overdue_after(
+        """Count an attempt as in flight: its server has the whole request."""
+        overdue_after_ns = self.outlier_detector.overdue_after(
             server, request.class_index, request.deadline - self.context.now
         )
         server.in_flight[request.id, number] = InFlightAttempt(self.context.now, request.class_index)
         if not server.ejected:
             self.endpoints.inflight += 1
-        due_ns = self.context.now + overdue
+        due_ns = self.context.now + overdue_after_ns
         self.context.schedule(ScheduledTimer(due_ns, OVERDUE, request.id, 0, number))
 
     def _schedule_retry(self, request: RequestState) -> None:
-        """Retry after a backoff; or end the request."""
-        delay = self.retry_policy.reserve_retry(request)
-        if delay is not None:
+        """Schedule a retry after a backoff, or end the request if a retry is not possible."""
+        backoff_ns = self.retry_policy.reserve_retry(request)
+        if backoff_ns is not None:
             request.retry_scheduled = True
-            due_ns = self.context.now + max(delay, 1)
+            due_ns = self.context.now + max(backoff_ns, 1)
             self.context.schedule(ScheduledTimer(due_ns, RETRY, request.id))
         elif not request.any_in_flight():  # an attempt in flight may yet be answered
             self._end(request)
@@ -269,7 +273,7 @@
             self._schedule_retry(request)
 
     def _end(self, request: RequestState) -> None:
-        """Decide on the final response: a rejection, which invites a retry, or a failure."""
+        """End a request with a rejection, which invites the client to retry, or with a failure."""
         if self.safety_rules.may_reject(request):
             retry_after_ns = self._retry_after_ns(request) if self.context.settings.retry_after else 0
             self.context.actions.append(api.Reject(request.id, retry_after_ns))
@@ -279,12 +283,14 @@
 
     def _retry_after_ns(self, request: RequestState) -> int:
         remaining_ns: float = max(request.deadline - self.context.now, 0)
-        until_objective = request.spec.objective_ns - request.age - self.latency.baseline[request.class_index]
-        if until_objective > 0.0:
-            # A retry may still be answered within the objective; a later one hardly earns anything.
-            remaining_ns = min(remaining_ns, until_objective)
-        ceiling = min(self.context.settings.max_retry_after_ns, remaining_ns * RETRY_AFTER_SHARE)
-        return int(ceiling * self.context.random.uniform(MIN_RETRY_AFTER_JITTER, 1.0))
+        until_objective_ns = (
+            request.spec.objective_ns - request.age - self.latency.baseline[request.class_index]
+        )
+        if until_objective_ns > 0.0:
+            # A retry can still be answered within the objective; a later one is worth little.
+            remaining_ns = min(remaining_ns, until_objective_ns)
+        max_wait_ns = min(self.context.settings.max_retry_after_ns, remaining_ns * RETRY_AFTER_SHARE)
+        return int(max_wait_ns * self.context.random.uniform(MIN_RETRY_AFTER_JITTER, 1.0))
 
     def _forget(self, request: RequestState) -> None:
         del self.pending[request.id]
@@ -296,46 +302,47 @@
                 self.context.actions.append(api.Cancel(request.id, number))
 
     def _on_overdue(self, request: RequestState, timer: ScheduledTimer) -> None:
-        """An attempt is late: evidence against a silent server, and a retry if that one is ejected.
+        """Handle an overdue attempt: count a failure of a silent server, and retry if the server is ejected.
 
-        Guards against retry storms: at a server that is no outlier either the work is long, which a retry
-        would not shorten, or all is slow, which it would make worse; and silence may be little traffic.
+        Retries of all overdue attempts would cause retry storms: at a server that is no outlier either the
+        request takes long, which a retry would not change, or all servers are slow, which retries would make
+        worse. With low traffic a server may also be silent because it got few requests.
         """
         number = timer.attempt
         attempt = request.attempts[number]
         if attempt.state is not IN_FLIGHT:
             return
-        server, sent = attempt.server, attempt.sent_at
-        silent = server.last_alive_at <= sent
+        server, sent_at = attempt.server, attempt.sent_at
+        silent = server.last_alive_at <= sent_at
         if timer.rechecks:
             if not silent:
                 self.outlier_detector.presume_lost(server, (request.id, number))
         elif not silent:
-            # A latency that is known late is of no use.
-            self.limiter.record_latency(server, request.class_index, self.context.now - sent)
-        else:  # one long piece of work must not condemn a server by itself
+            # Record the latency so far: the limiter must not wait for the answer.
+            self.limiter.record_latency(server, request.class_index, self.context.now - sent_at)
+        else:  # with less weight than a failure: one long request must not eject its server
             server.answering = False
             self.outlier_detector.record_failure(server, OVERDUE_FAILURE_WEIGHT, MAX_EJECTED_SHARE_ON_SILENCE)
         if server.ejected:
             self._retry_elsewhere(request, number)
-        recheck_at = 2 * self.context.now - sent
+        recheck_at = 2 * self.context.now - sent_at
         if recheck_at < request.deadline:
             self.context.schedule(ScheduledTimer(recheck_at, OVERDUE, request.id, 1, number))
 
     def _retry_all_from(self, server: Server) -> None:
-        """What waits at a server that has just been ejected is likely lost: do not wait it out."""
-        for ident, number in list(server.in_flight):
-            request = self.pending.get(ident)
+        """Retry all attempts at a server that has just been ejected: they are most likely lost."""
+        for request_id, number in list(server.in_flight):
+            request = self.pending.get(request_id)
             if request is not None:
                 self._retry_elsewhere(request, number)
 
     def _retry_elsewhere(self, request: RequestState, number: int) -> None:
-        """Retry an attempt that its server seems to have lost, where the class and the site allow it."""
-        unsafe = request.spec.effect is Effect.NON_IDEMPOTENT
+        """Retry an attempt that is probably lost, if its class, the settings and the budget allow it."""
+        non_idempotent = request.spec.effect is Effect.NON_IDEMPOTENT
         if (
             request.retry_scheduled
             or request.streaming
-            or unsafe
+            or non_idempotent
             or not self.retry_policy.affordable(request)
         ):
             return
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -16,8 +16,6 @@
 # Target latency as a share of the objective; with a mean of half of it about one answer in eight is late.
 TARGET_OBJECTIVE_SHARE = 0.45
 TARGET_BASELINES = 1.4  # least target latency in baselines, for objectives not much longer than the baseline
-# Greatest target latency as a share of the objective: a baseline learned in a collapse must not raise it.
-MAX_TARGET_OBJECTIVE_SHARE = 0.6
 REJECTION_PRESSURE = 2.0  # sample that a rejection counts as: short queues fill before latency shows it
 MAX_SAMPLE_PRESSURE = 4.0  # sample that one attempt counts as at most
 PRESSURE_HALF_LIFE = 0.12  # least half-life of samples, in shortest deadlines
@@ -25,6 +23,8 @@
 MIN_PRESSURE_SAMPLES = 10
 PRIOR_PRESSURE = 0.7  # pressure without samples; below 1, so that the limit grows slowly
 PRIOR_PRESSURE_SAMPLES = 2.0  # weight of the prior, in samples
+# Greatest target latency as a share of the objective: a baseline learned in a collapse must not raise it.
+MAX_TARGET_OBJECTIVE_SHARE = 0.6
 UPDATE_INTERVAL = 0.1  # shortest deadlines between updates of the limit
 UPDATE_STEP = 0.2  # share of the way to the target that one update goes: its answers alone are noisy
 MIN_GRADIENT = 0.5  # late answers reflect the concurrency of some time ago
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -13,9 +13,8 @@
 from .safety_rules import SafetyRules
 from .state_records import SECOND, Context, EndpointGroup, RequestState, Server
 
-SMOOTHING = (
-    0.08  # weight of a new sample of one server; requests differ far more in work than servers in speed
-)
+# Weight of a new sample of one server; requests differ far more in work than servers in speed.
+SMOOTHING = 0.08
 # Half-life of an estimate's distance to the mean, in mean gaps between answers of one server.
 ESTIMATE_HALF_LIFE_GAPS = 20.0
 # Half-life, in shortest deadlines, of what a latency says about the queue that other sidecars cause.
@@ -26,9 +25,8 @@
 BIAS_STEP = 0.2
 BIAS_DECAY = 0.01  # share of the bias lost with each answer, which bounds its random walk
 MAX_BIAS_EXCESS = 3.0  # class means that one late answer counts at most
-MAX_BIAS = (
-    3.0  # keeps weights between e^-3 and e^3: without any traffic a group's recovery would go unnoticed
-)
+# Keeps weights between e^-3 and e^3: without any traffic a group's recovery would go unnoticed.
+MAX_BIAS = 3.0
 # Objectives of latency for each unit of the price of crossing zones; it applies when zones are equally fast.
 BIAS_CROSS_ZONE_WEIGHT = 3.0
 # Half-life of a load report in shortest deadlines, and the age up to which it is used.
--- a/ochreflow/policy/outcome_recorder.py
+++ b/ochreflow/policy/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What the ends of attempts tell: each estimate of the decision module learns its part of an outcome."""
+"""Outcomes of attempts: each outcome updates the estimates of its server, its group and its class."""
 
 from dataclasses import dataclass
 
@@ -16,16 +16,18 @@
 from .slow_start import SlowStart
 from .state_records import SECOND, UNWRITTEN, Context, Server
 
-MIN_FAILURE_SAMPLE = 4.0  # class means that a failure counts at least: a fast error is no fast server
-REJECTION_SAMPLE = 3.0  # class means: a full server is alive, but to be left alone for a while
-MAX_SAMPLE = 10.0  # class means: one long-tailed request must not condemn a server
-STALE_SAMPLE_HALF_LIFE = 3.0  # shortest deadlines until an old estimate counts half against a new sample
-SUCCESS_RATE_SMOOTHING = 0.1  # weight of one answer of a server in its success rate
+# Samples of relative latency, in class means.
+MIN_FAILURE_SAMPLE = 4.0  # least sample for a failure: fast errors must not make a server look fast
+# Least sample for a rejection: a full server is alive, but should get less for a while.
+REJECTION_SAMPLE = 3.0
+MAX_SAMPLE = 10.0  # one request in the long tail must not rule out a server
+STALE_SAMPLE_HALF_LIFE = 3.0  # shortest deadlines after which an estimate has half its weight
+SUCCESS_RATE_SMOOTHING = 0.1  # weight of one answer in the success rate of its server
 
 
 @dataclass(slots=True)
 class OutcomeRecorder:
-    """Takes the ends of attempts into what is known of their server, its groups and its class."""
+    """Updates the estimates of servers, groups and classes with the outcomes of attempts."""
 
     context: Context
     latency: LatencyEstimates
@@ -36,7 +38,7 @@
     outlier_detector: OutlierDetector
 
     def record_end(self, event: Outcome) -> Server | None:
-        """Count an attempt as in flight no more, however it ended; return its server, if still known."""
+        """Record that an attempt has ended, and its outcome; return its server, if that is still known."""
         server = self.endpoints.servers.get(event.server)
         attempt = (event.id, event.attempt)
         if server and attempt in server.in_flight:
@@ -48,14 +50,14 @@
         return server
 
     def update_estimates(
-        self, server: Server, sent: int, class_index: int, event: Outcome, *, presumed_lost: bool
+        self, server: Server, sent_at: int, class_index: int, event: Outcome, *, presumed_lost: bool
     ) -> None:
-        """Take the end of an attempt of class `class_index`, sent at `sent`, into the estimates."""
+        """Update the estimates with the outcome of an attempt of a class that was sent at `sent_at` ns."""
         status = event.status
         if server.ejected:
             server.half_open_in_flight = False
         if status in UNWRITTEN:
-            self.slow_start.refund_tokens(server, class_index, sent)
+            self.slow_start.refund_tokens(server, class_index, sent_at)
         if status is Status.NOT_SENT:
             return
         if status in (Status.OK, Status.ERROR):
@@ -71,11 +73,11 @@
             if relative_latency > server.relative_latency:
                 self.record_sample(server, relative_latency)
         else:
-            self._record_failure(server, sent, class_index, event, presumed_lost=presumed_lost)
+            self._record_failure(server, sent_at, class_index, event, presumed_lost=presumed_lost)
 
     def _record_success(self, server: Server, class_index: int, event: Outcome) -> None:
         duration_ns, latency = event.duration_ns, self.latency
-        class_mean = latency.class_mean[class_index]  # as it was before this answer
+        class_mean = latency.class_mean[class_index]  # before this answer
         latency.update_baseline(class_index, duration_ns, under_pressure=self.limiter.pressure >= 1.0)
         self.slow_start.record_answer(server, class_index)
         self.limiter.record_answer(server, class_index, duration_ns)
@@ -92,35 +94,38 @@
     def _record_rejection(self, server: Server) -> None:
         self.record_sample(server, max(REJECTION_SAMPLE, server.relative_latency))
         self.slow_start.drain_tokens(server)
-        server.last_alive_at = self.context.now  # busy, but alive
+        server.last_alive_at = self.context.now
         self.limiter.record_pressure(REJECTION_PRESSURE)
 
     def _record_failure(
-        self, server: Server, sent: int, class_index: int, event: Outcome, *, presumed_lost: bool
+        self, server: Server, sent_at: int, class_index: int, event: Outcome, *, presumed_lost: bool
     ) -> None:
         latency, detector = self.latency, self.outlier_detector
         relative_latency = event.duration_ns / latency.class_mean[class_index]
         timed_out = event.status is Status.TIMEOUT
         self.record_sample(server, max(relative_latency, MIN_FAILURE_SAMPLE, server.relative_latency))
-        if timed_out and server.last_alive_at > sent and not presumed_lost:
+        if timed_out and server.last_alive_at > sent_at and not presumed_lost:
             self.limiter.record_latency(server, class_index, event.duration_ns)
         if not timed_out:
-            # Who asks a server less than once a deadline learns too late from a second failure.
-            rarely = (
+            # With less than one request to a server in a deadline, a second failure would come too late.
+            low_rate = (
                 latency.answer_rate * self.context.shortest_deadline_ns < self.endpoints.ready_count * SECOND
             )
-            once = rarely and event.status is Status.CONNECT_FAILED
-            detector.record_failure(server, MAX_CONSECUTIVE_FAILURES if once else 1.0, MAX_EJECTED_SHARE)
-        elif server.last_alive_at <= sent:
+            eject_now = low_rate and event.status is Status.CONNECT_FAILED
+            detector.record_failure(server, MAX_CONSECUTIVE_FAILURES if eject_now else 1.0, MAX_EJECTED_SHARE)
+        elif server.last_alive_at <= sent_at:
             detector.record_failure(server, 1.0, MAX_EJECTED_SHARE_ON_SILENCE)
         else:
             latency.raise_class_mean(class_index, event.duration_ns)
 
     def record_sample(self, server: Server, relative_latency: float) -> None:
-        """Take a sample, in class means, into a server's relative latency and its group's."""
-        age = self.context.now - server.last_heard_at
-        fresh = 1.0 - 0.5 ** (age / (STALE_SAMPLE_HALF_LIFE * self.context.shortest_deadline_ns))
-        weight = max(SMOOTHING, 1.0 / (server.samples + 2), fresh if self.endpoints.low_traffic else 0.0)
+        """Add a sample, in class means, to the relative latency of a server and of its group.
+
+        With low traffic, a sample outweighs an estimate that is old.
+        """
+        age_ns = self.context.now - server.last_heard_at
+        staleness = 1.0 - 0.5 ** (age_ns / (STALE_SAMPLE_HALF_LIFE * self.context.shortest_deadline_ns))
+        weight = max(SMOOTHING, 1.0 / (server.samples + 2), staleness if self.endpoints.low_traffic else 0.0)
         relative_latency = min(relative_latency, MAX_SAMPLE)
         server.relative_latency += weight * (relative_latency - server.relative_latency)
         self.picker.update_weight_bias(server, relative_latency)
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -1,8 +1,8 @@
-"""Outlier detection: servers that fail in a row are ejected for a while, then tried by single requests.
+"""Outlier detection: servers with consecutive failures are ejected, then tried again by single requests.
 
-Ejection after consecutive failures, with a limit on the share of servers that may be out, a growing and
-jittered wait for the next trial, and half-open trials: as in circuit breakers and Envoy's outlier ejection.
-When an attempt is overdue follows TCP's retransmission time-out: the mean and four mean deviations.
+The share of ejected servers is limited, and the jittered wait before each half-open request grows, as in
+circuit breakers and Envoy's outlier detection. An attempt is overdue after the mean latency plus four mean
+deviations, as in TCP's retransmission time-out.
 """
 
 from collections.abc import Callable
@@ -14,27 +14,29 @@
 from .safety_rules import SafetyRules
 from .state_records import AttemptKey, Context, RequestState, Server
 
-READMITTED_RELATIVE_LATENCY = 3.0  # class means that a server's estimate is at most when it is readmitted
+READMITTED_RELATIVE_LATENCY = 3.0  # class means; limit of a server's estimate when it is readmitted
 
 OVERDUE_DEVIATIONS = 4.0  # mean deviations above the class mean
 MIN_OVERDUE_CLASS_MEANS = 2.0
-MAX_OVERDUE_SHARE = 0.5  # of the remaining time: a retry needs as much as the first attempt had
-
-MAX_CONSECUTIVE_FAILURES = 2.0  # without a sign of life in between: then the server is ejected
-OVERDUE_FAILURE_WEIGHT = 0.5  # an overdue attempt counts so much: four of them eject
-HALF_OPEN_REQUEST_INTERVAL = 10  # own requests for each that tries an ejected server, however many are due
-BASE_EJECTION_DEADLINES = 1.0  # shortest deadlines until the first trial
-EJECTION_GROWTH = 2.0  # factor for each further trial
-MAX_EJECTION_FACTOR = 8.0  # of the first wait
-EJECTION_JITTER = 0.3  # either way: sidecars must not try a server together
-MAX_EJECTED_SHARE = 0.7  # of the ready servers, on broken connections; beyond it the fault may be here
-MAX_EJECTED_SHARE_ON_SILENCE = 0.34  # on missing answers alone: if a third is silent, it is load
-MIN_FALLBACK_SUCCESS_RATE = 0.5  # of a server that is used in need: it does more good than harm
+MAX_OVERDUE_SHARE = 0.5  # of the remaining time: a retry needs as much time as the first attempt had
+
+MAX_CONSECUTIVE_FAILURES = 2.0  # failures without an answer in between after which a server is ejected
+OVERDUE_FAILURE_WEIGHT = 0.5  # failures that an overdue attempt counts as: four of them eject a server
+# Requests of this sidecar for each half-open one, however many ejected servers are due.
+HALF_OPEN_REQUEST_INTERVAL = 10
+BASE_EJECTION_DEADLINES = 1.0  # shortest deadlines until the first half-open request
+EJECTION_GROWTH = 2.0  # factor on the wait for each further half-open request
+MAX_EJECTION_FACTOR = 8.0  # limit of the wait, in first waits
+EJECTION_JITTER = 0.3  # share of the wait, either way: sidecars must not try a server at the same time
+MAX_EJECTED_SHARE = 0.7  # of the ready servers, for failures; with more, this sidecar may be at fault
+MAX_EJECTED_SHARE_ON_SILENCE = 0.34  # for missing answers alone; if a third is silent, the cause is load
+# Least success rate of an ejected server that is used in overload: with less, it does more harm than good.
+MIN_FALLBACK_SUCCESS_RATE = 0.5
 
 
 @dataclass(slots=True)
 class OutlierDetector:
-    """Decides which servers are ejected and when they are tried again; calls `on_eject` for each ejection."""
+    """Decides which servers are ejected and when they are tried again; calls `on_eject` at each ejection."""
 
     context: Context
     latency: LatencyEstimates
@@ -45,12 +47,12 @@
     has_idempotent_class: bool = field(init=False)
 
     def __post_init__(self) -> None:
-        """Look up whether any class may be used for trials without harm."""
+        """Determine whether any class is idempotent: only such requests try ejected servers without risk."""
         classes = self.context.settings.classes
         self.has_idempotent_class = any(spec.effect is Effect.IDEMPOTENT for spec in classes)
 
     def record_failure(self, server: Server, weight: float, max_share: float) -> None:
-        """Count a failure or an overdue attempt; eject while at most `max_share` of all are out."""
+        """Count a failure with its weight; eject the server if at most `max_share` of all are out then."""
         server.consecutive_failures += weight
         if server.ejected:
             self.schedule_half_open(server)
@@ -61,17 +63,17 @@
             self.eject(server)
 
     def eject(self, server: Server) -> None:
-        """Stop sending to a server, but for trials."""
+        """Stop sending to a server, except for half-open requests."""
         server.ejected = True
         self.endpoints.inflight -= server.awaited_count()
         server.ejections = 0
         self.schedule_half_open(server)
         self.endpoints.rebuild()
-        self.context.log(f"ejected {server.id} after {server.consecutive_failures:.1f} strikes in a row")
+        self.context.log(f"ejected {server.id} after {server.consecutive_failures:.1f} consecutive failures")
         self.on_eject(server)
 
     def schedule_half_open(self, server: Server) -> None:
-        """Put off the next trial of an ejected server, longer each time."""
+        """Schedule the next half-open request to an ejected server, after a longer wait each time."""
         growth = min(BASE_EJECTION_DEADLINES * EJECTION_GROWTH**server.ejections, MAX_EJECTION_FACTOR)
         wait = self.context.shortest_deadline_ns * growth
         server.ejections += 1
@@ -79,7 +81,10 @@
         server.half_open_at = self.context.now + int(wait * jitter)
 
     def half_open_server(self, request: RequestState) -> Server | None:
-        """Return an ejected server that is due for one request, idempotent where any class of the site is."""
+        """Return an ejected server that this request should try, if one is due.
+
+        Only idempotent requests try a server, unless no class of the site is idempotent.
+        """
         if request.attempts or (self.has_idempotent_class and request.spec.effect is not Effect.IDEMPOTENT):
             return None
         self.requests_since_half_open += 1
@@ -100,35 +105,36 @@
         self.endpoints.rebuild()
 
     def presume_lost(self, server: Server, attempt: AttemptKey) -> None:
-        """Take an attempt that is overdue twice out of what is in flight: its answer is most likely lost.
+        """Stop counting an attempt as in flight once it is overdue twice: its answer is most likely lost.
 
-        Guards against a network that drops answers: attempts that never come back filled a shrinking limit
-        until their deadlines, and all requests were rejected.
+        On a network that drops answers, attempts that were never answered filled a shrinking limit until
+        their deadlines, and all requests were rejected.
         """
         if attempt not in server.presumed_lost:
             self.endpoints.inflight -= not server.ejected
             server.presumed_lost.add(attempt)
 
     def overdue_after(self, server: Server, class_index: int, remaining_ns: int) -> int:
-        """Return after how many ns an attempt is overdue: a slow server is given its time."""
+        """Return after how many ns an attempt is overdue: longer at a server that is known to be slow."""
         class_mean = self.latency.class_mean[class_index]
         expected = class_mean + OVERDUE_DEVIATIONS * self.latency.deviation[class_index]
         expected = max(expected, MIN_OVERDUE_CLASS_MEANS * class_mean) * max(server.relative_latency, 1.0)
         return int(min(expected, MAX_OVERDUE_SHARE * remaining_ns)) + 1
 
     def fallback_server(self, request: RequestState) -> Server | None:
-        """Return a server that is ejected for its errors, for a request that would otherwise be rejected.
+        """Return an ejected server for a request that would otherwise be rejected; None if there is none.
 
-        It gets no more than the others have in flight each, and nothing if it mostly fails or is silent.
+        Such a server answers, if often with errors. One that mostly fails or does not answer gets no request,
+        and none gets more requests in flight than the other servers have on average.
         """
-        sampled = len(self.endpoints.local) + len(self.endpoints.remote)
-        max_awaited = max(self.endpoints.inflight / max(sampled, 1), 1.0)
+        sampled_count = len(self.endpoints.local) + len(self.endpoints.remote)
+        max_awaited = max(self.endpoints.inflight / max(sampled_count, 1), 1.0)
         for server in self.endpoints.ejected:
-            of_use = (
+            usable = (
                 server.answering
                 and server.success_rate >= MIN_FALLBACK_SUCCESS_RATE
                 and server.awaited_count() < max_awaited
             )
-            if of_use and self.safety_rules.may_send(request, server):
+            if usable and self.safety_rules.may_send(request, server):
                 return server
         return None
--- a/ochreflow/policy/settings.py
+++ b/ochreflow/policy/settings.py
@@ -1,4 +1,4 @@
-"""The settings: one reading of both forms, the path=value text and the nested object."""
+"""Settings, read from either of two forms: lines of path=value, or the nested object of a configuration."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     "side_effect": api.Effect.NON_IDEMPOTENT,
 }
 SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
-REPORTS = {
+REPORT_COLUMNS = {
     "active": "inflight",
     "waiting": "queue",
     "cpu": "util",
@@ -32,12 +32,12 @@
 
 
 class SettingError(OchreflowError, ValueError):
-    """A required setting is missing or unreadable; the text names it."""
+    """A setting is missing or invalid; the message names it."""
 
 
 @dataclass(slots=True)
 class Transport:
-    """What the module need not know, but the sockets do."""
+    """Settings that the sockets use and the decision module does not."""
 
     kinds: list[str]
     conn_idle_ns: int
@@ -45,8 +45,8 @@
 
 
 def canonical_column(name: str) -> str:
-    """The name that the module knows a field of load reports by."""
-    return REPORTS.get(name, name)
+    """Return the decision module's name for a field of load reports."""
+    return REPORT_COLUMNS.get(name, name)
 
 
 def _name_list(raw: object) -> list[str]:
@@ -54,20 +54,20 @@
     return [str(name) for name in values if name != ""]
 
 
-def _finite(raw: str) -> float:
+def _finite_float(raw: str) -> float:
     value = float(raw)
     if not math.isfinite(value):
         raise ValueError(raw)
     return value
 
 
-class _Pairs:
-    """Settings by their path, with errors that name it."""
+class _SettingValues:
+    """Raw settings by path; their conversions raise SettingError, which names the path."""
 
     def __init__(self, values: Mapping[str, object]) -> None:
         self.values = values
 
-    def _convert(self, key: str, kind: Callable[[Any], T], default: T | None) -> T:
+    def _convert(self, key: str, convert: Callable[[Any], T], default: T | None) -> T:
         raw = self.values.get(key)
         if raw is None:
             if default is None:
@@ -75,151 +75,151 @@
                 raise SettingError(message)
             return default
         try:
-            return kind(raw)
+            return convert(raw)
         except (ValueError, KeyError, TypeError, OverflowError):
             message = f"setting {key} is unreadable: {raw!r}"
             raise SettingError(message) from None
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Read a text."""
+        """Read a string."""
         return self._convert(key, str, default)
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """Read a number and drop its fraction."""
-        return self._convert(key, lambda raw: int(_finite(raw)), default)
+        """Read a finite number and truncate it to an integer."""
+        return self._convert(key, lambda raw: int(_finite_float(raw)), default)
 
     def number(self, key: str, default: float | None = None) -> float:
         """Read a finite number."""
-        return self._convert(key, _finite, default)
+        return self._convert(key, _finite_float, default)
 
     def flag(self, key: str, *, default: bool | None = None) -> bool:
-        """Read a truth value: true or false, as text or as it is."""
+        """Read a boolean, or the string "true" or "false"."""
         return self._convert(key, FLAGS.__getitem__, default)
 
     def choice(self, key: str, choices: Mapping[str, T], default: T | None = None) -> T:
-        """Read one of the words that are the keys of `choices`."""
+        """Read one of the keys of `choices` and return its value."""
         return self._convert(key, choices.__getitem__, default)
 
     def names(self, key: str) -> list[str]:
-        """A list of plain values; the text form joins it with commas, the nested one has it as it is."""
+        """Read a list of names: separated by commas in the text form, a list in the nested form."""
         return self._convert(key, _name_list, [])
 
 
-def _request_class(pairs: _Pairs, at: str) -> api.RequestClass:
-    deadline = pairs.integer(at + "deadline-ns")
+def _request_class(values: _SettingValues, prefix: str) -> api.RequestClass:
+    deadline = values.integer(prefix + "deadline-ns")
     if deadline <= 0:
-        message = f"setting {at}deadline-ns is unreadable: no time to answer in"
+        message = f"setting {prefix}deadline-ns must be positive: got {deadline}"
         raise SettingError(message)
     return api.RequestClass(
-        name=pairs.text(at + "name", ""),
-        objective_ns=pairs.integer(at + "objective-ns", deadline),
+        name=values.text(prefix + "name", ""),
+        objective_ns=values.integer(prefix + "objective-ns", deadline),
         deadline_ns=deadline,
-        priority_weight=pairs.number(at + "points", 1.0),
-        late_priority_weight=pairs.number(at + "late-value", 0.0),
-        effect=pairs.choice(at + "repeat", EFFECTS),
-        scope=pairs.choice(at + "key-scope", SCOPES, api.Scope.CELL),
-        window_ns=pairs.integer(at + "window-ns", 0),
-        stream=pairs.flag(at + "stream", default=False),
+        priority_weight=values.number(prefix + "points", 1.0),
+        late_priority_weight=values.number(prefix + "late-value", 0.0),
+        effect=values.choice(prefix + "repeat", EFFECTS),
+        scope=values.choice(prefix + "key-scope", SCOPES, api.Scope.CELL),
+        window_ns=values.integer(prefix + "window-ns", 0),
+        stream=values.flag(prefix + "stream", default=False),
     )
 
 
 def parse_settings(text: str) -> api.Settings:
-    """Read the settings text; unknown keys are skipped, unreadable ones raise SettingError."""
-    return _read(_Pairs(dict(line.split("=", 1) for line in text.splitlines() if "=" in line)))
+    """Read settings from lines of path=value; ignore unknown paths, raise SettingError for invalid values."""
+    return _read(_SettingValues(dict(line.split("=", 1) for line in text.splitlines() if "=" in line)))
 
 
 def nested_settings(nested: object) -> api.Settings:
-    """Read the same settings from the nested object of a sidecar's configuration."""
-    return _read(_pairs_of(nested))
+    """Read the settings from the nested object of a sidecar's configuration."""
+    return _read(_values_of(nested))
 
 
 def nested_transport(nested: object) -> Transport:
-    """Read from that object what the sockets need to know beside."""
-    pairs = _pairs_of(nested)
+    """Read the settings of the sockets from the nested object of a sidecar's configuration."""
+    values = _values_of(nested)
     return Transport(
-        kinds=pairs.names("kinds"),
-        conn_idle_ns=pairs.integer("ceilings.conn-idle-ns", 60_000_000_000),
-        max_open=pairs.integer("ceilings.max-open", 20_000),
+        kinds=values.names("kinds"),
+        conn_idle_ns=values.integer("ceilings.conn-idle-ns", 60_000_000_000),
+        max_open=values.integer("ceilings.max-open", 20_000),
     )
 
 
-def _pairs_of(nested: object) -> _Pairs:
+def _values_of(nested: object) -> _SettingValues:
     if not isinstance(nested, dict):
-        message = "settings are no object"
+        message = f"settings must be an object: got {type(nested).__name__}"
         raise SettingError(message)
     values: dict[str, object] = {}
     _flatten("", nested, values)
-    return _Pairs(values)
+    return _SettingValues(values)
 
 
-def _flatten(at: str, value: object, into: dict[str, object]) -> None:
-    """Give each value of the nested form the path that it has in the text form."""
+def _flatten(path: str, value: object, values: dict[str, object]) -> None:
+    """Add each leaf of a nested value to `values`, under the path that it has in the text form."""
     if isinstance(value, dict):
-        for key, inner in value.items():
-            _flatten(f"{at}.{key}" if at else key, inner, into)
-    elif isinstance(value, list) and value and all(isinstance(inner, dict) for inner in value):
-        into[f"{at}.count"] = len(value)
-        for number, inner in enumerate(value):
-            _flatten(f"{at}.{number}", inner, into)
+        for key, item in value.items():
+            _flatten(f"{path}.{key}" if path else key, item, values)
+    elif isinstance(value, list) and value and all(isinstance(item, dict) for item in value):
+        values[f"{path}.count"] = len(value)
+        for number, item in enumerate(value):
+            _flatten(f"{path}.{number}", item, values)
     else:
-        into[at] = value
+        values[path] = value
 
 
-def _tenants(pairs: _Pairs) -> list[api.Tenant]:
+def _tenants(values: _SettingValues) -> list[api.Tenant]:
     return [
         api.Tenant(
-            name=pairs.text(f"accounts.{n}.name", ""),
-            share=pairs.number(f"accounts.{n}.share", 0.0),
-            quota_per_s=pairs.number(f"accounts.{n}.allowance-per-s", 0.0),
+            name=values.text(f"accounts.{n}.name", ""),
+            share=values.number(f"accounts.{n}.share", 0.0),
+            quota_per_s=values.number(f"accounts.{n}.allowance-per-s", 0.0),
         )
-        for n in range(pairs.integer("accounts.count", 0))
+        for n in range(values.integer("accounts.count", 0))
     ]
 
 
-def _report_columns(pairs: _Pairs) -> tuple[str, ...]:
-    """Read the fields of load reports, in order; none where servers do not report."""
-    columns = tuple(canonical_column(name) for name in pairs.names("telemetry.columns"))
-    return columns if pairs.text("telemetry.how", "silent") != "silent" else ()
+def _report_columns(values: _SettingValues) -> tuple[str, ...]:
+    """Read the names of the fields of load reports, in order; empty if servers do not report."""
+    columns = tuple(canonical_column(name) for name in values.names("telemetry.columns"))
+    return columns if values.text("telemetry.how", "silent") != "silent" else ()
 
 
-def _read(pairs: _Pairs) -> api.Settings:
-    count = pairs.integer("classes.count")
+def _read(values: _SettingValues) -> api.Settings:
+    count = values.integer("classes.count")
     if count < 1:
-        message = "setting classes.count is unreadable: no class"
+        message = f"setting classes.count must be at least 1: got {count}"
         raise SettingError(message)
-    # Tenants and report columns come first: where several settings are wrong, the first one read is named.
-    tenants = _tenants(pairs)
-    report_columns = _report_columns(pairs)
+    # Tenants and report columns come first: if several settings are invalid, the first one read is named.
+    tenants = _tenants(values)
+    report_columns = _report_columns(values)
     return api.Settings(
-        classes=[_request_class(pairs, f"classes.{n}.") for n in range(count)],
-        zones=pairs.names("dcs"),
-        zone=pairs.integer("my-zone", 0),
+        classes=[_request_class(values, f"classes.{n}.") for n in range(count)],
+        zones=values.names("dcs"),
+        zone=values.integer("my-zone", 0),
         tenants=tenants,
-        over_quota_weight=pairs.number("over-share-worth", 1.0),
-        weight_by_work=pairs.text("worth-by", "request") == "work",
-        index=pairs.integer("index", 0),
-        fleet_size=pairs.integer("fleet-size", 1),
-        tick_ns=pairs.integer("tick-ns", 1_000_000),
-        polling_required=pairs.text("discovery", "push") == "ask",
-        polling_interval_ns=pairs.integer("rules.must-ask-in-ns", 10_000_000_000),
-        drain_grace_ns=pairs.integer("rules.drain-grace-ns", 0),
-        answer_slack_ns=pairs.integer("rules.answer-slack-ns", 0),
-        start_capacity=pairs.number("rules.start-capacity", 1.0),
-        warm_up_ns=pairs.integer("rules.warm-within-ns", 0),
-        overload_factor=pairs.number("rules.overload-factor", 3.0),
-        overload_for_ns=pairs.integer("rules.overload-for-ns", 3_000_000_000),
-        max_attempts=pairs.integer("ceilings.send-cap"),
-        hedging=pairs.flag("ceilings.second-copies", default=False),
-        can_cancel=pairs.flag("ceilings.cancel", default=False),
-        can_probe=pairs.flag("ceilings.probing", default=False),
-        can_gossip=pairs.flag("ceilings.peers", default=False),
-        retry_after=pairs.flag("ceilings.retry-after", default=False),
-        max_retry_after_ns=pairs.integer("ceilings.max-retry-after-ns", 0),
-        connect_timeout_ns=pairs.integer("ceilings.connect-timeout-ns", 0),
+        over_quota_weight=values.number("over-share-worth", 1.0),
+        weight_by_work=values.text("worth-by", "request") == "work",
+        index=values.integer("index", 0),
+        fleet_size=values.integer("fleet-size", 1),
+        tick_ns=values.integer("tick-ns", 1_000_000),
+        polling_required=values.text("discovery", "push") == "ask",
+        polling_interval_ns=values.integer("rules.must-ask-in-ns", 10_000_000_000),
+        drain_grace_ns=values.integer("rules.drain-grace-ns", 0),
+        answer_slack_ns=values.integer("rules.answer-slack-ns", 0),
+        start_capacity=values.number("rules.start-capacity", 1.0),
+        warm_up_ns=values.integer("rules.warm-within-ns", 0),
+        overload_factor=values.number("rules.overload-factor", 3.0),
+        overload_for_ns=values.integer("rules.overload-for-ns", 3_000_000_000),
+        max_attempts=values.integer("ceilings.send-cap"),
+        hedging=values.flag("ceilings.second-copies", default=False),
+        can_cancel=values.flag("ceilings.cancel", default=False),
+        can_probe=values.flag("ceilings.probing", default=False),
+        can_gossip=values.flag("ceilings.peers", default=False),
+        retry_after=values.flag("ceilings.retry-after", default=False),
+        max_retry_after_ns=values.integer("ceilings.max-retry-after-ns", 0),
+        connect_timeout_ns=values.integer("ceilings.connect-timeout-ns", 0),
         report_columns=report_columns,
-        weighted=pairs.text("weight-source", "silent") != "silent",
-        goal_worst_class=pairs.number("goal.worst-class", 0.0),
-        price_cross_zone=pairs.number("prices.cross-zone", 0.0),
-        price_waste=pairs.number("prices.waste", 0.0),
-        price_peer=pairs.number("prices.peer", 0.0),
+        weighted=values.text("weight-source", "silent") != "silent",
+        goal_worst_class=values.number("goal.worst-class", 0.0),
+        price_cross_zone=values.number("prices.cross-zone", 0.0),
+        price_waste=values.number("prices.waste", 0.0),
+        price_peer=values.number("prices.peer", 0.0),
     )
