--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Events to the balancer one after the other, also those on which it fails."""
+"""The dispatcher passes events to the balancer one at a time and survives exceptions of the balancer."""
 
 import pytest
 
@@ -9,10 +9,10 @@
 
 
 class FailingBalancer:
-    """Decides on one action for each event, and fails before or after that where it is told to."""
+    """Decides on one action for each event, and raises before or after that as `failures` says."""
 
     def __init__(self, failures):
-        self.failures = failures  # by the id of the event's request
+        self.failures = failures  # "before" or "after", by request id
         self.actions = []
 
     def handle(self, now_ns, event):
@@ -39,24 +39,24 @@
         ({1: "after", 2: "after", 3: "before"}, [1, 2, 4]),
     ],
 )
-def test_what_was_decided_is_executed_once_whatever_fails(failures, executed):
-    balancer, done = FailingBalancer(failures), []
+def test_each_decided_action_is_executed_once_if_the_balancer_raises(failures, executed):
+    balancer, executed_ids = FailingBalancer(failures), []
     dispatcher = EventDispatcher(balancer, Clock(), FaultLog())
-    dispatcher.set_executor(lambda action: done.append(action.id))
+    dispatcher.set_executor(lambda action: executed_ids.append(action.id))
     for number in range(1, 5):
         dispatcher.dispatch(RequestCancelled(number))
-    assert done == executed
+    assert executed_ids == executed
 
 
-def test_an_event_of_an_action_waits_for_the_other_actions():
-    balancer, done = FailingBalancer({}), []
+def test_an_event_caused_by_an_action_is_dispatched_after_the_remaining_actions():
+    balancer, executed_ids = FailingBalancer({}), []
     dispatcher = EventDispatcher(balancer, Clock(), FaultLog())
 
     def execute(action):
         if action.id < 3:
             dispatcher.dispatch(RequestCancelled(action.id + 1))
-        done.append(action.id)
+        executed_ids.append(action.id)
 
     dispatcher.set_executor(execute)
     dispatcher.dispatch(RequestCancelled(1))
-    assert done == [1, 2, 3]
+    assert executed_ids == [1, 2, 3]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect and the end of a process: a fake server holds each race open until its moment."""
+"""Client disconnects and process shutdown, each at a fixed point of a request that a fake server delays."""
 
 import asyncio
 import socket
@@ -26,10 +26,11 @@
 from ochreflow.core import lifecycle
 from ochreflow.http.request_reader import MAX_PIPELINED_REQUESTS
 
-SOON = 2.0  # seconds: the rule wants 0.3 from the leaving to the last send, the deadline would end all at 3
+# In seconds. The protocol allows 0.3 s from a disconnect to the last send; the deadline is at 3 s.
+DISCONNECT_TIMEOUT_S = 2.0
 
 
-async def leave(writer, how):
+async def disconnect(writer, how):
     if how == "reset":
         reset(writer)
     elif how == "half-close":
@@ -39,28 +40,28 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half-close"])
-def test_a_queued_request_is_not_sent_once_its_client_has_disconnected_unread(tmp_path, how):
-    """So many wait that the client is read no further: its end lies behind bytes that nobody reads."""
+def test_queued_requests_are_not_sent_after_an_unread_disconnect(tmp_path, how):
+    """The client's connection is paused since its pipeline is full: its EOF is behind unread bytes."""
 
     async def play():
-        async def hold(message, reader, writer):
-            await go.wait()
+        async def answer_when_allowed(message, reader, writer):
+            await answer_allowed.wait()
             writer.write(http_response(200, b"late"))
 
-        go = asyncio.Event()
-        fake = await FakePeer(hold).start()
+        answer_allowed = asyncio.Event()
+        fake = await FakePeer(answer_when_allowed).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(b"".join(http_request("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS + 4)))
             clients = sidecar.http.clients
             await wait_until(lambda: fake.received and all(client.paused for client in clients.connections))
-            # More than is read of it now, so that the end is behind unread bytes in any case.
+            # More than the sidecar reads now, so that the EOF is certainly behind unread bytes.
             writer.write(b"".join(http_request("order", f"more{n}") for n in range(400)))
             await writer.drain()
-            await leave(writer, how)
-            async with asyncio.timeout(SOON):
-                await wait_until(lambda: not clients.connections, "its client is known to have left")
-            go.set()
+            await disconnect(writer, how)
+            async with asyncio.timeout(DISCONNECT_TIMEOUT_S):
+                await wait_until(lambda: not clients.connections, "the client's disconnect is detected")
+            answer_allowed.set()
             assert (await send_request(sidecar.port, http_request("order", "other"))).code == 200
         assert [got.headers["x-request-id"] for got in fake.received] == ["id0", "other"]
         writer.close()
@@ -69,28 +70,28 @@
 
 
 @pytest.mark.parametrize("how", ["close", "half-close"])
-def test_a_request_whose_client_disconnected_before_it_was_accepted_is_not_sent(tmp_path, how):
-    """It lies in the backlog of the listening socket, whole, with its client's end behind it."""
+def test_a_request_is_not_sent_if_its_client_disconnected_before_accept(tmp_path, how):
+    """The whole request and the client's EOF are in the backlog of the listening socket."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
-            # A connection to the server stands idle: what is taken is written at once.
+            # An idle connection to the server exists, so an accepted request is written at once.
             assert (await send_request(sidecar.port, http_request("order", "first"))).code == 200
             with socket.create_server((HOST, 0)) as listener:
                 port = listener.getsockname()[1]
                 _, writer = await asyncio.open_connection(HOST, port)
                 writer.write(http_request("order", "gone"))
                 await writer.drain()
-                await leave(writer, how)
-                arrived = []
+                await disconnect(writer, how)
+                connections = []
 
-                def connection():
-                    arrived.append(sidecar.http.connection())
-                    return arrived[-1]
+                def make_connection():
+                    connections.append(sidecar.http.connection())
+                    return connections[-1]
 
-                server = await asyncio.get_running_loop().create_server(connection, sock=listener)
-                await wait_until(lambda: arrived and arrived[0].closed)
+                server = await asyncio.get_running_loop().create_server(make_connection, sock=listener)
+                await wait_until(lambda: connections and connections[0].closed)
                 server.close()
             assert (await send_request(sidecar.port, http_request("order", "other"))).code == 200
         assert [got.headers["x-request-id"] for got in fake.received] == ["first", "other"]
@@ -99,7 +100,7 @@
     run(play())
 
 
-def test_a_partly_written_request_is_truncated_when_its_client_disconnects_even_without_cancellation(
+def test_a_partly_written_request_is_truncated_on_disconnect_even_if_cancelling_is_disabled(
     tmp_path,
 ):
     async def play():
@@ -120,7 +121,7 @@
                 )
             )
             writer.close()
-            async with asyncio.timeout(SOON):
+            async with asyncio.timeout(DISCONNECT_TIMEOUT_S):
                 await wait_until(
                     lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
                 )
@@ -130,9 +131,12 @@
     run(play())
 
 
-def test_a_request_that_comes_after_all_pending_ones_were_answered_gets_its_answer_too(tmp_path, monkeypatch):
-    """The server hangs; the client whose answer the end gave at once sends again on another connection."""
-    monkeypatch.setattr(lifecycle, "ANSWER_BEFORE_KILL_S", 4.6)  # 0.1 s after SIGTERM with deadlines of 4 s
+def test_a_request_after_the_final_answers_at_shutdown_is_answered(tmp_path, monkeypatch):
+    """The server never answers; the client sends again on another connection after its final response.
+
+    No timer is left that would answer such a request before the process exits.
+    """
+    monkeypatch.setattr(lifecycle, "ANSWER_BEFORE_KILL_S", 4.6)  # 0.1 s after SIGTERM, for deadlines of 4 s
     monkeypatch.setattr(lifecycle, "MAX_DEADLINE_S", 4.0)
 
     async def play():
@@ -141,24 +145,24 @@
 
         fake = await FakePeer(hang).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
-            open_before = await asyncio.open_connection(HOST, sidecar.port)
+            idle_client = await asyncio.open_connection(HOST, sidecar.port)
             pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
             await wait_until(lambda: fake.received)
             await wait_until(lambda: len(sidecar.http.clients.connections) == 2)
             sidecar.engine.lifecycle.terminate()
             assert (await pending).code in (502, 504)
-            open_before[1].write(http_request("order", "again"))
+            idle_client[1].write(http_request("order", "again"))
             async with asyncio.timeout(WAIT_TIMEOUT_S):
-                got = await read_message(open_before[0])
+                got = await read_message(idle_client[0])
             assert got.code == 503 and not sidecar.engine.requests.pending
-            assert sidecar.engine.lifecycle.stopped.done() is False  # answered before, not by the end
-            open_before[1].close()
+            assert sidecar.engine.lifecycle.stopped.done() is False  # answered before the process stops
+            idle_client[1].close()
         assert len(fake.received) == 1
 
     run(play())
 
 
-def test_an_answer_that_is_written_in_the_last_loop_iteration_still_reaches_its_client(tmp_path):
+def test_an_answer_written_in_the_last_loop_iteration_reaches_the_client(tmp_path):
     async def play():
         async def hang(message, reader, writer):
             await reader.read()
@@ -167,7 +171,7 @@
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
             await wait_until(lambda: fake.received)
-            sidecar.engine.lifecycle.answer_pending()  # what it writes waits for the turn to end
+            sidecar.engine.lifecycle.answer_pending()  # its bytes are flushed at the end of this iteration
             sidecar.close()
             assert (await pending).code in (502, 504)
 
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client: whatever goes wrong with a poll is passed on as a failure, and the next one works."""
+"""The discovery client on sockets: failed and stalled polls, late answers, versions, parsing of lists."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 from ochreflow.policy.interface import State
 
 
-def connect(address):
+def create_transport(address):
     return HttpDiscoveryTransport(asyncio.get_running_loop(), address)
 
 
@@ -44,20 +44,20 @@
 SHORT_TIMEOUTS = LongPollTimeouts(
     wait_ms=50, poll_stall_s=0.05, complete_list_stall_s=0.1, resync_stall_s=0.1, agent_retry_s=1.0
 )
-SLACK_S = 0.05  # by which every limit grows on sockets
+SLACK_S = 0.05  # added to every limit in tests on sockets
 
 
-def discovery_client(fake, version, updates, times=DEFAULT_TIMEOUTS, pushed=False):
+def discovery_client(fake, version, updates, poll_timeouts=DEFAULT_TIMEOUTS, pushed=False):
     loop = asyncio.get_running_loop()
     return DiscoveryClient(
         loop,
-        connect,
+        create_transport,
         (HOST, fake.port),
         endpoint_ids(),
         version,
         updates.append,
         pushed=pushed,
-        timeouts=times,
+        timeouts=poll_timeouts,
     )
 
 
@@ -99,7 +99,7 @@
     ],
     ids=["503", "bad-json", "deep-json", "bad-entry", "bad-list", "cut-off", "reset"],
 )
-def test_a_failed_poll_is_passed_on_as_failed_and_the_next_watch_works(failure):
+def test_a_failed_poll_is_passed_on_as_a_failure_and_the_next_watch_succeeds(failure):
     async def play():
         async def act(message, reader, writer):
             await (
@@ -121,23 +121,29 @@
 
 
 @pytest.mark.parametrize("grace_ns", [0, 50_000_000, 500_000_000, 2_500_000_000, 25_000_000_000])
-def test_after_a_stall_the_next_poll_leaves_discovery_its_time_in_the_drain_grace(grace_ns):
-    times = long_poll_timeouts(grace_ns)
-    for wait, overdue in ((times.wait_ms / 1000, times.poll_stall_s), (0.0, times.complete_list_stall_s)):
-        told = max(wait + NOTIFIED_AFTER_S, 6.0)  # from the call on, where silence begins with it
-        assert wait + overdue + NOTIFIED_AFTER_S <= told + grace_ns / 1e9 + SLACK_S
-    answer = times.resync_stall_s  # as much is left for an answer where the call beside is silent as well
-    assert times.poll_stall_s + times.resync_stall_s + answer <= NOTIFIED_AFTER_S + grace_ns / 1e9 + SLACK_S
+def test_the_poll_after_a_stall_leaves_enough_of_the_drain_grace_for_its_answer(grace_ns):
+    poll_timeouts = long_poll_timeouts(grace_ns)
+    for wait, stall in (
+        (poll_timeouts.wait_ms / 1000, poll_timeouts.poll_stall_s),
+        (0.0, poll_timeouts.complete_list_stall_s),
+    ):
+        notified_s = max(wait + NOTIFIED_AFTER_S, 6.0)  # after the poll, if it stalls from its start
+        assert wait + stall + NOTIFIED_AFTER_S <= notified_s + grace_ns / 1e9 + SLACK_S
+    answer = poll_timeouts.resync_stall_s  # the same time is left for an answer if the resync stalls as well
+    assert (
+        poll_timeouts.poll_stall_s + poll_timeouts.resync_stall_s + answer
+        <= NOTIFIED_AFTER_S + grace_ns / 1e9 + SLACK_S
+    )
     assert answer >= (NOTIFIED_AFTER_S - timeouts.MIN_STALL_TIMEOUT_S) / 2
     assert (
-        times.poll_stall_s < discovery.ANSWER_TIMEOUT_S
-        and times.complete_list_stall_s < discovery.ANSWER_TIMEOUT_S
+        poll_timeouts.poll_stall_s < discovery.ANSWER_TIMEOUT_S
+        and poll_timeouts.complete_list_stall_s < discovery.ANSWER_TIMEOUT_S
     )
-    assert times.agent_retry_s <= max(grace_ns / 1e9 / 2, 0.05)
+    assert poll_timeouts.agent_retry_s <= max(grace_ns / 1e9 / 2, 0.05)
 
 
-def test_a_poll_that_stalls_is_followed_by_another_before_it_times_out():
-    """The fake discovery accepts the poll and never answers it: the next request is sent beside it."""
+def test_a_stalled_poll_is_followed_by_another_before_it_times_out():
+    """The fake discovery never answers the first poll; the next request is sent while that one is open."""
 
     async def play():
         async def act(message, reader, writer):
@@ -152,10 +158,10 @@
         updates = []
         client = discovery_client(fake, 40, updates, SHORT_TIMEOUTS)
         client.watch(on=True)
-        client.timeouts = DEFAULT_TIMEOUTS  # only the first call is overdue soon
+        client.timeouts = DEFAULT_TIMEOUTS  # only the first poll stalls early
         await wait_until(lambda: updates)
         assert updates[0].entries[0].endpoint.state is State.DRAINING and client.watching
-        assert fake.connections >= 2 and fake.ended_connections == 0  # the silent call is out still
+        assert fake.connections >= 2 and fake.ended_connections == 0  # the stalled poll is still open
         await wait_until(lambda: len(fake.received) >= 3)
         assert "after=41&" in fake.received[2].start_line
         client.close()
@@ -164,8 +170,8 @@
 
 
 @pytest.mark.parametrize("late_first", [True, False], ids=["late-before-new", "new-before-late"])
-def test_the_late_answer_of_a_stalled_poll_is_applied(late_first):
-    """The fake discovery answers both in either order; no change is lost or set back."""
+def test_the_late_answer_to_a_stalled_poll_is_applied(late_first):
+    """The fake discovery answers both polls, in either order; no change is lost or reverted."""
 
     async def play():
         async def act(message, reader, writer):
@@ -185,15 +191,15 @@
         updates = []
         client = discovery_client(fake, 40, updates, SHORT_TIMEOUTS)
         client.watch(on=True)
-        client.timeouts = DEFAULT_TIMEOUTS  # only the first call is overdue soon
+        client.timeouts = DEFAULT_TIMEOUTS  # only the first poll stalls early
         await wait_until(lambda: len(fake.received) == 2)
         for event in (late, new) if late_first else (new, late):
             count = len(updates)
             event.set()
             await wait_until(lambda: len(updates) > count)  # noqa: B023 - awaited at once
-        drained = {listed.name for told in updates for listed in told.entries}
+        drained = {listed.name for update in updates for listed in update.entries}
         assert drained == {"s1", "s2"} and client.version == 42
-        assert [told.version for told in updates] == ([41, 42] if late_first else [42, 42])
+        assert [update.version for update in updates] == ([41, 42] if late_first else [42, 42])
         await wait_until(lambda: len(fake.received) > 2)
         assert "after=42&" in fake.received[2].start_line
         client.close()
@@ -202,8 +208,8 @@
 
 
 @pytest.mark.parametrize("late", [False, True], ids=["asked-again", "answered-late"])
-def test_a_complete_list_that_does_not_come_counts_as_failed_and_is_fetched_again(late):
-    """The balancer says when, as after any failure; a late answer is applied until then."""
+def test_a_stalled_complete_list_counts_as_failed_and_is_requested_again(late):
+    """The balancer decides when, as after any failure; until then a late answer is applied."""
 
     async def play():
         async def act(message, reader, writer):
@@ -219,7 +225,7 @@
         updates = []
         client = discovery_client(fake, None, updates, SHORT_TIMEOUTS)
         client.watch(on=True)
-        client.timeouts = DEFAULT_TIMEOUTS  # only the first call is overdue soon
+        client.timeouts = DEFAULT_TIMEOUTS  # only the first poll stalls early
         await wait_until(lambda: updates)
         assert updates == [None] and not client.watching and len(fake.received) == 1
         if late:
@@ -234,8 +240,8 @@
     run(play())
 
 
-def test_a_fault_in_applying_a_late_answer_leaves_a_watch_or_a_failure():
-    """The balancer has the update by then and counts on a watch: without either it would never poll again."""
+def test_an_exception_while_a_late_answer_is_applied_leaves_a_watch_or_a_failure():
+    """The balancer already has the update and relies on a watch: without either it would never poll again."""
 
     async def play():
         async def act(message, reader, writer):
@@ -245,30 +251,30 @@
             else:
                 await reader.read()
 
-        def take(told):
-            updates.append(told)
-            if told is not None:
-                raise RuntimeError("as if a carrier had a fault")
+        def raise_on_update(update):
+            updates.append(update)
+            if update is not None:
+                raise RuntimeError("injected fault of a transport")
 
         go = asyncio.Event()
         fake = await FakePeer(act).start()
         updates = []
         client = DiscoveryClient(
             asyncio.get_running_loop(),
-            connect,
+            create_transport,
             (HOST, fake.port),
             endpoint_ids(),
             None,
-            take,
+            raise_on_update,
             pushed=False,
             timeouts=SHORT_TIMEOUTS,
         )
         client.watch(on=True)
-        client.timeouts = DEFAULT_TIMEOUTS  # only the first call is overdue soon
+        client.timeouts = DEFAULT_TIMEOUTS  # only the first poll stalls early
         await wait_until(lambda: updates)
         go.set()
         await wait_until(lambda: len(updates) > 1)
-        # The fault ends the connection as well, and so the call that has just begun on it: that is told.
+        # The exception also closes the connection, so the poll just sent on it fails, which is reported.
         await wait_until(lambda: client.watching or updates[-1] is None)
         assert len(updates) == 2 or updates[2:] == [None]
         client.close()
@@ -276,8 +282,8 @@
     run(play())
 
 
-def test_a_resync_beside_a_stalled_poll_that_stalls_too_is_followed_by_another_at_once():
-    """The first two polls are never answered: the third is sent before the balancer schedules one."""
+def test_a_stalled_resync_is_followed_by_another_request_at_once():
+    """The poll and its resync are never answered: a third request is sent without the balancer."""
 
     async def play():
         async def act(message, reader, writer):
@@ -291,9 +297,9 @@
         client = discovery_client(fake, 40, updates, SHORT_TIMEOUTS)
         client.watch(on=True)
         await wait_until(lambda: updates)
-        client.timeouts = DEFAULT_TIMEOUTS  # only the first two calls are overdue soon
+        client.timeouts = DEFAULT_TIMEOUTS  # only the first two polls stall early
         await wait_until(lambda: len(fake.received) == 4)
-        assert [told and told.version for told in updates] == [None, 41] and client.watching
+        assert [update and update.version for update in updates] == [None, 41] and client.watching
         targets = [got.start_line.split()[1] for got in fake.received]
         assert targets[1:3] == ["/api/targets"] * 2
         assert "after=40&" in targets[0] and "after=41&" in targets[3]
@@ -302,7 +308,7 @@
     run(play())
 
 
-def test_an_outage_is_logged_once_and_so_is_its_end(monkeypatch):
+def test_an_outage_and_its_end_are_logged_once(monkeypatch):
     async def play():
         async def act(message, reader, writer):
             writer.write(http_response(503, b"") if len(fake.received) < 4 else listing(41))
@@ -324,21 +330,21 @@
     ]
 
 
-def test_a_watch_goes_on_by_itself_from_the_latest_version():
+def test_a_watch_polls_again_from_the_latest_version():
     async def play():
         async def act(message, reader, writer):
-            times.append(asyncio.get_running_loop().time())
+            poll_times.append(asyncio.get_running_loop().time())
             if len(fake.received) < 4:
                 writer.write(listing(40 + len(fake.received), snapshot=False))
             else:
                 await reader.read()
 
-        times = []
+        poll_times = []
         fake = await FakePeer(act).start()
         updates = []
         client = discovery_client(fake, 40, updates)
         client.watch(on=True)
-        client.watch(on=True)  # no second one beside it
+        client.watch(on=True)  # does not start a second watch
         await wait_until(lambda: len(fake.received) == 4)
         assert [got.start_line.split("after=")[1].split("&")[0] for got in fake.received] == [
             "40",
@@ -346,13 +352,13 @@
             "42",
             "43",
         ]
-        assert not any(news.complete for news in updates)
+        assert not any(update.complete for update in updates)
         client.close()
 
     run(play())
 
 
-def test_a_fetch_gets_the_complete_list():
+def test_a_fetch_requests_the_complete_list():
     async def play():
         fake = await FakePeer(answer_with(listing(7))).start()
         updates = []
@@ -365,7 +371,7 @@
     run(play())
 
 
-def test_pushed_lists_are_watched_again_after_a_failure_without_the_balancer(tmp_path, monkeypatch):
+def test_a_pushing_agent_is_watched_again_after_a_failure_without_the_balancer(tmp_path, monkeypatch):
     monkeypatch.setattr(timeouts, "MAX_RETRY_DELAY_S", 0.01)
 
     async def play():
@@ -386,7 +392,7 @@
     run(play())
 
 
-def test_a_drain_from_discovery_stops_sends_and_ends_no_request(tmp_path):
+def test_a_drain_by_discovery_stops_new_attempts_and_completes_pending_requests(tmp_path):
     async def play():
         async def serve_discovery(message, reader, writer):
             if "after=1&" in message.start_line:
@@ -406,7 +412,7 @@
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", old.address)), discovery_server.address)
         ) as sidecar:
-            held = asyncio.create_task(send_request(sidecar.port, http_request("order", "ab")))
+            pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "ab")))
             await wait_until(lambda: old.received)
             go.set()
             await wait_until(lambda: sidecar.discovery.version == 2)
@@ -415,7 +421,7 @@
                     await send_request(sidecar.port, http_request("order", f"id{number}"))
                 ).body == b"served "
             finish.set()
-            assert (await held).body == b"old"
+            assert (await pending).body == b"old"
         assert len(old.received) == 1 and len(new.received) == 5
 
     run(play())
@@ -438,7 +444,7 @@
     run(play())
 
 
-def test_unknown_statuses_and_zones_are_read_as_draining_and_new():
+def test_an_unknown_status_is_parsed_as_draining_and_an_unknown_zone_gets_a_number():
     got = parse_endpoint_update(
         endpoint_update(1, entry("s1", f"{HOST}:7", "STARTING", zone="c")), endpoint_ids()
     )
@@ -449,15 +455,15 @@
 @pytest.mark.parametrize(
     "text", ["", "host:1", "127.0.0.1", "127.0.0.1:", "127.0.0.1:x", "127.0.0.1:70000", None]
 )
-def test_what_is_no_address_is_rejected(text):
+def test_an_invalid_address_is_rejected(text):
     with pytest.raises(ValueError):
         split_address(text)
     with pytest.raises(EndpointListError):
         parse_endpoint_update(endpoint_update(1, entry("s1", text)), endpoint_ids())
 
 
-def test_an_older_answer_sets_nothing_back():
-    """Guards the list: a watch and a fetch are out together, and the earlier call is answered last."""
+def test_an_older_answer_does_not_replace_a_newer_list():
+    """A poll and a fetch are open at the same time, and the earlier one is answered last."""
 
     async def play():
         async def act(message, reader, writer):
@@ -472,22 +478,24 @@
         go = asyncio.Event()
         fake = await FakePeer(act).start()
         updates = []
-        both = discovery_client(fake, 40, updates)
-        both.watch(on=True)
+        client = discovery_client(fake, 40, updates)
+        client.watch(on=True)
         await wait_until(lambda: fake.received)
-        both.fetch()
+        client.fetch()
         await wait_until(lambda: updates)
         go.set()
         await wait_until(lambda: len(updates) == 2)
-        assert updates[1].version == both.version == 43 and not updates[1].entries and not updates[1].complete
+        assert (
+            updates[1].version == client.version == 43 and not updates[1].entries and not updates[1].complete
+        )
         await wait_until(lambda: len(fake.received) == 3)
         assert "after=43&" in fake.received[2].start_line
-        both.close()
+        client.close()
 
     run(play())
 
 
-def test_an_index_that_goes_back_leads_to_a_complete_list():
+def test_a_decreased_index_leads_to_a_complete_list():
     async def play():
         async def act(message, reader, writer):
             writer.write(listing(3, entry("s1", f"{HOST}:7"), snapshot="after" not in message.start_line))
@@ -505,7 +513,7 @@
     run(play())
 
 
-def test_an_unreadable_list_leaves_no_names_and_new_zones_are_bounded():
+def test_an_invalid_list_adds_no_names_and_the_number_of_zones_is_limited():
     known = endpoint_ids()
     with pytest.raises(EndpointListError):
         parse_endpoint_update(
@@ -531,8 +539,8 @@
     ],
     ids=["no-entries", "no-list", "negative-start", "no-address", "no-status"],
 )
-def test_the_text_of_an_unreadable_list_is_that_of_earlier_versions(data, text):
-    """Recorded from commit e51ca60: operators look for them in the log and in the line of a failed start."""
+def test_the_error_text_of_an_invalid_list_is_unchanged(data, text):
+    """Operators match these texts, of commit e51ca60, in the log and in the message of a failed start."""
     with pytest.raises(EndpointListError) as caught:
         parse_endpoint_update(data, endpoint_ids())
     assert str(caught.value) == text
