--- a/tests/test_answered_at_the_end.py
+++ b/tests/test_answered_at_the_end.py
@@ -26,7 +26,7 @@
     send_request,
     wait_until,
 )
-from test_first_byte import Stage
+from test_first_byte import SidecarHarness
 from test_process import Process
 
 from ochreflow.http.request_reader import ReadState
@@ -106,18 +106,18 @@
 
     async def play():
         fakes = {name: await FakePeer(answer_ok).start() for name in ("s1", "s2")}
-        stage = Stage(tmp_path, [entry(name, fake.address) for name, fake in fakes.items()])
+        stage = SidecarHarness(tmp_path, [entry(name, fake.address) for name, fake in fakes.items()])
         async with stage.sidecar as sidecar:
             number = 0
             while not all(fake.received for fake in fakes.values()):
                 number += 1
                 assert (await send_request(sidecar.port, http_request("order", f"warm{number}"))).code == 200
             sidecar.upstreams.close_idle(stage.names.server("s1"))
-            stage.hold()
+            stage.block_connects()
             while not sidecar.engine.requests.pending:  # a connection to the other server stands ready
                 number += 1
                 asked = asyncio.create_task(send_request(sidecar.port, http_request("order", f"id{number}")))
-                await wait_until(lambda asked=asked: asked.done() or stage.loop.held)
+                await wait_until(lambda asked=asked: asked.done() or stage.loop.blocked_connects)
             if end == "close":
                 sidecar.close()
             else:
@@ -125,7 +125,7 @@
             assert (await asked).code == 503
             await asyncio.sleep(AFTER_END)
             assert f"id{number}" not in [ident for fake in fakes.values() for ident in ids(fake)]
-            stage.loop.open.set()
+            stage.loop.connect_allowed.set()
 
     run(play())
 
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -1,6 +1,7 @@
-"""What may be sent is judged again as the first byte goes out: connections come up long after the decision.
+"""Whether an attempt may be sent is checked again when its first byte is written.
 
-Each connect to a server is held at a named point, the world changes, and the connect is let go.
+Connecting can take long after the decision to send. Each test blocks a connect to a server, changes the state
+that the decision depended on, and lets the connect continue.
 """
 
 import asyncio
@@ -31,52 +32,52 @@
 from ochreflow.http.upstream import Upstreams
 from ochreflow.policy.interface import ListKind, Membership, Outcome, State, Status
 
-SOON = 1.0  # seconds: an answer at the deadline would come a second later
+FAST_ANSWER_TIMEOUT_S = 1.0  # an answer at the deadline would come a second later
 
 
-class Holding:
-    """The loop, with connects to servers that are held until they are let go."""
+class BlockableConnectLoop:
+    """The event loop, with connects to servers that can be blocked."""
 
     def __init__(self, loop):
         self.loop = loop
-        self.open = asyncio.Event()
-        self.open.set()
-        self.held = 0
+        self.connect_allowed = asyncio.Event()
+        self.connect_allowed.set()
+        self.blocked_connects = 0
 
     def __getattr__(self, name):
         return getattr(self.loop, name)
 
     async def sock_connect(self, sock, address):
-        self.held += not self.open.is_set()
-        await self.open.wait()
+        self.blocked_connects += not self.connect_allowed.is_set()
+        await self.connect_allowed.wait()
         await self.loop.sock_connect(sock, address)
 
 
-class Stage:
-    """A sidecar whose connects can be held and whose clock can be put forward."""
+class SidecarHarness:
+    """A sidecar whose connects can be blocked and whose clock can be advanced."""
 
     def __init__(self, tmp_path, servers, **settings):
         data = config(endpoint_update(1, *servers))
         data["settings"]["ceilings"]["connect-timeout-ns"] = 20_000 * MS
         data["settings"].update(settings)
         self.sidecar = Sidecar(tmp_path / "c", data)
-        self.loop = Holding(asyncio.get_running_loop())
+        self.loop = BlockableConnectLoop(asyncio.get_running_loop())
         self.sidecar.upstreams.loop = self.loop
         self.engine = self.sidecar.engine
         self.names = self.sidecar.endpoint_ids
 
-    def hold(self):
-        self.loop.open.clear()
+    def block_connects(self):
+        self.loop.connect_allowed.clear()
 
-    async def held(self):
-        await wait_until(lambda: self.loop.held, "a connect is held")
+    async def connect_blocked(self):
+        await wait_until(lambda: self.loop.blocked_connects, "a connect is blocked")
 
-    def put_forward(self, ns):
+    def advance_clock(self, ns):
         now = self.engine.clock.now
         self.engine.clock.now = lambda: now() + ns
 
-    def tell(self, *entries):
-        """The module alone hears news, as it does before the carrier hears of them."""
+    def update_balancer(self, *entries):
+        """Pass an endpoint update to the balancer only, as before the transports get it."""
         endpoints = []
         for name, zone, cell, state, started in entries:
             listed = self.engine.endpoints.listed[self.names.server(name)]
@@ -87,7 +88,7 @@
 
 
 @contextlib.asynccontextmanager
-async def client(sidecar, data):
+async def open_client(sidecar, data):
     reader, writer = await asyncio.open_connection(HOST, sidecar.port)
     writer.write(data)
     try:
@@ -96,94 +97,94 @@
         writer.close()
 
 
-def once(stage):
-    """A server that holds all further connects, and breaks the connection under the first copy."""
+def block_connects_and_reset(harnesses):
+    """Return a handler that blocks all further connects and resets the connection of the first attempt."""
 
-    async def act(got, reader, writer):
-        stage[0].hold()
+    async def handler(got, reader, writer):
+        harnesses[0].block_connects()
         reset(writer)
 
-    return act
+    return handler
 
 
-async def repeat_is_held(tmp_path, stages):
-    """Two servers of a group; a keyed request's first copy is lost, the second waits for a connection."""
-    servers = [await FakePeer(once(stages)).start() for _ in range(2)]
-    stage = Stage(tmp_path, [entry(f"s{n}", server.address) for n, server in enumerate(servers)])
-    stages.append(stage)
-    return stage, servers
+async def start_blocked_retry(tmp_path, harnesses):
+    """Start two servers of a group; the first attempt is reset, and the retry waits for a connection."""
+    servers = [await FakePeer(block_connects_and_reset(harnesses)).start() for _ in range(2)]
+    harness = SidecarHarness(tmp_path, [entry(f"s{n}", server.address) for n, server in enumerate(servers)])
+    harnesses.append(harness)
+    return harness, servers
 
 
-def test_a_repeat_whose_window_is_over_when_its_connection_is_up_is_not_sent(tmp_path):
+def test_a_retry_is_not_sent_if_its_window_ends_while_it_connects(tmp_path):
     async def play():
-        stage, servers = await repeat_is_held(tmp_path, [])
+        harness, servers = await start_blocked_retry(tmp_path, [])
         async with (
-            stage.sidecar as sidecar,
-            client(sidecar, http_request("hold", deadline="4000m")) as (reader, _),
+            harness.sidecar as sidecar,
+            open_client(sidecar, http_request("hold", deadline="4000m")) as (reader, _),
         ):
-            await stage.held()
-            stage.engine.balancer.retry_policy.tokens = 10.0  # not for want of budget
-            stage.put_forward(1995 * MS)  # of a window of 2 s, whose last tick of 5 ms is not used
-            stage.loop.open.set()
-            async with asyncio.timeout(SOON):
-                got = await read_message(reader)  # nothing may be sent any more, so its client hears at once
+            await harness.connect_blocked()
+            harness.engine.balancer.retry_policy.tokens = 10.0  # so that the retry budget is not the reason
+            harness.advance_clock(1995 * MS)  # the window is 2 s, of which the last tick of 5 ms is not used
+            harness.loop.connect_allowed.set()
+            async with asyncio.timeout(FAST_ANSWER_TIMEOUT_S):
+                got = await read_message(reader)  # no attempt may be sent, so the client is answered at once
             assert got.code == 502
             assert sum(len(server.received) for server in servers) == 1
-            assert not stage.engine.attempts.in_flight
-            # The connection is as good as before: it is kept.
+            assert not harness.engine.attempts.in_flight
+            # The connection is still usable, so it is kept.
             assert sum(len(target.idle) for target in sidecar.upstreams.targets.values()) == 1
 
     run(play())
 
 
-def test_a_repeat_goes_out_in_the_last_moment_of_its_window(tmp_path):
+def test_a_retry_is_sent_late_in_its_window(tmp_path):
     async def play():
-        stage, servers = await repeat_is_held(tmp_path, [])
-        async with stage.sidecar as sidecar, client(sidecar, http_request("hold")) as (reader, _):
-            await stage.held()
+        harness, servers = await start_blocked_retry(tmp_path, [])
+        async with harness.sidecar as sidecar, open_client(sidecar, http_request("hold")) as (reader, _):
+            await harness.connect_blocked()
             for server in servers:
                 server.handler = answer_ok
-            stage.put_forward(1500 * MS)
-            stage.loop.open.set()
+            harness.advance_clock(1500 * MS)
+            harness.loop.connect_allowed.set()
             assert (await read_message(reader)).code == 200
             assert sum(len(server.received) for server in servers) == 2
 
     run(play())
 
 
-def test_a_repeat_whose_server_has_gone_over_to_another_group_is_not_sent_there(tmp_path):
+def test_a_retry_is_not_sent_to_a_server_that_moved_to_another_group(tmp_path):
     async def play():
-        stage, servers = await repeat_is_held(tmp_path, [])
-        async with stage.sidecar as sidecar, client(sidecar, http_request("hold")) as (reader, _):
-            await stage.held()
-            (waiting,) = (a.server for a in stage.engine.attempts.in_flight.values())
+        harness, servers = await start_blocked_retry(tmp_path, [])
+        async with harness.sidecar as sidecar, open_client(sidecar, http_request("hold")) as (reader, _):
+            await harness.connect_blocked()
+            (waiting,) = (a.server for a in harness.engine.attempts.in_flight.values())
             name = next(
-                e.name for e in stage.engine.endpoints.listed.values() if e.endpoint.server == waiting
+                e.name for e in harness.engine.endpoints.listed.values() if e.endpoint.server == waiting
             )
-            stage.tell((name, 0, 7, State.READY, 0))
-            stage.loop.open.set()
+            harness.update_balancer((name, 0, 7, State.READY, 0))
+            harness.loop.connect_allowed.set()
             async with asyncio.timeout(WAIT_TIMEOUT_S):
                 got = await read_message(reader)
             assert got.code in (502, 504)
-            # Both copies may have gone to the server that got the first one, none to the other.
+            # Both attempts may have been sent to the same server, none to the other one.
             assert sorted(bool(server.received) for server in servers) == [False, True]
 
     run(play())
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.REMOVED])
-def test_nothing_begins_at_a_server_that_drains_by_the_module(tmp_path, state):
-    """Even where the carrier has not been told yet: one owner judges."""
+def test_no_attempt_begins_at_a_server_that_the_balancer_knows_to_drain(tmp_path, state):
+    """This holds even if the transport has not been updated yet: only the balancer decides."""
 
     async def play():
         server = await FakePeer(answer_ok).start()
-        stage = Stage(tmp_path, [entry("s0", server.address)])
-        async with stage.sidecar as sidecar:
-            stage.hold()
-            async with client(sidecar, http_request("order")) as (reader, _):
-                await stage.held()
-                stage.tell(("s0", 0, 1, state, 0))
-                stage.loop.open.set()
+        harness = SidecarHarness(tmp_path, [entry("s0", server.address)])
+        async with harness.sidecar as sidecar:
+            harness.block_connects()
+            async with open_client(sidecar, http_request("order")) as (reader, _):
+                await harness.connect_blocked()
+                harness.update_balancer(("s0", 0, 1, state, 0))
+                harness.loop.connect_allowed.set()
                 async with asyncio.timeout(WAIT_TIMEOUT_S):
                     assert (await read_message(reader)).code == 503
                 assert not server.received
@@ -191,17 +192,17 @@
     run(play())
 
 
-def test_nothing_begins_once_the_time_is_over_though_the_loop_has_not_told_so_yet(tmp_path):
+def test_no_attempt_begins_after_the_deadline_even_if_the_timer_has_not_fired(tmp_path):
     async def play():
         server = await FakePeer(answer_ok).start()
-        stage = Stage(tmp_path, [entry("s0", server.address)])
-        async with stage.sidecar as sidecar:
-            stage.hold()
-            async with client(sidecar, http_request("order")) as (reader, _):
-                await stage.held()
-                stage.put_forward(2990 * MS)  # of 3 s; the timers of the loop know nothing of it
-                stage.loop.open.set()
-                async with asyncio.timeout(SOON):
+        harness = SidecarHarness(tmp_path, [entry("s0", server.address)])
+        async with harness.sidecar as sidecar:
+            harness.block_connects()
+            async with open_client(sidecar, http_request("order")) as (reader, _):
+                await harness.connect_blocked()
+                harness.advance_clock(2990 * MS)  # of 3 s; the timers of the loop do not fire earlier
+                harness.loop.connect_allowed.set()
+                async with asyncio.timeout(FAST_ANSWER_TIMEOUT_S):
                     assert (await read_message(reader)).code == 503
                 assert not server.received
 
@@ -209,19 +210,19 @@
 
 
 @pytest.mark.parametrize("how", ["close", "half-close", "reset"])
-def test_nothing_begins_for_a_client_that_has_left_though_the_loop_has_not_read_it_yet(tmp_path, how):
+def test_no_attempt_begins_after_a_disconnect_that_the_loop_has_not_read_yet(tmp_path, how):
     async def play():
         server = await FakePeer(answer_ok).start()
-        stage = Stage(tmp_path, [entry("s0", server.address)])
-        async with stage.sidecar as sidecar:
-            stage.hold()
+        harness = SidecarHarness(tmp_path, [entry("s0", server.address)])
+        async with harness.sidecar as sidecar:
+            harness.block_connects()
             sock = socket.create_connection((HOST, sidecar.port))
             sock.sendall(http_request("order"))
-            await stage.held()
+            await harness.connect_blocked()
             original = sidecar.upstreams._try_send
 
-            def put(connection, exchange):
-                # The crossing: the end is in the system, and the loop has had no turn to read it.
+            def disconnect_and_send(connection, exchange):
+                # The EOF is in the socket, but the loop has had no iteration to read it.
                 if how == "half-close":
                     sock.shutdown(socket.SHUT_WR)
                 else:
@@ -230,10 +231,10 @@
                     sock.close()
                 return original(connection, exchange)
 
-            sidecar.upstreams._try_send = put
-            stage.loop.open.set()
+            sidecar.upstreams._try_send = disconnect_and_send
+            harness.loop.connect_allowed.set()
             await wait_until(
-                lambda: not stage.engine.requests.pending and not stage.engine.attempts.in_flight
+                lambda: not harness.engine.requests.pending and not harness.engine.attempts.in_flight
             )
             await asyncio.sleep(0)
             assert not server.received
@@ -242,120 +243,124 @@
     run(play())
 
 
-def test_nothing_begins_at_a_server_that_has_started_anew_since_it_was_chosen(tmp_path):
-    """The pace that was taken was another start's, and so was the choice: the module chooses again."""
+def test_no_attempt_begins_at_a_server_that_restarted_since_it_was_chosen(tmp_path):
+    """The choice and the slow-start tokens were for the previous start, so the balancer chooses again."""
 
     async def play():
         server = await FakePeer(answer_ok).start()
-        stage = Stage(tmp_path, [entry("s0", server.address)])
-        async with stage.sidecar as sidecar:
+        harness = SidecarHarness(tmp_path, [entry("s0", server.address)])
+        async with harness.sidecar as sidecar:
             ends = []
-            handle = stage.engine.balancer.handle
+            handle = harness.engine.balancer.handle
 
             def watched(now, event):
                 if isinstance(event, Outcome):
                     ends.append(event.status)
                 return handle(now, event)
 
-            stage.engine.balancer.handle = watched
-            stage.hold()
-            async with client(sidecar, http_request("order")) as (reader, _):
-                await stage.held()
-                number = stage.names.server("s0")
+            harness.engine.balancer.handle = watched
+            harness.block_connects()
+            async with open_client(sidecar, http_request("order")) as (reader, _):
+                await harness.connect_blocked()
+                number = harness.names.server("s0")
                 sidecar.upstreams.update(number, (HOST, server.port), 1, State.READY)
-                stage.loop.open.set()
+                harness.loop.connect_allowed.set()
                 assert (await read_message(reader)).code == 200
             assert ends == [Status.NOT_SENT, Status.OK] and len(server.received) == 1
 
     run(play())
 
 
-def test_the_pace_of_an_attempt_that_did_not_begin_is_given_back(tmp_path):
+def test_slow_start_tokens_of_an_attempt_that_did_not_begin_are_refunded(tmp_path):
     async def play():
         server = await FakePeer(answer_ok).start()
         warm = await FakePeer(answer_ok).start()
-        stage = Stage(tmp_path, [entry("s0", server.address), entry("s1", warm.address)])
-        given = []
-        stage.engine.balancer.slow_start.refund_tokens = lambda server, class_index, sent: given.append(
+        harness = SidecarHarness(tmp_path, [entry("s0", server.address), entry("s1", warm.address)])
+        refunded = []
+        harness.engine.balancer.slow_start.refund_tokens = lambda server, class_index, sent: refunded.append(
             (server.id, class_index)
         )
-        async with stage.sidecar as sidecar:
-            stage.hold()
-            async with client(sidecar, http_request("order")) as (reader, _):
-                await stage.held()
-                (chosen,) = (attempt.server for attempt in stage.engine.attempts.in_flight.values())
-                name = "s0" if stage.names.server("s0") == chosen else "s1"
-                stage.tell((name, 0, 1, State.DRAINING, 0))
-                stage.loop.open.set()
+        async with harness.sidecar as sidecar:
+            harness.block_connects()
+            async with open_client(sidecar, http_request("order")) as (reader, _):
+                await harness.connect_blocked()
+                (chosen,) = (attempt.server for attempt in harness.engine.attempts.in_flight.values())
+                name = "s0" if harness.names.server("s0") == chosen else "s1"
+                harness.update_balancer((name, 0, 1, State.DRAINING, 0))
+                harness.loop.connect_allowed.set()
                 assert (await read_message(reader)).code == 200
-            assert given == [(chosen, 2)]
+            assert refunded == [(chosen, 2)]
 
     run(play())
 
 
-def test_a_fault_of_the_module_at_a_first_byte_loses_neither_an_answer_nor_a_connection(tmp_path):
-    """The connection of an answer just come is offered to the one that waits: there the module fails."""
+def test_an_exception_of_the_balancer_at_a_first_byte_loses_no_answer_and_no_connection(tmp_path):
+    """The connection of a complete answer is offered to a waiting attempt, for which the balancer raises."""
 
     async def play():
-        async def act(got, reader, writer):
-            await go.wait()
+        async def answer_when_allowed(got, reader, writer):
+            await answer_allowed.wait()
             writer.write(http_response(200, b"whole"))
 
-        go = asyncio.Event()
-        server = await FakePeer(act).start()
-        stage = Stage(tmp_path, [entry("s0", server.address)])
-        async with stage.sidecar as sidecar, client(sidecar, http_request("order", "first")) as (first, _):
+        answer_allowed = asyncio.Event()
+        server = await FakePeer(answer_when_allowed).start()
+        harness = SidecarHarness(tmp_path, [entry("s0", server.address)])
+        async with (
+            harness.sidecar as sidecar,
+            open_client(sidecar, http_request("order", "first")) as (first, _),
+        ):
             await wait_until(lambda: server.received)
-            stage.hold()
-            async with client(sidecar, http_request("order", "second")) as (second, _):
-                await stage.held()
+            harness.block_connects()
+            async with open_client(sidecar, http_request("order", "second")) as (second, _):
+                await harness.connect_blocked()
 
                 def fail(*_):
-                    raise RuntimeError("as if it had a fault")
+                    raise RuntimeError("injected")
 
-                stage.engine.balancer.write_by = fail
-                go.set()
+                harness.engine.balancer.write_by = fail
+                answer_allowed.set()
                 async with asyncio.timeout(WAIT_TIMEOUT_S):
                     assert (await read_message(first)).body == b"whole"
                     assert (await read_message(second)).code == 503
             assert len(server.received) == 1
-            assert len(sidecar.upstreams.targets[stage.names.server("s0")].idle) == 1
+            assert len(sidecar.upstreams.targets[harness.names.server("s0")].idle) == 1
 
     run(play())
 
 
-def test_an_attempt_that_was_barred_does_not_begin_on_the_next_connection_that_comes_free(tmp_path):
-    """Two connections come free in one turn: the module fails at the first one, and would allow the second.
+def test_an_attempt_that_was_refused_does_not_begin_on_the_next_free_connection(tmp_path):
+    """Two connections become free in one loop iteration; the balancer raises for the first only.
 
-    Ended as one that never began it would be sent again, and its server would do the same order twice.
+    The attempt has ended as not sent by then, and the request is retried: if the attempt began on the second
+    connection nevertheless, the server would run the same order twice.
     """
 
     async def play():
-        async def act(got, reader, writer):
-            await go.wait()
+        async def answer_when_allowed(got, reader, writer):
+            await answer_allowed.wait()
             writer.write(http_response(200, b"whole"))
 
-        go = asyncio.Event()
-        server = await FakePeer(act).start()
-        stage = Stage(tmp_path, [entry("s0", server.address)])
+        answer_allowed = asyncio.Event()
+        server = await FakePeer(answer_when_allowed).start()
+        harness = SidecarHarness(tmp_path, [entry("s0", server.address)])
         async with contextlib.AsyncExitStack() as stack:
-            sidecar = await stack.enter_async_context(stage.sidecar)
-            first, _ = await stack.enter_async_context(client(sidecar, http_request("order", "first")))
-            second, _ = await stack.enter_async_context(client(sidecar, http_request("order", "second")))
+            sidecar = await stack.enter_async_context(harness.sidecar)
+            first, _ = await stack.enter_async_context(open_client(sidecar, http_request("order", "first")))
+            second, _ = await stack.enter_async_context(open_client(sidecar, http_request("order", "second")))
             await wait_until(lambda: len(server.received) == 2)
-            stage.hold()
-            third, _ = await stack.enter_async_context(client(sidecar, http_request("order", "third")))
-            await stage.held()
-            judge, asked = stage.engine.balancer.write_by, []
-
-            def fail_once(*what):
-                asked.append(what)
-                if len(asked) == 1:
-                    raise RuntimeError("as if it had a fault")
-                return judge(*what)
-
-            stage.engine.balancer.write_by = fail_once
-            go.set()
+            harness.block_connects()
+            third, _ = await stack.enter_async_context(open_client(sidecar, http_request("order", "third")))
+            await harness.connect_blocked()
+            write_by, calls = harness.engine.balancer.write_by, []
+
+            def fail_once(*args):
+                calls.append(args)
+                if len(calls) == 1:
+                    raise RuntimeError("injected")
+                return write_by(*args)
+
+            harness.engine.balancer.write_by = fail_once
+            answer_allowed.set()
             async with asyncio.timeout(WAIT_TIMEOUT_S):
                 assert (await read_message(first)).body == b"whole"
                 assert (await read_message(second)).body == b"whole"
@@ -366,7 +371,7 @@
 
 
 async def pool_and_server():
-    """A pool, and a server that reads nothing until it is told."""
+    """Return a connection pool, and a listening socket whose connections are not read."""
     server = socket.socket()
     server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     server.bind((HOST, 0))
@@ -378,8 +383,8 @@
 
 
 @pytest.mark.parametrize("size, status", [(8 * MB, Status.NOT_SENT), (32 * 1024, Status.CANCELLED)])
-def test_what_has_not_arrived_when_its_window_ends_never_does(size, status):
-    """Held by the own buffer, or by the system: it would arrive whole once the server reads again."""
+def test_a_request_that_is_not_received_when_its_window_ends_is_never_received(size, status):
+    """It is in the sidecar's buffer or the socket's, and would arrive as soon as the server reads again."""
 
     async def play():
         loop = asyncio.get_running_loop()
@@ -396,11 +401,11 @@
         peer, _ = await loop.sock_accept(server)
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             assert await end is status
-        came = 0
+        received_bytes = 0
         with contextlib.suppress(ConnectionResetError):
             while data := await loop.sock_recv(peer, 1 << 20):
-                came += len(data)
-        assert came < len(payload)
+                received_bytes += len(data)
+        assert received_bytes < len(payload)
         peer.close()
         server.close()
         pool.close()
@@ -408,7 +413,7 @@
     run(play())
 
 
-def test_what_has_arrived_when_its_window_ends_is_waited_for():
+def test_a_request_that_is_received_when_its_window_ends_is_still_answered():
     async def play():
         loop = asyncio.get_running_loop()
         pool, server = await pool_and_server()
@@ -436,64 +441,69 @@
     run(play())
 
 
-def told(got):
-    """What a server was told to take at the most, in ms."""
+def announced_timeout_ms(got):
+    """Return the timeout that a request announced to its server, in ms."""
     return int(got.headers["x-deadline"].removesuffix("m"))
 
 
 @pytest.mark.parametrize("further", [False, True], ids=["first", "further"])
-def test_a_server_is_told_the_time_that_is_left_when_its_connection_is_up(tmp_path, further):
-    """Not what was left at the decision: on a day of late connections a quarter told more than there was."""
+def test_a_request_announces_the_time_left_when_its_connection_is_established(tmp_path, further):
+    """Not the time left at the decision: with slow connects, a quarter of the requests announced too much."""
 
     async def play():
-        stages = []
-        servers = [await FakePeer(once(stages) if further else answer_ok).start() for _ in range(2)]
-        stage = Stage(tmp_path, [entry(f"s{n}", server.address) for n, server in enumerate(servers)])
-        stages.append(stage)
+        harnesses = []
+        servers = [
+            await FakePeer(block_connects_and_reset(harnesses) if further else answer_ok).start()
+            for _ in range(2)
+        ]
+        harness = SidecarHarness(
+            tmp_path, [entry(f"s{n}", server.address) for n, server in enumerate(servers)]
+        )
+        harnesses.append(harness)
         if not further:
-            stage.hold()
+            harness.block_connects()
         async with (
-            stage.sidecar as sidecar,
-            client(sidecar, http_request("lookup", deadline="1500m")) as (reader, _),
+            harness.sidecar as sidecar,
+            open_client(sidecar, http_request("lookup", deadline="1500m")) as (reader, _),
         ):
-            await stage.held()
+            await harness.connect_blocked()
             for server in servers:
                 server.handler = answer_ok
-            stage.put_forward(900 * MS)
-            stage.loop.open.set()
+            harness.advance_clock(900 * MS)
+            harness.loop.connect_allowed.set()
             assert (await read_message(reader)).code == 200
             *before, last = sorted(
-                (got for server in servers for got in server.received), key=told, reverse=True
+                (got for server in servers for got in server.received), key=announced_timeout_ms, reverse=True
             )
             assert len(before) == further
-            assert 0 < told(last) <= 600
-            assert all(600 < told(got) < 1500 for got in before)
+            assert 0 < announced_timeout_ms(last) <= 600
+            assert all(600 < announced_timeout_ms(got) < 1500 for got in before)
 
     run(play())
 
 
-def test_a_server_is_told_all_of_a_clients_patience_while_the_body_still_comes(tmp_path):
-    """The client's time runs from its last byte, however long its connection took to come up."""
+def test_a_request_with_an_incomplete_body_announces_the_whole_timeout(tmp_path):
+    """The client's timeout runs from its last byte, however long connecting to the server took."""
 
     async def play():
         server = await FakePeer(answer_ok).start()
-        stage = Stage(tmp_path, [entry("s0", server.address)])
-        async with stage.sidecar as sidecar:
-            stage.hold()
+        harness = SidecarHarness(tmp_path, [entry("s0", server.address)])
+        async with harness.sidecar as sidecar:
+            harness.block_connects()
             body = b"x" * (256 * 1024)
             whole = http_request("order", body=body)
             cut = len(whole) - 1000
-            async with client(sidecar, whole[:cut]) as (reader, writer):
-                await stage.held()
-                stage.put_forward(900 * MS)
-                stage.loop.open.set()
+            async with open_client(sidecar, whole[:cut]) as (reader, writer):
+                await harness.connect_blocked()
+                harness.advance_clock(900 * MS)
+                harness.loop.connect_allowed.set()
                 await wait_until(
                     lambda: any(
-                        one.upstream_attempt.begun for one in stage.engine.attempts.in_flight.values()
+                        one.upstream_attempt.begun for one in harness.engine.attempts.in_flight.values()
                     )
                 )
                 writer.write(whole[cut:])
                 assert (await read_message(reader)).code == 200
-                assert told(server.received[0]) == 3000 and server.received[0].body == body
+                assert announced_timeout_ms(server.received[0]) == 3000 and server.received[0].body == body
 
     run(play())
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -1,4 +1,4 @@
-"""The rules over both frontends, HTTP and the tests' own lines, from one table: they are the core's."""
+"""Behaviour of the core that holds for any frontend, tested with HTTP and a line protocol of the tests."""
 
 import asyncio
 import time
@@ -29,22 +29,22 @@
 
 
 class SentRequest:
-    """One client of either frontend, with one request on its way."""
+    """A client of either frontend with one pending request."""
 
     def __init__(self, frontend, ports):
         self.frontend = frontend
         self.port = ports[frontend]
 
-    async def send(self, cls, name, wait=3000):
+    async def send(self, request_class, name, wait=3000):
         self.reader, self.writer = await asyncio.open_connection(HOST, self.port)
         if self.frontend == "http":
-            self.writer.write(http_request(cls, name, f"{wait}m"))
+            self.writer.write(http_request(request_class, name, f"{wait}m"))
         else:
-            self.writer.write(f"{cls} {name} {wait}\n".encode())
+            self.writer.write(f"{request_class} {name} {wait}\n".encode())
         return self
 
     async def answer(self):
-        """The one word of the one answer; nothing may follow it."""
+        """Return the outcome of the answer as one word, and close the connection."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             if self.frontend == "http":
                 word = CODES[(await read_message(self.reader)).code]
@@ -54,8 +54,8 @@
         return word
 
 
-class Rig(Sidecar):
-    """A sidecar with both frontends open."""
+class TwoFrontendSidecar(Sidecar):
+    """A sidecar with both frontends."""
 
     async def __aenter__(self):
         await super().__aenter__()
@@ -65,15 +65,15 @@
         self.ports = {"http": self.port, "lines": self.lines.server.sockets[0].getsockname()[1]}
         return self
 
-    async def request(self, frontend, cls, name, wait=3000):
-        return await (await SentRequest(frontend, self.ports).send(cls, name, wait)).answer()
+    async def request(self, frontend, request_class, name, wait=3000):
+        return await (await SentRequest(frontend, self.ports).send(request_class, name, wait)).answer()
 
     def update_endpoints(self, *entries, index=2):
         self.engine.on_endpoint_update(
             parse_endpoint_update(endpoint_update(index, *entries), self.endpoint_ids)
         )
 
-    def clean(self):
+    def has_no_state(self):
         engine = self.engine
         return not (
             engine.requests.pending
@@ -83,34 +83,34 @@
         )
 
 
-def play(tmp_path, act, steps, servers=1, rules=()):
-    """Run steps with so many servers that do what `act` says of a request's name."""
+def play(tmp_path, behaviour, steps, servers=1, rules=()):
+    """Run `steps` with servers that treat each request as `behaviour` returns for its name."""
 
-    async def playing():
-        fakes = [await DualProtocolServer(act).start() for _ in range(servers)]
+    async def run_steps():
+        fakes = [await DualProtocolServer(behaviour).start() for _ in range(servers)]
         known = endpoint_update(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes)))
         data = config(known)
         data["settings"]["rules"].update(rules)
-        async with Rig(tmp_path / "c", data) as rig:
-            await steps(rig, *fakes)
-            await wait_until(rig.clean, "nothing is left of any request")
+        async with TwoFrontendSidecar(tmp_path / "c", data) as sidecar:
+            await steps(sidecar, *fakes)
+            await wait_until(sidecar.has_no_state, "no state of any request is left")
 
-    run(playing())
+    run(run_steps())
 
 
-def first(what):
-    """What becomes of the first attempt; the next ones are served."""
-    seen = []
+def first_attempt(result):
+    """Return a behaviour with `result` for the first attempt, and success for the next ones."""
+    names = []
 
-    def act(name):
-        seen.append(name)
-        return what if len(seen) == 1 else "ok"
+    def behaviour(name):
+        names.append(name)
+        return result if len(names) == 1 else "ok"
 
-    return act
+    return behaviour
 
 
 @pytest.mark.parametrize(
-    ("cls", "what", "word", "runs"),
+    ("request_class", "what", "word", "runs"),
     [
         ("lookup", "ok", "served", 1),
         ("hold", "ok", "served", 1),
@@ -123,150 +123,156 @@
         ("order", "error", "failed", 1),
     ],
 )
-def test_one_final_response_and_no_retry_beyond_the_class(tmp_path, frontend, cls, what, word, runs):
-    async def steps(rig, one, two):
-        assert await rig.request(frontend, cls, "ab") == word
+def test_a_request_gets_one_final_response_and_only_the_retries_of_its_class(
+    tmp_path, frontend, request_class, what, word, runs
+):
+    async def steps(sidecar, one, two):
+        assert await sidecar.request(frontend, request_class, "ab") == word
         assert len(one.received + two.received) == runs
-        counts = rig.engine.stats.frontends
+        counts = sidecar.engine.stats.frontends
         assert sum(counts[frontend]) == 1 and sum(sum(row) for row in counts.values()) == 1
 
-    play(tmp_path, first(what), steps, servers=2)
+    play(tmp_path, first_attempt(what), steps, servers=2)
 
 
-def delay_first_bytes(rig, monkeypatch):
-    """Keep every attempt from its first byte until the event is set, at both transports."""
-    go = rig.lines.upstream_transport.connecting_allowed
-    go.clear()
-    connect = rig.upstreams._connect
+def delay_first_bytes(sidecar, monkeypatch):
+    """Delay the first byte of every attempt of both transports until the returned event is set."""
+    writing_allowed = sidecar.lines.upstream_transport.connecting_allowed
+    writing_allowed.clear()
+    connect = sidecar.upstreams._connect
 
-    async def later(*args):
-        await go.wait()
+    async def delayed_connect(*args):
+        await writing_allowed.wait()
         await connect(*args)
 
-    monkeypatch.setattr(rig.upstreams, "_connect", later)
-    return go
+    monkeypatch.setattr(sidecar.upstreams, "_connect", delayed_connect)
+    return writing_allowed
 
 
-def test_nothing_new_reaches_a_draining_server_not_even_what_waits(tmp_path, frontend, monkeypatch):
-    async def steps(rig, leaving, staying):
-        go = delay_first_bytes(rig, monkeypatch)
-        waiting = [await SentRequest(frontend, rig.ports).send("order", f"w{n}") for n in range(8)]
-        await wait_until(lambda: len(rig.engine.attempts.in_flight) == 8)
-        number = rig.endpoint_ids.server("s0")
-        assert any(attempt.server == number for attempt in rig.engine.attempts.in_flight.values())
-        rig.update_endpoints(entry("s0", leaving.address, "DRAINING"), entry("s1", staying.address))
-        go.set()
+def test_a_draining_server_gets_no_new_attempts_and_no_waiting_ones(tmp_path, frontend, monkeypatch):
+    async def steps(sidecar, draining, serving):
+        writing_allowed = delay_first_bytes(sidecar, monkeypatch)
+        waiting = [await SentRequest(frontend, sidecar.ports).send("order", f"w{n}") for n in range(8)]
+        await wait_until(lambda: len(sidecar.engine.attempts.in_flight) == 8)
+        number = sidecar.endpoint_ids.server("s0")
+        assert any(attempt.server == number for attempt in sidecar.engine.attempts.in_flight.values())
+        sidecar.update_endpoints(entry("s0", draining.address, "DRAINING"), entry("s1", serving.address))
+        writing_allowed.set()
         words = [await sent.answer() for sent in waiting]
         assert set(words) <= {"served", "refused"} and "served" in words
         for n in range(20):
-            assert await rig.request(frontend, "order", f"b{n}") == "served"
-        assert not leaving.received
-        assert len(set(staying.received)) == len(staying.received) == words.count("served") + 20
+            assert await sidecar.request(frontend, "order", f"b{n}") == "served"
+        assert not draining.received
+        assert len(set(serving.received)) == len(serving.received) == words.count("served") + 20
 
     play(tmp_path, lambda name: "ok", steps, servers=2)
 
 
-def test_a_server_that_warms_up_gets_little_at_once(tmp_path, frontend):
-    async def steps(rig, new, warm):
+def test_a_starting_server_gets_few_concurrent_attempts(tmp_path, frontend):
+    async def steps(sidecar, new, warm):
         since = int(time.time() * 1000)
-        rig.update_endpoints(entry("s0", new.address, since_ms=since), entry("s1", warm.address))
-        words = await asyncio.gather(*(rig.request(frontend, "order", f"id{n}", 500) for n in range(40)))
+        sidecar.update_endpoints(entry("s0", new.address, since_ms=since), entry("s1", warm.address))
+        words = await asyncio.gather(*(sidecar.request(frontend, "order", f"id{n}", 500) for n in range(40)))
         assert set(words) <= {"failed", "refused"}
         assert len(new.received) <= 1 and len(warm.received) >= 5
 
     rules = {"start-capacity": 0.15, "warm-within-ns": 60_000_000_000}
-    play(tmp_path, lambda name: "silent", steps, 2, rules)  # no answer earns it any more
+    play(tmp_path, lambda name: "silent", steps, 2, rules)  # without answers, its slow start allows no more
 
 
 @pytest.mark.parametrize(("what", "word"), [("silent", "failed"), (None, "refused")])
-def test_the_deadline_watchdog_answers_in_place_of_a_balancer_that_fails(tmp_path, frontend, what, word):
-    """Failed if it may have run, refused if it never did, once in either case and before its time is up."""
+def test_the_deadline_watchdog_answers_if_the_balancer_raises(tmp_path, frontend, what, word):
+    """It answers once, before the deadline: "failed" if the request may have run, otherwise "refused"."""
 
-    async def steps(rig, fake):
-        handle = rig.engine.balancer.handle
+    async def steps(sidecar, fake):
+        handle = sidecar.engine.balancer.handle
         failing_events = (api.Request,) if what is None else (api.Outcome, api.Timer)
 
         def failing(now, event):
             if isinstance(event, failing_events):
-                rig.engine.balancer.context.actions = []
-                raise ZeroDivisionError("of the module")
+                sidecar.engine.balancer.context.actions = []
+                raise ZeroDivisionError("injected")
             return handle(now, event)
 
-        rig.engine.balancer.handle = failing
-        assert await rig.request(frontend, "order", "ab", 400) == word
+        sidecar.engine.balancer.handle = failing
+        assert await sidecar.request(frontend, "order", "ab", 400) == word
         assert len(fake.received) == (what is not None)
-        rig.engine.balancer.pending.clear()
-        for server in rig.engine.balancer.endpoints.servers.values():
+        sidecar.engine.balancer.pending.clear()
+        for server in sidecar.engine.balancer.endpoints.servers.values():
             server.in_flight.clear()
 
     play(tmp_path, lambda name: what, steps)
 
 
-def test_a_client_that_leaves_takes_its_attempt_along(tmp_path, frontend):
-    async def steps(rig, fake):
-        sent = await SentRequest(frontend, rig.ports).send("order", "ab")
+def test_a_disconnect_cancels_the_attempt(tmp_path, frontend):
+    async def steps(sidecar, fake):
+        sent = await SentRequest(frontend, sidecar.ports).send("order", "ab")
         await wait_until(lambda: fake.received)
         sent.writer.close()
-        await wait_until(lambda: fake.ended_connections == 1, "its attempt is called off")
+        await wait_until(lambda: fake.ended_connections == 1, "its attempt is cancelled")
 
     play(tmp_path, lambda name: "silent", steps)
 
 
-def test_a_client_that_leaves_before_the_first_byte_reaches_no_server(tmp_path, frontend, monkeypatch):
-    """It goes between its attempt's connect and its write."""
+def test_a_request_is_not_sent_if_its_client_disconnects_before_the_first_byte(
+    tmp_path, frontend, monkeypatch
+):
+    """The client disconnects between the connect of its attempt and the write."""
 
-    async def steps(rig, fake):
-        go = delay_first_bytes(rig, monkeypatch)
-        sent = await SentRequest(frontend, rig.ports).send("order", "ab")
-        await wait_until(lambda: rig.engine.attempts.in_flight)
+    async def steps(sidecar, fake):
+        writing_allowed = delay_first_bytes(sidecar, monkeypatch)
+        sent = await SentRequest(frontend, sidecar.ports).send("order", "ab")
+        await wait_until(lambda: sidecar.engine.attempts.in_flight)
         sent.writer.close()
-        await wait_until(lambda: not rig.engine.requests.pending)
-        go.set()
-        assert await rig.request(frontend, "order", "cd") == "served"
+        await wait_until(lambda: not sidecar.engine.requests.pending)
+        writing_allowed.set()
+        assert await sidecar.request(frontend, "order", "cd") == "served"
         assert fake.received == ["cd"]
 
     play(tmp_path, lambda name: "ok", steps)
 
 
-def test_request_ids_belong_to_their_frontend(tmp_path, frontend):
-    """The same id at both frontends at once is two requests; twice at one of them is one."""
+def test_request_ids_are_unique_within_one_frontend_only(tmp_path, frontend):
+    """The same id at both frontends means two requests; at the same frontend it is a duplicate."""
 
-    async def steps(rig, fake):
+    async def steps(sidecar, fake):
         other = next(name for name in FRONTENDS if name != frontend)
-        held = [await SentRequest(label, rig.ports).send("order", "same") for label in (frontend, other)]
+        pending = [
+            await SentRequest(label, sidecar.ports).send("order", "same") for label in (frontend, other)
+        ]
         await wait_until(lambda: fake.received.count("same") == 2)
-        assert await rig.request(frontend, "order", "same") == "failed"
+        assert await sidecar.request(frontend, "order", "same") == "failed"
         assert fake.received.count("same") == 2
-        for sent in held:
+        for sent in pending:
             sent.writer.close()
-        await wait_until(lambda: not rig.engine.requests.pending)
-        assert await rig.request(frontend, "order", "same") == "failed"  # it has just been
+        await wait_until(lambda: not sidecar.engine.requests.pending)
+        assert await sidecar.request(frontend, "order", "same") == "failed"  # the id is still retained
 
     play(tmp_path, lambda name: "silent", steps)
 
 
-def test_a_drain_of_the_sidecar_refuses_at_once_and_can_be_undone(tmp_path, frontend, monkeypatch):
+def test_a_draining_sidecar_refuses_requests_until_the_drain_is_cancelled(tmp_path, frontend, monkeypatch):
     monkeypatch.setattr(lifecycle, "IDLE_CLOSE_DELAY_S", 0.0)
 
-    async def steps(rig, fake):
-        held = await SentRequest(frontend, rig.ports).send("order", "held")
+    async def steps(sidecar, fake):
+        pending = await SentRequest(frontend, sidecar.ports).send("order", "held")
         await wait_until(lambda: fake.received)
-        rig.engine.drain()
-        await wait_until(lambda: rig.engine.lifecycle.closing_idle_connections)
-        assert await rig.request(frontend, "order", "ab") == "refused"
+        sidecar.engine.drain()
+        await wait_until(lambda: sidecar.engine.lifecycle.closing_idle_connections)
+        assert await sidecar.request(frontend, "order", "ab") == "refused"
         assert fake.received == ["held"]
-        rig.engine.undrain()
-        assert await rig.request(frontend, "order", "cd") == "served"
-        held.writer.close()
+        sidecar.engine.undrain()
+        assert await sidecar.request(frontend, "order", "cd") == "served"
+        pending.writer.close()
 
     play(tmp_path, lambda name: "silent" if name == "held" else "ok", steps)
 
 
-def test_a_frontend_may_close_inside_the_call_that_responds_to_it(tmp_path, frontend, monkeypatch):
-    async def steps(rig, fake):
-        rig.lines.closes_on_response = True
+def test_a_frontend_may_close_its_connection_while_it_responds(tmp_path, frontend, monkeypatch):
+    async def steps(sidecar, fake):
+        sidecar.lines.closes_on_response = True
         if frontend == "http":
-            connection = type(rig.http.connection())
+            connection = type(sidecar.http.connection())
             respond = connection._respond
 
             def closing(self, *args, **named):
@@ -275,28 +281,28 @@
 
             monkeypatch.setattr(connection, "_respond", closing)
         for n in range(5):
-            sent = await SentRequest(frontend, rig.ports).send("order", f"id{n}")
+            sent = await SentRequest(frontend, sidecar.ports).send("order", f"id{n}")
             async with asyncio.timeout(WAIT_TIMEOUT_S):
                 await sent.reader.read()
             sent.writer.close()
-        assert len(fake.received) == 5 and rig.engine.stats.frontends[frontend][0] == 5
+        assert len(fake.received) == 5 and sidecar.engine.stats.frontends[frontend][0] == 5
 
     play(tmp_path, lambda name: "ok", steps)
 
 
-def test_too_many_at_once_are_refused_with_their_reason(tmp_path, frontend):
-    async def steps(rig, fake):
-        rig.engine.requests.max_open = 1
-        held = await SentRequest(frontend, rig.ports).send("order", "held")
+def test_requests_over_the_limit_are_refused_as_overloaded(tmp_path, frontend):
+    async def steps(sidecar, fake):
+        sidecar.engine.requests.max_open = 1
+        pending = await SentRequest(frontend, sidecar.ports).send("order", "held")
         await wait_until(lambda: fake.received)
         reasons = []
-        finish = rig.engine.requests.finish
-        rig.engine.requests.finish = lambda pending, response: (
+        finish = sidecar.engine.requests.finish
+        sidecar.engine.requests.finish = lambda pending, response: (
             reasons.append(response.reason),
             finish(pending, response),
         )
-        assert await rig.request(frontend, "order", "ab") == "refused"
+        assert await sidecar.request(frontend, "order", "ab") == "refused"
         assert reasons == [Reason.OVERLOADED]
-        held.writer.close()
+        pending.writer.close()
 
     play(tmp_path, lambda name: "silent" if name == "held" else "ok", steps)
