--- a/tests/test_second_response.py
+++ b/tests/test_second_response.py
@@ -1,7 +1,8 @@
-"""A server's second answer to one request, which comes some milliseconds after the first.
+"""A server's second response to one request, which arrives some milliseconds after the first.
 
-Nothing but its place on the connection says which request an answer belongs to. If the next request is out by
-then, it gets the second answer as its own: a refusal would prove that it never ran, while the server runs it.
+Responses are matched to requests only by their order on the connection. If the next request has been sent by
+then, the second response is taken for its response: a rejection would then prove that this request did not
+run, while the server runs it.
 """
 
 import asyncio
@@ -32,13 +33,13 @@
 from ochreflow.http.upstream import Upstreams
 from ochreflow.policy.interface import State, Status
 
-REFUSAL = http_response(503, b"", "X-Not-Run: 1")
-REAL = http_response(200, b"the real one")
+REJECTION = http_response(503, b"", "X-Not-Run: 1")
+REAL_RESPONSE = http_response(200, b"the real one")
 SERVED = (Status.OK, b"the real one")
 PAYLOAD = b"GET /lookup HTTP/1.1\r\nX-Request-Id: ab\r\n\r\n"
-AWHILE = 0.3  # seconds; long after what is sent in the turn in which they begin has come
-NEVER = 3600.0
-AT_ONCE = 2.0  # seconds until a server that waits for a connection gives up
+LONG_SETTLING_TIME_S = 0.3  # long enough for data sent right at its beginning to arrive
+ENDLESS_SETTLING_TIME_S = 3600.0
+SERVER_TIMEOUT_S = 2.0  # until a server that waits for a connection or a request gives up
 
 
 @pytest.fixture
@@ -46,8 +47,8 @@
     return lambda seconds: monkeypatch.setattr(upstream_connection, "SETTLING_TIME_S", seconds)
 
 
-class Stage:
-    """A pool before one server, whose side of each connection is played by hand."""
+class PoolWithServer:
+    """A pool and a server whose side of each connection the test controls."""
 
     def __init__(self):
         self.listener = socket.socket()
@@ -56,9 +57,9 @@
         self.listener.setblocking(False)
         self.loop = asyncio.get_running_loop()
         self.pool = Upstreams(self.loop, Descriptors(1024), Memory(192 * MB), 5.0, 60.0)
-        self.tell(State.READY)
+        self.update_state(State.READY)
 
-    def tell(self, state):
+    def update_state(self, state):
         self.pool.update(1, self.listener.getsockname(), 0, state)
 
     @property
@@ -66,39 +67,39 @@
         return self.pool.targets[1].idle
 
     def start(self, idempotent):
-        """Start an exchange: itself, and the future of its end."""
+        """Start an exchange; return it and the future of its result."""
         end = self.loop.create_future()
 
-        def done(_, status, answer):
-            end.set_result((status, answer and answer.body))
+        def done(_, status, response):
+            end.set_result((status, response and response.body))
 
         exchange = Exchange(lambda: PAYLOAD, done, 64 * 1024, idempotent=idempotent)
         self.pool.start(1, exchange, WAIT_TIMEOUT_S)
         return exchange, end
 
     async def accept(self):
-        async with asyncio.timeout(AT_ONCE):
+        async with asyncio.timeout(SERVER_TIMEOUT_S):
             server, _ = await self.loop.sock_accept(self.listener)
         server.setblocking(False)
         return server
 
     async def read(self, server):
-        async with asyncio.timeout(AT_ONCE):
+        async with asyncio.timeout(SERVER_TIMEOUT_S):
             assert await self.loop.sock_recv(server, 4096) == PAYLOAD
 
-    async def nothing_was_written(self, server):
-        """The connection has ended without a byte of another request."""
+    async def check_nothing_was_written(self, server):
+        """Check that the connection ends without a byte of another request."""
         with contextlib.suppress(ConnectionResetError):
             assert await self.loop.sock_recv(server, 4096) == b""
         server.close()
 
-    async def served(self):
-        """The server's side of a connection that has just carried one answer."""
-        (server,) = await self.all_served(1)
+    async def answered_connection(self):
+        """Return the server's side of a connection on which one request was just answered."""
+        (server,) = await self.answered_connections(1)
         return server
 
-    async def all_served(self, count):
-        """The same of several connections, in the order in which they have become idle."""
+    async def answered_connections(self, count):
+        """Return the server's side of several such connections, in the order in which they became idle."""
         ends, servers = [], []
         for _ in range(count):
             ends.append(self.start(idempotent=True)[1])
@@ -115,139 +116,143 @@
 
 
 @pytest.mark.parametrize(
-    "second", [REFUSAL, http_response(500), http_response(200, b"another's")], ids=["503", "500", "200"]
+    "second", [REJECTION, http_response(500), http_response(200, b"another's")], ids=["503", "500", "200"]
 )
-def test_a_late_second_answer_is_not_taken_for_that_to_the_next_unsafe_request(second, settling_time):
-    settling_time(AWHILE)
+def test_a_late_second_response_is_not_taken_for_the_response_to_the_next_unsafe_request(
+    second, settling_time
+):
+    settling_time(LONG_SETTLING_TIME_S)
 
     async def play():
-        stage = Stage()
-        server = await stage.served()
-        _, end = stage.start(idempotent=False)
+        setup = PoolWithServer()
+        server = await setup.answered_connection()
+        _, end = setup.start(idempotent=False)
         server.sendall(second)
-        other = await stage.accept()
-        await stage.read(other)
-        other.sendall(REAL)
+        other = await setup.accept()
+        await setup.read(other)
+        other.sendall(REAL_RESPONSE)
         assert await end == SERVED
-        await stage.nothing_was_written(server)
-        stage.close()
+        await setup.check_nothing_was_written(server)
+        setup.close()
 
     run(play())
 
 
-def test_an_unsafe_request_takes_the_same_connection_once_no_second_answer_is_to_come(settling_time):
+def test_an_unsafe_request_reuses_the_connection_after_the_settling_time(settling_time):
     settling_time(0.05)
 
     async def play():
-        stage = Stage()
-        server = await stage.served()
-        answered = stage.idle[0].answered_at
-        _, end = stage.start(idempotent=False)
-        await stage.read(server)
+        setup = PoolWithServer()
+        server = await setup.answered_connection()
+        answered = setup.idle[0].answered_at
+        _, end = setup.start(idempotent=False)
+        await setup.read(server)
         assert monotonic() - answered >= 0.05
-        server.sendall(REFUSAL)
-        assert (await end)[0] is Status.REJECTED  # here it is a proof
-        assert len(stage.pool.connections) == 1
-        stage.close()
+        server.sendall(REJECTION)
+        assert (await end)[0] is Status.REJECTED  # after the settling time it is a proof
+        assert len(setup.pool.connections) == 1
+        setup.close()
 
     run(play())
 
 
-def test_a_safe_request_does_not_wait(settling_time):
-    settling_time(NEVER)
+def test_a_safe_request_does_not_wait_for_the_settling_time(settling_time):
+    settling_time(ENDLESS_SETTLING_TIME_S)
 
     async def play():
-        stage = Stage()
-        server = await stage.served()
-        _, end = stage.start(idempotent=True)
-        await stage.read(server)
-        server.sendall(REAL)
+        setup = PoolWithServer()
+        server = await setup.answered_connection()
+        _, end = setup.start(idempotent=True)
+        await setup.read(server)
+        server.sendall(REAL_RESPONSE)
         assert await end == SERVED
-        stage.close()
+        setup.close()
 
     run(play())
 
 
-def test_an_unsafe_request_does_not_wait_where_a_connection_has_no_answer_behind_it(settling_time):
-    settling_time(NEVER)
+def test_an_unsafe_request_does_not_wait_on_a_new_connection(settling_time):
+    settling_time(ENDLESS_SETTLING_TIME_S)
 
     async def play():
-        stage = Stage()
-        _, end = stage.start(idempotent=False)
-        server = await stage.accept()
-        await stage.read(server)
-        server.sendall(REFUSAL)
+        setup = PoolWithServer()
+        _, end = setup.start(idempotent=False)
+        server = await setup.accept()
+        await setup.read(server)
+        server.sendall(REJECTION)
         assert (await end)[0] is Status.REJECTED
-        stage.close()
+        setup.close()
 
     run(play())
 
 
-def test_a_request_takes_the_connection_whose_last_answer_lies_back(settling_time):
-    settling_time(NEVER)
+def test_a_request_prefers_a_settled_connection(settling_time):
+    settling_time(ENDLESS_SETTLING_TIME_S)
 
     async def play():
-        stage = Stage()
-        servers = await stage.all_served(2)
-        stage.idle[0].answered_at -= NEVER
+        setup = PoolWithServer()
+        servers = await setup.answered_connections(2)
+        setup.idle[0].answered_at -= ENDLESS_SETTLING_TIME_S
         for idempotent in (True, False):
-            _, end = stage.start(idempotent)
-            await stage.read(servers[0])
-            servers[0].sendall(REAL)
+            _, end = setup.start(idempotent)
+            await setup.read(servers[0])
+            servers[0].sendall(REAL_RESPONSE)
             assert await end == SERVED
-            stage.idle[-1].answered_at -= NEVER
-        stage.close()
+            setup.idle[-1].answered_at -= ENDLESS_SETTLING_TIME_S
+        setup.close()
 
     run(play())
 
 
 def test_one_request_waits_for_a_connection_to_settle_and_others_open_new_ones(settling_time):
-    """Else few connections would bound the requests of many clients: one for each settling time."""
-    settling_time(AWHILE)
+    """Otherwise a few connections would limit the throughput to one request each per settling time."""
+    settling_time(LONG_SETTLING_TIME_S)
 
     async def play():
-        stage = Stage()
-        first, *_ = await stage.all_served(3)
-        ends = [stage.start(idempotent=False)[1] for _ in range(3)]
-        others = [await stage.accept() for _ in range(2)]
+        setup = PoolWithServer()
+        first, *_ = await setup.answered_connections(3)
+        ends = [setup.start(idempotent=False)[1] for _ in range(3)]
+        others = [await setup.accept() for _ in range(2)]
         for server in (*others, first):
-            await stage.read(server)
-            server.sendall(REAL)
+            await setup.read(server)
+            server.sendall(REAL_RESPONSE)
         assert [await end for end in ends] == [SERVED] * 3
-        assert len(stage.pool.connections) == 5
-        stage.close()
+        assert len(setup.pool.connections) == 5
+        setup.close()
 
     run(play())
 
 
-@pytest.mark.parametrize("how", ["given up", "drain"])
-def test_a_request_that_ends_while_it_waits_is_never_written(how, settling_time):
-    settling_time(AWHILE)
+@pytest.mark.parametrize("end_mode", ["given up", "drain"])
+def test_a_request_that_ends_while_it_waits_for_a_connection_to_settle_is_never_written(
+    end_mode, settling_time
+):
+    settling_time(LONG_SETTLING_TIME_S)
 
     async def play():
-        stage = Stage()
-        server = await stage.served()
-        exchange, end = stage.start(idempotent=False)
-        if how == "drain":
-            stage.tell(State.DRAINING)
+        setup = PoolWithServer()
+        server = await setup.answered_connection()
+        exchange, end = setup.start(idempotent=False)
+        if end_mode == "drain":
+            setup.update_state(State.DRAINING)
         else:
             exchange.give_up(Status.TIMEOUT)
         assert await end == (Status.CONNECT_FAILED, None)
-        await wait_until(lambda: not stage.pool.targets[1].opening)
-        if how == "drain":
-            assert not stage.pool.connections
+        await wait_until(lambda: not setup.pool.targets[1].opening)
+        if end_mode == "drain":
+            assert not setup.pool.connections
         else:
-            assert len(stage.idle) == 1  # the connection is as good as before
+            assert len(setup.idle) == 1  # the connection is still usable
             with pytest.raises(BlockingIOError):
                 server.recv(1)
-        stage.close()
-        await stage.nothing_was_written(server)
+        setup.close()
+        await setup.check_nothing_was_written(server)
 
     run(play())
 
 
-class Holding:
-    """The loop, with connects that are held until they are let go."""
+class DelayedConnects:
+    """The event loop, with connects that wait for `open`."""
 
     def __init__(self, loop):
         self.loop = loop
@@ -261,105 +266,103 @@
         await self.loop.sock_connect(sock, address)
 
 
-async def one_waits_as_another_is_answered(stage):
-    """An unsafe request waits for a connection of its own in the turn in which another's answer ends."""
-    _, first = stage.start(idempotent=True)
-    server = await stage.accept()
-    await stage.read(server)
-    stage.pool.loop = Holding(stage.loop)
-    _, second = stage.start(idempotent=False)
+async def wait_for_connection_as_another_is_answered(setup):
+    """Start an unsafe request that waits for a new connection while another request is answered."""
+    _, first = setup.start(idempotent=True)
+    server = await setup.accept()
+    await setup.read(server)
+    setup.pool.loop = DelayedConnects(setup.loop)
+    _, second = setup.start(idempotent=False)
     server.sendall(http_response())
     assert (await first)[0] is Status.OK
     return server, second
 
 
-def test_a_late_second_answer_does_not_reach_an_unsafe_request_that_waits_for_a_connection(
-    settling_time,
-):
-    settling_time(AWHILE)
+def test_an_unsafe_request_that_waits_for_a_connection_does_not_get_a_late_second_response(settling_time):
+    settling_time(LONG_SETTLING_TIME_S)
 
     async def play():
-        stage = Stage()
-        server, end = await one_waits_as_another_is_answered(stage)
-        server.sendall(REFUSAL)
-        await wait_until(lambda: len(stage.pool.connections) == 1)  # its own, which is held
-        stage.pool.loop.open.set()
-        other = await stage.accept()
-        await stage.read(other)
-        other.sendall(REAL)
+        setup = PoolWithServer()
+        server, end = await wait_for_connection_as_another_is_answered(setup)
+        server.sendall(REJECTION)
+        await wait_until(lambda: len(setup.pool.connections) == 1)  # the new one, which is delayed
+        setup.pool.loop.open.set()
+        other = await setup.accept()
+        await setup.read(other)
+        other.sendall(REAL_RESPONSE)
         assert await end == SERVED
-        await stage.nothing_was_written(server)
-        stage.close()
+        await setup.check_nothing_was_written(server)
+        setup.close()
 
     run(play())
 
 
-def test_an_unsafe_request_that_waits_for_a_connection_takes_one_that_is_settled(settling_time):
+def test_an_unsafe_request_that_waits_for_a_connection_uses_one_that_has_settled(settling_time):
     settling_time(0.05)
 
     async def play():
-        stage = Stage()
-        server, end = await one_waits_as_another_is_answered(stage)
-        await stage.read(server)
-        server.sendall(REAL)
+        setup = PoolWithServer()
+        server, end = await wait_for_connection_as_another_is_answered(setup)
+        await setup.read(server)
+        server.sendall(REAL_RESPONSE)
         assert await end == SERVED
-        stage.pool.loop.open.set()
-        await wait_until(lambda: not stage.pool.targets[1].opening)
-        stage.close()
+        setup.pool.loop.open.set()
+        await wait_until(lambda: not setup.pool.targets[1].opening)
+        setup.close()
 
     run(play())
 
 
-def test_a_second_answer_that_is_unread_bars_its_connection():
-    """It has come, and the loop has had no turn to read it, as the next request is about to be written."""
+def test_a_connection_with_an_unread_second_response_is_not_reused():
+    """It has arrived, and the loop has not read it yet, when the next request is about to be written."""
 
     async def play():
-        stage = Stage()
-        server = await stage.served()
-        server.sendall(REFUSAL)
-        _, end = stage.start(idempotent=True)
-        other = await stage.accept()
-        await stage.read(other)
-        other.sendall(REAL)
+        setup = PoolWithServer()
+        server = await setup.answered_connection()
+        server.sendall(REJECTION)
+        _, end = setup.start(idempotent=True)
+        other = await setup.accept()
+        await setup.read(other)
+        other.sendall(REAL_RESPONSE)
         assert await end == SERVED
-        await stage.nothing_was_written(server)
-        stage.close()
+        await setup.check_nothing_was_written(server)
+        setup.close()
 
     run(play())
 
 
-def test_a_second_answer_while_nothing_is_out_closes_its_connection():
+def test_a_second_response_on_an_idle_connection_closes_it():
     async def play():
-        stage = Stage()
-        server = await stage.served()
-        server.sendall(REFUSAL)
-        await wait_until(lambda: not stage.pool.connections)
-        stage.close()
+        setup = PoolWithServer()
+        server = await setup.answered_connection()
+        server.sendall(REJECTION)
+        await wait_until(lambda: not setup.pool.connections)
+        setup.close()
 
     run(play())
 
 
-def test_a_late_refusal_with_the_real_answer_behind_it_proves_nothing(settling_time):
-    """However late it comes."""
+def test_a_late_rejection_followed_by_the_real_response_is_no_proof(settling_time):
+    """This holds without any settling time."""
     settling_time(0.0)
 
     async def play():
-        stage = Stage()
-        server = await stage.served()
-        _, end = stage.start(idempotent=False)
-        await stage.read(server)
-        server.sendall(REFUSAL + REAL)
+        setup = PoolWithServer()
+        server = await setup.answered_connection()
+        _, end = setup.start(idempotent=False)
+        await setup.read(server)
+        server.sendall(REJECTION + REAL_RESPONSE)
         assert (await end)[0] not in (Status.REJECTED, Status.CONNECT_FAILED, Status.NOT_SENT)
-        assert not stage.pool.connections
-        stage.close()
+        assert not setup.pool.connections
+        setup.close()
 
     run(play())
 
 
-@pytest.mark.parametrize("cls", ["hold", "order"])
-def test_a_late_refusal_has_no_request_sent_again(tmp_path, cls, settling_time):
-    """Through a whole sidecar: the second request comes to it between the two answers to the first."""
-    settling_time(AWHILE)
+@pytest.mark.parametrize("class_name", ["hold", "order"])
+def test_a_late_rejection_causes_no_retry_of_the_next_request(tmp_path, class_name, settling_time):
+    """In a complete sidecar, the second request arrives between the two responses to the first."""
+    settling_time(LONG_SETTLING_TIME_S)
 
     async def play():
         refuse = asyncio.Event()
@@ -368,13 +371,13 @@
             await answer_ok(got, reader, writer)
             if got.headers["x-request-id"] == "first":
                 await refuse.wait()
-                writer.write(REFUSAL)
+                writer.write(REJECTION)
 
         server = await FakePeer(act).start()
         data = config(endpoint_update(1, entry("s0", server.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar:
             assert (await send_request(sidecar.port, http_request("lookup", "first"))).code == 200
-            second = asyncio.create_task(send_request(sidecar.port, http_request(cls, "second")))
+            second = asyncio.create_task(send_request(sidecar.port, http_request(class_name, "second")))
             await wait_until(lambda: sidecar.engine.attempts.in_flight)
             refuse.set()
             assert (await second).code == 200
--- a/tests/test_socket_stream.py
+++ b/tests/test_socket_stream.py
@@ -1,4 +1,4 @@
-"""A stream knows exactly what the system has taken, and nothing leaves it after its close."""
+"""`SocketStream` knows exactly which bytes the system has accepted, and sends nothing after `close`."""
 
 import asyncio
 import contextlib
@@ -9,36 +9,36 @@
 
 from ochreflow.http.socket_stream import SocketStream
 
-LARGE = 1 << 20  # bytes: more than the small buffers have room for
+LARGE = 1 << 20  # bytes, more than the small buffers can hold
 SMALL_BUFFER = 8 * 1024
 
 
 class Owner:
-    """Notes what it is told."""
+    """Records the callbacks of a stream."""
 
     def __init__(self):
         self.received = bytearray()
-        self.told = []
+        self.events = []
 
     def data_received(self, data):
         self.received += data
 
     def eof_received(self):
-        self.told.append("end")
+        self.events.append("end")
 
     def connection_broken(self):
-        self.told.append("broken")
+        self.events.append("broken")
 
     def pause_writing(self):
-        self.told.append("pause")
+        self.events.append("pause")
 
     def resume_writing(self):
-        self.told.append("resume")
+        self.events.append("resume")
 
 
 @contextlib.contextmanager
 def connected():
-    """A stream that reads, its owner, and the peer's socket."""
+    """Yield a reading stream, its owner, and the socket of its peer."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
     listener.bind((HOST, 0))
@@ -61,7 +61,7 @@
 
 
 def drain(peer):
-    """All that has come to the peer."""
+    """Read all bytes that have arrived at the peer; return their number."""
     received = 0
     with contextlib.suppress(BlockingIOError, ConnectionResetError):
         while data := peer.recv(LARGE):
@@ -74,69 +74,69 @@
     peer.close()
 
 
-def test_what_is_unsent_at_the_close_never_reaches_the_peer():
+def test_bytes_that_are_unsent_at_the_close_never_reach_the_peer():
     async def play():
         with connected() as (stream, owner, peer):
             assert stream.begin(bytes(LARGE))
-            received = drain(peer)  # there is room now, which the loop has not polled
+            received = drain(peer)  # the socket is writable now, which the loop has not noticed
             unsent = len(stream.unsent)
             stream.close()
             for _ in range(10):
                 await asyncio.sleep(0)
                 received += drain(peer)
             assert received == LARGE - unsent
-            assert owner.told == []
+            assert owner.events == []
 
     run(play())
 
 
-def test_all_arrives_and_the_owner_hears_when_nothing_waits_any_more():
+def test_all_bytes_arrive_and_the_owner_is_notified_when_none_is_unsent():
     async def play():
         with connected() as (stream, owner, peer):
             assert stream.begin(b"a" * 100)
             stream.write(bytes(LARGE))
-            assert owner.told == ["pause"]
+            assert owner.events == ["pause"]
             received = 0
             while stream.unsent:
                 received += drain(peer)
                 await asyncio.sleep(0)
             await wait_until(lambda: stream.unacknowledged() == 0 or drain(peer))
-            assert owner.told == ["pause", "resume"]
+            assert owner.events == ["pause", "resume"]
 
     run(play())
 
 
-def test_what_came_before_a_reset_is_received_before_the_owner_hears_of_it():
+def test_data_that_arrived_before_a_reset_is_delivered_before_the_reset_is_reported():
     async def play():
         with connected() as (_, owner, peer):
             peer.sendall(b"whole")
             reset(peer)
-            await wait_until(lambda: owner.told)
+            await wait_until(lambda: owner.events)
             assert bytes(owner.received) == b"whole"
-            assert owner.told[0] == "broken"
+            assert owner.events[0] == "broken"
 
     run(play())
 
 
-def test_an_end_after_a_write_that_failed_is_no_orderly_end():
-    """The failed write takes the error from the system, and what is read then looks like an end."""
+def test_an_end_of_stream_after_a_failed_write_is_reported_as_broken():
+    """The failed write consumes the error of the socket, and the next read then looks like an orderly end."""
 
     async def play():
         with connected() as (stream, owner, peer):
             reset(peer)
             stream.write(b"more")
             assert stream.failed and bytes(stream.unsent) == b"more"
-            await wait_until(lambda: "broken" in owner.told)
-            assert "end" not in owner.told
+            await wait_until(lambda: "broken" in owner.events)
+            assert "end" not in owner.events
 
     run(play())
 
 
-@pytest.mark.parametrize("how", ["closed", "failed"])
-def test_what_is_written_to_a_stream_that_has_ended_counts_as_unsent(how):
+@pytest.mark.parametrize("end", ["closed", "failed"])
+def test_data_written_to_a_closed_or_failed_stream_counts_as_unsent(end):
     async def play():
         with connected() as (stream, _, peer):
-            if how == "closed":
+            if end == "closed":
                 stream.close()
             else:
                 reset(peer)
@@ -148,17 +148,17 @@
     run(play())
 
 
-def test_a_fault_of_the_owner_ends_the_connection():
+def test_an_exception_of_the_owner_ends_the_connection():
     async def play():
         with connected() as (_, owner, peer):
 
             def fail(data):
-                raise RuntimeError("as if it had a fault")
+                raise RuntimeError("simulated fault of the owner")
 
             owner.data_received = fail
             reported = []
             asyncio.get_running_loop().set_exception_handler(lambda _, context: reported.append(context))
             peer.sendall(b"x")
-            await wait_until(lambda: owner.told == ["broken"] and reported)
+            await wait_until(lambda: owner.events == ["broken"] and reported)
 
     run(play())
