--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -1,7 +1,7 @@
-"""A client that has left is noticed wherever its end hides, by its connection alone.
+"""A client's disconnect is detected by its connection even if the event loop does not read the EOF.
 
-The end lies where no reader of the loop looks: in a loop that is busy, behind bytes that are not read, behind
-a whole request in the backlog. What is asked as an attempt is written is in `test_client_left_attempts`.
+The loop is busy, or the EOF is behind unread bytes or behind a whole request in the backlog. The check at the
+first byte of an attempt is tested in `test_client_left_attempts`.
 """
 
 import asyncio
@@ -41,34 +41,40 @@
 
 pytestmark = pytest.mark.xdist_group("real-time")
 
-FLOWING = 2 * MAX_BUFFERED_BYTES  # bytes of a body that goes on to its server while it comes
-# more than is read while one waits
+STREAMED_BYTES = 2 * MAX_BUFFERED_BYTES  # bytes of a body that is streamed to its server
+# more than is read while a request is pending
 PIPELINED = b"".join(http_request("order", f"more{n}") for n in range(400))
 
 
-async def behind_one(sidecar, server, sent=b""):
-    """A client whose first request the server holds, with what it sent after that, and the server's side."""
+async def connect_with_pending_request(sidecar, server, sent=b""):
+    """Connect a client whose first request the server does not answer; it then sends `sent`.
+
+    Return the client's socket and the server's connection.
+    """
     client = connect(sidecar.port)
     client.sendall(http_request("order", "held") + sent)
-    taken = await server.accept()
-    await taken.wait_for(b"held")
-    return client, taken
+    server_connection = await server.accept()
+    await server_connection.wait_for(b"held")
+    return client, server_connection
+
 
+async def connect_paused_client(sidecar, server):
+    """Connect a client with a pending request and so many after it that the sidecar pauses reading from it.
 
-async def paused(sidecar, server):
-    """The same with so many behind it that the client is read no further."""
-    client, taken = await behind_one(sidecar, server)
-    front = sidecar_connection(sidecar, client)
+    Return the client's socket, the server's connection and the sidecar's connection.
+    """
+    client, server_connection = await connect_with_pending_request(sidecar, server)
+    connection = sidecar_connection(sidecar, client)
     client.sendall(b"".join(http_request("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS)))
-    await wait_until(lambda: front.paused)
+    await wait_until(lambda: connection.paused)
     client.sendall(PIPELINED)
-    return client, taken, front
+    return client, server_connection, connection
 
 
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
 @pytest.mark.parametrize("where", ["unread", "behind bytes", "paused"])
-def test_whether_a_client_has_left_is_known_in_the_instant_of_asking(tmp_path, where, how):
-    """The loop has not turned since: the end lies in the socket, and nothing has told of it."""
+def test_is_disconnected_detects_a_disconnect_without_a_loop_iteration(tmp_path, where, how):
+    """The EOF is in the socket, and the loop has not reported it yet."""
 
     async def play():
         server = Server()
@@ -76,22 +82,22 @@
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
         ) as sidecar:
             if where == "paused":
-                client, _, front = await paused(sidecar, server)
+                client, _, connection = await connect_paused_client(sidecar, server)
             else:
-                client, _ = await behind_one(sidecar, server)
-                front = sidecar_connection(sidecar, client)
-            call = front.current
+                client, _ = await connect_with_pending_request(sidecar, server)
+                connection = sidecar_connection(sidecar, client)
+            request = connection.current
             if where == "behind bytes":
                 client.sendall(PIPELINED)
-            assert not front.is_disconnected(call) and not front.transport.is_closing()  # it is there still
+            assert not connection.is_disconnected(request) and not connection.transport.is_closing()
             disconnect(client, how)
-            block_until_eof_readable(front)
-            assert front.is_disconnected(call) and front.transport.is_closing()
-            assert front.is_disconnected(call)  # asked again before the loop has turned, too
+            block_until_eof_readable(connection)
+            assert connection.is_disconnected(request) and connection.transport.is_closing()
+            assert connection.is_disconnected(request)  # the same before the next loop iteration
             await wait_until(
                 lambda: not sidecar.engine.requests.pending and not sidecar.http.clients.connections
             )
-            assert front.is_disconnected(call)  # ... and by an attempt that comes later still
+            assert connection.is_disconnected(request)  # and by a later attempt
             client.close()
         server.close()
 
@@ -101,11 +107,11 @@
 @pytest.mark.parametrize("after", ["look", "sweep"])
 @pytest.mark.parametrize("turn", [0.0, 0.02], ids=["idle", "busy"])
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
-def test_the_end_of_a_client_that_is_not_read_is_seen_within_half_of_the_time(tmp_path, how, turn, after):
-    """Before a bell that is set as the end can be read has rung, also where each turn of the loop is long.
+def test_a_disconnect_of_a_paused_client_is_detected_within_half_of_the_limit(tmp_path, how, turn, after):
+    """A timer that is set when the EOF is readable fires after the detection, even in a busy loop.
 
-    The client leaves just after somebody has looked. Bells ring in the order of their times, so a machine
-    that stands still for a while changes nothing.
+    The client disconnects just after a check. Timers fire in the order of their times, so a pause of the
+    machine does not change the result.
     """
 
     async def play():
@@ -119,30 +125,30 @@
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
         ) as sidecar:
-            client, taken, front = await paused(sidecar, server)
+            client, server_connection, connection = await connect_paused_client(sidecar, server)
             if turn:
                 work()
-            left = loop.create_future()
-            looking, name = (
+            detected = loop.create_future()
+            checker, name = (
                 (sidecar.http, "sweep") if after == "sweep" else (sidecar.http.disconnect_monitor, "_poll")
             )
-            look = getattr(looking, name)
+            check = getattr(checker, name)
 
-            def look_and_leave():
-                look()
-                setattr(looking, name, look)
+            def check_and_disconnect():
+                check()
+                setattr(checker, name, check)
                 disconnect(client, how)
-                block_until_eof_readable(front)
+                block_until_eof_readable(connection)
                 loop.call_later(
-                    ATTEMPT_START_LIMIT_S / 2, lambda: left.set_result(front.transport.is_closing())
+                    ATTEMPT_START_LIMIT_S / 2, lambda: detected.set_result(connection.transport.is_closing())
                 )
 
-            setattr(looking, name, look_and_leave)
-            assert await left
+            setattr(checker, name, check_and_disconnect)
+            assert await detected
             await wait_until(lambda: not sidecar.engine.requests.pending)
             client.close()
-            taken.read_available()
-            assert taken.received.count(b"X-Request-Id") == 1
+            server_connection.read_available()
+            assert server_connection.received.count(b"X-Request-Id") == 1
         server.close()
 
     run(play())
@@ -150,21 +156,23 @@
 
 @pytest.mark.parametrize("first", ["answer", "end"])
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
-def test_what_waits_behind_others_is_not_sent_once_its_client_has_left(tmp_path, how, first):
-    """The answer before it and the end come in one turn, in either order."""
+def test_a_queued_request_is_not_sent_after_a_disconnect(tmp_path, how, first):
+    """The answer to the previous request and the EOF arrive in one loop iteration, in either order."""
 
     async def play():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
         ) as sidecar:
-            client, taken = await behind_one(sidecar, server, http_request("order", "gone"))
+            client, server_connection = await connect_with_pending_request(
+                sidecar, server, http_request("order", "gone")
+            )
             await wait_until(lambda: sidecar_connection(sidecar, client).queue)
             if first == "answer":
-                taken.answer()
+                server_connection.answer()
             disconnect_while_loop_blocked(sidecar, client, how)
             if first == "end":
-                taken.answer()
+                server_connection.answer()
             await wait_until(
                 lambda: not sidecar.http.clients.connections and not sidecar.engine.attempts.in_flight
             )
@@ -177,8 +185,8 @@
 
 @pytest.mark.parametrize("accepts", ["loop", "own"])
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
-def test_a_request_that_was_left_while_the_loop_was_blocked_is_not_sent(tmp_path, how, accepts):
-    """It lies in the backlog with its client's end behind it; a connection to the server stands ready."""
+def test_a_request_is_not_sent_if_its_client_disconnects_while_the_loop_is_blocked(tmp_path, how, accepts):
+    """The request and the EOF are in the backlog; an idle connection to the server exists."""
 
     async def play():
         server = Server()
@@ -192,11 +200,11 @@
                 clients = sidecar.http.clients
                 loop = asyncio.get_running_loop()
                 sidecar.http.listen(Acceptor(loop, sock, sidecar.http.connection, clients))
-            asked = asyncio.create_task(send_request(port, http_request("order", "first")))
-            taken = await server.accept()
-            await taken.wait_for(b"first")
-            taken.answer()
-            assert (await asked).code == 200
+            first_answer = asyncio.create_task(send_request(port, http_request("order", "first")))
+            server_connection = await server.accept()
+            await server_connection.wait_for(b"first")
+            server_connection.answer()
+            assert (await first_answer).code == 200
             await wait_until(lambda: not sidecar.http.clients.connections)
 
             client = connect(port)
@@ -204,8 +212,8 @@
             disconnect(client, how)
             time.sleep(LOOP_BLOCK_S)
             after = asyncio.create_task(send_request(port, http_request("order", "other")))
-            await taken.wait_for(b"other")  # accepted after it
-            taken.answer()
+            await server_connection.wait_for(b"other")  # accepted after the first client
+            server_connection.answer()
             assert (await after).code == 200
             assert b"gone" not in server.read_all()
             client.close()
@@ -215,8 +223,8 @@
 
 
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
-def test_a_body_that_flows_is_not_completed_once_its_client_has_left(tmp_path, how):
-    """Its last piece and the end come in one turn: what never was whole at the server has not run."""
+def test_a_streamed_body_is_not_completed_after_a_disconnect(tmp_path, how):
+    """Its last part and the EOF arrive in one loop iteration; an incomplete request can't run."""
 
     async def play():
         server = Server()
@@ -224,16 +232,23 @@
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
         ) as sidecar:
             client = connect(sidecar.port)
-            client.sendall(http_request("order", "big", "3000m", b"a" * FLOWING + b"last")[: -len(b"last")])
-            taken = await server.accept()
-            await wait_until(lambda: taken.read_available() or taken.received.endswith(b"a" * FLOWING))
+            client.sendall(
+                http_request("order", "big", "3000m", b"a" * STREAMED_BYTES + b"last")[: -len(b"last")]
+            )
+            server_connection = await server.accept()
+            await wait_until(
+                lambda: (
+                    server_connection.read_available()
+                    or server_connection.received.endswith(b"a" * STREAMED_BYTES)
+                )
+            )
             client.sendall(b"last")
             disconnect_while_loop_blocked(sidecar, client, how)
             await wait_until(
                 lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
             )
-            await wait_until(lambda: taken.read_available() or taken.ended)
-            assert b"big" in taken.received and b"last" not in taken.received
+            await wait_until(lambda: server_connection.read_available() or server_connection.ended)
+            assert b"big" in server_connection.received and b"last" not in server_connection.received
             assert sidecar.engine.stats.forwards == 0
             client.close()
         server.close()
@@ -241,60 +256,62 @@
     run(play())
 
 
-def test_looking_for_ends_costs_nothing_while_all_are_read_and_one_call_otherwise(tmp_path, monkeypatch):
-    """The price of the short time between two looks."""
+def test_the_disconnect_monitor_has_no_timer_unless_a_client_is_paused(tmp_path, monkeypatch):
+    """Frequent polling must cost nothing while all clients are read, and one system call otherwise."""
 
     async def play():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
         ) as sidecar:
-            watch = sidecar.http.disconnect_monitor
-            client, _ = await behind_one(sidecar, server)
-            assert watch.timer is None and not watch.fds
-            front = sidecar_connection(sidecar, client)
+            monitor = sidecar.http.disconnect_monitor
+            client, _ = await connect_with_pending_request(sidecar, server)
+            assert monitor.timer is None and not monitor.fds
+            connection = sidecar_connection(sidecar, client)
             client.sendall(b"".join(http_request("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS)))
-            await wait_until(lambda: front.paused)
-            assert len(watch.fds) == len(watch.callbacks) == 1
+            await wait_until(lambda: connection.paused)
+            assert len(monitor.fds) == len(monitor.callbacks) == 1
             await asyncio.sleep(3 * DISCONNECT_POLL_INTERVAL_S)
-            assert watch.timer is not None and not front.transport.is_closing()
+            assert monitor.timer is not None and not connection.transport.is_closing()
             client.close()
-            await wait_until(lambda: watch.timer is None)
-            assert not watch.fds and not watch.callbacks and not watch.poller.poll(0)
+            await wait_until(lambda: monitor.timer is None)
+            assert not monitor.fds and not monitor.callbacks and not monitor.poller.poll(0)
         server.close()
 
     run(play())
 
 
-def test_a_transport_is_watched_until_it_is_removed_and_one_that_is_told_may_remove_others():
+def test_a_disconnect_callback_may_remove_other_monitored_transports():
     async def play():
         loop = asyncio.get_running_loop()
-        watch, told = DisconnectMonitor(loop), []
+        monitor, notified = DisconnectMonitor(loop), []
         server = Server()
         ends = [connect(server.listening.getsockname()[1]) for _ in range(3)]
         transports = []
         for _ in ends:
-            taken = await server.accept()
-            transports.append((await loop.connect_accepted_socket(asyncio.Protocol, taken.sock))[0])
+            server_connection = await server.accept()
+            transports.append(
+                (await loop.connect_accepted_socket(asyncio.Protocol, server_connection.sock))[0]
+            )
             transports[-1].pause_reading()
 
-        def tell(transport):
-            told.append(transport)
+        def on_disconnect(transport):
+            notified.append(transport)
             for one in transports[:2]:
-                watch.remove(one)
+                monitor.remove(one)
 
         for transport in transports:
-            watch.add(transport, lambda transport=transport: tell(transport))
+            monitor.add(transport, lambda transport=transport: on_disconnect(transport))
         for end in ends[:2]:
             end.close()
-        await wait_until(lambda: told)
+        await wait_until(lambda: notified)
         await asyncio.sleep(2 * DISCONNECT_POLL_INTERVAL_S)
-        assert len(told) == 1 and told[0] in transports[:2]
-        assert list(watch.fds) == transports[2:]
+        assert len(notified) == 1 and notified[0] in transports[:2]
+        assert list(monitor.fds) == transports[2:]
         ends[2].close()
-        await wait_until(lambda: transports[2] in told)
-        watch.close()
-        assert watch.timer is None
+        await wait_until(lambda: transports[2] in notified)
+        monitor.close()
+        assert monitor.timer is None
         for transport in transports:
             transport.abort()
         server.listening.close()
@@ -302,11 +319,10 @@
     run(play())
 
 
-def test_a_client_that_asks_for_the_end_and_reads_nothing_is_let_go(tmp_path, monkeypatch):
-    """Its connection closes once its answer has been written, which it never is."""
-    monkeypatch.setattr(
-        closing_connection, "DRAINING_CLOSE_TIMEOUT_S", 1000.0
-    )  # it goes for being slow alone
+def test_a_slow_reader_that_requests_connection_close_is_disconnected(tmp_path, monkeypatch):
+    """Its connection would close after the answer has been written, which never completes."""
+    # Only the slow-reader timeout closes it.
+    monkeypatch.setattr(closing_connection, "DRAINING_CLOSE_TIMEOUT_S", 1000.0)
 
     async def play():
         server = Server()
@@ -318,15 +334,17 @@
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect((HOST, sidecar.port))
             await wait_until(lambda: sidecar.http.clients.connections)
-            (front,) = sidecar.http.clients.connections
-            front.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            (connection,) = sidecar.http.clients.connections
+            connection.transport.get_extra_info("socket").setsockopt(
+                socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
+            )
             client.sendall(http_request("order", "held", "3000m", b"", "Connection: close"))
-            taken = await server.accept()
-            await taken.wait_for(b"held")
-            taken.sock.setblocking(True)
-            taken.sock.sendall(http_response(200, bytes(MAX_BUFFERED_BYTES // 2)))
-            await wait_until(lambda: front.draining)
-            assert front.transport.get_write_buffer_size() > 0
+            server_connection = await server.accept()
+            await server_connection.wait_for(b"held")
+            server_connection.sock.setblocking(True)
+            server_connection.sock.sendall(http_response(200, bytes(MAX_BUFFERED_BYTES // 2)))
+            await wait_until(lambda: connection.draining)
+            assert connection.transport.get_write_buffer_size() > 0
             await wait_until(lambda: not sidecar.http.clients.connections)
             client.close()
         server.close()
--- a/tests/test_unwritten.py
+++ b/tests/test_unwritten.py
@@ -1,11 +1,11 @@
-"""A request that is given up before it was wholly written must never become whole at its server.
+"""A request that is given up before it was completely written must never be completed at its server.
 
-"Never written" proves to the decision module that a request has not run, so it sends an unrepeatable one to
-another server, or answers 503, which invites the client to repeat it. Whatever the event loop still holds of
-that request must then not reach the first server any more.
+"Never written" proves to the balancer that a request has not run, so it sends a non-idempotent one to another
+server, or answers 503, which invites the client to retry. The bytes of the request that the event loop still
+buffers must then not reach the first server.
 
-Each test fills the buffers between sidecar and server, lets one thing end the attempt in the very poll of the
-loop in which its socket has room again, and counts the whole copies that servers have got.
+Each test fills the buffers between sidecar and server, ends the attempt in the poll of the loop in which its
+socket is writable again, and counts the complete copies that servers have received.
 """
 
 import asyncio
@@ -32,11 +32,11 @@
 SEND_BUFFER = 32 * 1024
 RECEIVE_BUFFER = 8 * 1024
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-BEYOND = 2_000  # bytes that neither buffer has room for: the rest, which the loop holds
+REST_BYTES = 2_000  # bytes more than both buffers hold: the rest stays in the loop
 
 
-class SmallBuffers:
-    """The loop, with connections whose send buffer is small."""
+class SmallSendBufferLoop:
+    """The event loop, with connections that have a small send buffer."""
 
     def __init__(self, loop):
         self.loop = loop
@@ -50,7 +50,7 @@
 
 
 class SlowServer:
-    """A server that reads only when it is told to, without giving the loop a turn."""
+    """A server that reads only when `read` is called, without a loop iteration."""
 
     def __init__(self):
         self.listening = socket.socket()
@@ -74,23 +74,23 @@
                 self.received.append(bytearray())
 
     def read(self):
-        """Take all that has come; the sidecar's socket has room from then on."""
+        """Read all that has arrived; the sidecar's socket is writable from then on."""
         self.accept()
         for connection, received in zip(self.connections, self.received, strict=True):
-            with contextlib.suppress(OSError):  # one that was reset has no more to read
+            with contextlib.suppress(OSError):  # a connection that was reset
                 while data := connection.recv(1 << 20):
                     received += data
 
-    def whole_copies(self):
+    def complete_copies(self):
         self.read()
-        return sum(_is_whole(bytes(received)) for received in self.received)
+        return sum(_is_complete(bytes(received)) for received in self.received)
 
     def close(self):
         for sock in (*self.connections, self.listening):
             sock.close()
 
 
-def _is_whole(data):
+def _is_complete(data):
     head, separator, body = data.partition(b"\r\n\r\n")
     if not separator:
         return False
@@ -100,8 +100,8 @@
     return len(body) >= int(lengths[0].split(b":")[1])
 
 
-def room():
-    """Bytes that go into a connection with these buffers before its sender has to wait."""
+def buffer_capacity():
+    """Return how many bytes fit into a connection with these buffers before its sender blocks."""
     server = SlowServer()
     with contextlib.closing(server), socket.socket() as client:
         client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
@@ -114,14 +114,14 @@
         return size
 
 
-class Stage:
-    """A sidecar before slow servers, and one client with an unrepeatable request that fills their buffers."""
+class SidecarHarness:
+    """A sidecar with slow servers, whose buffers a non-idempotent request fills."""
 
     def __init__(self, tmp_path, servers=2):
         self.servers = [SlowServer() for _ in range(servers)]
         entries = [entry(f"s{number}", server.address) for number, server in enumerate(self.servers)]
         self.sidecar = Sidecar(tmp_path / "c", config(endpoint_update(1, *entries)))
-        self.sidecar.upstreams.loop = SmallBuffers(asyncio.get_running_loop())
+        self.sidecar.upstreams.loop = SmallSendBufferLoop(asyncio.get_running_loop())
         self.engine = self.sidecar.engine
 
     async def __aenter__(self):
@@ -134,18 +134,18 @@
             server.close()
 
     async def partly_written(self):
-        """The server that has got the first part of the request, and the attempt."""
+        """Return the server that has received the first part of the request, and the attempt."""
         await wait_until(
             lambda: any(one.upstream_attempt.begun for one in self.engine.attempts.in_flight.values())
         )
         (attempt,) = self.engine.attempts.in_flight.values()
-        assert not attempt.upstream_attempt.may_run  # the rest waits for room
+        assert not attempt.upstream_attempt.may_run  # the rest waits until the socket is writable
         server = self.servers[attempt.server - 1]
         await wait_until(lambda: server.accept() or server.connections)
         return server, attempt
 
-    async def final(self, reader, server):
-        """The code that the client gets; whoever is asked next answers at once."""
+    async def final_status(self, reader, server):
+        """Return the status code that the client gets; the other servers answer at once."""
         others = [one for one in self.servers if one is not server]
         answered = set()
 
@@ -154,7 +154,7 @@
                 for other in others:
                     other.read()
                     for connection, received in zip(other.connections, other.received, strict=True):
-                        if connection not in answered and _is_whole(bytes(received)):
+                        if connection not in answered and _is_complete(bytes(received)):
                             answered.add(connection)
                             connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 await asyncio.sleep(0.005)
@@ -167,7 +167,7 @@
             serving.cancel()
 
     def watch_statuses(self):
-        """What the decision module hears of the ends of attempts."""
+        """Record the statuses of ended attempts that the balancer gets."""
         statuses, handle = [], self.engine.balancer.handle
 
         def watched(now, event):
@@ -178,13 +178,13 @@
         self.engine.balancer.handle = watched
         return statuses
 
-    def whole_copies(self):
-        return sum(server.whole_copies() for server in self.servers)
+    def complete_copies(self):
+        return sum(server.complete_copies() for server in self.servers)
 
 
 @contextlib.asynccontextmanager
-async def client(stage, data):
-    reader, writer = await asyncio.open_connection(HOST, stage.sidecar.port)
+async def open_client(harness, data):
+    reader, writer = await asyncio.open_connection(HOST, harness.sidecar.port)
     writer.write(data)
     try:
         yield reader, writer
@@ -201,9 +201,9 @@
     connection.close()
 
 
-def body_for():
-    """A body that fills both buffers and leaves a rest to the loop, and is yet held whole by the sidecar."""
-    size = room() + BEYOND
+def body_over_buffers():
+    """Return a body that exceeds both buffers, but is small enough for the sidecar to hold it whole."""
+    size = buffer_capacity() + REST_BYTES
     assert size < 64 * 1024
     return b"x" * size
 
@@ -212,40 +212,42 @@
     connection.shutdown(socket.SHUT_WR)
 
 
-def answer(data):
-    def act(connection):
+def send_bytes(data):
+    def send(connection):
         connection.send(data)
 
-    return act
+    return send
 
 
 ENDS = {
     "half-close": half_close,
-    "malformed": answer(b"no HTTP at all\r\n\r\n"),
-    "turned away": answer(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
-    "endless head": answer(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000),
+    "malformed": send_bytes(b"no HTTP at all\r\n\r\n"),
+    "turned away": send_bytes(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
+    "endless head": send_bytes(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000),
 }
 
 
-async def ended_in_one_poll(stage, reader, server, attempt, end):
-    """Let the server make room for the rest of an attempt that ends, both before the loop has a turn."""
+async def end_in_one_poll(harness, reader, server, attempt, end):
+    """Make the socket writable for the rest of an attempt and end the attempt, in one poll of the loop."""
     server.read()
     end(server.connections[0])
     await wait_until(lambda: attempt.upstream_attempt.ended)
-    code = await stage.final(reader, server)
-    copies = stage.whole_copies()
-    assert copies <= 1, f"{copies} whole copies of one unrepeatable request"
-    assert not (code in (429, 503) and copies), "its client was told to repeat a request that may have run"
+    code = await harness.final_status(reader, server)
+    copies = harness.complete_copies()
+    assert copies <= 1, (
+        f"servers received {copies} complete copies of one non-idempotent request, expected at most 1"
+    )
+    assert not (code in (429, 503) and copies), "the client was invited to retry a request that may have run"
 
 
 @pytest.mark.parametrize("end", ENDS.values(), ids=ENDS)
-def test_an_attempt_that_ends_half_written_is_never_completed(tmp_path, end):
+def test_a_partly_written_attempt_is_never_completed_after_its_end(tmp_path, end):
     async def play():
-        stage = Stage(tmp_path)
-        body = body_for()
-        async with stage, client(stage, http_request("order", body=body)) as (reader, _):
-            server, attempt = await stage.partly_written()
-            await ended_in_one_poll(stage, reader, server, attempt, end)
+        harness = SidecarHarness(tmp_path)
+        body = body_over_buffers()
+        async with harness, open_client(harness, http_request("order", body=body)) as (reader, _):
+            server, attempt = await harness.partly_written()
+            await end_in_one_poll(harness, reader, server, attempt, end)
 
     run(play())
 
@@ -258,16 +260,16 @@
 
 
 @pytest.mark.parametrize("give_up", GIVE_UPS.values(), ids=GIVE_UPS)
-def test_an_attempt_that_is_given_up_half_written_is_never_completed(tmp_path, give_up):
-    """Its socket has room for the rest by then, and the loop has not polled it yet."""
+def test_a_partly_written_attempt_is_never_completed_after_it_is_given_up(tmp_path, give_up):
+    """Its socket is writable again by then, and the loop has not polled it yet."""
 
     async def play():
-        stage = Stage(tmp_path)
-        body = body_for()
-        async with stage, client(stage, http_request("order", body=body)) as (reader, _):
-            server, attempt = await stage.partly_written()
-            await ended_in_one_poll(
-                stage, reader, server, attempt, lambda _: give_up(attempt.upstream_attempt)
+        harness = SidecarHarness(tmp_path)
+        body = body_over_buffers()
+        async with harness, open_client(harness, http_request("order", body=body)) as (reader, _):
+            server, attempt = await harness.partly_written()
+            await end_in_one_poll(
+                harness, reader, server, attempt, lambda _: give_up(attempt.upstream_attempt)
             )
 
     run(play())
@@ -275,12 +277,12 @@
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
 @pytest.mark.parametrize("end", ENDS.values(), ids=ENDS)
-def test_a_body_that_flows_is_never_completed_after_its_attempt_has_ended(tmp_path, end, framing):
-    """It can't be sent again, but its client was told 503, as if it had not run."""
+def test_a_streamed_body_is_never_completed_after_its_attempt_has_ended(tmp_path, end, framing):
+    """It can't be sent again, but the client got 503, which says that the request has not run."""
 
     async def play():
-        stage = Stage(tmp_path, servers=1)
-        last = body_for()
+        harness = SidecarHarness(tmp_path, servers=1)
+        last = body_over_buffers()
         first = b"y" * (128 * 1024)
         if framing == "length":
             whole = http_request("order", body=first + last)
@@ -289,75 +291,77 @@
             head = b"POST /order/part HTTP/1.1\r\nX-Request-Id: 1\r\nX-Deadline: 3000m\r\n"
             head += b"Transfer-Encoding: chunked\r\n\r\n"
             parts = head + _chunk(first), _chunk(last) + b"0\r\n\r\n"
-        async with stage, client(stage, parts[0]) as (reader, writer):
-            server, attempt = await stage.partly_written()
+        async with harness, open_client(harness, parts[0]) as (reader, writer):
+            server, attempt = await harness.partly_written()
             await wait_until(lambda: server.read() or len(server.received[0]) > len(first))
             writer.write(parts[1])
             await wait_until(lambda: attempt.pending.request.body.complete)
-            assert not attempt.upstream_attempt.may_run  # the rest waits for room
-            await ended_in_one_poll(stage, reader, server, attempt, end)
+            assert not attempt.upstream_attempt.may_run  # the rest waits until the socket is writable
+            await end_in_one_poll(harness, reader, server, attempt, end)
 
     run(play())
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_what_the_module_hears_of_a_request_half_written_when_its_client_leaves_is_true(tmp_path, how):
-    """Its rest may go out before the loop tells of the leaving, but not after it was called unwritten."""
+def test_the_balancer_gets_the_true_status_of_a_partly_written_request_after_a_disconnect(tmp_path, how):
+    """The rest may be written before the loop reports the EOF, but not after the end as unwritten."""
 
     async def play():
-        stage = Stage(tmp_path)
-        body = body_for()
-        statuses = stage.watch_statuses()
-        async with stage:
-            sock = socket.create_connection((HOST, stage.sidecar.port))
+        harness = SidecarHarness(tmp_path)
+        body = body_over_buffers()
+        statuses = harness.watch_statuses()
+        async with harness:
+            sock = socket.create_connection((HOST, harness.sidecar.port))
             sock.setblocking(False)
             await asyncio.get_running_loop().sock_sendall(sock, http_request("order", body=body))
-            server, attempt = await stage.partly_written()
+            server, attempt = await harness.partly_written()
             if how == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             sock.close()
             server.read()
             await wait_until(lambda: attempt.upstream_attempt.ended)
             await asyncio.sleep(0)
-            assert statuses == [Status.CANCELLED if stage.whole_copies() else Status.CONNECT_FAILED]
+            assert statuses == [Status.CANCELLED if harness.complete_copies() else Status.CONNECT_FAILED]
 
     run(play())
 
 
 @pytest.mark.parametrize("waited", [False, True], ids=["at once", "after waiting for room"])
-def test_a_request_that_was_wholly_written_may_have_run_though_its_server_resets_at_once(tmp_path, waited):
-    """The last byte is with the system, and the reset is the next thing that the loop learns."""
+def test_a_completely_written_request_may_have_run_if_its_server_resets_at_once(tmp_path, waited):
+    """The last byte is in the socket's buffer, and the reset is the next event of the loop."""
 
     async def play():
-        stage = Stage(tmp_path)
-        body = body_for() if waited else b"x" * 1000
-        async with stage, client(stage, http_request("order", body=body)) as (reader, _):
+        harness = SidecarHarness(tmp_path)
+        body = body_over_buffers() if waited else b"x" * 1000
+        async with harness, open_client(harness, http_request("order", body=body)) as (reader, _):
             if waited:
-                server, attempt = await stage.partly_written()
+                server, attempt = await harness.partly_written()
                 server.read()
             await wait_until(
-                lambda: any(one.upstream_attempt.may_run for one in stage.engine.attempts.in_flight.values())
+                lambda: any(
+                    one.upstream_attempt.may_run for one in harness.engine.attempts.in_flight.values()
+                )
             )
-            (attempt,) = stage.engine.attempts.in_flight.values()
-            server = stage.servers[attempt.server - 1]
+            (attempt,) = harness.engine.attempts.in_flight.values()
+            server = harness.servers[attempt.server - 1]
             server.read()
-            assert server.whole_copies() == 1
+            assert server.complete_copies() == 1
             reset(server.connections[0])
-            assert await stage.final(reader, server) == 502
-            assert stage.whole_copies() == 1
+            assert await harness.final_status(reader, server) == 502
+            assert harness.complete_copies() == 1
 
     run(play())
 
 
-def test_a_process_that_closes_completes_nothing_that_is_half_written(tmp_path):
+def test_a_partly_written_request_is_not_completed_when_the_sidecar_closes(tmp_path):
     async def play():
-        stage = Stage(tmp_path)
-        body = body_for()
-        async with stage, client(stage, http_request("order", body=body)):
-            server, _ = await stage.partly_written()
-            stage.sidecar.close()
+        harness = SidecarHarness(tmp_path)
+        body = body_over_buffers()
+        async with harness, open_client(harness, http_request("order", body=body)):
+            server, _ = await harness.partly_written()
+            harness.sidecar.close()
             server.read()
-            await asyncio.sleep(0.01)  # some turns of the loop
-            assert stage.whole_copies() == 0
+            await asyncio.sleep(0.01)  # some iterations of the loop
+            assert harness.complete_copies() == 0
 
     run(play())
