--- a/ochreflow/lab/arrivals.py
+++ b/ochreflow/lab/arrivals.py
@@ -1,4 +1,4 @@
-"""When clients send requests, and which: drawn from a seed alone, so that every build is offered the same."""
+"""The schedule of client requests, drawn from the seed alone so that every build is offered the same load."""
 
 from __future__ import annotations
 
@@ -11,43 +11,43 @@
 from .node_model import WORK_LOG_STDDEV, draw_work_factor
 
 KEY_ZIPF_EXPONENT = 0.9  # a few keys are far more popular than the others
-MAX_ABANDON_FACTOR = 3.0  # times the mean work of its class: many clients leave while a node is at work
-COST_HINT_LOG_STDDEV = 0.35  # standard deviation of the logarithm by which a cost hint is wrong
+MAX_ABANDON_FACTOR = 3.0  # in means of the class's work; many clients disconnect during processing
+COST_HINT_LOG_STDDEV = 0.35  # standard deviation of the logarithm of a cost hint's error factor
 MIN_ABANDON_S = 0.001
 REQUEST_ID_BITS = 64
-HABIT_DRAWS = 5
+BEHAVIOUR_DRAWS = 5
 
 
 class Idempotency(StrEnum):
-    """Whether a request may be executed again; the values are the words of scenario files."""
+    """Whether a request may be executed more than once; the values are those of scenario files."""
 
     IDEMPOTENT = "safe"
-    IDEMPOTENT_WITH_KEY = "keyed"  # repeats with the same idempotency key are dropped by the nodes of a group
+    IDEMPOTENT_WITH_KEY = "keyed"  # the nodes of a group drop duplicates of an idempotency key
     NON_IDEMPOTENT = "unsafe"
 
 
 @dataclass(slots=True)
 class RequestClass:
-    """A class of requests, as clients send it."""
+    """A class of requests that clients send."""
 
     name: str
     share: float
     idempotency: Idempotency
     deadline_s: float
-    mean_work_s: float = 0.0  # on a warm core
+    mean_work_s: float = 0.0  # core time on a warm node
 
 
 @dataclass(slots=True)
 class ClientProfile:
-    """The behaviour of clients: shares of requests, and numbers."""
+    """The behaviour of clients, mostly as shares of requests."""
 
-    abandon_share: float = 0.0  # disconnect before the response
-    slow_share: float = 0.0  # write their request in pieces, and read the response late
-    large_body_share: float = 0.0  # send a body of `large_body_bytes`
+    abandon_share: float = 0.0  # requests whose client may disconnect before the response
+    slow_share: float = 0.0  # requests written in pieces, with the response read late
+    large_body_share: float = 0.0  # requests with `large_body_bytes` added to their body
     large_body_bytes: int = 200_000
-    cost_hint_share: float = 0.0  # say what the work will cost
+    cost_hint_share: float = 0.0  # requests with a cost hint
     work_log_stddev: float = WORK_LOG_STDDEV
-    max_attempts: int = 1  # for one logical request, each as soon as a rejection allows
+    max_attempts: int = 1  # of one logical request; a rejection says when the next may be sent
 
 
 @dataclass(slots=True)
@@ -58,9 +58,9 @@
     request_class: RequestClass
     request_id: str
     key: int
-    work_factor: float  # in means of its class
-    cost_hint_s: float = 0.0  # of work, as its client guesses; 0: no hint
-    abandon_after_s: float = 0.0  # after which its client disconnects; 0: it stays
+    work_factor: float  # in means of its class's work
+    cost_hint_s: float = 0.0  # the client's estimate of the work; 0: no hint
+    abandon_after_s: float = 0.0  # time until its client disconnects; 0: never
     slow: bool = False
     extra_body_bytes: int = 0
 
@@ -71,47 +71,47 @@
 
 @dataclass(slots=True)
 class ClientLoad:
-    """What the clients of one sidecar send."""
+    """The load that the clients of one sidecar generate."""
 
     request_classes: list[RequestClass]
     rate_per_s: float
     key_count: int
-    rate_factor: Callable[[float], float] = _constant_rate  # on the rate, at a time of the run in seconds
+    rate_factor: Callable[[float], float] = _constant_rate  # multiplies the rate, by seconds of the run
     profile: ClientProfile = field(default_factory=ClientProfile)
 
 
 class ArrivalSchedule:
-    """An endless sequence of requests at a rate that changes with time."""
+    """An endless sequence of requests at a rate that varies over time."""
 
     def __init__(self, load: ClientLoad, seed: int) -> None:
-        """Draw the requests of a load from a seed."""
+        """Prepare to draw the requests of `load` from `seed`."""
         self.load = load
         self.random = random.Random(seed)
-        self.class_weights = list(accumulate(one.share for one in load.request_classes))
+        self.class_weights = list(accumulate(entry.share for entry in load.request_classes))
         self.key_weights = list(
             accumulate(1.0 / (rank + 1) ** KEY_ZIPF_EXPONENT for rank in range(load.key_count))
         )
 
     def __iter__(self) -> Iterator[ScheduledRequest]:
-        """Draw the requests in the order of their times: a Poisson process."""
+        """Yield the requests of a Poisson process in order of their due times."""
         due_s = 0.0
         while True:
             due_s += self.random.expovariate(self.load.rate_per_s * self.load.rate_factor(due_s))
             yield self._draw(due_s)
 
     def _draw(self, due_s: float) -> ScheduledRequest:
-        draw, profile = self.random, self.load.profile
-        request_class = draw.choices(self.load.request_classes, cum_weights=self.class_weights)[0]
-        request_id = f"{draw.getrandbits(REQUEST_ID_BITS):016x}"
-        key = draw.choices(range(len(self.key_weights)), cum_weights=self.key_weights)[0]
-        work_factor = draw_work_factor(draw, profile.work_log_stddev)
+        rng, profile = self.random, self.load.profile
+        request_class = rng.choices(self.load.request_classes, cum_weights=self.class_weights)[0]
+        request_id = f"{rng.getrandbits(REQUEST_ID_BITS):016x}"
+        key = rng.choices(range(len(self.key_weights)), cum_weights=self.key_weights)[0]
+        work_factor = draw_work_factor(rng, profile.work_log_stddev)
         request = ScheduledRequest(due_s, request_class, request_id, key, work_factor)
-        # Each is drawn whether it matters or not: one habit more leaves the rest of the sequence as it was.
-        abandon, abandon_at, slow, large, hint = (draw.random() for _ in range(HABIT_DRAWS))
-        hint_error = draw.lognormvariate(0.0, COST_HINT_LOG_STDDEV)
+        # All values are drawn even if unused, so that enabling one behaviour leaves the others unchanged.
+        abandon, abandon_point, slow, large, hint = (rng.random() for _ in range(BEHAVIOUR_DRAWS))
+        hint_error = rng.lognormvariate(0.0, COST_HINT_LOG_STDDEV)
         if abandon < profile.abandon_share:
-            span_s = request_class.mean_work_s or request_class.deadline_s
-            request.abandon_after_s = max(abandon_at * MAX_ABANDON_FACTOR * span_s, MIN_ABANDON_S)
+            reference_s = request_class.mean_work_s or request_class.deadline_s
+            request.abandon_after_s = max(abandon_point * MAX_ABANDON_FACTOR * reference_s, MIN_ABANDON_S)
         request.slow = slow < profile.slow_share
         has_body = request_class.idempotency != Idempotency.IDEMPOTENT
         if has_body and large < profile.large_body_share:
--- a/ochreflow/lab/control.py
+++ b/ochreflow/lab/control.py
@@ -1,4 +1,4 @@
-"""Control orders to fake servers, over HTTP."""
+"""Sends control orders to fake servers over HTTP."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class ControlError(OchreflowError, RuntimeError):
-    """A fake server that did not accept a control order."""
+    """A fake server rejected a control order."""
 
 
 async def send_order(address: str, order: dict[str, Any]) -> None:
-    """Send a control order to the fake server at `address`; ControlError if it is not accepted."""
+    """Send a control order to the fake server at `address`; raise ControlError if it is rejected."""
     await asyncio.to_thread(_send_order, address, order)
 
 
@@ -28,7 +28,7 @@
         connection.request("POST", CONTROL_PATH, json.dumps(order))
         response = connection.getresponse()
         if response.status != http.HTTPStatus.OK:
-            message = f"{address} did not take the order: {response.read().decode()}"
+            message = f"{address} rejected the control order: {response.read().decode()}"
             raise ControlError(message)
     finally:
         connection.close()
--- a/ochreflow/lab/directory_behaviour.py
+++ b/ochreflow/lab/directory_behaviour.py
@@ -1,4 +1,4 @@
-"""How a fake directory treats those that call, in the words of scenario files and control orders."""
+"""How a fake directory treats its callers, under the keys of scenario files and control orders."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 
-WORD_OF_FIELD = {
+ENCODED_NAMES = {
     "calls_per_s": "per_second",
     "queue_capacity": "room",
     "reset_share": "resets",
@@ -19,11 +19,11 @@
 }
 
 
-class DirectoryBehaviour(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=WORD_OF_FIELD):
-    """The behaviour of a directory; by default it answers at once and remembers every change."""
+class DirectoryBehaviour(msgspec.Struct, forbid_unknown_fields=True, frozen=True, rename=ENCODED_NAMES):
+    """The behaviour of a directory; by default it answers at once and retains every change."""
 
-    calls_per_s: NonNegative = 0.0  # calls served in a second, one after the other; 0: all at once
-    queue_capacity: Count = 32  # calls that may wait; one beyond gets a 503
-    reset_share: Share = 0.0  # the share of calls that end in a connection reset
-    notify_delay_s: NonNegative = 0.0  # after which watchers are notified of a change
-    retained_changes: Count = 0  # a watch from before these gets the complete list; 0: all are retained
+    calls_per_s: NonNegative = 0.0  # calls served per second, one at a time; 0: no limit
+    queue_capacity: Count = 32  # calls that may wait; further ones get a 503
+    reset_share: Share = 0.0  # share of calls that end in a connection reset
+    notify_delay_s: NonNegative = 0.0  # delay before watchers are notified of a change
+    retained_changes: Count = 0  # a watch from an older index gets the complete list; 0: all are retained
--- a/ochreflow/lab/fake_directory.py
+++ b/ochreflow/lab/fake_directory.py
@@ -1,4 +1,4 @@
-"""A fake of the platform's directory: the complete list, watches on changes, control orders."""
+"""A fake of the platform's directory: serves the complete list, watches for changes and control orders."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 TARGETS_PATH = "/api/targets"
 CONTROL_PATH = "/-/lab"
-MAX_WATCH_MS = 60_000  # that a watch waits for a change
+MAX_WATCH_MS = 60_000  # longest time that a watch waits for a change
 MS_PER_S = 1000
 
 
 @dataclass(slots=True, eq=False)
 class Watch:
-    """A call that waits for changes after an index."""
+    """A pending call that waits for changes after an index."""
 
     request: HttpRequest
     after: int
@@ -32,7 +32,7 @@
 
 
 class FakeDirectory:
-    """Owns the list: entries by name, each with the index of its latest change."""
+    """Owns the list of entries, each with the index of its latest change."""
 
     def __init__(
         self,
@@ -41,24 +41,24 @@
         behaviour: DirectoryBehaviour | None = None,
         seed: int = 0,
     ) -> None:
-        """Begin with an empty list."""
+        """Create a directory with an empty list."""
         self.event_log = event_log
         self.loop = loop
         self.behaviour = behaviour or DirectoryBehaviour()
         self.random = random.Random(seed)
-        self.queue: deque[HttpRequest] = deque()  # calls that wait to be served
+        self.queue: deque[HttpRequest] = deque()  # calls waiting to be served
         self.index = 0
-        self.entries: dict[str, tuple[int, dict[str, Any]]] = {}
+        self.entries: dict[str, tuple[int, dict[str, Any]]] = {}  # index and entry, by name
         self.watches: dict[Watch, None] = {}
-        self.down = False  # answers nothing but control orders
+        self.down = False  # answers 503 to everything but control orders
         self.service = HttpService(self.serve)
 
     def close(self) -> None:
-        """End as a process that is killed does."""
+        """Reset every connection, as the kernel does when a process is killed."""
         self.service.abort_all()
 
     def put(self, entry: dict[str, Any]) -> None:
-        """Add or change an entry, and notify watchers."""
+        """Add or replace an entry and notify the watchers."""
         self.index += 1
         self.entries[entry["name"]] = (self.index, entry)
         self.event_log.record(EventKind.CHANGED, name=entry["name"], status=entry["status"], index=self.index)
@@ -77,7 +77,7 @@
         parts = urlsplit(request.target)
         if parts.path == CONTROL_PATH and request.method == "POST":
             try:
-                self._control(json.loads(request.body))
+                self._apply_order(json.loads(request.body))
             except (ValueError, KeyError, TypeError, msgspec.ValidationError) as error:
                 request.answer(400, str(error).encode())
                 return
@@ -89,14 +89,14 @@
         elif self.behaviour.calls_per_s:
             self.queue.append(request)
             if len(self.queue) == 1:
-                self.loop.call_later(1.0 / self.behaviour.calls_per_s, self._serve_next)
+                self.loop.call_later(1.0 / self.behaviour.calls_per_s, self._serve_queued)
         else:
             self._serve(request)
 
-    def _serve_next(self) -> None:
+    def _serve_queued(self) -> None:
         self._serve(self.queue.popleft())
         if self.queue:
-            self.loop.call_later(1.0 / self.behaviour.calls_per_s, self._serve_next)
+            self.loop.call_later(1.0 / self.behaviour.calls_per_s, self._serve_queued)
 
     def _serve(self, request: HttpRequest) -> None:
         parts = urlsplit(request.target)
@@ -109,27 +109,27 @@
         else:
             self._answer_complete(request)
 
-    def _control(self, order: dict[str, Any]) -> None:
+    def _apply_order(self, order: dict[str, Any]) -> None:
         if "manners" in order:
             self.behaviour = msgspec.convert(order["manners"], DirectoryBehaviour)
         elif "down" in order:
             self.down = bool(order["down"])
             self.event_log.record(EventKind.DOWN if self.down else EventKind.UP)
-            for watch in list(self.watches):  # watches end when it goes down
+            for watch in list(self.watches):  # pending watches are reset when the directory goes down
                 del self.watches[watch]
                 watch.timer.cancel()
                 watch.request.connection.abort()
         else:
-            self.put(self._merged(order))
+            self.put(self._merge_change(order))
 
-    def _merged(self, change: dict[str, Any]) -> dict[str, Any]:
-        """Return the complete entry: what a change leaves out stays as it was."""
+    def _merge_change(self, change: dict[str, Any]) -> dict[str, Any]:
+        """Return the entry with the change applied; fields that the change omits keep their values."""
         known = self.entries.get(change["name"])
         return {**known[1], **change} if known is not None else change
 
     def _watch(self, request: HttpRequest, after: int, wait_ms: int) -> None:
-        forgotten = 0 < self.behaviour.retained_changes < self.index - after
-        if after > self.index or forgotten:  # an index that this directory does not know
+        too_old = 0 < self.behaviour.retained_changes < self.index - after
+        if after > self.index or too_old:  # from before a restart, or no longer retained
             self._answer_complete(request)
             return
         wait_s = min(wait_ms, MAX_WATCH_MS) / MS_PER_S
@@ -144,7 +144,7 @@
         self._answer(request, [], snapshot=False)
 
     def _notify(self, watch: Watch) -> None:
-        """Answer a watch with what changed after its index."""
+        """Answer a watch with the entries that changed after its index."""
         del self.watches[watch]
         watch.timer.cancel()
         changed = [entry for index, entry in self.entries.values() if index > watch.after]
--- a/ochreflow/lab/fake_node.py
+++ b/ochreflow/lab/fake_node.py
@@ -1,6 +1,6 @@
-"""A fake flag node behind a socket: the model (`node_model.py`) with a clock, timers and an event log.
+"""A fake node behind a socket: the model (`node_model.py`) with a clock, timers and an event log.
 
-It records every request that reaches it: what it accepted, ran, dropped as a repeat, or rejected.
+It records every request that it accepts, runs, drops as a duplicate or rejects.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 NOT_RUN_HEADER = "X-Not-Run: 1"
 CONTROL_PATH = "/-/lab"
-WORK_HEADER = "x-lab-work"  # the work of a request in means of its class, as its client drew it
+WORK_HEADER = "x-lab-work"  # the work that the client drew for the request, in means of its class
 
 
 class FakeNode:
-    """Serves the requests of one node, and the control orders of the lab."""
+    """Serves the requests to one node and the lab's control orders."""
 
     def __init__(
         self,
@@ -39,21 +39,21 @@
         loop: asyncio.AbstractEventLoop,
         dedup_group: DeduplicationGroup | None = None,
     ) -> None:
-        """Start a node; `on_end_order` is set by the owner of its socket."""
+        """Start a node; the owner of its socket sets `on_end_order`."""
         self.event_log = event_log
         self.loop = loop
         self.model = NodeModel(profile, seed, monotonic(), dedup_group)
         self.pending: dict[int, HttpRequest] = {}
-        self.number_on: dict[ServerConnection, int] = {}  # the request that each connection waits for
-        self.number = 0
+        self.request_numbers: dict[ServerConnection, int] = {}  # of the pending request on each connection
+        self.last_number = 0  # numbers identify requests to the model
         self.timer: asyncio.TimerHandle | None = None
-        self.on_end_order: Callable[[], None] = lambda: None  # end as a killed process does
-        self.service = HttpService(self.serve, self._disconnected, profile.max_connections)
+        self.on_end_order: Callable[[], None] = lambda: None  # ends the node the way a killed process ends
+        self.service = HttpService(self.serve, self._on_disconnect, profile.max_connections)
 
     def serve(self, request: HttpRequest) -> None:
         """Handle a request or a control order."""
         if request.target.startswith(CONTROL_PATH):
-            self._control(request)
+            self._handle_order(request)
             return
         headers = request.headers
         request_id = headers.get("x-request-id")
@@ -61,32 +61,32 @@
         if not request_id or class_name not in self.model.profile.mean_work_s:
             request.answer(404)
             return
-        self.number += 1
-        self.pending[self.number] = request
-        self.number_on[request.connection] = self.number
+        self.last_number += 1
+        self.pending[self.last_number] = request
+        self.request_numbers[request.connection] = self.last_number
         work_factor = float(headers[WORK_HEADER]) if WORK_HEADER in headers else None
         key, idempotency_key = headers.get("x-key"), headers.get("idempotency-key")
         node_request = NodeRequest(
             request_id, class_name, key, idempotency_key, work_factor, request.connection.number
         )
-        self._perform(self.model.arrive(monotonic(), self.number, node_request))
+        self._execute(self.model.arrive(monotonic(), self.last_number, node_request))
 
     def close(self) -> None:
-        """End as a process that is killed does: pending requests never run, and nothing more is recorded."""
+        """Stop like a killed process: pending requests never run and nothing more is recorded."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         self.pending.clear()
-        self.number_on.clear()  # the loop reports the loss of these connections later
+        self.request_numbers.clear()  # so that the disconnects reported later are ignored
         self.service.abort_all()
 
-    def _disconnected(self, connection: ServerConnection) -> None:
-        number = self.number_on.pop(connection, None)
+    def _on_disconnect(self, connection: ServerConnection) -> None:
+        number = self.request_numbers.pop(connection, None)
         if number is not None:
             self.pending.pop(number, None)
-            self._perform(self.model.abandon(monotonic(), number))
+            self._execute(self.model.abandon(monotonic(), number))
 
-    def _perform(self, actions: list[NodeAction]) -> None:
+    def _execute(self, actions: list[NodeAction]) -> None:
         for action in actions:
             match action:
                 case RecordEvent():
@@ -94,18 +94,18 @@
                 case Collapse():
                     self.service.abort_all()
                 case CloseConnection() | Reply():
-                    self._finish(action)
+                    self._complete(action)
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         if (due := self.model.next_event_at()) is not None:
             self.timer = self.loop.call_later(max(due - monotonic(), 0.0), self._wake)
 
-    def _finish(self, action: CloseConnection | Reply) -> None:
+    def _complete(self, action: CloseConnection | Reply) -> None:
         request = self.pending.pop(action.number, None)
         if request is None:
             return
-        self.number_on.pop(request.connection, None)
+        self.request_numbers.pop(request.connection, None)
         if isinstance(action, CloseConnection):
             request.connection.abort()
         else:
@@ -113,7 +113,7 @@
 
     def _wake(self) -> None:
         self.timer = None
-        self._perform(self.model.advance(monotonic()))
+        self._execute(self.model.advance(monotonic()))
 
     @staticmethod
     def _reply(request: HttpRequest, reply: Reply) -> None:
@@ -123,8 +123,8 @@
         else:
             request.answer(reply.status, reply.body.encode(), *header_lines)
 
-    def _control(self, request: HttpRequest) -> None:
-        """Handle a control order: an end, faults, or the node's own side of a drain."""
+    def _handle_order(self, request: HttpRequest) -> None:
+        """Handle a control order: end the node, inject faults, or start or stop draining."""
         try:
             order = json.loads(request.body)
             if "end" in order:
@@ -135,6 +135,6 @@
         except (ValueError, AttributeError, TypeError) as error:
             request.answer(400, str(error).encode())
             return
-        self._perform(actions)
+        self._execute(actions)
         self.event_log.record(EventKind.CONTROLLED, **order)
         request.answer(200)
--- a/ochreflow/lab/fake_server.py
+++ b/ochreflow/lab/fake_server.py
@@ -1,8 +1,8 @@
-"""Fake servers as a process: `python -m ochreflow.lab.fake_server nodes|directory FOLDER JSON`.
+"""A process that runs fake servers: `python -m ochreflow.lab.fake_server nodes|directory FOLDER JSON`.
 
-The JSON is a list of the servers to start: nodes of one group, which drop each other's repeats, or one
-directory; each with a name, a seed and, for an address that was used before, a port. The process prints the
-address of each as soon as it listens, and ends with SIGTERM or with the process that started it.
+The JSON lists the servers to start: the nodes of one group, which share their idempotency keys, or one
+directory. Each has a name, a seed and optionally a port, to reuse an earlier address. The process prints the
+address of each server once all listen, and ends on SIGTERM, on SIGINT or when its parent process ends.
 """
 
 from __future__ import annotations
@@ -31,23 +31,23 @@
 
 
 class FakeServer:
-    """One fake server and its socket."""
+    """A fake server with its listening socket and its event log."""
 
     def __init__(
         self, handler: FakeNode | FakeDirectory, event_log: EventLog, server: asyncio.Server
     ) -> None:
-        """Own the handler, its event log and its socket."""
+        """Take ownership of the handler, its event log and its socket."""
         self.handler = handler
         self.event_log = event_log
         self.server = server
 
     @property
     def address(self) -> str:
-        """Host and port at which it listens."""
+        """The `host:port` at which the server listens."""
         return f"{HOST}:{self.server.sockets[0].getsockname()[1]}"
 
     def end(self) -> None:
-        """End as a process that is killed does; nothing is recorded any more."""
+        """Stop like a killed process; nothing more is recorded."""
         self.server.close()
         self.handler.close()
         self.event_log.close()
@@ -60,7 +60,7 @@
     event_log: EventLog,
     dedup_group: DeduplicationGroup,
 ) -> FakeNode | FakeDirectory:
-    """Make a node ("nodes") or a directory from its options."""
+    """Create a node (kind "nodes") or a directory from its options."""
     loop = asyncio.get_running_loop()
     if kind == "nodes":
         return FakeNode(NodeProfile(**options), event_log, seed, loop, dedup_group)
@@ -71,7 +71,7 @@
 async def open_server(
     kind: str, log_dir: Path, options: dict[str, Any], dedup_group: DeduplicationGroup
 ) -> FakeServer:
-    """Start a fake server; it records into `log_dir`/NAME.jsonl."""
+    """Start a fake server that records its events in `log_dir`/NAME.jsonl."""
     name, seed, port = options["name"], options.pop("seed", 0), options.pop("port", 0)
     event_log = EventLog(log_dir / f"{name}.jsonl")
     handler = make_handler(kind, options, seed, event_log, dedup_group)
@@ -82,7 +82,7 @@
 
 
 async def serve(kind: str, log_dir: Path, server_options: list[dict[str, Any]]) -> None:
-    """Start the servers, print their addresses, and serve until SIGTERM or until the parent has ended."""
+    """Start the servers, print their addresses and serve until a signal arrives or the parent ends."""
     loop = asyncio.get_running_loop()
     dedup_group = DeduplicationGroup()
     servers = [await open_server(kind, log_dir, options, dedup_group) for options in server_options]
@@ -91,8 +91,8 @@
             server.handler.on_end_order = server.end
         print(server.address, flush=True)
     stopping = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     parent = os.getppid()
     while not stopping.is_set() and os.getppid() == parent:
         try:
--- a/ochreflow/lab/http_server.py
+++ b/ochreflow/lab/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for the fake servers: complete requests in, responses out, one at a time on a connection."""
+"""The HTTP/1.1 server of the fake servers: handles one complete request at a time on each connection."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class HttpRequest:
-    """One complete request, and the way back to its client."""
+    """A complete request and the connection to answer it on."""
 
     __slots__ = ("body", "connection", "headers", "method", "target")
 
     def __init__(
         self, connection: ServerConnection, method: str, target: str, headers: dict[str, str], body: bytes
     ) -> None:
-        """Keep the parts of a request; header names are in lower case."""
+        """Store the parts of a request; header names are in lower case."""
         self.connection = connection
         self.method = method
         self.target = target
@@ -31,17 +31,17 @@
         self.body = body
 
     def answer(self, status: int, body: bytes = b"", *header_lines: str) -> bool:
-        """Write the response; False if the client has disconnected."""
+        """Write the response; return False if the client has disconnected."""
         return self.connection.answer(status, body, header_lines)
 
     @property
     def disconnected(self) -> bool:
-        """Whether the connection of its client is closed."""
+        """Whether the client's connection is closed."""
         return self.connection.transport is None
 
 
 class ServerConnection(asyncio.Protocol):
-    """One accepted connection: parses requests, and gives the next one once the last one is answered."""
+    """An accepted connection; each request is handled once the previous one is answered."""
 
     def __init__(
         self,
@@ -49,15 +49,15 @@
         on_request: Callable[[HttpRequest], None],
         on_disconnect: Callable[[ServerConnection], None],
     ) -> None:
-        """Wait for the transport."""
+        """Create a connection that has no transport yet."""
         self.number = number
         self.on_request = on_request
         self.on_disconnect = on_disconnect
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.queue: deque[HttpRequest] = deque()
-        self.busy = False
-        self.abort_on_connect = False  # there are too many, or it was aborted before its transport came up
+        self.busy = False  # a request is being handled
+        self.abort_on_connect = False  # too many connections, or aborted before it had a transport
         self._reset_message()
 
     def _reset_message(self) -> None:
@@ -66,20 +66,20 @@
         self.body = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport, or abort it at once."""
+        """Store the transport, or abort it if the connection is not accepted."""
         self.transport = cast(asyncio.Transport, transport)
         if self.abort_on_connect:
             self.transport.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio gives it
-        """Drop the requests that wait, and report the disconnect."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # part of asyncio's interface
+        """Drop the queued requests and report the disconnect."""
         self.transport = None
         self.queue.clear()
         self.on_disconnect(self)
         del self.parser
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; a request that does not parse aborts the connection."""
+        """Parse the received bytes; abort the connection if they are invalid."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -88,15 +88,15 @@
         self._serve_next()
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the target from the parser."""
+        """Append a piece of the request target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header line from the parser."""
+        """Store a header field under its name in lower case."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of the body from the parser."""
+        """Append a piece of the request body."""
         self.body += data
 
     def on_message_complete(self) -> None:
@@ -111,7 +111,7 @@
             self.on_request(self.queue.popleft())
 
     def answer(self, status: int, body: bytes, header_lines: tuple[str, ...]) -> bool:
-        """Write a response; False if the client has disconnected."""
+        """Write a response; return False if the client has disconnected."""
         if self.transport is None or self.transport.is_closing():
             return False
         head = [_status_line(status), f"Content-Length: {len(body)}"]
@@ -121,7 +121,7 @@
         return True
 
     def answer_malformed(self, malformation: Malformation, status: int, body: bytes) -> None:
-        """Write a response in a form that no good server uses; after most, the connection is useless."""
+        """Write a malformed response; most malformations leave the connection unusable."""
         if self.transport is None or self.transport.is_closing():
             return
         length = b"Content-Length: %d\r\n\r\n" % len(body)
@@ -143,7 +143,7 @@
                 self.transport.write(b"HTP/1.1 2O0 \x00K\r\n" + length + body)
 
     def abort(self) -> None:
-        """Reset the connection, now or as soon as its transport comes up."""
+        """Reset the connection now, or as soon as it has a transport."""
         if self.transport is not None:
             self.transport.abort()
         else:
@@ -155,7 +155,7 @@
 
 
 class HttpService:
-    """All connections of a fake server that listens."""
+    """Owns all connections of a fake server."""
 
     def __init__(
         self,
@@ -163,26 +163,26 @@
         on_disconnect: Callable[[ServerConnection], None] = lambda _connection: None,
         max_connections: int = 0,
     ) -> None:
-        """Serve up to `max_connections`; one beyond is aborted as soon as it comes. 0: any number."""
+        """Accept up to `max_connections` at a time and abort further ones; 0 means no limit."""
         self.on_request = on_request
         self.on_disconnect = on_disconnect
         self.max_connections = max_connections
         self.connections: set[ServerConnection] = set()
-        self.number = 0
+        self.last_number = 0
 
     def connection(self) -> ServerConnection:
-        """Make the protocol of a new connection."""
-        self.number += 1
-        connection = ServerConnection(self.number, self.on_request, self._disconnected)
+        """Return the protocol instance for a new connection."""
+        self.last_number += 1
+        connection = ServerConnection(self.last_number, self.on_request, self._on_disconnect)
         connection.abort_on_connect = 0 < self.max_connections <= len(self.connections)
         self.connections.add(connection)
         return connection
 
-    def _disconnected(self, connection: ServerConnection) -> None:
+    def _on_disconnect(self, connection: ServerConnection) -> None:
         self.connections.discard(connection)
         self.on_disconnect(connection)
 
     def abort_all(self) -> None:
-        """Reset every connection, as a process that dies does."""
+        """Reset every connection, as the kernel does when a process dies."""
         for connection in list(self.connections):
             connection.abort()
--- a/ochreflow/lab/load_generator.py
+++ b/ochreflow/lab/load_generator.py
@@ -1,7 +1,8 @@
-"""Open-loop clients: requests are sent when they are due, whatever became of those before them.
+"""Open-loop clients: each request is sent when it is due, regardless of the outcome of earlier ones.
 
-Latency counts from when a request was due, so that a stall can't hide. The delay of the clients' own sends
-is kept beside it: a run in which they fell behind says nothing of the sidecar.
+Latency is measured from the time at which a request was due, so that a stall is not hidden (coordinated
+omission). The clients' own send delay is recorded too: a run in which they fell behind is no measurement of
+the sidecar.
 """
 
 from __future__ import annotations
@@ -16,21 +17,19 @@
 from .event_log import ClientOutcome, EventKind, EventLog
 
 OUTCOME_OF_STATUS = {200: ClientOutcome.SERVED, 429: ClientOutcome.REJECTED, 503: ClientOutcome.REJECTED}
-RESPONSE_GRACE_S = (
-    0.25  # after a deadline for which a response is still awaited, to tell late from unanswered
-)
-SLOW_CLIENT_PIECES = 4  # in which a slow client writes, and ...
-SLOW_CLIENT_DELAY_S = 0.03  # ... the time between them; it reads so much later too
-MIN_REMAINING_S = 0.02  # time before the deadline that makes another attempt worth its while
+RESPONSE_GRACE_S = 0.25  # wait beyond the deadline, to distinguish late responses from missing ones
+SLOW_CLIENT_PIECES = 4  # into which a slow client splits a request
+SLOW_CLIENT_DELAY_S = 0.03  # between the pieces, and before a slow client reads the response
+MIN_REMAINING_S = 0.02  # before the deadline; with less, no further attempt is sent
 US_PER_S = 1_000_000
 MS_PER_S = 1000
 
 
 class LoadGenerator:
-    """Sends requests to one sidecar and records what came back."""
+    """Sends requests to one sidecar and records the responses."""
 
     def __init__(self, address: tuple[str, int], load: ClientLoad, seed: int, event_log: EventLog) -> None:
-        """Draw the requests from the seed; see `ArrivalSchedule`."""
+        """Prepare a schedule of requests drawn from `seed`; see `ArrivalSchedule`."""
         self.address = address
         self.load = load
         self.schedule = ArrivalSchedule(load, seed)
@@ -47,11 +46,11 @@
             0,
         )
         self.sent = 0  # attempts
-        self.max_send_delay_s = 0.0  # the longest by which a send was late
-        self.open: set[asyncio.Task[None]] = set()
+        self.max_send_delay_s = 0.0  # longest delay from a request's due time to its sending
+        self.pending: set[asyncio.Task[None]] = set()
 
     async def run(self, duration_s: float) -> None:
-        """Send requests for so long; then wait for those that are pending."""
+        """Send requests for `duration_s`, then wait for the pending ones."""
         loop = asyncio.get_running_loop()
         start = loop.time()
         for request in self.schedule:
@@ -61,15 +60,15 @@
                 await asyncio.sleep(wait_s)
             self.max_send_delay_s = max(self.max_send_delay_s, loop.time() - start - request.due_s)
             task = loop.create_task(self._send_until_served(request, start + request.due_s))
-            self.open.add(task)
-            task.add_done_callback(self.open.discard)
-        if self.open:
-            await asyncio.wait(self.open)
+            self.pending.add(task)
+            task.add_done_callback(self.pending.discard)
+        if self.pending:
+            await asyncio.wait(self.pending)
         for connection in self.idle:
             connection.close()
 
     async def _send_until_served(self, request: ScheduledRequest, due: float) -> None:
-        """Send a logical request, and after each rejection another attempt while time is left."""
+        """Send a logical request; after each rejection send another attempt while time remains."""
         loop = asyncio.get_running_loop()
         deadline_s = request.request_class.deadline_s
         for number in range(self.load.profile.max_attempts):
@@ -84,13 +83,13 @@
     async def _attempt(
         self, request: ScheduledRequest, due: float, number: int, timeout_s: float
     ) -> float | None:
-        """Send one attempt; return the seconds after which another may follow, None if it is over."""
+        """Send one attempt; return the seconds to wait before the next one, None if there is none."""
         loop = asyncio.get_running_loop()
         class_name = request.request_class.name
         request_id = attempt_id(request, number)
         self.sent += 1
         sent_ns = time_ns()
-        slack_s = SLOW_CLIENT_PIECES * SLOW_CLIENT_DELAY_S if request.slow else 0.0  # its own slowness
+        slack_s = SLOW_CLIENT_PIECES * SLOW_CLIENT_DELAY_S if request.slow else 0.0  # caused by the client
         fields = {"deadline": timeout_s, "slack": slack_s, "first": request.request_id}
         self.event_log.record(EventKind.REQUEST_SENT, id=request_id, cls=class_name, **fields)
         retry_after_s, max_wait_s = 0.0, timeout_s + slack_s + RESPONSE_GRACE_S
@@ -112,14 +111,14 @@
     async def _exchange(
         self, request: ScheduledRequest, request_id: str, number: int, timeout_s: float
     ) -> tuple[int, bytes, float]:
-        """Send and await the response. A close that crosses a request is met once, with a new connection."""
+        """Send an attempt and await the response; if an idle connection fails, resend once on a new one."""
         data = encode_request(request, request_id, number, timeout_s)
         connection = self._take_idle()
         if connection is not None:
             try:
                 return await self._exchange_on(connection, data, request_id, slow=request.slow)
             except OSError:
-                pass  # it was idle: the sidecar may have closed it before it read this
+                pass  # the sidecar may have closed the idle connection before it read the request
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(
             lambda: ClientConnection(self._record_extra_response), *self.address
@@ -150,7 +149,7 @@
         response: asyncio.Future[tuple[int, bytes]],
         request_id: str,
     ) -> None:
-        """Write in pieces, and read the response only a while later."""
+        """Write a request in pieces and delay reading the response."""
         size = -(-len(data) // SLOW_CLIENT_PIECES)
         connection.send(data[:size], response, request_id)
         for start in range(size, len(data), size):
@@ -163,7 +162,7 @@
             connection.resume_reading()
 
     def _record_extra_response(self, request_id: str, status: int) -> None:
-        """Record a further response to a request that has had its own."""
+        """Record a surplus response to a request that was already answered."""
         outcome = ClientOutcome.DUPLICATE_RESPONSE
         self.event_log.record(EventKind.RESPONSE, id=request_id, outcome=outcome, code=status, body="")
 
@@ -176,12 +175,12 @@
 
 
 def attempt_id(request: ScheduledRequest, number: int) -> str:
-    """Return the request id of an attempt; `number` is 0 for the first."""
+    """Return the request id of an attempt; `number` is 0 for the first attempt."""
     return request.request_id if not number else f"{request.request_id}-{number}"
 
 
 def encode_request(request: ScheduledRequest, request_id: str, number: int, timeout_s: float) -> bytes:
-    """Return the bytes of an attempt; `number` is 0 for the first, `timeout_s` how long its client waits."""
+    """Return the encoded attempt; `number` is 0 for the first, `timeout_s` is sent as the deadline."""
     request_class = request.request_class
     idempotent = request_class.idempotency == Idempotency.IDEMPOTENT
     lines = [
--- a/ochreflow/lab/platform_config.py
+++ b/ochreflow/lab/platform_config.py
@@ -1,6 +1,6 @@
-"""What the platform gives a sidecar: its configuration, and the entries of the directory.
+"""The platform's configuration of a sidecar and the directory's entries, in the platform's vocabulary.
 
-The words are those of the platform; the lab's own terms are translated here.
+The lab's own terms are translated here.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 HOST = "127.0.0.1"
 NS_PER_MS = 1_000_000
 MS_PER_S = 1000
-WORD_OF_IDEMPOTENCY = {
+IDEMPOTENCY_SETTINGS = {
     Idempotency.IDEMPOTENT: "pure",
     Idempotency.IDEMPOTENT_WITH_KEY: "token",
     Idempotency.NON_IDEMPOTENT: "side_effect",
@@ -22,7 +22,7 @@
 ZONES = ["amman", "aqaba"]
 NODE_TYPE = "gen3"
 SIDECAR_SEED_OFFSET = 0xA11
-LATE_GROUP_OFFSET = 1000  # of the group numbers of nodes that start later
+LATE_GROUP_OFFSET = 1000  # added to the number of a node that starts later, to give its group
 CEILINGS = {
     "cancel": True,
     "conn-idle-ns": 60_000 * NS_PER_MS,
@@ -35,11 +35,11 @@
 
 
 def platform_config(
-    scenario: Scenario, number: int, listen: str, directory: str, listed: list[dict[str, Any]]
+    scenario: Scenario, number: int, listen: str, directory: str, known_entries: list[dict[str, Any]]
 ) -> dict[str, Any]:
-    """Return the platform's configuration of one sidecar, in the form that it is given in service.
+    """Return the platform's configuration of one sidecar, in the same form as in production.
 
-    `listen` and `directory` are addresses; `listed` are the directory's entries that it knows at its start.
+    `listen` and `directory` are addresses; `known_entries` is the sidecar's initial endpoint list.
     """
     return {
         "name": f"sidecar-{number}",
@@ -48,7 +48,7 @@
         "discovery": directory,
         "seed": f"{number + SIDECAR_SEED_OFFSET:x}",
         "limits": {"cores": 1.0, **RESOURCE_LIMITS},
-        "known": {"index": 0, "snapshot": True, "endpoints": listed},
+        "known": {"index": 0, "snapshot": True, "endpoints": known_entries},
         "settings": _settings(scenario, number),
     }
 
@@ -74,7 +74,7 @@
         "name": name,
         "deadline-ns": int(spec.deadline_s * MS_PER_S) * NS_PER_MS,
         "objective-ns": int(spec.objective_s * MS_PER_S) * NS_PER_MS,
-        "repeat": WORD_OF_IDEMPOTENCY[spec.idempotency],
+        "repeat": IDEMPOTENCY_SETTINGS[spec.idempotency],
         "key-scope": "cell",
         "window-ns": 4000 * NS_PER_MS,
         "points": spec.priority_weight,
@@ -96,7 +96,7 @@
 
 
 def directory_entry(scenario: Scenario, number: int, address: str, since_ms: int) -> dict[str, Any]:
-    """Return a node as the directory lists it. Nodes that start later have a group of their own."""
+    """Return the directory's entry of a node; each node that starts later has a group of its own."""
     fleet = scenario.fleet
     remote = number > fleet.local_nodes if fleet.local_nodes else number % 2 == 0
     initial = number <= fleet.node_count
--- a/ochreflow/lab/socket_reset.py
+++ b/ochreflow/lab/socket_reset.py
@@ -1,4 +1,4 @@
-"""How a socket is closed by a reset."""
+"""Closes sockets with a TCP reset."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 import socket
 import struct
 
-LINGER_NO_TIME = struct.pack("ii", 1, 0)
+LINGER_ZERO = struct.pack("ii", 1, 0)
 
 
 def reset_when_closed(sock: socket.socket) -> None:
-    """Let the close of a socket send a reset; OSError if it is closed already."""
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NO_TIME)
+    """Make a later close of the socket send a reset; raise OSError if it is already closed."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
 
 
 def reset(sock: socket.socket) -> None:
-    """Close a socket by a reset; one that is closed already stays so."""
+    """Close a socket with a reset; do nothing if it is already closed."""
     with contextlib.suppress(OSError):
         reset_when_closed(sock)
     sock.close()
--- a/tests/test_node_model.py
+++ b/tests/test_node_model.py
@@ -114,7 +114,7 @@
 def test_an_unknown_order_changes_nothing():
     node = model()
     for wrong in ({"form": "odd"}, {"speed": 3}, {"spoil": 1.0, "nonsense": 1}):
-        with pytest.raises(ValueError, match="no such trouble"):
+        with pytest.raises(ValueError, match="unknown fault or malformation"):
             node.control(0.0, wrong)
     assert node.faults.malformed_share == 0.0
 
