--- a/ochreflow/core/attempt_manager.py
+++ b/ochreflow/core/attempt_manager.py
@@ -21,7 +21,7 @@
 from .ports import FinalResponse, IncomingRequest, Reason, ResponseSink, UpstreamAttempt
 from .stats import Disposition, Stats
 
-ATTEMPT_MARGIN_NS = 15 * NS_PER_MS  # before the client's deadline: attempts have to end by then
+ATTEMPT_MARGIN_NS = 15 * NS_PER_MS  # attempts have to end this long before the client's deadline
 
 
 def format_request_id(request: IncomingRequest) -> str:
@@ -82,7 +82,7 @@
         self.pending = pending
         self.number = pending.attempts
         self.server = server
-        self.sent_ns = sent_ns  # start; after an upload, when its last byte was written
+        self.sent_ns = sent_ns  # when it was started; after an upload, when its last byte was written
         self.timeout_ns = timeout_ns  # from its start; 0: the remaining time of its request
         self.response_started_ns = 0  # when its response began to be streamed to the client
         self.upstream_attempt: UpstreamAttempt | None = None  # None: still being started, or failed to start
--- a/ochreflow/core/lifecycle.py
+++ b/ochreflow/core/lifecycle.py
@@ -61,7 +61,7 @@
 
     @property
     def responses_announce_close(self) -> bool:
-        """Whether responses announce that the connection is closed."""
+        """Whether responses announce that their connection will be closed."""
         return self.phase is Phase.DRAINING or self.announcing_close
 
     @property
--- a/ochreflow/core/request_manager.py
+++ b/ochreflow/core/request_manager.py
@@ -16,7 +16,7 @@
 from .ports import FinalResponse, IncomingRequest, Reason, ResponseSink
 from .stats import Disposition, Stats
 
-WATCHDOG_MARGIN_NS = 8 * NS_PER_MS  # before the deadline: a request without a response is answered then
+WATCHDOG_MARGIN_NS = 8 * NS_PER_MS  # a request without a response is answered this long before its deadline
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -72,8 +72,8 @@
 
 
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
-@pytest.mark.parametrize("where", ["unread", "behind bytes", "paused"])
-def test_is_disconnected_detects_a_disconnect_without_a_loop_iteration(tmp_path, where, how):
+@pytest.mark.parametrize("eof_position", ["unread", "behind bytes", "paused"])
+def test_is_disconnected_detects_a_disconnect_without_a_loop_iteration(tmp_path, eof_position, how):
     """The EOF is in the socket, and the loop has not reported it yet."""
 
     async def play():
@@ -81,13 +81,13 @@
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
         ) as sidecar:
-            if where == "paused":
+            if eof_position == "paused":
                 client, _, connection = await connect_paused_client(sidecar, server)
             else:
                 client, _ = await connect_with_pending_request(sidecar, server)
                 connection = sidecar_connection(sidecar, client)
             request = connection.current
-            if where == "behind bytes":
+            if eof_position == "behind bytes":
                 client.sendall(PIPELINED)
             assert not connection.is_disconnected(request) and not connection.transport.is_closing()
             disconnect(client, how)
@@ -104,10 +104,12 @@
     run(play())
 
 
-@pytest.mark.parametrize("after", ["look", "sweep"])
-@pytest.mark.parametrize("turn", [0.0, 0.02], ids=["idle", "busy"])
+@pytest.mark.parametrize("last_check", ["look", "sweep"])
+@pytest.mark.parametrize("iteration_s", [0.0, 0.02], ids=["idle", "busy"])
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
-def test_a_disconnect_of_a_paused_client_is_detected_within_half_of_the_limit(tmp_path, how, turn, after):
+def test_a_disconnect_of_a_paused_client_is_detected_within_half_of_the_limit(
+    tmp_path, how, iteration_s, last_check
+):
     """A timer that is set when the EOF is readable fires after the detection, even in a busy loop.
 
     The client disconnects just after a check. Timers fire in the order of their times, so a pause of the
@@ -119,18 +121,20 @@
         loop = asyncio.get_running_loop()
 
         def work():
-            time.sleep(turn)
+            time.sleep(iteration_s)
             loop.call_soon(work)
 
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
         ) as sidecar:
             client, server_connection, connection = await connect_paused_client(sidecar, server)
-            if turn:
+            if iteration_s:
                 work()
             detected = loop.create_future()
             checker, name = (
-                (sidecar.http, "sweep") if after == "sweep" else (sidecar.http.disconnect_monitor, "_poll")
+                (sidecar.http, "sweep")
+                if last_check == "sweep"
+                else (sidecar.http.disconnect_monitor, "_poll")
             )
             check = getattr(checker, name)
 
@@ -211,10 +215,10 @@
             client.sendall(http_request("order", "gone"))
             disconnect(client, how)
             time.sleep(LOOP_BLOCK_S)
-            after = asyncio.create_task(send_request(port, http_request("order", "other")))
+            second_answer = asyncio.create_task(send_request(port, http_request("order", "other")))
             await server_connection.wait_for(b"other")  # accepted after the first client
             server_connection.answer()
-            assert (await after).code == 200
+            assert (await second_answer).code == 200
             assert b"gone" not in server.read_all()
             client.close()
         server.close()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -63,7 +63,7 @@
                 await wait_until(lambda: not clients.connections, "the client's disconnect is detected")
             answer_allowed.set()
             assert (await send_request(sidecar.port, http_request("order", "other"))).code == 200
-        assert [got.headers["x-request-id"] for got in fake.received] == ["id0", "other"]
+        assert [request.headers["x-request-id"] for request in fake.received] == ["id0", "other"]
         writer.close()
 
     run(play())
@@ -94,7 +94,7 @@
                 await wait_until(lambda: connections and connections[0].closed)
                 server.close()
             assert (await send_request(sidecar.port, http_request("order", "other"))).code == 200
-        assert [got.headers["x-request-id"] for got in fake.received] == ["first", "other"]
+        assert [request.headers["x-request-id"] for request in fake.received] == ["first", "other"]
         writer.close()
 
     run(play())
@@ -153,8 +153,8 @@
             assert (await pending).code in (502, 504)
             idle_client[1].write(http_request("order", "again"))
             async with asyncio.timeout(WAIT_TIMEOUT_S):
-                got = await read_message(idle_client[0])
-            assert got.code == 503 and not sidecar.engine.requests.pending
+                response = await read_message(idle_client[0])
+            assert response.code == 503 and not sidecar.engine.requests.pending
             assert sidecar.engine.lifecycle.stopped.done() is False  # answered before the process stops
             idle_client[1].close()
         assert len(fake.received) == 1
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -100,7 +100,7 @@
 def block_connects_and_reset(harnesses):
     """Return a handler that blocks all further connects and resets the connection of the first attempt."""
 
-    async def handler(got, reader, writer):
+    async def handler(request, reader, writer):
         harnesses[0].block_connects()
         reset(writer)
 
@@ -127,8 +127,10 @@
             harness.advance_clock(1995 * MS)  # the window is 2 s, of which the last tick of 5 ms is not used
             harness.loop.connect_allowed.set()
             async with asyncio.timeout(FAST_ANSWER_TIMEOUT_S):
-                got = await read_message(reader)  # no attempt may be sent, so the client is answered at once
-            assert got.code == 502
+                response = await read_message(
+                    reader
+                )  # no attempt may be sent, so the client is answered at once
+            assert response.code == 502
             assert sum(len(server.received) for server in servers) == 1
             assert not harness.engine.attempts.in_flight
             # The connection is still usable, so it is kept.
@@ -164,8 +166,8 @@
             harness.update_balancer((name, 0, 7, State.READY, 0))
             harness.loop.connect_allowed.set()
             async with asyncio.timeout(WAIT_TIMEOUT_S):
-                got = await read_message(reader)
-            assert got.code in (502, 504)
+                response = await read_message(reader)
+            assert response.code in (502, 504)
             # Both attempts may have been sent to the same server, none to the other one.
             assert sorted(bool(server.received) for server in servers) == [False, True]
 
@@ -298,7 +300,7 @@
     """The connection of a complete answer is offered to a waiting attempt, for which the balancer raises."""
 
     async def play():
-        async def answer_when_allowed(got, reader, writer):
+        async def answer_when_allowed(request, reader, writer):
             await answer_allowed.wait()
             writer.write(http_response(200, b"whole"))
 
@@ -336,7 +338,7 @@
     """
 
     async def play():
-        async def answer_when_allowed(got, reader, writer):
+        async def answer_when_allowed(request, reader, writer):
             await answer_allowed.wait()
             writer.write(http_response(200, b"whole"))
 
@@ -365,7 +367,7 @@
                 assert (await read_message(first)).body == b"whole"
                 assert (await read_message(second)).body == b"whole"
                 await read_message(third)
-            assert [got.headers["x-request-id"] for got in server.received].count("third") <= 1
+            assert [request.headers["x-request-id"] for request in server.received].count("third") <= 1
 
     run(play())
 
@@ -441,9 +443,9 @@
     run(play())
 
 
-def announced_timeout_ms(got):
+def announced_timeout_ms(request):
     """Return the timeout that a request announced to its server, in ms."""
-    return int(got.headers["x-deadline"].removesuffix("m"))
+    return int(request.headers["x-deadline"].removesuffix("m"))
 
 
 @pytest.mark.parametrize("further", [False, True], ids=["first", "further"])
@@ -473,11 +475,13 @@
             harness.loop.connect_allowed.set()
             assert (await read_message(reader)).code == 200
             *before, last = sorted(
-                (got for server in servers for got in server.received), key=announced_timeout_ms, reverse=True
+                (request for server in servers for request in server.received),
+                key=announced_timeout_ms,
+                reverse=True,
             )
             assert len(before) == further
             assert 0 < announced_timeout_ms(last) <= 600
-            assert all(600 < announced_timeout_ms(got) < 1500 for got in before)
+            assert all(600 < announced_timeout_ms(request) < 1500 for request in before)
 
     run(play())
 
@@ -491,9 +495,9 @@
         async with harness.sidecar as sidecar:
             harness.block_connects()
             body = b"x" * (256 * 1024)
-            whole = http_request("order", body=body)
-            cut = len(whole) - 1000
-            async with open_client(sidecar, whole[:cut]) as (reader, writer):
+            data = http_request("order", body=body)
+            cut = len(data) - 1000
+            async with open_client(sidecar, data[:cut]) as (reader, writer):
                 await harness.connect_blocked()
                 harness.advance_clock(900 * MS)
                 harness.loop.connect_allowed.set()
@@ -502,7 +506,7 @@
                         one.upstream_attempt.begun for one in harness.engine.attempts.in_flight.values()
                     )
                 )
-                writer.write(whole[cut:])
+                writer.write(data[cut:])
                 assert (await read_message(reader)).code == 200
                 assert announced_timeout_ms(server.received[0]) == 3000 and server.received[0].body == body
 
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -47,11 +47,11 @@
         """Return the outcome of the answer as one word, and close the connection."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             if self.frontend == "http":
-                word = CODES[(await read_message(self.reader)).code]
+                outcome = CODES[(await read_message(self.reader)).code]
             else:
-                word = (await self.reader.readline()).decode().split()[0]
+                outcome = (await self.reader.readline()).decode().split()[0]
         self.writer.close()
-        return word
+        return outcome
 
 
 class TwoFrontendSidecar(Sidecar):
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    ("request_class", "what", "word", "runs"),
+    ("request_class", "result", "outcome", "attempts"),
     [
         ("lookup", "ok", "served", 1),
         ("hold", "ok", "served", 1),
@@ -124,15 +124,15 @@
     ],
 )
 def test_a_request_gets_one_final_response_and_only_the_retries_of_its_class(
-    tmp_path, frontend, request_class, what, word, runs
+    tmp_path, frontend, request_class, result, outcome, attempts
 ):
     async def steps(sidecar, one, two):
-        assert await sidecar.request(frontend, request_class, "ab") == word
-        assert len(one.received + two.received) == runs
+        assert await sidecar.request(frontend, request_class, "ab") == outcome
+        assert len(one.received + two.received) == attempts
         counts = sidecar.engine.stats.frontends
         assert sum(counts[frontend]) == 1 and sum(sum(row) for row in counts.values()) == 1
 
-    play(tmp_path, first_attempt(what), steps, servers=2)
+    play(tmp_path, first_attempt(result), steps, servers=2)
 
 
 def delay_first_bytes(sidecar, monkeypatch):
@@ -158,12 +158,12 @@
         assert any(attempt.server == number for attempt in sidecar.engine.attempts.in_flight.values())
         sidecar.update_endpoints(entry("s0", draining.address, "DRAINING"), entry("s1", serving.address))
         writing_allowed.set()
-        words = [await sent.answer() for sent in waiting]
-        assert set(words) <= {"served", "refused"} and "served" in words
+        outcomes = [await sent.answer() for sent in waiting]
+        assert set(outcomes) <= {"served", "refused"} and "served" in outcomes
         for n in range(20):
             assert await sidecar.request(frontend, "order", f"b{n}") == "served"
         assert not draining.received
-        assert len(set(serving.received)) == len(serving.received) == words.count("served") + 20
+        assert len(set(serving.received)) == len(serving.received) == outcomes.count("served") + 20
 
     play(tmp_path, lambda name: "ok", steps, servers=2)
 
@@ -172,21 +172,23 @@
     async def steps(sidecar, new, warm):
         since = int(time.time() * 1000)
         sidecar.update_endpoints(entry("s0", new.address, since_ms=since), entry("s1", warm.address))
-        words = await asyncio.gather(*(sidecar.request(frontend, "order", f"id{n}", 500) for n in range(40)))
-        assert set(words) <= {"failed", "refused"}
+        outcomes = await asyncio.gather(
+            *(sidecar.request(frontend, "order", f"id{n}", 500) for n in range(40))
+        )
+        assert set(outcomes) <= {"failed", "refused"}
         assert len(new.received) <= 1 and len(warm.received) >= 5
 
     rules = {"start-capacity": 0.15, "warm-within-ns": 60_000_000_000}
     play(tmp_path, lambda name: "silent", steps, 2, rules)  # without answers, its slow start allows no more
 
 
-@pytest.mark.parametrize(("what", "word"), [("silent", "failed"), (None, "refused")])
-def test_the_deadline_watchdog_answers_if_the_balancer_raises(tmp_path, frontend, what, word):
+@pytest.mark.parametrize(("result", "outcome"), [("silent", "failed"), (None, "refused")])
+def test_the_deadline_watchdog_answers_if_the_balancer_raises(tmp_path, frontend, result, outcome):
     """It answers once, before the deadline: "failed" if the request may have run, otherwise "refused"."""
 
     async def steps(sidecar, fake):
         handle = sidecar.engine.balancer.handle
-        failing_events = (api.Request,) if what is None else (api.Outcome, api.Timer)
+        failing_events = (api.Request,) if result is None else (api.Outcome, api.Timer)
 
         def failing(now, event):
             if isinstance(event, failing_events):
@@ -195,13 +197,13 @@
             return handle(now, event)
 
         sidecar.engine.balancer.handle = failing
-        assert await sidecar.request(frontend, "order", "ab", 400) == word
-        assert len(fake.received) == (what is not None)
+        assert await sidecar.request(frontend, "order", "ab", 400) == outcome
+        assert len(fake.received) == (result is not None)
         sidecar.engine.balancer.pending.clear()
         for server in sidecar.engine.balancer.endpoints.servers.values():
             server.in_flight.clear()
 
-    play(tmp_path, lambda name: what, steps)
+    play(tmp_path, lambda name: result, steps)
 
 
 def test_a_disconnect_cancels_the_attempt(tmp_path, frontend):
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -80,10 +80,10 @@
 
 
 def answer_with(data):
-    async def act(message, reader, writer):
+    async def handler(message, reader, writer):
         writer.write(data)
 
-    return act
+    return handler
 
 
 @pytest.mark.parametrize(
@@ -101,12 +101,12 @@
 )
 def test_a_failed_poll_is_passed_on_as_a_failure_and_the_next_watch_succeeds(failure):
     async def play():
-        async def act(message, reader, writer):
+        async def handler(message, reader, writer):
             await (
                 failure if len(fake.received) == 1 else answer_with(listing(41, entry("s1", f"{HOST}:7")))
             )(message, reader, writer)
 
-        fake = await FakePeer(act).start()
+        fake = await FakePeer(handler).start()
         updates = []
         client = discovery_client(fake, 40, updates)
         client.watch(on=True)
@@ -146,7 +146,7 @@
     """The fake discovery never answers the first poll; the next request is sent while that one is open."""
 
     async def play():
-        async def act(message, reader, writer):
+        async def handler(message, reader, writer):
             if len(fake.received) == 1:
                 await reader.read()
             elif len(fake.received) == 2:
@@ -154,7 +154,7 @@
             else:
                 await reader.read()
 
-        fake = await FakePeer(act).start()
+        fake = await FakePeer(handler).start()
         updates = []
         client = discovery_client(fake, 40, updates, SHORT_TIMEOUTS)
         client.watch(on=True)
@@ -174,7 +174,7 @@
     """The fake discovery answers both polls, in either order; no change is lost or reverted."""
 
     async def play():
-        async def act(message, reader, writer):
+        async def handler(message, reader, writer):
             number = len(fake.received)
             if number == 1:
                 await late.wait()
@@ -187,7 +187,7 @@
                 await reader.read()
 
         late, new = asyncio.Event(), asyncio.Event()
-        fake = await FakePeer(act).start()
+        fake = await FakePeer(handler).start()
         updates = []
         client = discovery_client(fake, 40, updates, SHORT_TIMEOUTS)
         client.watch(on=True)
@@ -212,16 +212,16 @@
     """The balancer decides when, as after any failure; until then a late answer is applied."""
 
     async def play():
-        async def act(message, reader, writer):
+        async def handler(message, reader, writer):
             if len(fake.received) == 1:
-                await go.wait()
+                await answer_allowed.wait()
             if len(fake.received) <= 2:
                 writer.write(listing(3, entry("s1", f"{HOST}:7")))
             else:
                 await reader.read()
 
-        go = asyncio.Event()
-        fake = await FakePeer(act).start()
+        answer_allowed = asyncio.Event()
+        fake = await FakePeer(handler).start()
         updates = []
         client = discovery_client(fake, None, updates, SHORT_TIMEOUTS)
         client.watch(on=True)
@@ -229,7 +229,7 @@
         await wait_until(lambda: updates)
         assert updates == [None] and not client.watching and len(fake.received) == 1
         if late:
-            go.set()
+            answer_allowed.set()
         else:
             client.watch(on=True)
         await wait_until(lambda: len(updates) > 1)
@@ -244,9 +244,9 @@
     """The balancer already has the update and relies on a watch: without either it would never poll again."""
 
     async def play():
-        async def act(message, reader, writer):
+        async def handler(message, reader, writer):
             if len(fake.received) == 1:
-                await go.wait()
+                await answer_allowed.wait()
                 writer.write(listing(3, entry("s1", f"{HOST}:7")))
             else:
                 await reader.read()
@@ -256,8 +256,8 @@
             if update is not None:
                 raise RuntimeError("injected fault of a transport")
 
-        go = asyncio.Event()
-        fake = await FakePeer(act).start()
+        answer_allowed = asyncio.Event()
+        fake = await FakePeer(handler).start()
         updates = []
         client = DiscoveryClient(
             asyncio.get_running_loop(),
@@ -272,7 +272,7 @@
         client.watch(on=True)
         client.timeouts = DEFAULT_TIMEOUTS  # only the first poll stalls early
         await wait_until(lambda: updates)
-        go.set()
+        answer_allowed.set()
         await wait_until(lambda: len(updates) > 1)
         # The exception also closes the connection, so the poll just sent on it fails, which is reported.
         await wait_until(lambda: client.watching or updates[-1] is None)
@@ -286,13 +286,13 @@
     """The poll and its resync are never answered: a third request is sent without the balancer."""
 
     async def play():
-        async def act(message, reader, writer):
+        async def handler(message, reader, writer):
             if len(fake.received) != 3:
                 await reader.read()
             else:
                 writer.write(listing(41, entry("s1", f"{HOST}:7", "DRAINING")))
 
-        fake = await FakePeer(act).start()
+        fake = await FakePeer(handler).start()
         updates = []
         client = discovery_client(fake, 40, updates, SHORT_TIMEOUTS)
         client.watch(on=True)
@@ -300,7 +300,7 @@
         client.timeouts = DEFAULT_TIMEOUTS  # only the first two polls stall early
         await wait_until(lambda: len(fake.received) == 4)
         assert [update and update.version for update in updates] == [None, 41] and client.watching
-        targets = [got.start_line.split()[1] for got in fake.received]
+        targets = [request.start_line.split()[1] for request in fake.received]
         assert targets[1:3] == ["/api/targets"] * 2
         assert "after=40&" in targets[0] and "after=41&" in targets[3]
         client.close()
@@ -310,10 +310,10 @@
 
 def test_an_outage_and_its_end_are_logged_once(monkeypatch):
     async def play():
-        async def act(message, reader, writer):
+        async def handler(message, reader, writer):
             writer.write(http_response(503, b"") if len(fake.received) < 4 else listing(41))
 
-        fake = await FakePeer(act).start()
+        fake = await FakePeer(handler).start()
         updates = []
         client = discovery_client(fake, 0, updates)
         for count in range(1, 6):
@@ -332,7 +332,7 @@
 
 def test_a_watch_polls_again_from_the_latest_version():
     async def play():
-        async def act(message, reader, writer):
+        async def handler(message, reader, writer):
             poll_times.append(asyncio.get_running_loop().time())
             if len(fake.received) < 4:
                 writer.write(listing(40 + len(fake.received), snapshot=False))
@@ -340,13 +340,13 @@
                 await reader.read()
 
         poll_times = []
-        fake = await FakePeer(act).start()
+        fake = await FakePeer(handler).start()
         updates = []
         client = discovery_client(fake, 40, updates)
         client.watch(on=True)
         client.watch(on=True)  # does not start a second watch
         await wait_until(lambda: len(fake.received) == 4)
-        assert [got.start_line.split("after=")[1].split("&")[0] for got in fake.received] == [
+        assert [request.start_line.split("after=")[1].split("&")[0] for request in fake.received] == [
             "40",
             "41",
             "42",
@@ -375,14 +375,14 @@
     monkeypatch.setattr(timeouts, "MAX_RETRY_DELAY_S", 0.01)
 
     async def play():
-        async def act(message, reader, writer):
+        async def handler(message, reader, writer):
             if len(fake.received) == 1:
                 reset(writer)
             else:
                 writer.write(listing(41))
                 await reader.read()
 
-        fake = await FakePeer(act).start()
+        fake = await FakePeer(handler).start()
         data = config(endpoint_update(1), fake.address)
         data["settings"]["discovery"] = "push"
         async with Sidecar(tmp_path / "c", data) as sidecar:
@@ -396,7 +396,7 @@
     async def play():
         async def serve_discovery(message, reader, writer):
             if "after=1&" in message.start_line:
-                await go.wait()
+                await answer_allowed.wait()
                 change = entry("s1", old.address, "DRAINING"), entry("s2", new.address)
                 writer.write(listing(2, *change, snapshot=False))
             else:
@@ -406,7 +406,7 @@
             await finish.wait()
             writer.write(http_response(200, b"old"))
 
-        go, finish = asyncio.Event(), asyncio.Event()
+        answer_allowed, finish = asyncio.Event(), asyncio.Event()
         old, new = await FakePeer(slow).start(), await FakePeer(answer_ok).start()
         discovery_server = await FakePeer(serve_discovery).start()
         async with Sidecar(
@@ -414,7 +414,7 @@
         ) as sidecar:
             pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "ab")))
             await wait_until(lambda: old.received)
-            go.set()
+            answer_allowed.set()
             await wait_until(lambda: sidecar.discovery.version == 2)
             for number in range(5):
                 assert (
@@ -445,11 +445,11 @@
 
 
 def test_an_unknown_status_is_parsed_as_draining_and_an_unknown_zone_gets_a_number():
-    got = parse_endpoint_update(
+    update = parse_endpoint_update(
         endpoint_update(1, entry("s1", f"{HOST}:7", "STARTING", zone="c")), endpoint_ids()
     )
-    assert got.entries[0].endpoint.state is State.DRAINING
-    assert got.entries[0].endpoint.zone == 2
+    assert update.entries[0].endpoint.state is State.DRAINING
+    assert update.entries[0].endpoint.zone == 2
 
 
 @pytest.mark.parametrize(
@@ -466,24 +466,24 @@
     """A poll and a fetch are open at the same time, and the earlier one is answered last."""
 
     async def play():
-        async def act(message, reader, writer):
+        async def handler(message, reader, writer):
             if "after" in message.start_line and len(fake.received) == 1:
-                await go.wait()
+                await answer_allowed.wait()
                 writer.write(listing(41, entry("s1", f"{HOST}:7")))
             elif "after" in message.start_line:
                 await reader.read()
             else:
                 writer.write(listing(43, entry("s2", f"{HOST}:8")))
 
-        go = asyncio.Event()
-        fake = await FakePeer(act).start()
+        answer_allowed = asyncio.Event()
+        fake = await FakePeer(handler).start()
         updates = []
         client = discovery_client(fake, 40, updates)
         client.watch(on=True)
         await wait_until(lambda: fake.received)
         client.fetch()
         await wait_until(lambda: updates)
-        go.set()
+        answer_allowed.set()
         await wait_until(lambda: len(updates) == 2)
         assert (
             updates[1].version == client.version == 43 and not updates[1].entries and not updates[1].complete
@@ -497,10 +497,10 @@
 
 def test_a_decreased_index_leads_to_a_complete_list():
     async def play():
-        async def act(message, reader, writer):
+        async def handler(message, reader, writer):
             writer.write(listing(3, entry("s1", f"{HOST}:7"), snapshot="after" not in message.start_line))
 
-        fake = await FakePeer(act).start()
+        fake = await FakePeer(handler).start()
         updates = []
         client = discovery_client(fake, 40, updates)
         client.watch(on=True)
@@ -514,18 +514,18 @@
 
 
 def test_an_invalid_list_adds_no_names_and_the_number_of_zones_is_limited():
-    known = endpoint_ids()
+    ids = endpoint_ids()
     with pytest.raises(EndpointListError):
         parse_endpoint_update(
-            endpoint_update(1, entry("s1", f"{HOST}:7", zone="new"), entry("s2", "nowhere")), known
+            endpoint_update(1, entry("s1", f"{HOST}:7", zone="new"), entry("s2", "nowhere")), ids
         )
-    assert not known.servers and len(known.zones) == 2
+    assert not ids.servers and len(ids.zones) == 2
     for number in range(3000):
         parse_endpoint_update(
-            endpoint_update(1, {**entry("s1", f"{HOST}:7", zone=f"z{number}"), "type": f"k{number}"}), known
+            endpoint_update(1, {**entry("s1", f"{HOST}:7", zone=f"z{number}"), "type": f"k{number}"}), ids
         )
-    assert len(known.zones) == len(known.kinds) == endpoints.MAX_DISTINCT_NAMES
-    assert known.zone("a") == 0 and known.kind("std") == 0
+    assert len(ids.zones) == len(ids.kinds) == endpoints.MAX_DISTINCT_NAMES
+    assert ids.zone("a") == 0 and ids.kind("std") == 0
 
 
 @pytest.mark.parametrize(
