--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -1,4 +1,4 @@
-"""The application's side: framing, bad input, slow readers; none of it disturbs another connection."""
+"""Client connections: framing, invalid input and slow readers, none of which disturbs another connection."""
 
 import asyncio
 import contextlib
@@ -67,7 +67,7 @@
         (raw(b"GET /lookup", b"X-Many: y\r\n" * 4000), 431),
     ],
 )
-def test_bad_input_is_answered_and_disturbs_no_other_connection(tmp_path, data, code):
+def test_invalid_input_is_rejected_and_disturbs_no_other_connection(tmp_path, data, code):
     async def play():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
@@ -87,7 +87,7 @@
     run(play())
 
 
-def test_requests_in_single_bytes_and_several_at_once_are_answered_in_order(tmp_path):
+def test_requests_sent_byte_by_byte_or_pipelined_are_answered_in_order(tmp_path):
     async def play():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
@@ -96,8 +96,9 @@
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
             assert (await read_message(reader)).body == b"served 1"
-            # With the class's whole deadline: until it has seen some, the module takes a shorter one for a
-            # late retry, and may refuse it where others are open.
+            # The requests have the whole deadline of their class: before it has seen some requests, the
+            # decision module takes one with a shorter deadline for a late retry, and may reject it while
+            # others are open.
             many = [http_request("order", f"id{n}", "4000m", b"%d" % n) for n in range(40)]
             writer.write(b"".join(many) + raw(b"GET /nothing") + raw(b"GET /-/ready"))
             for n in range(40):
@@ -110,7 +111,7 @@
     run(play())
 
 
-def test_chunked_and_full_sized_bodies_go_on_whole(tmp_path):
+def test_chunked_and_maximum_size_bodies_are_forwarded_completely(tmp_path):
     async def play():
         async def echo(message, reader, writer):
             writer.write(http_response(200, message.body))
@@ -133,7 +134,7 @@
     run(play())
 
 
-def test_the_absolute_form_and_http_1_0_are_served(tmp_path):
+def test_requests_in_absolute_form_and_of_http_1_0_are_served(tmp_path):
     async def play():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
@@ -144,8 +145,8 @@
     run(play())
 
 
-def test_a_slow_reader_is_let_go_and_bounded(tmp_path, monkeypatch):
-    """Guards the memory: what a client does not read is not piled up for it."""
+def test_a_client_that_does_not_read_is_disconnected_and_its_responses_are_bounded(tmp_path, monkeypatch):
+    """Responses that a client does not read must not accumulate in memory."""
     monkeypatch.setattr(clients, "SLOW_READER_TIMEOUT_S", 0.2)
 
     async def play():
@@ -167,7 +168,7 @@
     run(play())
 
 
-def test_a_client_waits_no_longer_than_its_class(tmp_path):
+def test_the_deadline_of_a_request_is_capped_at_that_of_its_class(tmp_path):
     async def play():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
@@ -179,7 +180,7 @@
     run(play())
 
 
-def test_bodies_are_bounded_all_together(tmp_path, monkeypatch):
+def test_the_memory_of_all_bodies_together_is_bounded(tmp_path, monkeypatch):
     monkeypatch.setattr(Memory, "MIN_BYTES", 3000)
     monkeypatch.setattr(Memory, "MAX_BYTES", 3000)
 
@@ -198,7 +199,7 @@
     run(play())
 
 
-def test_more_open_requests_than_allowed_are_refused(tmp_path):
+def test_open_requests_over_the_limit_are_rejected(tmp_path):
     async def play():
         fake = await FakePeer(answer_ok).start()
         data = config(endpoint_update(1, entry("s1", fake.address)))
@@ -210,7 +211,7 @@
     run(play())
 
 
-def test_at_the_cap_idle_clients_make_room(tmp_path):
+def test_idle_clients_are_evicted_at_the_descriptor_limit(tmp_path):
     async def play():
         fake = await FakePeer(answer_ok).start()
         data = config(endpoint_update(1, entry("s1", fake.address)), limits={"sockets": 80})
@@ -226,8 +227,8 @@
 
 
 @pytest.mark.parametrize("ahead", [False, True])
-def test_a_client_that_still_reads_an_answer_does_not_give_way(tmp_path, ahead):
-    """It has begun its next message; ahead of that, a whole one may wait until the answers are read."""
+def test_a_client_that_still_reads_a_response_is_not_evicted(tmp_path, ahead):
+    """The client has begun its next message; before that, a complete one may be queued until it reads."""
 
     async def play():
         async def act(got, reader, writer):
@@ -244,32 +245,30 @@
             await loop.sock_connect(sock, (HOST, sidecar.port))
             reader, writer = await asyncio.open_connection(sock=sock, limit=1024)
             await wait_until(lambda: sidecar.http.clients.connections)
-            (one,) = sidecar.http.clients.connections
-            asked = 0
-            while not one.write_paused:
-                writer.write(http_request("order", f"{asked}"))
-                asked += 1
-                await wait_until(lambda asked=asked: len(server.received) == asked and one.current is None)
+            (client,) = sidecar.http.clients.connections
+            sent = 0
+            while not client.write_paused:
+                writer.write(http_request("order", f"{sent}"))
+                sent += 1
+                await wait_until(lambda sent=sent: len(server.received) == sent and client.current is None)
             if ahead:
-                writer.write(http_request("order", f"{asked}"))
-                asked += 1
-                await wait_until(lambda: one.queue)
+                writer.write(http_request("order", f"{sent}"))
+                sent += 1
+                await wait_until(lambda: client.queue)
             writer.write(http_request("order", "next")[:20])
-            await wait_until(lambda: one in sidecar.http.clients.last_received)
+            await wait_until(lambda: client in sidecar.http.clients.last_received)
             assert not sidecar.engine.descriptors.evict_idle_connection()
-            for _ in range(asked):
+            for _ in range(sent):
                 assert len((await read_message(reader)).body) == 60 * 1024
-            await wait_until(lambda: not one.serving)
-            assert (
-                sidecar.engine.descriptors.evict_idle_connection()
-            )  # a message that has begun is all there is now
+            await wait_until(lambda: not client.serving)
+            assert sidecar.engine.descriptors.evict_idle_connection()  # only an unfinished message is left
             writer.close()
 
     run(play())
 
 
-def test_a_planned_end_cuts_no_answer_that_is_being_read(tmp_path, monkeypatch):
-    """Guards answers on their way out when idle clients are closed."""
+def test_terminating_does_not_truncate_a_response_that_is_being_read(tmp_path, monkeypatch):
+    """Closing the idle clients must not lose responses that are still being sent."""
     monkeypatch.setattr(clients, "SLOW_READER_TIMEOUT_S", 60.0)
 
     async def play():
@@ -286,7 +285,7 @@
             await wait_until(lambda: sidecar.http.clients.connections)
             (client,) = sidecar.http.clients.connections
             sent = 0
-            while not client.write_paused:  # until the kernel holds no more for it
+            while not client.write_paused:  # until the send buffer is full
                 await loop.sock_sendall(sock, http_request("lookup", f"id{sent}"))
                 sent += 1
                 await wait_until(lambda: len(fake.received) == sent and client.current is None)  # noqa: B023 - awaited at once
@@ -298,7 +297,7 @@
             while got:
                 head, _, got = got.partition(b"\r\n\r\n")
                 size = int(re.search(rb"Content-Length: (\d+)", head)[1])
-                assert len(got) >= size  # each answer is whole
+                assert len(got) >= size  # each response is complete
                 del got[:size]
                 sent -= 1
             assert sent == 0
@@ -307,52 +306,52 @@
     run(play())
 
 
-def test_datagrams_are_heard_from_known_peers_only():
+def test_only_datagrams_of_known_peers_are_accepted():
     async def play():
         loop = asyncio.get_running_loop()
-        heard = []
+        received = []
 
         async def open_peer(index, peers):
-            peer = Gossip(index, peers, None, lambda number, data: heard.append((number, data)))
+            peer = Gossip(index, peers, None, lambda number, data: received.append((number, data)))
             transport, _ = await loop.create_datagram_endpoint(lambda: peer, local_addr=(HOST, 0))
             return peer, transport.get_extra_info("sockname")
 
-        known, known_at = await open_peer(1, [])
-        stranger, _ = await open_peer(1, [])
-        me, me_at = await open_peer(0, [(HOST, 9), known_at])
-        known.peers = stranger.peers = [me_at]
-        stranger.send(b"strange", 0)
-        known.transport.sendto(b"x" * 257, me_at)
+        known, known_address = await open_peer(1, [])
+        unknown, _ = await open_peer(1, [])
+        own, own_address = await open_peer(0, [(HOST, 9), known_address])
+        known.peers = unknown.peers = [own_address]
+        unknown.send(b"strange", 0)
+        known.transport.sendto(b"x" * 257, own_address)
         known.send(b"y" * 257, 0)
         known.send(b"nobody", 5)
         known.send(b"z" * 256, 0)
-        await wait_until(lambda: heard)
-        assert heard == [(1, b"z" * 256)]
-        for peer in (known, stranger, me):
+        await wait_until(lambda: received)
+        assert received == [(1, b"z" * 256)]
+        for peer in (known, unknown, own):
             peer.transport.close()
 
     run(play())
 
 
-def test_the_share_of_clients_and_the_memory_follow_the_configuration():
+def test_the_quota_of_clients_and_the_memory_follow_the_configuration():
     for sockets in (256, 384, 1024):
-        shares = Descriptors(sockets)
-        assert shares.max_clients > sockets / 3  # what clients hold at most for requests
-        assert shares.limit - shares.max_clients > sockets / 3
+        descriptors = Descriptors(sockets)
+        assert descriptors.max_clients > sockets / 3  # the most that clients need for requests
+        assert descriptors.limit - descriptors.max_clients > sockets / 3
     assert Memory(32 * MB).max_bytes <= 4 * MB and Memory(192 * MB).max_bytes == Memory.MAX_BYTES
 
 
-def test_silent_clients_go_first_and_leave_room_for_attempts(tmp_path):
-    """Guards attempts: silent clients took every descriptor, and pooled connections were closed for them."""
+def test_silent_clients_are_evicted_first_and_leave_descriptors_for_attempts(tmp_path):
+    """Silent clients could take every descriptor, and pooled connections were closed for them."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
         data = config(endpoint_update(1, entry("s1", fake.address)), limits={"sockets": 80})
         async with Sidecar(tmp_path / "c", data) as sidecar:
-            usual = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(8)]
+            normal_clients = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(8)]
             for number in range(4):
-                for place, (reader, writer) in enumerate(usual):
-                    writer.write(http_request("lookup", f"id{number}-{place}"))
+                for position, (reader, writer) in enumerate(normal_clients):
+                    writer.write(http_request("lookup", f"id{number}-{position}"))
                     assert (await read_message(reader)).code == 200
                 flood = [await asyncio.open_connection(HOST, sidecar.port) for _ in range(60)]
                 await wait_until(
@@ -360,16 +359,16 @@
                 )
                 for _, writer in flood:
                     writer.close()
-                await wait_until(lambda: len(sidecar.http.clients.connections) == len(usual))
+                await wait_until(lambda: len(sidecar.http.clients.connections) == len(normal_clients))
             assert fake.connections == 1 and not sidecar.engine.descriptors.full
-            for _, writer in usual:
+            for _, writer in normal_clients:
                 writer.close()
 
     run(play())
 
 
-def test_slow_heads_survive_a_crowd_that_says_half_and_stays(tmp_path, monkeypatch):
-    """Guards slow clients: those that had connected first were taken for the crowd and let go."""
+def test_a_slow_client_is_not_evicted_for_a_flood_of_unfinished_or_silent_clients(tmp_path, monkeypatch):
+    """Slow clients that had connected first were taken for part of the flood and evicted."""
     monkeypatch.setattr(clients, "STALE_AFTER_S", 0.05)
 
     async def play():
@@ -377,37 +376,37 @@
         data = config(endpoint_update(1, entry("s1", fake.address)), limits={"sockets": 80})
         async with Sidecar(tmp_path / "c", data) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            crowd = []
+            flood = []
             for byte in http_request("order", "slow", "3000m", b"body"):
                 writer.write(bytes([byte]))
-                crowd.append(await asyncio.open_connection(HOST, sidecar.port))
-                if len(crowd) % 2:
-                    crowd[-1][1].write(b"GET /loo")
+                flood.append(await asyncio.open_connection(HOST, sidecar.port))
+                if len(flood) % 2:
+                    flood[-1][1].write(b"GET /loo")
                 await asyncio.sleep(0.005)
-            assert len(crowd) > 4 * sidecar.engine.descriptors.max_clients
+            assert len(flood) > 4 * sidecar.engine.descriptors.max_clients
             assert (await read_message(reader)).code == 200
-            for _, other in [*crowd, (reader, writer)]:
+            for _, other in [*flood, (reader, writer)]:
                 other.close()
 
     run(play())
 
 
-def test_clients_that_never_end_a_message_are_answered_and_let_go(tmp_path, monkeypatch):
+def test_clients_that_never_finish_a_message_get_408_and_are_closed(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "HEAD_TIMEOUT_S", 0.3)
     monkeypatch.setattr(clients, "IDLE_TIMEOUT_S", 60.0)
 
     async def play():
         async def act(message, reader, writer):
-            await go.wait()
+            await release_response.wait()
             writer.write(http_response(200, b"served"))
 
-        go = asyncio.Event()
+        release_response = asyncio.Event()
         fake = await FakePeer(act).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
-            held_reader, held_writer = await asyncio.open_connection(HOST, sidecar.port)
-            held_writer.write(http_request("order", "held") + b"POST /order HTTP/1.1\r\nX-Half: ")
+            accepted_reader, accepted_writer = await asyncio.open_connection(HOST, sidecar.port)
+            accepted_writer.write(http_request("order", "held") + b"POST /order HTTP/1.1\r\nX-Half: ")
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            assert await reader.read() == b""  # it said nothing
+            assert await reader.read() == b""  # it sent nothing
             writer.close()
             for half in (
                 b"G",
@@ -415,17 +414,17 @@
                 http_request("order", "b", "900m", b"body")[:-1],
             ):
                 assert (await send_request(sidecar.port, half)).code == 408
-            go.set()  # the request that was taken is answered all the same
-            assert (await read_message(held_reader)).code == 200
-            assert (await read_message(held_reader)).code == 408
-            held_writer.close()
+            release_response.set()  # the accepted request is answered all the same
+            assert (await read_message(accepted_reader)).code == 200
+            assert (await read_message(accepted_reader)).code == 408
+            accepted_writer.close()
             await wait_until(lambda: not sidecar.http.clients.connections)
             assert not sidecar.engine.memory.reserved_bytes and len(fake.received) == 1
 
     run(play())
 
 
-def test_clients_that_ask_once_and_stay_are_let_go(tmp_path, monkeypatch):
+def test_an_idle_client_is_closed_after_the_idle_timeout(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "IDLE_TIMEOUT_S", 0.2)
 
     async def play():
@@ -442,8 +441,8 @@
     run(play())
 
 
-def test_a_body_of_many_megabytes_is_refused_at_its_head_and_read_to_the_end(tmp_path):
-    """Guards the answer: closing with input unread would reset the connection before it is seen."""
+def test_an_oversized_body_is_rejected_at_its_head_and_read_to_its_end(tmp_path):
+    """Closing with input unread would reset the connection before the client reads the response."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
@@ -461,15 +460,15 @@
     run(play())
 
 
-def test_an_id_that_is_open_or_has_just_been_is_not_sent_again(tmp_path):
-    """Guards the rule on duplicates, and the first request from noticing anything of the second."""
+def test_a_request_id_that_is_open_or_recent_is_rejected(tmp_path):
+    """A second copy must not be sent, and the first request must not be affected by it."""
 
     async def play():
         async def act(message, reader, writer):
-            await go.wait()
+            await release_response.wait()
             writer.write(http_response(200, b"served " + message.body))
 
-        go = asyncio.Event()
+        release_response = asyncio.Event()
         fake = await FakePeer(act).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             first = asyncio.create_task(
@@ -479,7 +478,7 @@
             assert (
                 await send_request(sidecar.port, http_request("order", "same", "3000m", b"2"))
             ).code == 409
-            go.set()
+            release_response.set()
             assert (await first).body == b"served 1"
             assert (
                 await send_request(sidecar.port, http_request("order", "same", "3000m", b"3"))
@@ -489,7 +488,7 @@
     run(play())
 
 
-def test_the_ids_that_are_kept_are_bounded(tmp_path, monkeypatch):
+def test_the_number_of_retained_request_ids_is_bounded(tmp_path, monkeypatch):
     monkeypatch.setattr(request_ids, "MAX_RETAINED_IDS", 100)
 
     async def play():
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -1,4 +1,4 @@
-"""Requests through a sidecar on real sockets: the outcome table, one answer each, no second copy."""
+"""Requests through a sidecar on real sockets: status codes by outcome, one response each, no second copy."""
 
 import asyncio
 import time
@@ -28,25 +28,25 @@
 NOT_RUN = "X-Not-Run: 1"
 
 
-def say(*data):
+def respond_with(*data):
     async def act(message, reader, writer):
         writer.write(b"".join(data))
 
     return act
 
 
-async def break_at_once(message, reader, writer):
+async def reset_at_once(message, reader, writer):
     reset(writer)
 
 
-async def break_inside(message, reader, writer):
+async def close_within_body(message, reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
     await writer.drain()
     writer.close()
 
 
 def first_then_ok(act):
-    """The first message meets a trouble, all later ones are served."""
+    """Return a handler that handles the first message with `act`, and serves all later ones."""
     seen = []
 
     async def acting(message, reader, writer):
@@ -60,15 +60,15 @@
     return endpoint_update(1, entry("s1", fake.address), *(entry(f"s{n}", a) for n, a in enumerate(more, 2)))
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back(tmp_path):
+def test_a_request_is_forwarded_unchanged_and_its_response_is_returned(tmp_path):
     async def play():
         fake = await FakePeer(
-            say(http_response(200, b"held", "X-Load: rps=7,cpu=0.5", "Content-Type: text/x"))
+            respond_with(http_response(200, b"held", "X-Load: rps=7,cpu=0.5", "Content-Type: text/x"))
         ).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            heard = []
+            events = []
             handle = sidecar.engine.balancer.handle
-            sidecar.engine.balancer.handle = lambda now, event: heard.append(event) or handle(now, event)
+            sidecar.engine.balancer.handle = lambda now, event: events.append(event) or handle(now, event)
             got = await send_request(sidecar.port, http_request("hold", "ab12", "900m", b"\x00body"))
         assert (got.code, got.body) == (200, b"held")
         assert got.headers["content-type"] == "text/x" and "x-load" not in got.headers
@@ -76,16 +76,16 @@
         assert sent.start_line == "POST /hold/part?x=1 HTTP/1.1" and sent.body == b"\x00body"
         assert sent.headers["x-request-id"] == "ab12"
         assert sent.headers["idempotency-key"] == "key-of-ab12"
-        # The attempt's own time: no more than the client's, less what has passed.
+        # The deadline of the attempt: at most that of the client, less the time that has passed.
         assert 0 < int(sent.headers["x-deadline"].removesuffix("m")) < 900
-        (outcome,) = [event for event in heard if isinstance(event, api.Outcome)]
+        (outcome,) = [event for event in events if isinstance(event, api.Outcome)]
         assert outcome.report == (7.0, 0.5) and outcome.final and outcome.status is api.Status.OK
 
     run(play())
 
 
-def test_connections_are_used_again(tmp_path):
-    """Guards against asking the parser too late whether a connection stays open: it then always says no."""
+def test_connections_to_servers_are_reused(tmp_path):
+    """Read too late, the parser's keep-alive flag is always False, so that no connection is reused."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
@@ -97,32 +97,36 @@
     run(play())
 
 
-@pytest.mark.parametrize("cls", ["lookup", "hold", "order"])
+@pytest.mark.parametrize("class_name", ["lookup", "hold", "order"])
 @pytest.mark.parametrize(
     ("act", "codes", "copies"),
     [
-        # Proven not to have run: any class may be sent again.
-        (say(http_response(503, b"", NOT_RUN)), {200}, {2}),
-        (say(http_response(504, b"", NOT_RUN)), {200}, {2}),
-        # A plain error is an answer that may have had its effect: refused only if a repeat does no harm.
-        (say(http_response(500)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(http_response(503)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(http_response(504)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(http_response(500, b"", NOT_RUN)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        (say(http_response(204, b"")), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
-        # Broken after the last byte was written: it may have run.
+        # Proven not to have run: a request of any class may be retried.
+        (respond_with(http_response(503, b"", NOT_RUN)), {200}, {2}),
+        (respond_with(http_response(504, b"", NOT_RUN)), {200}, {2}),
+        # A plain error may have had its effect: 503, which invites a retry, only if a retry is harmless.
+        (respond_with(http_response(500)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (respond_with(http_response(503)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        (respond_with(http_response(504)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
         (
-            break_at_once,
+            respond_with(http_response(500, b"", NOT_RUN)),
+            {"lookup": {503}, "hold": {502}, "order": {502}},
+            {1},
+        ),
+        (respond_with(http_response(204, b"")), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
+        # The connection failed after the last byte was written: the request may have run.
+        (
+            reset_at_once,
             {"lookup": {200}, "hold": {200}, "order": {502}},
             {"lookup": {2}, "hold": {2}, "order": {1}},
         ),
         (
-            break_inside,
+            close_within_body,
             {"lookup": {200}, "hold": {200}, "order": {502}},
             {"lookup": {2}, "hold": {2}, "order": {1}},
         ),
         (
-            say(b"no http at all\r\n\r\n"),
+            respond_with(b"no http at all\r\n\r\n"),
             {"lookup": {200}, "hold": {200}, "order": {502}},
             {"lookup": {2}, "hold": {2}, "order": {1}},
         ),
@@ -140,34 +144,34 @@
         "garbage",
     ],
 )
-def test_the_table_of_outcomes(tmp_path, cls, act, codes, copies):
+def test_each_outcome_gets_its_status_code_and_number_of_copies(tmp_path, class_name, act, codes, copies):
     async def play():
         fake = await FakePeer(first_then_ok(act)).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            got = await send_request(sidecar.port, http_request(cls, "ab"))
-        assert got.code in (codes[cls] if isinstance(codes, dict) else codes)
-        assert len(fake.received) in (copies[cls] if isinstance(copies, dict) else copies)
+            got = await send_request(sidecar.port, http_request(class_name, "ab"))
+        assert got.code in (codes[class_name] if isinstance(codes, dict) else codes)
+        assert len(fake.received) in (copies[class_name] if isinstance(copies, dict) else copies)
         if got.code == 200:
             assert got.body == b"served "
 
     run(play())
 
 
-@pytest.mark.parametrize("cls", ["lookup", "hold", "order"])
-def test_a_refused_connection_is_no_attempt_that_ran(tmp_path, cls):
+@pytest.mark.parametrize("class_name", ["lookup", "hold", "order"])
+def test_a_refused_connection_is_answered_with_503_since_nothing_ran(tmp_path, class_name):
     async def play():
         down = await FakePeer(answer_ok).start()
         down.server.close()
         await down.server.wait_closed()
         async with Sidecar(tmp_path / "c", config(two_servers(down))) as sidecar:
-            got = await send_request(sidecar.port, http_request(cls, "ab", "900m"))
-        assert got.code == 503  # trying again is harmless
+            got = await send_request(sidecar.port, http_request(class_name, "ab", "900m"))
+        assert got.code == 503  # a retry is harmless
 
     run(play())
 
 
-@pytest.mark.parametrize(("cls", "code"), [("lookup", 503), ("hold", 502), ("order", 502)])
-def test_silence_ends_in_one_answer_within_the_deadline_and_one_copy(tmp_path, cls, code):
+@pytest.mark.parametrize(("class_name", "code"), [("lookup", 503), ("hold", 502), ("order", 502)])
+def test_a_silent_server_causes_one_response_within_the_deadline_and_one_copy(tmp_path, class_name, code):
     async def play():
         fake = await FakePeer(never_answer).start()
         data = config(two_servers(fake))
@@ -176,12 +180,12 @@
             loop = asyncio.get_running_loop()
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             start = loop.time()
-            writer.write(http_request(cls, "ab", "600m"))
+            writer.write(http_request(class_name, "ab", "600m"))
             got = await read_message(reader)
             assert got.code == code
             assert 0.3 < loop.time() - start < 0.65
             await wait_until(lambda: fake.ended_connections == 1, "the given-up connection is closed")
-            writer.write(http_request("lookup", "cd", "1m"))  # nothing more had come for the first
+            writer.write(http_request("lookup", "cd", "1m"))  # no further response to the first
             assert (await read_message(reader)).code == 503
             writer.close()
         assert len(fake.received) == 1
@@ -189,8 +193,8 @@
     run(play())
 
 
-def test_the_last_guard_answers_when_the_module_errs(tmp_path):
-    """Guards all other requests, and the process, against an exception in one."""
+def test_the_deadline_watchdog_answers_if_the_module_raises(tmp_path):
+    """An exception in one request must not affect other requests or the process."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
@@ -213,31 +217,31 @@
     run(play())
 
 
-def test_the_last_guard_fails_what_may_have_run(tmp_path):
+def test_the_deadline_watchdog_fails_a_request_that_may_have_run(tmp_path):
     async def play():
         fake = await FakePeer(never_answer).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             handle = sidecar.engine.balancer.handle
 
-            def deaf(now, event):
+            def failing_on_outcome(now, event):
                 if isinstance(event, api.Outcome | api.Timer):
                     sidecar.engine.balancer.context.actions = []
                     raise ZeroDivisionError("of the module")
                 return handle(now, event)
 
-            sidecar.engine.balancer.handle = deaf
+            sidecar.engine.balancer.handle = failing_on_outcome
             assert (await send_request(sidecar.port, http_request("order", "ab", "500m"))).code == 504
 
     run(play())
 
 
-def test_an_attempt_that_cannot_be_made_is_refused_and_leaves_nothing(tmp_path):
+def test_an_attempt_that_raises_at_its_start_is_rejected_and_leaves_no_state(tmp_path):
     async def play():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
 
             def broken(*_):
-                raise ZeroDivisionError("of the program")
+                raise ZeroDivisionError("simulated fault of the transport")
 
             engine = sidecar.engine
             sidecar.upstream_transport._format_request_lines = broken
@@ -249,7 +253,7 @@
     run(play())
 
 
-def test_a_client_that_left_frees_its_attempt(tmp_path):
+def test_a_client_disconnect_cancels_its_attempt(tmp_path):
     async def play():
         fake = await FakePeer(never_answer).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
@@ -257,7 +261,7 @@
             writer.write(http_request("order", "ab"))
             await wait_until(lambda: fake.received)
             writer.close()
-            await wait_until(lambda: fake.ended_connections == 1, "its attempt is called off")
+            await wait_until(lambda: fake.ended_connections == 1, "its attempt is cancelled")
             engine = sidecar.engine
             await wait_until(
                 lambda: (
@@ -268,14 +272,14 @@
             )
             assert not sidecar.http.clients.connections
             (server,) = engine.balancer.endpoints.servers.values()
-            assert not server.in_flight  # the attempt's end was told as well
+            assert not server.in_flight  # the end of the attempt was reported too
 
     run(play())
 
 
-def test_a_refusal_comes_at_once_and_tells_when_to_come_back(tmp_path):
+def test_a_rejection_is_immediate_and_has_a_retry_after_header(tmp_path):
     async def play():
-        fake = await FakePeer(say(http_response(500))).start()
+        fake = await FakePeer(respond_with(http_response(500))).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             got = await send_request(sidecar.port, http_request("lookup", "ab"))
         assert got.code == 503 and 0.0 < float(got.headers["retry-after"]) <= 2.0
@@ -283,7 +287,7 @@
     run(play())
 
 
-def test_a_report_is_read_by_names_and_only_whole(tmp_path):
+def test_a_load_report_is_parsed_by_field_names_and_only_if_complete(tmp_path):
     async def play():
         async with Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar:
             read = sidecar.upstream_transport.load_report_parser.parse
@@ -309,9 +313,9 @@
     run(play())
 
 
-def test_a_probe_asks_for_the_load_and_tells_what_came(tmp_path):
+def test_a_probe_requests_the_load_and_reports_its_outcome(tmp_path):
     async def play():
-        act = first_then_ok(say(http_response(200, b"rps=7,cpu=0.5")))
+        act = first_then_ok(respond_with(http_response(200, b"rps=7,cpu=0.5")))
 
         async def acting(message, reader, writer):
             assert message.start_line == "GET /-/load HTTP/1.1" and "x-request-id" not in message.headers
@@ -319,24 +323,24 @@
 
         fake = await FakePeer(acting).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
-            heard = []
+            events = []
             engine = sidecar.engine
             (server,) = sidecar.upstreams.targets
-            engine.balancer.handle = lambda now, event: heard.append(event) or []
+            engine.balancer.handle = lambda now, event: events.append(event) or []
             engine.actions.execute(api.Probe(server))
-            await wait_until(lambda: heard)
-            assert heard[0].status is api.Status.OK and heard[0].report == (7.0, 0.5)
+            await wait_until(lambda: events)
+            assert events[0].status is api.Status.OK and events[0].report == (7.0, 0.5)
             engine.actions.execute(api.CloseIdle(server))
             assert not sidecar.upstreams.connections
             fake.server.close()
             engine.actions.execute(api.Probe(server))
-            await wait_until(lambda: len(heard) > 1)
-            assert heard[1].status is api.Status.CONNECT_FAILED and heard[1].report == ()
+            await wait_until(lambda: len(events) > 1)
+            assert events[1].status is api.Status.CONNECT_FAILED and events[1].report == ()
 
     run(play())
 
 
-def test_since_is_on_the_scale_of_the_clock_and_zero_stays_zero(tmp_path):
+def test_since_ms_is_converted_to_the_engine_clock_and_zero_stays_zero(tmp_path):
     async def play():
         since = int(time.time() * 1000) - 2000
         known = endpoint_update(1, entry("s1", f"{HOST}:9"), entry("s2", f"{HOST}:10", since_ms=since))
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to servers: idle ones that die, connects that hang, drains, the cap on descriptors."""
+"""Connections to servers: dead idle connections, connects that hang, drains, the descriptor limit."""
 
 import asyncio
 import contextlib
@@ -28,17 +28,17 @@
 PAYLOAD = b"GET /lookup HTTP/1.1\r\nX-Request-Id: ab\r\n\r\n"
 
 
-def make(address, connect_timeout=5.0, limit=1024, idle=60.0):
+def make_pool(address, connect_timeout=5.0, limit=1024, idle=60.0):
     pool = Upstreams(asyncio.get_running_loop(), Descriptors(limit), Memory(192 * MB), connect_timeout, idle)
     pool.update(1, address, 0, State.READY)
     return pool
 
 
 def start(pool, server=1, timeout=WAIT_TIMEOUT_S, payload=PAYLOAD):
-    """An exchange and the future of its end."""
+    """Start an exchange; return it and the future of its result."""
     end = asyncio.get_running_loop().create_future()
     exchange = Exchange(
-        lambda: payload, lambda _, status, answer: end.set_result((status, answer)), 64 * 1024
+        lambda: payload, lambda _, status, response: end.set_result((status, response)), 64 * 1024
     )
     pool.start(server, exchange, timeout)
     return exchange, end
@@ -52,7 +52,7 @@
 
 
 def full_listener():
-    """A server at which new connections never come up."""
+    """Return a server at which connects hang, and the sockets that fill its backlog."""
     sock = listener(0)
     fill = []
     for _ in range(4):
@@ -63,20 +63,20 @@
     return sock, fill
 
 
-def test_an_idle_connection_that_died_unseen_is_replaced_before_anything_is_written():
-    """Guards the race with a server that closes idle connections just as a request comes."""
+def test_an_idle_connection_that_the_server_closed_is_replaced_before_anything_is_written():
+    """A server may close an idle connection just as a request is to be sent on it."""
 
     async def play():
         server = listener()
         server.setblocking(False)
         loop = asyncio.get_running_loop()
-        pool = make(server.getsockname())
+        pool = make_pool(server.getsockname())
         _, end = start(pool)
         first, _ = await loop.sock_accept(server)
         assert await loop.sock_recv(first, 4096) == PAYLOAD
         await loop.sock_sendall(first, http_response())
         assert (await end)[0] is Status.OK
-        first.close()  # the end is in the kernel by now; the loop has had no turn to see it
+        first.close()  # the end has arrived; the loop has not read it yet
         _, end = start(pool)
         second, _ = await loop.sock_accept(server)
         assert await loop.sock_recv(second, 4096) == PAYLOAD
@@ -90,52 +90,52 @@
 
 
 @pytest.mark.parametrize("stray", [b"", b"HTTP/1.1 408 Too late\r\nContent-Length: 0\r\n\r\n"])
-def test_an_idle_connection_ends_at_once_on_its_end_or_on_stray_bytes(stray):
+def test_an_idle_connection_is_closed_at_once_on_end_of_stream_or_stray_bytes(stray):
     async def play():
         async def act(message, reader, writer):
             writer.write(http_response())
-            await go.wait()
+            await proceed.wait()
             writer.write(stray)
             if not stray:
                 writer.close()
             else:
                 await reader.read()
 
-        go = asyncio.Event()
+        proceed = asyncio.Event()
         fake = await FakePeer(act).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         assert (await start(pool)[1])[0] is Status.OK
         assert len(pool.connections) == 1
-        go.set()
+        proceed.set()
         await wait_until(lambda: not pool.connections)
         assert not pool.targets[1].idle and not pool.descriptors.in_use
 
     run(play())
 
 
-def test_an_answer_followed_by_more_is_whole_but_its_connection_is_not_kept():
+def test_a_response_followed_by_more_data_is_complete_but_its_connection_is_not_reused():
     async def play():
         async def act(message, reader, writer):
             writer.write(http_response() + http_response(200, b"of whom?"))
 
         fake = await FakePeer(act).start()
-        pool = make((HOST, fake.port))
-        status, answer = await start(pool)[1]
-        assert (status, answer.body) == (Status.OK, b"ok") and not pool.connections
+        pool = make_pool((HOST, fake.port))
+        status, response = await start(pool)[1]
+        assert (status, response.body) == (Status.OK, b"ok") and not pool.connections
 
     run(play())
 
 
-def test_the_latest_used_connection_is_used_first_and_old_ones_are_closed():
+def test_the_most_recently_used_connection_is_used_first_and_old_ones_are_closed():
     async def play():
         fake = await FakePeer(answer_ok).start()
-        pool = make((HOST, fake.port), idle=60.0)
+        pool = make_pool((HOST, fake.port), idle=60.0)
         ends = [start(pool)[1] for _ in range(3)]
         for end in ends:
             assert (await end)[0] is Status.OK
-        # one may have taken another's, its own comes yet
+        # an exchange may have used another's connection; its own is still being opened
         await wait_until(lambda: len(pool.targets[1].idle) == 3)
-        for connection in pool.targets[1].idle:  # no second answer is to be feared on any of them
+        for connection in pool.targets[1].idle:  # all of them are settled
             connection.answered_at -= upstream_connection.SETTLING_TIME_S
         latest = pool.targets[1].idle[-1]
         _, end = start(pool)
@@ -149,10 +149,10 @@
     run(play())
 
 
-def test_a_connect_that_hangs_is_given_up_in_time_and_never_ran():
+def test_a_connect_that_hangs_times_out_as_connect_failed():
     async def play():
         server, fill = full_listener()
-        pool = make(server.getsockname(), connect_timeout=0.1)
+        pool = make_pool(server.getsockname(), connect_timeout=0.1)
         assert await start(pool)[1] == (Status.CONNECT_FAILED, None)
         assert not pool.connections and not pool.targets[1].opening and not pool.descriptors.in_use
         for sock in (server, *fill):
@@ -161,26 +161,26 @@
     run(play())
 
 
-@pytest.mark.parametrize("how", ["drain", "gone", "time-out"])
-def test_a_request_that_waits_for_a_connection_is_not_sent_to_a_draining_server(how):
-    """Guards drains: the first byte of such a request would go out after the server was told off."""
+@pytest.mark.parametrize("reason", ["drain", "gone", "time-out"])
+def test_a_request_that_waits_for_a_connection_is_not_sent_to_a_draining_server(reason):
+    """The first byte of such a request would be sent after its server has begun to drain."""
 
     async def play():
         server, fill = full_listener()
-        pool = make(server.getsockname(), connect_timeout=WAIT_TIMEOUT_S)
+        pool = make_pool(server.getsockname(), connect_timeout=WAIT_TIMEOUT_S)
         exchange, end = start(pool)
         await asyncio.sleep(0)
-        if how == "time-out":
+        if reason == "time-out":
             exchange.give_up(Status.TIMEOUT)
         else:
-            pool.update(1, server.getsockname(), 0, State.DRAINING if how == "drain" else State.REMOVED)
+            pool.update(1, server.getsockname(), 0, State.DRAINING if reason == "drain" else State.REMOVED)
         assert await end == (Status.CONNECT_FAILED, None)
         await wait_until(lambda: not pool.connections and not pool.targets[1].opening)
         for sock in fill:
             sock.close()
         server.setblocking(False)
         with pytest.raises(BlockingIOError):
-            while True:  # the fillers alone had come up, and they sent nothing
+            while True:  # only the fillers have connected, and they sent nothing
                 got, _ = server.accept()
                 got.setblocking(True)
                 assert got.recv(4096) == b""
@@ -193,23 +193,23 @@
 def test_a_restart_or_drain_closes_idle_connections_and_keeps_those_in_use():
     async def play():
         async def act(message, reader, writer):
-            await go.wait()
+            await proceed.wait()
             writer.write(http_response())
 
-        go = asyncio.Event()
-        go.set()
+        proceed = asyncio.Event()
+        proceed.set()
         fake = await FakePeer(act).start()
         address = (HOST, fake.port)
-        pool = make(address)
+        pool = make_pool(address)
         assert (await start(pool)[1])[0] is Status.OK
         pool.update(1, address, 5, State.READY)  # restarted
         assert not pool.targets[1].idle
-        go.clear()
+        proceed.clear()
         _, end = start(pool)
         await wait_until(lambda: len(fake.received) == 2)
         pool.update(1, address, 5, State.DRAINING)
-        go.set()
-        assert (await end)[0] is Status.OK  # what it had it finishes
+        proceed.set()
+        assert (await end)[0] is Status.OK  # the request in progress is completed
         assert not pool.connections
         assert (await start(pool)[1])[0] is Status.CONNECT_FAILED
         assert len(fake.received) == 2
@@ -217,14 +217,14 @@
     run(play())
 
 
-def test_a_break_before_the_last_byte_is_written_never_ran():
+def test_a_reset_before_the_last_byte_is_written_ends_as_connect_failed():
     async def play():
         server = listener()
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         server.setblocking(False)
         loop = asyncio.get_running_loop()
-        pool = make(server.getsockname())
-        body = b"x" * (16 * 1024 * 1024)  # more than the kernel takes in
+        pool = make_pool(server.getsockname())
+        body = b"x" * (16 * 1024 * 1024)  # more than the socket buffers hold
         head = b"POST /order HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % len(body)
         exchange, end = start(pool, payload=head + body)
         got, _ = await loop.sock_accept(server)
@@ -238,10 +238,10 @@
     run(play())
 
 
-def test_giving_up_closes_the_connection_and_says_whether_it_may_have_run():
+def test_a_timeout_closes_the_connection_and_reports_that_the_request_may_have_run():
     async def play():
         fake = await FakePeer(never_answer).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         _, end = start(pool, timeout=0.1)
         assert await end == (Status.TIMEOUT, None)
         await wait_until(lambda: fake.ended_connections == 1)
@@ -250,37 +250,37 @@
     run(play())
 
 
-@pytest.mark.parametrize("how", ["given up", "drain"])
-def test_one_that_ends_in_the_turn_of_its_start_leaves_no_connection(how):
-    """As where one turn brings a request, and then the news that its server drains."""
+@pytest.mark.parametrize("reason", ["given up", "drain"])
+def test_an_exchange_that_ends_as_soon_as_it_is_started_leaves_no_connection(reason):
+    """One iteration of the loop may bring a request, and then an update that its server drains."""
 
     async def play():
         server = listener()
-        pool = make(server.getsockname())
+        pool = make_pool(server.getsockname())
         exchange, end = start(pool)
-        if how == "drain":
+        if reason == "drain":
             pool.update(1, server.getsockname(), 0, State.DRAINING)
         else:
             exchange.give_up(Status.CANCELLED)
         assert (await end)[0] is Status.CONNECT_FAILED
         assert pool.descriptors.in_use == 1
-        await wait_until(lambda: not pool.descriptors.in_use, "its descriptor is counted back")
+        await wait_until(lambda: not pool.descriptors.in_use, "its descriptor is released")
         assert not pool.connections and not pool.targets[1].opening
         server.setblocking(False)
         with pytest.raises(BlockingIOError):
-            server.accept()  # no connect is tried for it
+            server.accept()  # it did not connect
         server.close()
         pool.close()
 
     run(play())
 
 
-def test_one_that_is_closed_as_its_connection_comes_up_ends():
-    """As a call to a discovery that is left, when SIGHUP names another: the two would stay connected."""
+def test_an_exchange_ends_if_the_pool_is_closed_as_its_connection_is_established():
+    """After SIGHUP names another discovery, a request to the old one would stay connected."""
 
     async def play():
-        class Closing:
-            """The loop, in which the pool closes in the turn in which a connect has succeeded."""
+        class ClosingLoop:
+            """The event loop, which closes the pool as soon as a connect has succeeded."""
 
             def __getattr__(self, name):
                 return getattr(loop, name)
@@ -292,8 +292,8 @@
         loop = asyncio.get_running_loop()
         server = listener()
         server.setblocking(False)
-        pool = make(server.getsockname())
-        pool.loop = Closing()
+        pool = make_pool(server.getsockname())
+        pool.loop = ClosingLoop()
         _, end = start(pool)
         peer, _ = await loop.sock_accept(server)
         assert (await end)[0] is Status.CONNECT_FAILED
@@ -307,7 +307,7 @@
     run(play())
 
 
-def test_an_endless_answer_is_cut_off():
+def test_an_endless_response_ends_as_reset():
     async def play():
         async def act(message, reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 999999999\r\n\r\n")
@@ -316,23 +316,23 @@
                 await writer.drain()
 
         fake = await FakePeer(act).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         assert await start(pool)[1] == (Status.RESET, None)
 
     run(play())
 
 
-def test_out_of_descriptors_costs_one_request_and_not_the_process(monkeypatch):
+def test_a_lack_of_descriptors_fails_one_request_and_not_the_process(monkeypatch):
     async def play():
         fake = await FakePeer(answer_ok).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         real = socket.socket
 
         def exhausted(*_):
             raise OSError(errno.EMFILE, "Too many open files")
 
         monkeypatch.setattr(upstream.socket, "socket", exhausted)
-        assert await start(pool)[1] == (Status.NOT_SENT, None)  # it says nothing of the server
+        assert await start(pool)[1] == (Status.NOT_SENT, None)  # no failure of the server
         monkeypatch.setattr(upstream.socket, "socket", real)
         assert (await start(pool)[1])[0] is Status.OK
         pool.close()
@@ -340,22 +340,22 @@
     run(play())
 
 
-def test_at_the_cap_the_longest_idle_connection_makes_room():
+def test_the_longest_idle_connection_is_closed_at_the_descriptor_limit():
     async def play():
         fake, other = await FakePeer(answer_ok).start(), await FakePeer(never_answer).start()
-        pool = make((HOST, fake.port), limit=Descriptors.RESERVE + 8)
+        pool = make_pool((HOST, fake.port), limit=Descriptors.RESERVE + 8)
         pool.update(2, (HOST, other.port), 0, State.READY)
         ends = [start(pool)[1] for _ in range(8)]
         for end in ends:
             assert (await end)[0] is Status.OK
         await wait_until(lambda: len(pool.targets[1].idle) == 8)
-        waits = [start(pool, 2)[1] for _ in range(8)]
+        waiting = [start(pool, 2)[1] for _ in range(8)]
         await wait_until(lambda: len(other.received) == 8)
         assert not pool.targets[1].idle and pool.descriptors.in_use == 8
         assert await start(pool, 2)[1] == (Status.NOT_SENT, None)
-        assert not any(end.done() for end in waits)
+        assert not any(end.done() for end in waiting)
         pool.close()
-        for end in waits:
+        for end in waiting:
             end.cancel()
 
     run(play())
@@ -365,7 +365,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\nContent-Length: 5\r\n\r\nhello",
@@ -384,8 +384,8 @@
     ],
     ids=lambda data: repr(data[:50]),
 )
-def test_a_spoilt_answer_is_a_reset_at_once_and_its_connection_is_closed(spoilt, monkeypatch):
-    """Guards requests against waiting to their deadline at a connection that stays open and is of no use."""
+def test_a_malformed_response_ends_as_reset_at_once_and_its_connection_is_closed(malformed, monkeypatch):
+    """Otherwise the request would wait until its deadline on a connection that stays open."""
     monkeypatch.setattr(upstream_connection, "RESPONSE_STALL_TIMEOUT_S", 0.2)
 
     async def play():
@@ -393,25 +393,25 @@
             if fake.connections > 1:
                 writer.write(OK)
                 return
-            writer.write(spoilt)
+            writer.write(malformed)
             with contextlib.suppress(OSError):
                 await reader.read()
             closed.set()
 
         closed = asyncio.Event()
         fake = await FakePeer(act).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         assert await start(pool)[1] == (Status.RESET, None)
         await closed.wait()
-        status, answer = await start(pool)[1]
-        assert status is Status.OK and answer.body == b"second"
+        status, response = await start(pool)[1]
+        assert status is Status.OK and response.body == b"second"
         assert not pool.memory.reserved_bytes and len(pool.connections) == 1
         pool.close()
 
     run(play())
 
 
-def test_interim_answers_ahead_are_passed_over():
+def test_interim_responses_are_skipped():
     async def play():
         async def act(message, reader, writer):
             writer.write(
@@ -419,24 +419,24 @@
             )
 
         fake = await FakePeer(act).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         for _ in range(3):
-            status, answer = await start(pool)[1]
-            assert status is Status.OK and answer.body == b"second"
-            assert [name for name, _ in answer.headers] == []
+            status, response = await start(pool)[1]
+            assert status is Status.OK and response.body == b"second"
+            assert [name for name, _ in response.headers] == []
         assert fake.connections == 1
         pool.close()
 
     run(play())
 
 
-def test_answers_over_the_memory_of_all_are_cut_off():
+def test_a_response_over_the_memory_limit_ends_as_reset():
     async def play():
         async def act(message, reader, writer):
             writer.write(http_response(200, b"x" * 5000))
 
         fake = await FakePeer(act).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         pool.memory.others_reserved_bytes = pool.memory.max_bytes - 4000
         assert await start(pool)[1] == (Status.RESET, None)
         pool.memory.others_reserved_bytes = 0
@@ -447,25 +447,25 @@
     run(play())
 
 
-def test_one_that_waits_for_a_connection_takes_one_that_comes_free():
+def test_an_exchange_that_waits_for_a_connection_uses_one_that_becomes_free():
     async def play():
         async def act(message, reader, writer):
             if len(fake.received) == 1:
-                await go.wait()
+                await proceed.wait()
             writer.write(http_response())
 
-        go = asyncio.Event()
+        proceed = asyncio.Event()
         fake = await FakePeer(act).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         _, first = start(pool)
         await wait_until(lambda: fake.received)
-        real, pool.loop = pool.loop, SlowConnects(pool.loop)
+        real, pool.loop = pool.loop, DelayedConnects(pool.loop)
         _, second = start(pool)
-        go.set()
+        proceed.set()
         assert (await first)[0] is Status.OK and (await second)[0] is Status.OK
         assert {got.connection for got in fake.received} == {1}
-        pool.loop.go.set()
-        await wait_until(lambda: len(pool.targets[1].idle) == 2)  # the other one is kept
+        pool.loop.proceed.set()
+        await wait_until(lambda: len(pool.targets[1].idle) == 2)  # the new one becomes idle
         assert not pool.targets[1].opening
         pool.loop = real
         pool.close()
@@ -473,37 +473,37 @@
     run(play())
 
 
-class SlowConnects:
-    """A loop on which connections come up only when they are let."""
+class DelayedConnects:
+    """An event loop whose connects wait for `proceed`."""
 
     def __init__(self, loop):
         self.real = loop
-        self.go = asyncio.Event()
+        self.proceed = asyncio.Event()
 
     def __getattr__(self, name):
         return getattr(self.real, name)
 
     async def sock_connect(self, sock, address):
-        await self.go.wait()
+        await self.proceed.wait()
         await self.real.sock_connect(sock, address)
 
 
-def test_ended_exchanges_and_connections_leave_nothing_to_the_collector():
-    """Guards the memory of a long day: what refers to itself is freed only when the collector comes."""
+def test_ended_exchanges_and_connections_are_freed_without_the_garbage_collector():
+    """Reference cycles are freed only by the garbage collector, so that memory would grow until it runs."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
-        pool = make((HOST, fake.port))
+        pool = make_pool((HOST, fake.port))
         exchange, end = start(pool)
         await end
         (connection,) = pool.connections
-        seen = weakref.ref(connection)
+        reference = weakref.ref(connection)
         exchange_gone = exchange.done is None and exchange.timer is None
         pool.close()
         del connection, exchange
         gc.disable()
         try:
-            await wait_until(lambda: seen() is None)
+            await wait_until(lambda: reference() is None)
         finally:
             gc.enable()
         assert exchange_gone
@@ -511,21 +511,21 @@
     run(play())
 
 
-def test_a_connect_that_fails_leaves_nothing_to_the_collector():
-    """Guards the memory while a server is down: each attempt at it fails to connect."""
+def test_a_connection_that_fails_to_connect_is_freed_without_the_garbage_collector():
+    """While a server is down, each attempt fails to connect, and memory would grow."""
 
     async def play():
         server = listener()
-        pool = make(server.getsockname())
+        pool = make_pool(server.getsockname())
         server.close()
         gc.disable()
         try:
             _, end = start(pool)
             (connection,) = pool.connections
-            seen = weakref.ref(connection)
+            reference = weakref.ref(connection)
             del connection
             assert (await end)[0] is Status.CONNECT_FAILED
-            await wait_until(lambda: seen() is None)
+            await wait_until(lambda: reference() is None)
         finally:
             gc.enable()
         pool.close()
