--- a/benchmarks/worse_builds.py
+++ b/benchmarks/worse_builds.py
@@ -17,7 +17,7 @@
 
 import checkout  # noqa: F401 - puts this checkout on the import path
 
-from ochreflow.lab.builds import make
+from ochreflow.lab.builds import make_build
 from ochreflow.lab.differences import interval
 from ochreflow.lab.runs import Job, play_jobs
 from ochreflow.lab.scenario import read_scenario, scenario_names
@@ -44,7 +44,7 @@
     """Create all builds below a directory; return their paths by name."""
     paths = {}
     for name, change in BUILD_CHANGES.items():
-        paths[name] = make(".", directory / name.replace(" ", "-"))
+        paths[name] = make_build(".", directory / name.replace(" ", "-"))
         if change is None:
             continue
         file, old, new = change
--- a/ochreflow/lab/builds.py
+++ b/ochreflow/lab/builds.py
@@ -15,7 +15,7 @@
 from ..errors import OchreflowError
 
 PACKAGE = "ochreflow"
-HERE = Path(__file__).resolve().parents[1]
+PACKAGE_DIR = Path(__file__).resolve().parents[1]
 CHANGE = re.compile(r"([\w/]+\.py):([A-Z_0-9]+)=(.+)")
 
 
@@ -23,12 +23,12 @@
     """A build that can't be had; the text says why in one line."""
 
 
-def make(build: str, target_dir: Path) -> Path:
+def make_build(build: str, target_dir: Path) -> Path:
     """Put a build's package into `target_dir`; return that directory."""
     revision, *changes = build.split(",")
     target_dir.mkdir(parents=True)
     if revision == ".":
-        shutil.copytree(HERE, target_dir / PACKAGE, ignore=shutil.ignore_patterns("__pycache__"))
+        shutil.copytree(PACKAGE_DIR, target_dir / PACKAGE, ignore=shutil.ignore_patterns("__pycache__"))
     else:
         _export(revision, target_dir)
     for change in changes:
@@ -38,7 +38,7 @@
 
 def _export(revision: str, target_dir: Path) -> None:
     archive = subprocess.run(
-        ["git", "archive", "--format=tar", revision, PACKAGE], cwd=HERE.parent, capture_output=True
+        ["git", "archive", "--format=tar", revision, PACKAGE], cwd=PACKAGE_DIR.parent, capture_output=True
     )
     if archive.returncode:
         message = f"{revision}: {archive.stderr.decode().strip().splitlines()[-1]}"
--- a/ochreflow/lab/compare.py
+++ b/ochreflow/lab/compare.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from .builds import make
+from .builds import make_build
 from .differences import differences, table
 from .html_report import write
 from .runs import Job, Player, RunPlan, append_result, exit_code, line, play_jobs
@@ -22,7 +22,7 @@
     try:
         labels = builds if builds[0] != builds[1] else (f"{builds[0]} (A)", f"{builds[1]} (B)")
         scenarios = plan.scenarios()
-        programs = {label: make(builds[n], builds_dir / str(n)) for n, label in enumerate(labels)}
+        programs = {label: make_build(builds[n], builds_dir / str(n)) for n, label in enumerate(labels)}
         jobs = [
             Job(name, scenario, seed, label, program)
             for seed in range(1, plan.seeds + 1)
--- a/ochreflow/lab/html_report.py
+++ b/ochreflow/lab/html_report.py
@@ -91,10 +91,10 @@
     _shade(figure.axes, run["faults"], times[-1] + step / 2)
     for axes in figure.axes:
         axes.legend(loc="upper left", fontsize=7, ncols=4)
-    return picture(figure)
+    return encode_figure(figure)
 
 
-def picture(figure: Any) -> str:
+def encode_figure(figure: Any) -> str:
     """A figure as PNG, in base64; it is closed."""
     target = io.BytesIO()
     figure.savefig(target, format="png", dpi=90, bbox_inches="tight")
@@ -102,7 +102,7 @@
     return base64.b64encode(target.getvalue()).decode()
 
 
-def page(title: str, plots: list[tuple[str, str]]) -> str:
+def format_page(title: str, plots: list[tuple[str, str]]) -> str:
     """A page of pictures with a heading for each."""
     parts = [
         f"<!doctype html><meta charset=utf-8><title>{title}</title><style>{STYLE}</style><h1>{title}</h1>"
--- a/ochreflow/lab/scenario_runner.py
+++ b/ochreflow/lab/scenario_runner.py
@@ -20,7 +20,7 @@
     StepAction,
     client_load,
 )
-from .series import series
+from .series import build_series
 from .step_orders import NODE_ORDERS, STATUS_AFTER
 
 SAMPLE_INTERVAL_S = 0.25  # between looks at what sidecars use
@@ -160,5 +160,5 @@
         run = RunEvents(clients, nodes, notified, runner)
         report = judge(run, self.scenario.non_idempotent, RESOURCE_LIMITS)
         max_send_delay_s = max(load.max_send_delay_s for load in self.loads)
-        run_series = series(run, self.scenario.duration_s)
+        run_series = build_series(run, self.scenario.duration_s)
         return RunResult(report, max_send_delay_s, self.environment.crashes, run_series)
--- a/ochreflow/lab/series.py
+++ b/ochreflow/lab/series.py
@@ -37,7 +37,7 @@
     faults: list[tuple[float, str]] = field(default_factory=list)  # when in seconds, and which steps
 
 
-def series(run: RunEvents, duration_s: float) -> Series:
+def build_series(run: RunEvents, duration_s: float) -> Series:
     """Put a run's event logs into steps of half a second."""
     started_at = next((event["at"] for event in run.runner if event["what"] == EventKind.RUN_STARTED), 0)
     count = max(int(duration_s / STEP_S), 1)
--- a/ochreflow/simulation/limit_trace_report.py
+++ b/ochreflow/simulation/limit_trace_report.py
@@ -52,7 +52,7 @@
 
 
 def _write_plots(path: Path, plots: dict[str, Trace]) -> None:
-    from ..lab.html_report import page, picture, pyplot
+    from ..lab.html_report import encode_figure, format_page, pyplot
 
     parts = []
     for name, sampled in plots.items():
@@ -70,5 +70,5 @@
         concurrency.set_xlabel("s")
         for axes in (requests, concurrency, pressure):
             axes.legend(fontsize=7, loc="upper right" if axes is pressure else "upper left")
-        parts.append((f"{name}: {LIMIT_SCENARIOS[name][0].description}", picture(figure)))
-    path.write_text(page("What the limit does", parts), encoding="utf-8")
+        parts.append((f"{name}: {LIMIT_SCENARIOS[name][0].description}", encode_figure(figure)))
+    path.write_text(format_page("What the limit does", parts), encoding="utf-8")
--- a/ochreflow/simulation/simulation.py
+++ b/ochreflow/simulation/simulation.py
@@ -26,7 +26,7 @@
     client_load,
     node_profile,
 )
-from ..lab.series import series
+from ..lab.series import build_series
 from ..lab.step_orders import NODE_ORDERS, STATUS_AFTER
 from .clock import NS_PER_S, START_NS, Clock
 from .policy_loader import PolicyModules, load_policy
@@ -242,7 +242,7 @@
         report = judge(run, self.scenario.non_idempotent, RESOURCE_LIMITS)
         everything = {name: log.events for name, log in sorted(self.event_logs.items())}
         digest = blake2b(json.dumps(everything).encode(), digest_size=DIGEST_BYTES).hexdigest()
-        run_series = series(run, self.scenario.duration_s)
+        run_series = build_series(run, self.scenario.duration_s)
         return RunResult(report, 0.0, [], run_series, digest)
 
 
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -6,7 +6,7 @@
 import pytest
 from test_operator_file import command
 
-from ochreflow.lab.builds import BuildError, make
+from ochreflow.lab.builds import BuildError, make_build
 from ochreflow.lab.differences import differences, interval
 
 
@@ -60,7 +60,7 @@
 
 
 def test_builds_are_had_or_refused_in_one_line(tmp_path):
-    made = make(
+    made = make_build(
         ".,policy/outlier_detection.py:MAX_CONSECUTIVE_FAILURES=9.5,policy/slow_start.py:OVERLOAD_SHARE=1.0",
         tmp_path / "a",
     )
@@ -77,7 +77,7 @@
         ]
     ):
         with pytest.raises(BuildError) as caught:
-            make(wrong, tmp_path / f"wrong{number}")
+            make_build(wrong, tmp_path / f"wrong{number}")
         assert message in str(caught.value) and "\n" not in str(caught.value)
 
 
@@ -88,9 +88,9 @@
     for line in ("init -q", "add .", "-c user.name=n -c user.email=e commit -qm one"):
         subprocess.run(["git", *line.split()], cwd=repository, check=True)
     (repository / "ochreflow/a.py").write_text("NEW = 1\n")
-    monkeypatch.setattr("ochreflow.lab.builds.HERE", repository / "ochreflow")
-    assert (make("HEAD", tmp_path / "old") / "ochreflow/a.py").read_text() == "OLD = 1\n"
-    assert (make(".", tmp_path / "new") / "ochreflow/a.py").read_text() == "NEW = 1\n"
+    monkeypatch.setattr("ochreflow.lab.builds.PACKAGE_DIR", repository / "ochreflow")
+    assert (make_build("HEAD", tmp_path / "old") / "ochreflow/a.py").read_text() == "OLD = 1\n"
+    assert (make_build(".", tmp_path / "new") / "ochreflow/a.py").read_text() == "NEW = 1\n"
 
 
 def test_the_command_finds_a_worse_build_and_writes_a_report(tmp_path):
