--- a/ochreflow/core/attempt_manager.py
+++ b/ochreflow/core/attempt_manager.py
@@ -181,7 +181,7 @@
             )
         except Exception:
             self.fault_log.log(
-                "upstream transport failed to start an attempt: it is not sent, unless it began before"
+                "upstream transport failed to start an attempt: it ends as not sent, unless it may have begun"
             )
             if not attempt.first_byte_permitted:
                 self.end(attempt, Status.NOT_SENT, None, ())
@@ -190,9 +190,9 @@
     def remaining_time_ns(self, attempt: Attempt) -> int:
         """Return the time left to an attempt now: see `AttemptObserver.remaining_time_ns`.
 
-        It is computed at the time of the write, so that a server does no work that nobody waits for: a value
-        from the time of the decision is too long if connecting took a while. The client's timeout runs from
-        the last byte of its body.
+        It is computed again at the time of the write, so that a server does no work that nobody waits for: a
+        value from the time of the decision is too long if connecting took a while. The client's timeout runs
+        from the last byte of its body.
         """
         request, now = attempt.pending.request, self.clock.now()
         if request.body.complete:
@@ -299,7 +299,7 @@
             self.give_up(attempt, Status.CANCELLED)
 
     def time_out(self, pending: PendingRequest) -> None:
-        """Give up all attempts of a request whose deadline is reached."""
+        """Give up all attempts of a request that is answered at its deadline or at shutdown."""
         for attempt in self.of_request(pending):
             self.give_up(attempt, Status.TIMEOUT)
 
--- a/ochreflow/core/log.py
+++ b/ochreflow/core/log.py
@@ -76,7 +76,7 @@
 
 
 class Log:
-    """The log of all parts. Events over their limit are counted; the next one written has their number."""
+    """The log of all parts. Events over their limit are counted, and the next one written says how many."""
 
     def __init__(self, sink: Sink = write_plain_line, clock: Callable[[], float] = monotonic) -> None:
         """Write to `sink`; `clock` returns seconds."""
