--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -66,7 +66,7 @@
         """Stop sending to a server, except for half-open requests."""
         server.ejected = True
         self.endpoints.inflight -= server.awaited_count()
-        server.ejections = 0
+        server.half_open_waits = 0
         self.schedule_half_open(server)
         self.endpoints.rebuild()
         self.context.log(f"ejected {server.id} after {server.consecutive_failures:.1f} consecutive failures")
@@ -74,9 +74,9 @@
 
     def schedule_half_open(self, server: Server) -> None:
         """Schedule the next half-open request to an ejected server, after a longer wait each time."""
-        growth = min(BASE_EJECTION_DEADLINES * EJECTION_GROWTH**server.ejections, MAX_EJECTION_FACTOR)
+        growth = min(BASE_EJECTION_DEADLINES * EJECTION_GROWTH**server.half_open_waits, MAX_EJECTION_FACTOR)
         wait = self.context.shortest_deadline_ns * growth
-        server.ejections += 1
+        server.half_open_waits += 1
         jitter = self.context.random.uniform(1.0 - EJECTION_JITTER, 1.0 + EJECTION_JITTER)
         server.half_open_at = self.context.now + int(wait * jitter)
 
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -121,7 +121,7 @@
         self.load, self.load_reported_at = 0.0, 0  # requests in progress as last reported, and when
         # Smoothed latency for each request in progress, in class means; 0: unknown.
         self.latency_per_request = 0.0
-        self.consecutive_failures, self.ejections, self.half_open_at = 0.0, 0, 0
+        self.consecutive_failures, self.half_open_waits, self.half_open_at = 0.0, 0, 0
         self.ejected = self.half_open_in_flight = False
         self.slow_start_tokens, self.tokens_updated_at = 0.0, 0
         self.completed_work = 0.0  # answered since the last update of the loads, in requests of mean work
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Each failure that the documents name, by its name: it comes about, twice the same, and breaks no rule."""
+"""Each failure that the documentation names: it occurs, is reproducible, and breaks no rule."""
 
 from collections import Counter, defaultdict
 from concurrent.futures import ThreadPoolExecutor
@@ -20,11 +20,11 @@
 SECONDS, RATE = 8.0, 70
 
 
-def made(*steps, **more):
+def make_scenario(*steps, **more):
     base = scenario(SECONDS, RATE, 6, *(step[:4] for step in steps))
-    forms = [{"malformation": step[4]} if len(step) > 4 else {} for step in steps]
-    by = [{"replacements": step[5]} if len(step) > 5 else {} for step in steps]
-    pairs = zip(base.steps, forms, by, strict=True)
+    malformations = [{"malformation": step[4]} if len(step) > 4 else {} for step in steps]
+    replacements = [{"replacements": step[5]} if len(step) > 5 else {} for step in steps]
+    pairs = zip(base.steps, malformations, replacements, strict=True)
     return msgspec.structs.replace(
         base, steps=tuple(msgspec.structs.replace(step, **form, **new) for step, form, new in pairs), **more
     )
@@ -34,8 +34,8 @@
     return Counter(event["what"] for event in run.get(name, ()))
 
 
-def stretched(run, name):
-    """How many times as long as on a node of its own each piece of work took, by when it began in the run."""
+def slowdowns(run, name):
+    """Return each request's slowdown against a node of its own, by its start in s from the first event."""
     began = {event["id"]: event for event in run[name] if event["what"] == "began"}
     first = min(min(event["at"] for event in events) for events in run.values() if events)
     found = {}
@@ -46,22 +46,22 @@
     return found
 
 
-def kept_none(run):
-    """Node 1 took requests that it never answered."""
+def never_finished(run):
+    """Return whether node 1 accepted requests that it never finished."""
     count = counts(run, "node-1")
     return count["taken"] - count["ran"] >= 2
 
 
-def failed(low, high):
-    def seen(run):
+def error_share_between(low, high):
+    def occurred(run):
         count = counts(run, "node-1")
         return low <= count["failed"] / max(count["taken"], 1) <= high and count["failed"] >= 2
 
-    return seen
+    return occurred
 
 
-def slowed(run):
-    times = stretched(run, "node-1")
+def slowed_down(run):
+    times = slowdowns(run, "node-1")
     early = [duration for at, duration in times.items() if at < 0.25 * SECONDS]
     late = [duration for at, duration in times.items() if at > 0.42 * SECONDS]
     return late and median(late) > 1.25 * median(early)
@@ -75,7 +75,7 @@
 
 
 def silent(run):
-    """For two seconds and more node 1 wrote down nothing, with work in hand."""
+    """Return whether node 1, with work in progress, recorded no event for more than two seconds."""
     at = [event["at"] for event in run["node-1"] if event["what"] in ("taken", "ran")]
     return max(late - early for early, late in pairwise(at)) > 2 * NS_PER_S
 
@@ -92,41 +92,42 @@
 
 
 FAILURES = {
-    "swallow": (made((0.3, "swallow", [1])), kept_none),
-    "fail fast, 30 %": (made((0.1, "fail", [1], 0.3)), failed(0.02, 0.6)),
-    "fail fast, 98 %": (made((0.1, "fail", [1], 0.98)), failed(0.1, 1.0)),
-    "neighbour takes 38 %": (made((0.35, "slow", [1], 1 / (1 - 0.38))), slowed),
-    "neighbour takes 71 %": (made((0.35, "slow", [1], 1 / (1 - 0.71))), slowed),
+    "swallow": (make_scenario((0.3, "swallow", [1])), never_finished),
+    "fail fast, 30 %": (make_scenario((0.1, "fail", [1], 0.3)), error_share_between(0.02, 0.6)),
+    "fail fast, 98 %": (make_scenario((0.1, "fail", [1], 0.98)), error_share_between(0.1, 1.0)),
+    "neighbour takes 38 %": (make_scenario((0.35, "slow", [1], 1 / (1 - 0.38))), slowed_down),
+    "neighbour takes 71 %": (make_scenario((0.35, "slow", [1], 1 / (1 - 0.71))), slowed_down),
     "burst": (
         msgspec.structs.replace(
-            made(), load=msgspec.structs.replace(made().load, bursts=(Burst(0.4, 0.65, 2.5),))
+            make_scenario(),
+            load=msgspec.structs.replace(make_scenario().load, bursts=(Burst(0.4, 0.65, 2.5),)),
         ),
         load_was_higher,
     ),
-    "silent connections": (made((0.3, "freeze", [1]), (0.7, "thaw", [1])), silent),
-    "answers cut after their heads": (made((0.1, "spoil", [1], 1.0, "cut")), ran_requests),
-    "answers that are garbled": (made((0.1, "spoil", [1], 1.0, "garbled")), ran_requests),
-    "answers that stall": (made((0.1, "spoil", [1], 1.0, "stalled")), ran_requests),
-    "extra bytes after an answer": (made((0.1, "spoil", [1], 1.0, "extra")), ran_requests),
-    "1xx in front": (made((0.1, "spoil", [1], 1.0, "interim")), ran_requests),
-    "replaced at a reused address": (made((0.4, "replace", [1], 1.0, "extra", (11,))), replaced),
+    "silent connections": (make_scenario((0.3, "freeze", [1]), (0.7, "thaw", [1])), silent),
+    "answers cut after their heads": (make_scenario((0.1, "spoil", [1], 1.0, "cut")), ran_requests),
+    "answers that are garbled": (make_scenario((0.1, "spoil", [1], 1.0, "garbled")), ran_requests),
+    "answers that stall": (make_scenario((0.1, "spoil", [1], 1.0, "stalled")), ran_requests),
+    "extra bytes after an answer": (make_scenario((0.1, "spoil", [1], 1.0, "extra")), ran_requests),
+    "1xx in front": (make_scenario((0.1, "spoil", [1], 1.0, "interim")), ran_requests),
+    "replaced at a reused address": (make_scenario((0.4, "replace", [1], 1.0, "extra", (11,))), replaced),
 }
 
 
 @pytest.mark.parametrize("name", FAILURES)
 def test_in_simulated_time_the_same_seed_gives_the_same_digest(name):
-    given, seen = FAILURES[name]
-    runs = [Simulation(given, 4, load_policy(None)) for _ in range(2)]
+    failure_scenario, occurred = FAILURES[name]
+    runs = [Simulation(failure_scenario, 4, load_policy(None)) for _ in range(2)]
     result = [run.run() for run in runs]
     assert result[0].digest == result[1].digest
     assert result[0].outcome == 0, result[0].report.findings[:3]
     events = {what: event_log.events for what, event_log in runs[0].event_logs.items()}
     assert all(event["at"] >= START_NS for event in events["clients-1"])
-    assert seen(events)
+    assert occurred(events)
 
 
-def test_on_sockets_each_comes_about_and_breaks_no_rule(tmp_path):
-    """The whole program on loopback sockets, in simulated time (`simulated.py`): no run is void."""
+def test_on_sockets_each_failure_occurs_and_breaks_no_rule(tmp_path):
+    """Run the whole program on loopback sockets, in simulated time (`simulated.py`): no run is void."""
 
     def judged(name):
         run_dir = tmp_path / name
@@ -135,8 +136,8 @@
 
     with ThreadPoolExecutor(AT_ONCE) as pool:
         result = dict(pool.map(judged, FAILURES))
-    for name, (_, seen) in FAILURES.items():
+    for name, (_, occurred) in FAILURES.items():
         run = {path.stem: list(read_events(path)) for path in (tmp_path / name).glob("*.jsonl")}
         assert not result[name].crashed, (name, result[name].crashed[:3])
         assert not result[name].findings, (name, result[name].findings[:3])
-        assert seen(run), name
+        assert occurred(run), name
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -1,4 +1,4 @@
-"""Sidecars with low traffic: one small test for each failure found at full size."""
+"""Sidecars with low traffic: one small test for each failure found in fleets of full size."""
 
 import pytest
 from helpers import (
@@ -33,7 +33,7 @@
 
 
 def trickle(balancer, now, idents, duration_ns, gap=SECOND):
-    """One request at a time, far apart; the servers used, in order."""
+    """Serve one request at a time, `gap` ns apart; return the time and the servers used, in order."""
     used = []
     for ident in idents:
         now += gap
@@ -44,22 +44,22 @@
     return now, used
 
 
-def test_a_sidecar_that_sends_little_keeps_to_few_servers_and_a_busy_one_to_all():
-    """Every server was met twice a minute, so none was ever known as slow or hung."""
+def test_a_sidecar_with_low_traffic_samples_few_servers_and_a_busy_one_samples_all():
+    """With all servers sampled, each got two requests a minute, too few to detect a slow or hung one."""
     entries = [endpoint(n) for n in range(40)]
-    idle, now = make(entries=entries)
-    assert len(set(trickle(idle, now, range(60), lambda server: 40 * MS)[1])) <= 4
+    quiet, now = make(entries=entries)
+    assert len(set(trickle(quiet, now, range(60), lambda server: 40 * MS)[1])) <= 4
     busy, now = make(entries=entries)
     assert len(serve_requests(busy, now, range(1500), 10 * MS)[1]) == 40
 
 
-def test_where_servers_outnumber_sidecars_all_are_sampled_however_little_is_sent():
-    """A restarted one of four sidecars, with half the traffic to come, began as if it saw little."""
+def test_all_servers_are_sampled_where_they_outnumber_sidecars_even_with_low_traffic():
+    """One of four sidecars restarted before it took half of the traffic, and sampled only a small subset."""
     balancer, now = make_any(entries=[endpoint(n) for n in range(40)], fleet_size=4)
     assert len(set(trickle(balancer, now, range(60), lambda server: 40 * MS)[1])) > 20
 
 
-def test_sidecars_keep_to_different_servers():
+def test_sidecars_sample_different_servers():
     entries = [endpoint(n) for n in range(40)]
     used = set()
     for seed in range(60):
@@ -68,8 +68,8 @@
     assert len(used) > 30
 
 
-def test_a_request_reaches_beyond_the_set_when_none_of_it_is_fit():
-    """A keyed repeat may only go to the group of its first server, of which the set may hold no other."""
+def test_a_request_is_sent_outside_the_subset_when_none_of_it_is_eligible():
+    """A retry with a key must stay in the cell of its first server, which may be alone in the subset."""
     entries = [endpoint(n, cell=n // 2) for n in range(40)]
     retried = []
     for seed in range(20):
@@ -81,29 +81,29 @@
     assert len(retried) == 20 and {abs(step) for step in retried} == {1}  # its neighbour, of the same cell
 
 
-def test_an_overrun_zone_and_a_slow_kind_get_less_within_tens_of_answers():
-    """A zone with 61% of the traffic and 31% of the capacity stood choked, whole, two seconds into a day."""
+def test_an_overloaded_zone_and_a_slow_kind_get_fewer_requests_within_tens_of_answers():
+    """A zone with 61% of the traffic and 31% of the capacity was overloaded within two seconds of a run."""
     for name in ("zone", "kind"):
         entries = [
             Endpoint(n, n % 2 if name == "zone" else 0, n % 2 if name == "kind" else 0, 0, State.READY)
             for n in range(40)
         ]
         early = late = 0
-        leans = 0.0
+        bias_differences = 0.0
         for seed in range(30):
             balancer, now = make(entries=entries, seed=seed)
             _, used = trickle(balancer, now, range(40), lambda server: (40 if server % 2 else 120) * MS)
             early += sum(1 - server % 2 for server in used[:5])
             late += sum(1 - server % 2 for server in used[-5:])
-            leans += (
+            bias_differences += (
                 balancer.picker.group(balancer.endpoints.servers[1]).weight_bias
                 - balancer.picker.group(balancer.endpoints.servers[0]).weight_bias
             )
         assert late < 0.4 * 150 and late < 0.8 * early
-        assert leans > 30 * 0.3  # by the sampling too, not by the pick alone
+        assert bias_differences > 30 * 0.3  # the sampling weights differ as well
 
 
-def test_an_unheard_server_counts_at_the_mean_of_its_kind():
+def test_a_server_without_answers_counts_at_the_mean_of_its_kind():
     entries = [Endpoint(n, 0, n % 2, 0, State.READY) for n in range(40)]
     balancer, now = make(entries=entries)
     now, _ = trickle(balancer, now, range(40), lambda server: (40 if server % 2 else 120) * MS)
@@ -116,8 +116,8 @@
     assert unheard[1] == balancer.picker.groups[1, False].relative_latency < 1.0
 
 
-def test_restarted_servers_are_used_from_their_listing_on_but_not_by_all_at_once():
-    """A third of a fleet came back from a crash and stood idle for 14 s: first tokens took so long."""
+def test_restarted_servers_are_used_once_listed_but_not_by_all_sidecars_at_once():
+    """A third of a fleet came back from a crash and stayed idle for 14 s, until it had earned tokens."""
     warm = [endpoint(n) for n in range(1, 9)]
     restarted_at = START + 5 * SECOND
     first = []
@@ -133,52 +133,52 @@
     assert len([when for when in first if when == 0]) <= 10
 
 
-def test_one_long_silence_outweighs_answers_of_long_ago():
+def test_a_new_sample_outweighs_old_answers():
     balancer, now = make(entries=[endpoint(n) for n in range(40)], effect=Effect.NON_IDEMPOTENT)
     now, used = trickle(balancer, now, range(40), lambda server: 40 * MS)
     server = balancer.endpoints.servers[used[-1]]
     before = server.relative_latency
-    balancer.outcome_recorder.record_sample(server, 10.0)  # at once: one of many
-    small = server.relative_latency - before
+    balancer.outcome_recorder.record_sample(server, 10.0)  # at once: little weight
+    small_change = server.relative_latency - before
     server.relative_latency = before
     balancer.context.now += 20 * SECOND
     balancer.outcome_recorder.record_sample(server, 10.0)
-    assert server.relative_latency - before > 4 * small
+    assert server.relative_latency - before > 4 * small_change
 
 
-def test_reports_that_are_no_numbers_change_nothing():
+def test_invalid_load_reports_are_ignored():
     balancer, now = make(entries=[endpoint(n) for n in range(40)], report_columns=("qps", "inflight"))
     server = balancer.endpoints.servers[0]
     balancer.handle(now, ProbeResult(0, Status.OK, MS, (1.0, 3.0)))
     before = server.load, server.load_reported_at
     assert before == (3.0, now)
-    for odd in ((), (1.0,), (1.0, float("nan")), (1.0, -3.0), (1.0, float("inf"))):
-        balancer.picker.record_load_report(server, odd)
+    for invalid_report in ((), (1.0,), (1.0, float("nan")), (1.0, -3.0), (1.0, float("inf"))):
+        balancer.picker.record_load_report(server, invalid_report)
     assert (server.load, server.load_reported_at) == before
 
 
-def test_a_sidecar_with_a_request_now_and_then_sheds_in_overload_and_recovers():
-    """Incident i032b0e: 1476 sidecars, each with one in flight at the most, kept 88 servers choked."""
+def test_a_sidecar_with_low_traffic_sheds_in_overload_and_recovers():
+    """Incident i032b0e: 1476 sidecars with at most one request in flight each kept 88 servers overloaded."""
     balancer, now = make(entries=[endpoint(n) for n in range(40)], effect=Effect.NON_IDEMPOTENT)
-    refused = {}
+    rejected = {}
     ident = 0
     for phase, latency in (("before", 40 * MS), ("crowded", 900 * MS), ("after", 40 * MS)):
-        refused[phase] = 0
+        rejected[phase] = 0
         for step in range(60):
             now += SECOND
             ident += 1
             sent = actions_of_type(balancer.handle(now, request(ident, now)), Send)
-            refused[phase] += not sent and step >= 20
+            rejected[phase] += not sent and step >= 20
             for action in sent:
                 done = Outcome(ident, 0, action.server, Status.OK, latency, True)
                 balancer.handle(now + latency, done)
-    assert refused["before"] == refused["after"] == 0
-    assert 4 < refused["crowded"] < 36
+    assert rejected["before"] == rejected["after"] == 0
+    assert 4 < rejected["crowded"] < 36
 
 
 @pytest.mark.parametrize("servers, failures", [(60, 1), (6, 2)])
 def test_a_rarely_used_server_is_ejected_after_one_failed_connect(servers, failures):
-    """herd+vast: of thirty gone servers a sidecar had found three after 5 s, as each had to fail it twice."""
+    """Scenario herd+vast: with two failures needed, a sidecar had ejected 3 of 30 lost servers after 5 s."""
     balancer, now = make_any(servers=servers, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     for ident in range(100):
         now += 50 * MS
@@ -193,7 +193,7 @@
 
 
 def send_to(balancer, now, ident, server):
-    """An attempt at this server, whatever the pick would say."""
+    """Record an attempt at this server in place of the picked one."""
     balancer.handle(now, request(ident, now))
     balancer.pending[ident].attempts[-1][0].in_flight.pop((ident, 0), None)
     server.in_flight[ident, 0] = InFlightAttempt(now, 0)
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -1,4 +1,4 @@
-"""The pace to cold servers: what it gives back, and that it holds for a fleet."""
+"""Slow start: tokens and refunds, the load of warm servers, and cold servers in a simulated fleet."""
 
 import pytest
 from helpers import MS, SECOND, START, endpoint, make_balancer, send_one, serve_requests
@@ -10,24 +10,24 @@
 from ochreflow.simulation.slow_start_run import SlowStartCase, play
 
 
-def restarted(balancer, now, number=9, cell=0):
-    """A server starts now, and the list tells of it at once."""
+def restart_server(balancer, now, number=9, cell=0):
+    """Have a server start now, with an endpoint update at once; return its record."""
     balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(number, cell=cell, started=now)]))
     return balancer.endpoints.servers[number]
 
 
-def test_an_attempt_whose_connection_never_came_up_is_given_back_once_it_was_taken_from_this_start():
+def test_tokens_of_an_attempt_without_a_connection_are_refunded_if_taken_since_the_latest_start():
     balancer, now = make_balancer(entries=[endpoint(1), endpoint(2)])
-    server = restarted(balancer, now)
+    server = restart_server(balancer, now)
     slow_start = balancer.slow_start
     sent = balancer.context.now = now + 10 * MS
     slow_start.allows(server, 0, consume=True)
-    taken = server.slow_start_tokens
+    tokens_after_send = server.slow_start_tokens
     balancer.context.now += 200 * MS
     slow_start.refund_tokens(server, 0, sent)
-    assert server.slow_start_tokens == taken + balancer.latency.cost(0)
-    # Its pace was another life's: the new one owes nothing for it.
-    server = restarted(balancer, now + SECOND)
+    assert server.slow_start_tokens == tokens_after_send + balancer.latency.cost(0)
+    # The tokens were taken before the latest start: the new incarnation gets no refund.
+    server = restart_server(balancer, now + SECOND)
     balancer.context.now += SECOND
     slow_start.allows(server, 0, consume=False)
     fresh = server.slow_start_tokens
@@ -35,7 +35,7 @@
     assert server.slow_start_tokens == fresh
 
 
-def test_an_attempt_between_a_start_and_the_news_of_it_gets_nothing_back_from_the_new_life():
+def test_an_attempt_between_a_start_and_its_notification_gets_no_refund():
     balancer, now = make_balancer(entries=[endpoint(1), endpoint(2)])
     slow_start = balancer.slow_start
     started, sent, notified_at = now, now + 100 * MS, now + SECOND
@@ -49,7 +49,7 @@
     assert server.slow_start_tokens == fresh + balancer.latency.cost(0)
 
 
-def test_a_warm_server_is_given_nothing_back():
+def test_a_warm_server_gets_no_refund():
     balancer, now = make_balancer(entries=[endpoint(1), endpoint(2)])
     server = balancer.endpoints.servers[1]
     balancer.slow_start.allows(server, 0, consume=True)
@@ -57,24 +57,24 @@
     assert server.slow_start_tokens == 0.0
 
 
-def test_a_start_that_lies_ahead_of_the_own_clock_is_no_crash_where_nothing_warms_up():
+def test_a_start_ahead_of_the_sidecars_clock_does_not_fail_without_warm_up():
     balancer, now = make_balancer(entries=[endpoint(1, started=START + 5 * SECOND)], warm_up_ns=0)
     assert send_one(balancer, now, 1).server == 1
 
 
-def test_a_fleet_that_knows_what_a_server_can_do_does_not_earn_more_by_being_answered():
-    """Each answer allowed one and a half more: thirty sidecars grew together past what one server bears."""
+def test_answers_earn_no_tokens_once_the_load_of_warm_servers_is_known():
+    """Each answer earned tokens for 1.5 requests: thirty sidecars together overloaded one server."""
     balancer, now = make_balancer(entries=[endpoint(1), endpoint(2)], fleet_size=30)
     now, _ = serve_requests(balancer, now, range(100), 50 * MS)
-    server = restarted(balancer, now)
+    server = restart_server(balancer, now)
     balancer.slow_start.allows(server, 0, consume=True)
-    taken = server.slow_start_tokens
+    tokens_after_send = server.slow_start_tokens
     balancer.slow_start.record_answer(server, 0)
-    assert server.slow_start_tokens == taken
+    assert server.slow_start_tokens == tokens_after_send
 
 
-def carry(balancer, now, rates, seconds=20):
-    """Have each server answer so many requests a second."""
+def record_answers(balancer, now, rates, seconds=20):
+    """Record answers of each server at its rate, in answers a second; return the time after that."""
     for tick in range(seconds * 100):
         at = now + tick * 10 * MS
         for number, rate in rates.items():
@@ -84,39 +84,39 @@
     return now + seconds * SECOND
 
 
-def began(entries, **settings):
+def make_with_traffic(entries, **settings):
     balancer, now = make_balancer(entries=entries, **settings)
     balancer.endpoints.first_request_at = now
     return balancer, now
 
 
-def test_what_warm_servers_carried_is_remembered_while_none_is_warm():
-    """It was counted over all servers and faded with their answers: a fleet that had gone stayed unused."""
-    balancer, now = began([endpoint(1), endpoint(2)], warm_up_ns=60 * SECOND)
-    now = carry(balancer, now, {1: 10, 2: 10})
+def test_the_load_of_warm_servers_is_kept_while_none_is_warm():
+    """The load was that of all servers and fell with their answers: a replaced fleet stayed unused."""
+    balancer, now = make_with_traffic([endpoint(1), endpoint(2)], warm_up_ns=60 * SECOND)
+    now = record_answers(balancer, now, {1: 10, 2: 10})
     balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(n, started=now) for n in (1, 2)]))
     server = balancer.endpoints.servers[1]
     assert balancer.slow_start.baseline_load(server) == pytest.approx(10.0, rel=0.05)
-    now = carry(balancer, now, {1: 1, 2: 1}, 30)
+    now = record_answers(balancer, now, {1: 1, 2: 1}, 30)
     assert balancer.slow_start.baseline_load(server) == pytest.approx(10.0, rel=0.05)
 
 
 def test_the_baseline_load_is_that_of_warm_servers_not_of_all():
-    balancer, now = began([endpoint(n) for n in (1, 2, 3, 4)])
-    now = carry(balancer, now, dict.fromkeys((1, 2, 3, 4), 10))
+    balancer, now = make_with_traffic([endpoint(n) for n in (1, 2, 3, 4)])
+    now = record_answers(balancer, now, dict.fromkeys((1, 2, 3, 4), 10))
     changes = [endpoint(n, started=now) for n in (1, 2, 3)]
     balancer.handle(now, Membership(ListKind.DELTA, 2, changes))
-    now = carry(balancer, now, {1: 1, 2: 1, 3: 1, 4: 20}, 10)
+    now = record_answers(balancer, now, {1: 1, 2: 1, 3: 1, 4: 20}, 10)
     assert 10.0 < balancer.slow_start.baseline_load(balancer.endpoints.servers[1]) < 20.0
 
 
-def test_a_cold_server_is_paced_by_its_own_kind_and_cell():
+def test_the_baseline_load_of_a_cold_server_is_that_of_its_kind_and_cell():
     entries = [endpoint(number, cell=number % 2) for number in range(4)]
     for entry in entries:
         entry.kind = entry.server // 2
-    balancer, now = began(entries)
-    # The second kind does twice what the first does, and the second cell is held down to half.
-    now = carry(balancer, now, {0: 10, 1: 5, 2: 20, 3: 10})
+    balancer, now = make_with_traffic(entries)
+    # The second kind answers twice as many as the first, and the second cell half as many as the first.
+    now = record_answers(balancer, now, {0: 10, 1: 5, 2: 20, 3: 10})
     fresh = [endpoint(number + 10, cell=number % 2, started=now) for number in range(4)]
     for number, entry in enumerate(fresh):
         entry.kind = number // 2
@@ -124,55 +124,55 @@
     loads = [
         balancer.slow_start.baseline_load(balancer.endpoints.servers[number + 10]) for number in range(4)
     ]
-    # Cells are only taken off what a kind carries: the others of a kind stay at its mean.
+    # The factor of a cell only reduces the load of a kind: servers in a better cell stay at the kind's mean.
     assert loads == pytest.approx([7.5, 5.0, 15.0, 10.0], rel=0.05)
 
 
-def test_a_cell_without_a_warm_server_is_not_held_down_by_what_others_carry_for_it():
-    """The more the one that was left carried, the less the cold ones got: 3.2 in place of the usual 10."""
+def test_a_cell_without_a_warm_server_keeps_its_load_while_others_take_over_its_traffic():
+    """The more the last warm server carried, the less the cold ones got: 3.2 instead of 10."""
     entries = [endpoint(number, cell=int(number > 1)) for number in range(1, 6)]
     for entry in entries:
         entry.kind = entry.cell
-    balancer, now = began(entries)
-    now = carry(balancer, now, dict.fromkeys(range(1, 6), 10))
+    balancer, now = make_with_traffic(entries)
+    now = record_answers(balancer, now, dict.fromkeys(range(1, 6), 10))
     for entry in entries[1:]:
         entry.started_ns = now
     balancer.handle(now, Membership(ListKind.DELTA, 2, entries[1:]))
-    carry(balancer, now, {1: 50, 2: 1}, 8)
+    record_answers(balancer, now, {1: 50, 2: 1}, 8)
     assert balancer.slow_start.baseline_load(balancer.endpoints.servers[2]) == pytest.approx(10.0, rel=0.05)
 
 
-def test_a_weak_kind_with_a_cell_of_its_own_is_not_taken_off_twice():
-    """It was held against all of its side: 0.4 in place of the 2 that it carries beside a kind of 20."""
+def test_a_weak_kind_with_a_cell_of_its_own_is_not_reduced_twice():
+    """Its cell was compared with all local servers: beside a kind of 20 it got 0.4 instead of its own 2."""
     entries = [endpoint(number, cell=number // 3) for number in range(6)]
     for entry in entries:
         entry.kind = entry.cell
-    balancer, now = began(entries)
-    now = carry(balancer, now, {0: 2, 1: 2, 2: 2, 3: 20, 4: 20, 5: 20})
-    server = restarted(balancer, now, 9, cell=0)
+    balancer, now = make_with_traffic(entries)
+    now = record_answers(balancer, now, {0: 2, 1: 2, 2: 2, 3: 20, 4: 20, 5: 20})
+    server = restart_server(balancer, now, 9, cell=0)
     assert balancer.slow_start.baseline_load(server) == pytest.approx(2.0, rel=0.05)
 
 
-def test_a_cell_that_is_not_sampled_is_not_taken_for_one_that_is_held_down():
-    """Where a sidecar samples few of many servers, the others carry nothing of its own."""
+def test_a_cell_that_is_not_sampled_is_not_taken_for_one_with_low_load():
+    """Where a sidecar samples few of many servers, the others have no load from it."""
     entries = [endpoint(number, cell=number % 4) for number in range(40)]
-    balancer, now = began(entries, fleet_size=200)
+    balancer, now = make_with_traffic(entries, fleet_size=200)
     sampled = [one.id for one in balancer.endpoints.local]
     assert 0 < len(sampled) < 4
-    now = carry(balancer, now, dict.fromkeys(sampled, 2))
+    now = record_answers(balancer, now, dict.fromkeys(sampled, 2))
     for number in range(4):
-        server = restarted(balancer, now, 100 + number, cell=number)
+        server = restart_server(balancer, now, 100 + number, cell=number)
         assert balancer.slow_start.baseline_load(server) == pytest.approx(2.0, rel=0.05)
 
 
-def test_a_cold_server_gets_a_part_of_what_would_push_it_over_if_the_baseline_load_were_all_it_can_do():
-    """In the mean: whole requests come by chance."""
+def test_a_cold_server_gets_a_share_of_the_load_that_would_overload_it():
+    """The bound holds for the mean, since fractions of a token are rounded at random."""
     sent, budget = 0, 0.0
     for seed in range(20):
         settings = {"seed": seed, "overload_factor": 2.5, "overload_for_ns": 3 * SECOND}
-        balancer, now = began([endpoint(1), endpoint(2)], **settings)
-        now = carry(balancer, now, {1: 20, 2: 20})
-        server, slow_start = restarted(balancer, now), balancer.slow_start
+        balancer, now = make_with_traffic([endpoint(1), endpoint(2)], **settings)
+        now = record_answers(balancer, now, {1: 20, 2: 20})
+        server, slow_start = restart_server(balancer, now), balancer.slow_start
         for tick in range(300):
             balancer.context.now = now + tick * 10 * MS
             budget += 2.5 * 20 * slow_start.warm_share(server) / 100
@@ -182,13 +182,13 @@
     assert 0.65 * budget < sent < 0.85 * budget
 
 
-def test_others_part_is_left_to_those_who_sample_it_on_its_side_of_a_crossing():
-    """Half of the near ones are sampled, of the far one in 48: near ones were sent twelve times as much."""
+def test_a_sampled_server_also_gets_the_share_of_the_sidecars_that_do_not_sample_it():
+    """Half of the local servers are sampled, but one in 48 remote ones: local ones got 12 times as much."""
     sent, budget = 0, 0.0
     entries = [endpoint(number, zone=int(number >= 4)) for number in range(100)]
     for seed in range(40):
-        balancer, now = began(entries, seed=seed, fleet_size=200, overload_factor=2.5)
-        now = carry(balancer, now, dict.fromkeys([one.id for one in balancer.endpoints.local], 4))
+        balancer, now = make_with_traffic(entries, seed=seed, fleet_size=200, overload_factor=2.5)
+        now = record_answers(balancer, now, dict.fromkeys([one.id for one in balancer.endpoints.local], 4))
         balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(0, started=now)]))
         server, slow_start = balancer.endpoints.servers[0], balancer.slow_start
         if server in balancer.endpoints.outside_subset:
@@ -203,10 +203,10 @@
     assert 0.65 * budget < sent < 0.85 * budget
 
 
-def test_a_cold_server_keeps_a_pace_while_all_of_its_side_are_avoided():
+def test_a_cold_server_earns_tokens_while_all_local_servers_are_ejected():
     entries = [endpoint(number, zone=int(number >= 1)) for number in range(100)]
-    balancer, now = began(entries, fleet_size=200)
-    server = restarted(balancer, now)
+    balancer, now = make_with_traffic(entries, fleet_size=200)
+    server = restart_server(balancer, now)
     server.ejected = True
     balancer.endpoints.servers[0].ejected = True
     balancer.endpoints.rebuild()
@@ -217,10 +217,10 @@
     assert balancer.slow_start.allows(server, 0, consume=False)
 
 
-def test_a_cold_server_that_turns_away_gets_nothing_until_more_is_earned():
-    balancer, now = began([endpoint(1), endpoint(2)])
-    now = carry(balancer, now, {1: 10, 2: 10})
-    server, slow_start = restarted(balancer, now), balancer.slow_start
+def test_a_cold_server_that_rejects_gets_nothing_until_more_tokens_are_earned():
+    balancer, now = make_with_traffic([endpoint(1), endpoint(2)])
+    now = record_answers(balancer, now, {1: 10, 2: 10})
+    server, slow_start = restart_server(balancer, now), balancer.slow_start
     balancer.context.now = now + 2 * SECOND
     assert slow_start.allows(server, 0, consume=False)
     slow_start.drain_tokens(server)
@@ -229,78 +229,78 @@
     assert slow_start.allows(server, 0, consume=False)
 
 
-def test_a_kind_never_met_warm_is_paced_by_all():
-    balancer, now = began([endpoint(1), endpoint(2)])
-    now = carry(balancer, now, {1: 10, 2: 20})
+def test_a_kind_without_a_warm_server_has_the_load_of_all():
+    balancer, now = make_with_traffic([endpoint(1), endpoint(2)])
+    now = record_answers(balancer, now, {1: 10, 2: 20})
     other = endpoint(9, started=now)
     other.kind = 5
     balancer.handle(now, Membership(ListKind.DELTA, 2, [other]))
     assert balancer.slow_start.baseline_load(balancer.endpoints.servers[9]) == pytest.approx(15.0, rel=0.05)
 
 
-def test_pace_is_earned_from_the_news_of_a_start_not_from_the_first_look():
-    """Of 200 sidecars each looks at one server every eight seconds: the first look was always for nothing."""
-    balancer, now = began([endpoint(1), endpoint(2)], fleet_size=200)
-    now = carry(balancer, now, {1: 1, 2: 1})
-    server = restarted(balancer, now)
+def test_tokens_are_earned_from_the_notification_of_a_start_on():
+    """Each of 200 sidecars checks a server every eight seconds, and its first check never found a token."""
+    balancer, now = make_with_traffic([endpoint(1), endpoint(2)], fleet_size=200)
+    now = record_answers(balancer, now, {1: 1, 2: 1})
+    server = restart_server(balancer, now)
     balancer.context.now = now + 4 * SECOND
     assert balancer.slow_start.allows(server, 0, consume=False)
 
 
-def test_a_sidecar_that_knows_no_warm_server_earns_by_answers():
+def test_answers_earn_tokens_while_no_warm_server_is_known():
     balancer, now = make_balancer(entries=[endpoint(9, started=START)], fleet_size=30)
     server = balancer.endpoints.servers[9]
     balancer.context.now = now
     balancer.slow_start.allows(server, 0, consume=True)
-    taken = server.slow_start_tokens
+    tokens_after_send = server.slow_start_tokens
     balancer.slow_start.record_answer(server, 0)
-    assert server.slow_start_tokens > taken + 1.0
+    assert server.slow_start_tokens > tokens_after_send + 1.0
 
 
-def test_ten_cold_servers_bear_the_sum_of_what_thirty_sidecars_send():
-    """With the pace before, the first of these came to 0.74 of what is put down to chance."""
-    found = [play(SlowStartCase(30, 10, REPLACED_SHARES["all"]), seed) for seed in (1, 4)]
-    assert max(one.slack for one in found) <= 0.4, found
-    assert sum(one.of_slow_start_ramp for one in found) > 0.5 * len(found)  # it isn't kept by sending nothing
+def test_thirty_sidecars_together_do_not_overload_ten_cold_servers():
+    """With the former refill rate, the first seed reached 0.74 of the excess that is attributed to chance."""
+    results = [play(SlowStartCase(30, 10, REPLACED_SHARES["all"]), seed) for seed in (1, 4)]
+    assert max(one.slack for one in results) <= 0.4, results
+    assert sum(one.of_slow_start_ramp for one in results) > 0.5 * len(results)  # the servers are used
 
 
 @pytest.mark.parametrize("slow", [False, True])
-def test_one_cold_server_among_few_sidecars_is_put_to_use(slow):
-    """Of what it can do: a slow one can do its ramp, and the pick rightly leaves it some of that."""
-    found = [
+def test_one_cold_server_is_used_by_few_sidecars(slow):
+    """The bound is a share of its capacity, or of its ramp if it is slow: the picker prefers faster ones."""
+    results = [
         play(SlowStartCase(5, 10, REPLACED_SHARES["one"], slow_while_warming_up=slow), seed)
         for seed in (1, 2, 3)
     ]
-    assert max(one.slack for one in found) <= 0.4, found
-    used = [one.of_slow_start_ramp if slow else one.of_capacity for one in found]
-    assert sum(used) > 0.35 * len(found)
+    assert max(one.slack for one in results) <= 0.4, results
+    used = [one.of_slow_start_ramp if slow else one.of_capacity for one in results]
+    assert sum(used) > 0.35 * len(results)
 
 
-def test_a_fleet_that_goes_as_a_whole_is_put_to_use_again():
-    """Before, its pace fell with what it answered: 0.587 were served in the mean of 20 seeds."""
-    found = [play(SlowStartCase(5, 10, REPLACED_SHARES["all"]), seed) for seed in (1, 2, 3)]
-    assert max(one.slack for one in found) <= 0.4, found
-    assert sum(one.served for one in found) > 0.7 * len(found), found
+def test_a_fleet_that_is_replaced_as_a_whole_is_used_again():
+    """With a refill rate that fell with the answers, 0.587 of requests were served, the mean of 20 seeds."""
+    results = [play(SlowStartCase(5, 10, REPLACED_SHARES["all"]), seed) for seed in (1, 2, 3)]
+    assert max(one.slack for one in results) <= 0.4, results
+    assert sum(one.served for one in results) > 0.7 * len(results), results
 
 
-def test_one_cold_server_of_sixty_is_put_to_use():
-    found = [play(SlowStartCase(30, 60, REPLACED_SHARES["one"]), seed) for seed in (1, 2)]
-    assert max(one.slack for one in found) <= 0.4, found
-    assert sum(one.of_capacity for one in found) > 0.4 * len(found), found
+def test_one_cold_server_of_sixty_is_used():
+    results = [play(SlowStartCase(30, 60, REPLACED_SHARES["one"]), seed) for seed in (1, 2)]
+    assert max(one.slack for one in results) <= 0.4, results
+    assert sum(one.of_capacity for one in results) > 0.4 * len(results), results
 
 
-def test_weak_servers_bear_it_where_the_list_tells_kinds_and_cells_apart():
-    found = [play(SlowStartCase(30, 10, REPLACED_SHARES["all"], unequal=True), seed) for seed in (1, 2, 3)]
-    assert max(one.slack for one in found) < 1.0, found
-    assert sum(one.of_slow_start_ramp for one in found) > 0.6 * len(found), found
+def test_weak_servers_are_not_overloaded_where_the_list_tells_kinds_and_cells_apart():
+    results = [play(SlowStartCase(30, 10, REPLACED_SHARES["all"], unequal=True), seed) for seed in (1, 2, 3)]
+    assert max(one.slack for one in results) < 1.0, results
+    assert sum(one.of_slow_start_ramp for one in results) > 0.6 * len(results), results
 
 
-def test_windows_are_held_against_what_the_ramp_allowed_in_them():
+def test_windows_are_compared_with_what_the_ramp_allowed_in_them():
     assert slow_start_ramp_integral(12.0) == pytest.approx(12.0 * (0.15 + 1.0) / 2)
     assert slow_start_ramp_integral(16.0) - slow_start_ramp_integral(12.0) == pytest.approx(4.0)
-    even = [number / 100 for number in range(1, 1100)]  # a hundred a second: five times a warm one
-    worst = worst_window(even)[0]
-    assert 0 < worst.sends <= 301  # no more than its three seconds hold
+    send_times_s = [number / 100 for number in range(1, 1100)]  # five times a warm server's 20 a second
+    worst = worst_window(send_times_s)[0]
+    assert 0 < worst.sends <= 301  # its three seconds hold no more
     assert worst.slack == slack(worst.sends, worst.budget) > 1.0
     assert worst_window([]) == [] and worst_window([13.0]) == []
     assert slack(31, 25.0) == pytest.approx(0.5)
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -1,4 +1,4 @@
-"""The README's example, determinism, the size of the module, memory and work per event."""
+"""The README's example, determinism, the size of the decision module, and its memory and work per event."""
 
 import random
 import re
@@ -23,57 +23,59 @@
 )
 
 ROOT = Path(__file__).parent.parent
-MAX_MODULE_LINES = 400  # of one decision module: past that it has more than one job
+MAX_MODULE_LINES = 400  # of one file: a longer one has more than one job
 
 
 def test_the_readme_example_runs():
     code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S).group(1)
-    space = {}
-    exec(code, space)
-    assert space["send"].server in (1, 2, 3)
-    assert not space["balancer"].pending
+    namespace = {}
+    exec(code, namespace)
+    assert namespace["send"].server in (1, 2, 3)
+    assert not namespace["balancer"].pending
 
 
 def test_the_policy_stays_within_its_limits_and_names_the_interface_first():
-    named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    texts = {Path(name).name: (ROOT / name).read_text() for name in named}
+    listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    texts = {Path(name).name: (ROOT / name).read_text() for name in listed}
     too_long = {
         name: lines for name, text in texts.items() if (lines := len(text.splitlines())) > MAX_MODULE_LINES
     }
     assert not too_long
     assert not [name for name, text in texts.items() if not text.startswith('"""')]
     assert "ochreflow/policy/interface.py" in texts["balancer.py"].splitlines()[0]
-    apart = {"__init__.py", "interface.py", "settings.py"}  # what they speak in, and how settings are read
-    assert {path.name for path in (ROOT / "ochreflow" / "policy").glob("*.py")} == apart | set(texts)
+    unlisted = {"__init__.py", "interface.py", "settings.py"}  # modules that decide nothing
+    assert {path.name for path in (ROOT / "ochreflow" / "policy").glob("*.py")} == unlisted | set(texts)
 
 
 def _record(seed, others=0):
     rng = random.Random(5)
-    made = [Balancer(settings(effect=Effect.IDEMPOTENT), seed + n) for n in range(others + 1)]
+    balancers = [Balancer(settings(effect=Effect.IDEMPOTENT), seed + n) for n in range(others + 1)]
     log = []
     now = START
-    for balancer in made:
+    for balancer in balancers:
         balancer.handle(now, Membership(ListKind.CACHED, 1, [endpoint(n, n % 2) for n in range(8)]))
     for ident in range(300):
         now += 7 * MS
-        for balancer in made:
+        for balancer in balancers:
             actions = balancer.handle(now, request(ident, now))
-            if balancer is made[0]:
+            if balancer is balancers[0]:
                 log += actions
         for action in [a for a in log[-3:] if isinstance(a, Send) and a.id == ident]:
             status = rng.choice([Status.OK, Status.REJECTED, Status.RESET])
-            log += made[0].handle(now, Outcome(ident, 0, action.server, status, 5 * MS, status is Status.OK))
+            log += balancers[0].handle(
+                now, Outcome(ident, 0, action.server, status, 5 * MS, status is Status.OK)
+            )
     return log
 
 
-def test_same_events_same_actions_alone_or_beside_others():
+def test_the_same_events_give_the_same_actions_alone_or_beside_other_balancers():
     assert _record(3) == _record(3)
     assert _record(3) == _record(3, others=2)
     assert _record(3) != _record(4)
 
 
 def _drive(balancer, now, count, per_request=None):
-    """Answer every request after 40 ms, with the timers rung."""
+    """Answer every request after 40 ms and fire the timers that are due; return the time after that."""
     waiting = []
     timers = []
     for ident in range(count):
@@ -100,7 +102,7 @@
     balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     sizes = []
 
-    def roll(ident, when):
+    def replace_servers(ident, when):
         if ident % 50 == 0:
             entries = [endpoint(ident + n) for n in range(6)]
             balancer.handle(when, Membership(ListKind.FULL, ident, entries))
@@ -108,14 +110,14 @@
                 (len(balancer.endpoints.servers), len(balancer.context.timers), len(balancer.pending))
             )
 
-    _drive(balancer, now, 4000, roll)
+    _drive(balancer, now, 4000, replace_servers)
     assert max(size[0] for size in sizes) <= 60
     assert max(size[1] for size in sizes[40:]) <= 2 * max(size[1] for size in sizes[:40])
     assert max(size[2] for size in sizes) < 50
 
 
 def _operations(open_requests):
-    """Python function calls for 50 more requests while so many are open."""
+    """Return the number of Python function calls for 50 requests while `open_requests` are pending."""
     balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     for ident in range(open_requests):
         balancer.handle(now, request(10_000 + ident, now, 60 * SECOND))
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Long random legal sequences against the outside checker, and proof that the checker can fail."""
+"""Long random sequences of legal events, verified by an independent checker, and proof that it can fail."""
 
 import heapq
 import random
@@ -87,8 +87,8 @@
     )
 
 
-class World:
-    """Legal events in random order: the wire's promises are kept, nothing else."""
+class EventGenerator:
+    """Feeds a balancer legal events in random order: only the guarantees of the wire protocol are kept."""
 
     def __init__(self, rng, config, balancer):
         self.rng = rng
@@ -104,18 +104,18 @@
         self.deadlines = {}
         self.state = {}
 
-    def later(self, when, make):
+    def schedule(self, when, make):
         self.tie += 1
         heapq.heappush(self.queue, (max(when, self.now + 1), self.tie, make))
 
-    def feed(self, event):
+    def handle_event(self, event):
         self.checker.observe_event(self.now, event)
         actions = self.balancer.handle(self.now, event)
         self.checker.check_actions(self.now, actions)
         for action in actions:
             if isinstance(action, SetTimer):
                 assert action.after_ns > 0
-                self.later(self.now + action.after_ns, lambda token=action.token: Timer(token))
+                self.schedule(self.now + action.after_ns, lambda token=action.token: Timer(token))
             elif isinstance(action, Reject | Fail):
                 self.ended.add(action.id)
             elif isinstance(action, Send):
@@ -125,14 +125,14 @@
                 status = self.rng.choice(STATUSES)
                 report = self.report() if status is Status.OK else ()
                 made = ProbeResult(action.server, status, duration_ns, report)
-                self.later(self.now + duration_ns, lambda made=made: made)
+                self.schedule(self.now + duration_ns, lambda made=made: made)
             elif isinstance(action, Cancel):
                 key = action.id, action.attempt
-                self.later(self.now + TICK, lambda key=key: self._settle(*key, Status.CANCELLED))
+                self.schedule(self.now + TICK, lambda key=key: self._settle(*key, Status.CANCELLED))
 
     def report(self):
-        odd = [float("nan"), float("inf"), -1.0]
-        pick = self.rng.choice([0.0, 1.0, 7.0, *odd])
+        invalid = [float("nan"), float("inf"), -1.0]
+        pick = self.rng.choice([0.0, 1.0, 7.0, *invalid])
         return (pick,) * self.rng.randrange(len(self.config.report_columns) + 1)
 
     def _sent(self, action):
@@ -145,7 +145,7 @@
         limit = min(deadline, self.now + action.timeout_ns if action.timeout_ns else deadline)
         if status is Status.TIMEOUT or self.now + duration_ns > limit or self.rng.random() < 0.03:
             status, duration_ns = Status.TIMEOUT, limit - self.now
-        self.later(self.now + duration_ns, lambda: self._settle(*key, status))
+        self.schedule(self.now + duration_ns, lambda: self._settle(*key, status))
 
     def _settle(self, ident, number, status):
         if (ident, number) in self.settled:
@@ -162,10 +162,10 @@
         tenant = self.rng.randrange(max(len(self.config.tenants), 1))
         self.deadlines[ident] = self.now + length
         if self.rng.random() < 0.02:
-            self.later(self.now + int(length * self.rng.random()), lambda: self._drop(ident))
+            self.schedule(self.now + int(length * self.rng.random()), lambda: self._cancel(ident))
         return Request(ident, class_index, tenant, self.now + length)
 
-    def _drop(self, ident):
+    def _cancel(self, ident):
         if ident in self.ended:
             return None
         self.ended.add(ident)
@@ -186,28 +186,30 @@
         return Membership(kind, 2, entries)
 
     def run(self, requests):
-        self.feed(Membership(ListKind.CACHED, 1, [endpoint(n, n % 3, n // 3) for n in range(9)]))
+        self.handle_event(Membership(ListKind.CACHED, 1, [endpoint(n, n % 3, n // 3) for n in range(9)]))
         for ident in range(requests):
-            self.later(START + ident * self.rng.randrange(1, 40) * MS, lambda ident=ident: self.arrive(ident))
+            self.schedule(
+                START + ident * self.rng.randrange(1, 40) * MS, lambda ident=ident: self.arrive(ident)
+            )
         for n in range(12):
-            self.later(START + n * SECOND // 2 + 7, self.change_list)
+            self.schedule(START + n * SECOND // 2 + 7, self.change_list)
         end = START + 40 * SECOND
         while self.queue and self.queue[0][0] < end:
             when, _, make = heapq.heappop(self.queue)
             self.now = when
             event = make()
             if event is not None:
-                self.feed(event)
+                self.handle_event(event)
         self.now = end
         self.checker.check_all_answered(end)
 
 
 @settings(max_examples=120, derandomize=True, deadline=None, database=None)
 @given(st.integers(0, 2**32))
-def test_the_rules_hold_whatever_happens(seed):
+def test_no_random_sequence_of_legal_events_breaks_a_rule(seed):
     rng = random.Random(seed)
     config = make_settings(rng)
-    World(rng, config, Balancer(config, seed)).run(250)
+    EventGenerator(rng, config, Balancer(config, seed)).run(250)
 
 
 def broken_send_rule(monkeypatch):
@@ -228,18 +230,18 @@
 def broken_list(monkeypatch):
     original = SafetyRules.may_send
 
-    def deaf(self, request, server):
-        kept = server.ready, server.listed
+    def ignore_endpoint_state(self, request, server):
+        saved = server.ready, server.listed
         server.ready = server.listed = True
         answer = original(self, request, server)
-        server.ready, server.listed = kept
+        server.ready, server.listed = saved
         return answer
 
-    def everyone(self):
+    def sample_all(self):
         self.local, self.remote, self.ejected = list(self.servers.values()), [], []
 
-    monkeypatch.setattr(SafetyRules, "may_send", deaf)
-    monkeypatch.setattr(EndpointSet, "rebuild", everyone)
+    monkeypatch.setattr(SafetyRules, "may_send", ignore_endpoint_state)
+    monkeypatch.setattr(EndpointSet, "rebuild", sample_all)
 
 
 def broken_answers(monkeypatch):
@@ -269,4 +271,4 @@
         for seed in range(80):
             rng = random.Random(seed)
             config = make_settings(rng)
-            World(rng, config, Balancer(config, seed)).run(250)
+            EventGenerator(rng, config, Balancer(config, seed)).run(250)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""Repeats by outcome and class, and the delay before them."""
+"""Retries by outcome and class, their backoff and their budget."""
 
 import pytest
 from helpers import MS, SECOND, actions_of_type, fire_timers, make_balancer, request, send_one, serve_requests
@@ -6,21 +6,21 @@
 from ochreflow.policy.interface import Effect, Fail, Outcome, Reject, Send, Status, Timer
 
 
-def _finish(balancer, now, ident, server, status, attempt=0, final=False):
+def _end_attempt(balancer, now, ident, server, status, attempt=0, final=False):
     return balancer.handle(now, Outcome(ident, attempt, server, status, 20 * MS, final))
 
 
-def _later(balancer, now, actions):
-    """All actions of the next second of the clock with their times, these first."""
+def _actions_within_a_second(balancer, now, actions):
+    """Return the given actions and those of all timers within a second, each with its time."""
     return [(now, action) for action in actions] + fire_timers(balancer, now, actions, now + SECOND)
 
 
 @pytest.mark.parametrize("effect", list(Effect))
 @pytest.mark.parametrize("status", [Status.REJECTED, Status.CONNECT_FAILED])
-def test_what_never_ran_is_retried_elsewhere_after_a_backoff(effect, status):
+def test_an_attempt_that_never_ran_is_retried_elsewhere_after_a_backoff(effect, status):
     balancer, now = make_balancer(effect=effect)
     first = send_one(balancer, now, 1)
-    done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
+    done = _actions_within_a_second(balancer, now, _end_attempt(balancer, now, 1, first.server, status))
     sends = [(when, a) for when, a in done if isinstance(a, Send)]
     assert sends[0][0] > now
     assert sends[0][1].server != first.server
@@ -30,7 +30,7 @@
 def test_ambiguous_failures_end_non_idempotent_requests_with_a_failure(status):
     balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     first = send_one(balancer, now, 1)
-    done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
+    done = _actions_within_a_second(balancer, now, _end_attempt(balancer, now, 1, first.server, status))
     assert [a for _, a in done if isinstance(a, Send | Reject | Fail)] == [Fail(1)]
 
 
@@ -38,54 +38,63 @@
 def test_ambiguous_failures_of_idempotent_requests_are_retried(status):
     balancer, now = make_balancer(effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
-    done = _later(balancer, now, _finish(balancer, now, 1, first.server, status))
+    done = _actions_within_a_second(balancer, now, _end_attempt(balancer, now, 1, first.server, status))
     assert [a.id for _, a in done if isinstance(a, Send)][:1] == [1]
 
 
 def test_backoffs_are_jittered_and_grow_with_the_remaining_time():
-    waits = {}
+    backoff_sums = {}
     for length in (SECOND, 4 * SECOND):
-        seen = []
+        backoffs = []
         for seed in range(20):
             balancer, now = make_balancer(effect=Effect.IDEMPOTENT, seed=seed)
             first = send_one(balancer, now, 1, length)
-            done = _later(balancer, now, _finish(balancer, now, 1, first.server, Status.REJECTED))
-            seen.append(next(when for when, a in done if isinstance(a, Send)) - now)
-        assert len(set(seen)) > 15
-        waits[length] = sum(seen)
-    assert 3 < waits[4 * SECOND] / waits[SECOND] < 5
+            done = _actions_within_a_second(
+                balancer, now, _end_attempt(balancer, now, 1, first.server, Status.REJECTED)
+            )
+            backoffs.append(next(when for when, a in done if isinstance(a, Send)) - now)
+        assert len(set(backoffs)) > 15
+        backoff_sums[length] = sum(backoffs)
+    assert 3 < backoff_sums[4 * SECOND] / backoff_sums[SECOND] < 5
 
 
-def test_a_plain_error_ends_the_request():
+def test_an_error_response_ends_the_request():
     balancer, now = make_balancer(effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
-    actions = _finish(balancer, now, 1, first.server, Status.ERROR)
+    actions = _end_attempt(balancer, now, 1, first.server, Status.ERROR)
     assert any(isinstance(a, Reject | Fail) for a in actions)
 
 
-def test_no_remaining_time_is_answered_at_once():
+def test_a_request_without_remaining_time_is_rejected_at_once():
     balancer, now = make_balancer()
     actions = balancer.handle(now, request(5, now, 0))
     assert [type(a) for a in actions] == [Reject]
 
 
-def test_many_failures_at_once_share_one_budget():
-    """A lost server's attempts fail together: each repeat is paid for when planned, not when sent."""
+def test_simultaneous_failures_share_one_retry_budget():
+    """Guards against a retry storm when a server is lost.
+
+    All attempts there fail together. If a retry took its token only when it is sent, all of them would be
+    scheduled on the same token.
+    """
     balancer, now = make_balancer(servers=6, effect=Effect.IDEMPOTENT)
-    now, _ = serve_requests(balancer, now, range(40), 20 * MS)  # first tries, to save up from
+    now, _ = serve_requests(balancer, now, range(40), 20 * MS)  # first attempts, which earn tokens
     done = []
     for sent in [send_one(balancer, now, ident) for ident in range(1000, 1024)]:
         done += balancer.handle(now, Outcome(sent.id, 0, sent.server, Status.RESET, MS, False))
-    refused = sum(isinstance(action, Reject | Fail) for action in done)
+    rejected = sum(isinstance(action, Reject | Fail) for action in done)
     retried = []
     for step in range(1, 400):
         retried += actions_of_type(balancer.handle(now + step * 5 * MS, Timer(balancer.timer_token)), Send)
-    assert 0 < len(retried) < 0.2 * 64  # in proportion to first tries, not to failures
-    assert len(retried) + refused == 24
+    assert 0 < len(retried) < 0.2 * 64  # in proportion to first attempts, not to failures
+    assert len(retried) + rejected == 24
+
 
+def test_a_request_that_reached_no_server_is_retried_regardless_of_the_budget():
+    """Guards against rejections by sidecars that start with an outdated list (scenario herd+vast).
 
-def test_what_reached_no_server_is_retried_whatever_the_budget():
-    """herd+vast: sidecars with an old list refused a third, each after one connect to a gone server."""
+    They rejected a third of their requests, each after one failed connect to a server that was gone.
+    """
     balancer, now = make_balancer(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     served = 0
     for ident in range(30):
@@ -94,28 +103,27 @@
         attempt = 0
         while not actions_of_type(actions, Reject):
             if sent := actions_of_type(actions, Send):
-                there = sent[0].server % 4 < 2  # half of each zone
-                status = Status.OK if there else Status.CONNECT_FAILED
+                running = sent[0].server % 4 < 2  # half of each zone
+                status = Status.OK if running else Status.CONNECT_FAILED
                 actions = balancer.handle(
-                    now, Outcome(ident, attempt, sent[0].server, status, MS, bool(there))
+                    now, Outcome(ident, attempt, sent[0].server, status, MS, bool(running))
                 )
-                served += there
+                served += running
                 attempt += 1
-                if there:
+                if running:
                     break
             else:
                 now += 5 * MS
                 actions = balancer.handle(now, Timer(balancer.timer_token))
     assert served >= 27
-    assert (
-        len(balancer.endpoints.ejected) > 5
-    )  # one failed connect is enough for who asks a server this rarely
+    # One failed connect is enough for a sidecar that sends to a server this rarely.
+    assert len(balancer.endpoints.ejected) > 5
 
 
 @pytest.mark.parametrize(
     "status, cost", [(Status.CONNECT_FAILED, 0.0), (Status.REJECTED, 0.25), (Status.RESET, 1.0)]
 )
-def test_a_retry_costs_what_the_attempt_before_it_may_have_cost_a_server(status, cost):
+def test_a_retry_costs_tokens_by_the_work_that_the_previous_attempt_may_have_caused(status, cost):
     balancer, now = make_balancer(servers=6, effect=Effect.IDEMPOTENT)
     sent = send_one(balancer, now, 1)
     balancer.retry_policy.tokens = 1.0
@@ -123,7 +131,7 @@
     assert balancer.pending[1].retry_scheduled and balancer.retry_policy.tokens == 1.0 - cost
 
 
-def test_one_request_in_ten_at_most_tries_an_avoided_server_however_many_are_due():
+def test_at_most_one_request_in_ten_tries_an_ejected_server_however_many_are_due():
     balancer, now = make_balancer(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     for server in list(balancer.endpoints.servers.values())[:30]:
         balancer.outlier_detector.eject(server)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Rules 1 to 3 and the pace of cold servers, each by itself; test_property.py checks them together."""
+"""Safety rules, slow start, ejection and polling, each by itself; test_property.py checks them together."""
 
 from helpers import (
     MS,
@@ -64,7 +64,7 @@
     assert [a.server for _, a in done if isinstance(a, Send)][:1] == [7]
 
 
-def test_nothing_follows_a_drop():
+def test_nothing_is_sent_or_answered_after_the_client_cancelled():
     balancer, now = make_balancer(effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
     actions = balancer.handle(now + MS, Outcome(1, 0, first.server, Status.REJECTED, MS, False))
@@ -74,7 +74,7 @@
     assert not [a for _, a in done if isinstance(a, Send | Reject | Fail)]
 
 
-def test_draining_and_removed_servers_get_nothing_not_even_scheduled_retries():
+def test_draining_and_removed_servers_get_no_requests_and_no_scheduled_retries():
     entries = [endpoint(1), endpoint(2)]
     balancer, now = make_balancer(entries=entries, effect=Effect.IDEMPOTENT)
     first = send_one(balancer, now, 1)
@@ -104,13 +104,13 @@
         assert not actions_of_type([a for _, a in done] + ended, Reject)
 
 
-def lose(balancer, now, server):
-    """Eject a server by two broken connections.
+def lose_server(balancer, now, server):
+    """Have a server ejected by two broken connections.
 
-    The requests still out there, the actions on the way, and the time of the loss.
+    Return the ids of the requests in flight there, the actions up to then and the time of the ejection.
     """
     actions = []
-    for ident in range(1000, 1150):  # some answered traffic first, which earns the budget for repeats
+    for ident in range(1000, 1150):  # answered requests first, which earn the retry budget
         now += 20 * MS
         new = balancer.handle(now, request(ident, now))
         actions += new
@@ -121,35 +121,38 @@
         new = balancer.handle(now, request(ident, now))
         actions += new
         sends += actions_of_type(new, Send)
-    there = [a.id for a in sends if a.server == server]
-    assert len(there) > 3
+    sent_there = [a.id for a in sends if a.server == server]
+    assert len(sent_there) > 3
     for token in {a.token for a in actions_of_type(actions, SetTimer)}:
-        actions += balancer.handle(now, Timer(token))  # the timers of the answered ones are over
-    for ident in there[:2]:
+        actions += balancer.handle(now, Timer(token))  # timers of the answered requests
+    for ident in sent_there[:2]:
         actions += balancer.handle(now, Outcome(ident, 0, server, Status.RESET, MS, False))
-    return there[2:], actions, now
+    return sent_there[2:], actions, now
 
 
 def test_no_hedged_request_where_forbidden_but_the_first_is_cancelled_at_an_ejected_server():
     balancer, now = make_balancer(effect=Effect.IDEMPOTENT, hedging=False)
-    waiting, actions, now = lose(balancer, now, 100)
+    waiting, actions, now = lose_server(balancer, now, 100)
     assert {a.id for a in actions_of_type(actions, Cancel)} == set(waiting)
-    called_off = Outcome(waiting[0], 0, 100, Status.CANCELLED, 6 * MS, False)
-    ended = actions + balancer.handle(now + 6 * MS, called_off)
+    cancelled = Outcome(waiting[0], 0, 100, Status.CANCELLED, 6 * MS, False)
+    ended = actions + balancer.handle(now + 6 * MS, cancelled)
     done = fire_timers(balancer, now + 6 * MS, ended, now + SECOND)
     assert [a for _, a in done if isinstance(a, Send) and a.id == waiting[0]]
 
 
 def test_attempts_at_an_ejected_server_are_retried_beside_it_where_allowed():
     balancer, now = make_balancer(effect=Effect.IDEMPOTENT, hedging=True)
-    waiting, actions, now = lose(balancer, now, 100)
+    waiting, actions, now = lose_server(balancer, now, 100)
     done = fire_timers(balancer, now, actions, now + SECOND)
     assert {a.id for _, a in done if isinstance(a, Send)} & set(waiting)
     assert not actions_of_type(actions, Cancel)
 
 
 def test_a_late_attempt_at_a_server_that_is_no_outlier_is_not_retried():
-    """Incidents i921dec, i4efe13: quiet sidecars find every server silent and doubled the load."""
+    """Guards against retries by sidecars with low traffic, to which every server seems silent.
+
+    These retries doubled the load in incidents i921dec and i4efe13.
+    """
     balancer, now = make_balancer(effect=Effect.IDEMPOTENT, hedging=True)
     done = fire_timers(balancer, now, balancer.handle(now, request(1, now)), now + 2 * SECOND)
     assert not [a for _, a in done if isinstance(a, Send)]
@@ -188,7 +191,7 @@
         return chosen
 
     assert run(3, answers=True) > 5
-    assert run(5, answers=False) < 25  # of 250: silence counts before any time-out
+    assert run(5, answers=False) < 25  # of 250: silence counts before any attempt times out
 
 
 def test_a_fast_error_does_not_look_like_a_fast_server():
@@ -224,7 +227,10 @@
 
 
 def test_warming_servers_are_tried_by_a_sidecar_that_sends_little_at_a_time():
-    """i8cc3a0: one request in flight at a time never reached the servers that came to help."""
+    """Guards against new servers that stay unused (incident i8cc3a0).
+
+    A sidecar with one request in flight at a time never sent to the servers that were added.
+    """
     entries = [endpoint(100), endpoint(101)]
     balancer, now = make_balancer(entries=entries)
     now, _ = serve_requests(balancer, now, range(100), 50 * MS)
@@ -244,8 +250,8 @@
     assert sum(a.server == 2 for a in sends) <= 1
 
 
-def test_the_only_other_fit_server_is_always_found():
-    """The walk over a group used to pass over one server when its first step was not to the next."""
+def test_the_only_other_eligible_server_is_always_found():
+    """The scan of a list skipped one server if the first step was not to the next one."""
     for seed in range(60):
         entries = [endpoint(100 + n, cell=n // 2) for n in range(6)]  # two to a cell
         balancer, now = make_balancer(
@@ -257,7 +263,7 @@
         assert [a.server for _, a in done if isinstance(a, Send)] == [first + 1 - 2 * (first % 2)]
 
 
-def test_asking_discovery_is_jittered_and_repeated_after_a_failure():
+def test_polls_of_discovery_are_jittered_and_repeated_after_a_failure():
     starts = set()
     for seed in range(10):
         balancer, now = (
@@ -274,8 +280,11 @@
     assert len(starts) > 8
 
 
-def test_many_sidecars_that_start_at_once_poll_over_a_time_that_one_service_bears():
-    """herd+vast: 40 calls in half a second to a service of ten a second; most waited too long."""
+def test_sidecars_that_start_together_spread_their_polls_so_that_one_service_can_answer():
+    """Guards against polls that overload discovery (scenario herd+vast).
+
+    Forty sidecars polled within half a second a service that answers ten a second; most polls timed out.
+    """
     first, retried = [], []
     for seed in range(40):
         wanted = settings(polling_required=True, polling_interval_ns=10 * SECOND, fleet_size=40)
@@ -291,7 +300,7 @@
         assert max(waits) < 6 * SECOND
 
 
-def test_odd_input_is_harmless():
+def test_events_of_unknown_requests_servers_and_timers_cause_no_decision():
     balancer, now = make_balancer(tenants=[Tenant("t", 1.0, 10.0)], can_gossip=True, fleet_size=2)
     for event in (
         Outcome(99, 0, 12345, Status.OK, MS, True),
@@ -325,14 +334,14 @@
     assert [when < now + SECOND for when, a in done if isinstance(a, Reject)] == [True]
 
 
-def test_a_server_that_falls_over_at_once_is_no_crash():
-    """With no time that overload must last, each answer was a fault of the module, and lost its estimates."""
+def test_overload_for_ns_of_0_does_not_fail():
+    """With a setting of 0 each answer raised an error in the decision module, and its estimates were lost."""
     balancer, now = make_balancer(overload_for_ns=0)
     now, _ = serve_requests(balancer, now, range(20), 50 * MS)
     assert 5.0 < balancer.latency.answer_rate < 40.0
 
 
-def test_when_each_server_was_ejected_requests_are_still_sent():
+def test_requests_are_still_sent_when_every_server_is_ejected():
     balancer, now = make_balancer(entries=[endpoint(1)], effect=Effect.NON_IDEMPOTENT)
     sends = []
     for ident in range(4):
