--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -1,7 +1,7 @@
-"""A request that was read is answered before its connection closes, and its answer reaches the client.
+"""A request that was read is answered before its connection closes, and its response reaches the client.
 
-A client whose connection closes without an answer sends its request once more. That is harmless only where
-the first one was never read: each crossing of a close with bytes that arrive is forced here.
+A client whose connection closes without a response sends its request again, which is harmless only if the
+first one was never read. These tests force each race between a close and arriving bytes.
 """
 
 import asyncio
@@ -34,20 +34,20 @@
 from ochreflow.http.socket_progress import unacknowledged
 from ochreflow.policy.interface import Status
 
-LONG = b"a" * (MAX_BUFFERED_BYTES * 3 // 4)  # an answer that is held until it is whole
-NARROW = 4096  # bytes that a client's machine takes before its application reads
+LONG_BODY = b"a" * (MAX_BUFFERED_BYTES * 3 // 4)  # a response that is buffered until it is complete
+SMALL_BUFFER = 4096  # bytes that a client's host accepts before its application reads
 
 
-def connect_narrow(port):
-    """A client whose machine takes little: the rest of an answer stays with the sidecar's."""
+def connect_with_small_buffer(port):
+    """Connect a client with a small receive buffer: the rest of a response stays in the sidecar's buffers."""
     sock = socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, NARROW)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
     sock.connect((HOST, port))
     return sock
 
 
 async def receive(sock, enough=lambda data: False):
-    """What a client reads until it is enough, or until the end; and whether the end was a reset."""
+    """Return what a client reads until `enough` or the end, and whether the end was a reset."""
     sock.setblocking(False)
     data = b""
     try:
@@ -62,16 +62,16 @@
     return data, False
 
 
-def whole(body):
-    """Whether an answer with this body has come."""
+def ends_with(body):
+    """Return a check whether a response with this body has been received."""
     return lambda data: data.endswith(body)
 
 
-async def answer_long(message, reader, writer):
-    writer.write(http_response(200, LONG))
+async def respond_long(message, reader, writer):
+    writer.write(http_response(200, LONG_BODY))
 
 
-def ids(fake):
+def request_ids(fake):
     return [got.headers["x-request-id"] for got in fake.received]
 
 
@@ -82,23 +82,23 @@
         yield sidecar
 
 
-def send_after_look(monkeypatch, sock, data):
-    """Have bytes arrive right after it was found that none wait to be read."""
-    looked = connection.unread_bytes
+def send_after_check(monkeypatch, sock, data):
+    """Make bytes arrive right after the check that none wait to be read."""
+    unread_bytes = connection.unread_bytes
 
-    def look(transport):
-        count = looked(transport)
+    def check(transport):
+        count = unread_bytes(transport)
         if transport.get_extra_info("peername") == sock.getsockname() and not sent:
             sent.append(data)
             sock.sendall(data)
         return count
 
     sent = []
-    monkeypatch.setattr(connection, "unread_bytes", look)
+    monkeypatch.setattr(connection, "unread_bytes", check)
 
 
 def close_by(sidecar, path):
-    """Have a resting connection closed."""
+    """Make the sidecar close an idle connection, for the reason `path`."""
     clients = sidecar.http.clients
     if path == "idle":
         clients.timeouts.idle_s = 0.0
@@ -112,42 +112,42 @@
 CLOSES = ["idle", "drain", "descriptors"]
 
 
-# What arrives in the turn of a close
+# Bytes that arrive during a close
 
 
 @pytest.mark.parametrize("path", CLOSES)
-def test_a_request_that_crosses_the_close_of_a_resting_connection_is_not_read(tmp_path, monkeypatch, path):
+def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_read(tmp_path, monkeypatch, path):
     async def play():
         fake = await FakePeer(answer_ok).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
             client = connect(sidecar.port)
             client.sendall(http_request("order", "first"))
-            await receive(client, whole(b"served "))
-            front = sidecar_connection(sidecar, client)
-            await wait_until(lambda: unacknowledged(front.transport) == 0)
-            send_after_look(monkeypatch, client, http_request("order", "crossing"))
+            await receive(client, ends_with(b"served "))
+            client_connection = sidecar_connection(sidecar, client)
+            await wait_until(lambda: unacknowledged(client_connection.transport) == 0)
+            send_after_check(monkeypatch, client, http_request("order", "crossing"))
             close_by(sidecar, path)
-            assert front.transport.is_closing()
+            assert client_connection.transport.is_closing()
             data, _ = await receive(client)
-            assert data == b"" and ids(fake) == ["first"]
+            assert data == b"" and request_ids(fake) == ["first"]
             assert (await send_request(sidecar.port, http_request("order", "crossing"))).code == 200
-            assert ids(fake) == ["first", "crossing"]
+            assert request_ids(fake) == ["first", "crossing"]
             client.close()
 
     run(play())
 
 
-def test_a_connection_that_is_closed_in_the_poll_that_finds_it_readable_is_not_read(tmp_path, monkeypatch):
-    """Two clients' requests are found by one poll: whichever is read first closes the other."""
+def test_a_connection_that_is_closed_after_it_was_polled_as_readable_is_not_read(tmp_path, monkeypatch):
+    """One poll reports the requests of two clients, and the one read first closes the other connection."""
     received = ClientConnection.data_received
     read = []
 
-    def close_others(front, data):
-        read.append(front)
-        for other in list(front.clients.connections):
-            if other is not front:
+    def close_others(client_connection, data):
+        read.append(client_connection)
+        for other in list(client_connection.clients.connections):
+            if other is not client_connection:
                 other.close()
-        received(front, data)
+        received(client_connection, data)
 
     monkeypatch.setattr(ClientConnection, "data_received", close_others)
 
@@ -166,9 +166,9 @@
     run(play())
 
 
-@pytest.mark.parametrize("closing", ["taken", "parsed"])
-def test_what_was_read_in_the_turn_of_a_close_is_not_sent_on(tmp_path, closing):
-    """The connection is closed while several requests that came at once are parsed and taken up."""
+@pytest.mark.parametrize("closing", ["accepted", "parsed"])
+def test_requests_read_together_with_a_close_are_not_forwarded(tmp_path, closing):
+    """The connection is closed while several requests that arrived at once are parsed or accepted."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
@@ -177,23 +177,23 @@
             await wait_until(lambda: not sidecar.http.clients.connections)
             client = connect(sidecar.port)
             await wait_until(lambda: sidecar.http.clients.connections)
-            front = sidecar_connection(sidecar, client)
+            client_connection = sidecar_connection(sidecar, client)
             engine = sidecar.engine
-            take, complete = engine.requests.accept, front.on_message_complete
+            accept, complete = engine.requests.accept, client_connection.on_message_complete
 
-            def take_and_close(*args):
-                front.close()
-                take(*args)
+            def accept_and_close(*args):
+                client_connection.close()
+                accept(*args)
 
             def complete_and_close():
                 complete()
-                front.close()
+                client_connection.close()
 
-            if closing == "taken":
-                engine.requests.accept = take_and_close
+            if closing == "accepted":
+                engine.requests.accept = accept_and_close
             else:
-                front.on_message_complete = complete_and_close
-                front.parser = HttpRequestParser(front)
+                client_connection.on_message_complete = complete_and_close
+                client_connection.parser = HttpRequestParser(client_connection)
             client.sendall(b"".join(http_request("order", f"id{n}") for n in range(3)))
             await wait_until(
                 lambda: (
@@ -202,15 +202,15 @@
                     and not engine.attempts.in_flight
                 )
             )
-            engine.requests.accept = take
+            engine.requests.accept = accept
             assert (await send_request(sidecar.port, http_request("order", "other"))).code == 200
-            assert ids(fake) == ["warm", "other"]
+            assert request_ids(fake) == ["warm", "other"]
             client.close()
 
     run(play())
 
 
-def test_a_connection_that_is_refused_as_it_is_made_is_not_read(tmp_path, monkeypatch):
+def test_a_connection_that_is_not_admitted_is_not_read(tmp_path, monkeypatch):
     async def play():
         fake = await FakePeer(answer_ok).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
@@ -224,77 +224,85 @@
     run(play())
 
 
-# An answer that its client has not read yet
+# Responses that the client has not read yet
 
 
-async def answered(sidecar, sock, sent):
-    """Send, and wait until the sidecar has written an answer that the client's machine can't take whole."""
-    sock.sendall(sent)
+async def send_and_wait_for_response(sidecar, sock, data):
+    """Send, and wait until the sidecar has written a response that exceeds the client's receive buffer."""
+    sock.sendall(data)
     await wait_until(lambda: sidecar.http.clients.connections)
-    front = sidecar_connection(sidecar, sock)
-    await wait_until(lambda: front.has_sent_request and front.idle and unacknowledged(front.transport))
-    assert unacknowledged(front.transport) > NARROW
-    return front
+    client_connection = sidecar_connection(sidecar, sock)
+    await wait_until(
+        lambda: (
+            client_connection.has_sent_request
+            and client_connection.idle
+            and unacknowledged(client_connection.transport)
+        )
+    )
+    assert unacknowledged(client_connection.transport) > SMALL_BUFFER
+    return client_connection
 
 
 @pytest.mark.parametrize("path", CLOSES)
-def test_a_close_that_a_request_crosses_takes_no_answer_away(tmp_path, monkeypatch, path):
-    """A close over unread bytes resets the connection: what the client's machine has not got is gone."""
+def test_a_close_that_crosses_a_request_loses_no_response(tmp_path, monkeypatch, path):
+    """A close with unread bytes resets the connection and discards what the client has not received."""
 
     async def play():
-        fake = await FakePeer(answer_long).start()
+        fake = await FakePeer(respond_long).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
-            client = connect_narrow(sidecar.port)
-            await answered(sidecar, client, http_request("order", "first"))
-            send_after_look(monkeypatch, client, http_request("order", "crossing"))
+            client = connect_with_small_buffer(sidecar.port)
+            await send_and_wait_for_response(sidecar, client, http_request("order", "first"))
+            send_after_check(monkeypatch, client, http_request("order", "crossing"))
             close_by(sidecar, path)
-            data, _ = await receive(client, whole(LONG))
-            assert data.endswith(LONG)
+            data, _ = await receive(client, ends_with(LONG_BODY))
+            assert data.endswith(LONG_BODY)
             client.close()
 
     run(play())
 
 
-def test_a_half_written_request_that_makes_room_takes_no_answer_away(tmp_path):
+def test_evicting_a_client_with_a_half_written_request_loses_no_response(tmp_path):
     async def play():
-        fake = await FakePeer(answer_long).start()
+        fake = await FakePeer(respond_long).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
-            client = connect_narrow(sidecar.port)
-            front = await answered(sidecar, client, http_request("order", "first"))
+            client = connect_with_small_buffer(sidecar.port)
+            client_connection = await send_and_wait_for_response(
+                sidecar, client, http_request("order", "first")
+            )
             client.sendall(b"POST /order")
-            await wait_until(lambda: front.message_begun)
-            client.sendall(b"/part")  # unread as the connection closes
+            await wait_until(lambda: client_connection.message_begun)
+            client.sendall(b"/part")  # unread when the connection is closed
             sidecar.http.clients.evict_one()
-            data, _ = await receive(client, whole(LONG))
-            assert data.endswith(LONG)
+            data, _ = await receive(client, ends_with(LONG_BODY))
+            assert data.endswith(LONG_BODY)
             client.close()
 
     run(play())
 
 
-@pytest.mark.parametrize("why", ["asked", "leaving"])
-def test_a_last_answer_reaches_a_client_that_has_sent_more(tmp_path, why):
-    """The connection closes after it, with bytes unread."""
+@pytest.mark.parametrize("reason", ["asked", "leaving"])
+def test_a_last_response_reaches_a_client_that_has_sent_more(tmp_path, reason):
+    """The connection is closed after the response, with bytes unread."""
 
     async def play():
-        fake = await FakePeer(answer_long).start()
+        fake = await FakePeer(respond_long).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
-            sidecar.engine.lifecycle.announcing_close = why == "leaving"
-            client = connect_narrow(sidecar.port)
+            sidecar.engine.lifecycle.announcing_close = reason == "leaving"
+            client = connect_with_small_buffer(sidecar.port)
             client.sendall(b"")
             await wait_until(lambda: sidecar.http.clients.connections)
-            front = sidecar_connection(sidecar, client)
-            leave = front._close_gracefully
+            client_connection = sidecar_connection(sidecar, client)
+            close_gracefully = client_connection._close_gracefully
 
-            def send_and_leave():
+            def send_and_close():
                 client.sendall(http_request("order", "crossing"))
-                leave()
+                close_gracefully()
 
-            front._close_gracefully = send_and_leave
-            last = ["Connection: close"] if why == "asked" else []
+            client_connection._close_gracefully = send_and_close
+            last = ["Connection: close"] if reason == "asked" else []
             client.sendall(http_request("order", "first", "3000m", b"", *last))
             data, _ = await receive(client)
-            assert data.endswith(LONG) and ids(fake) == ["first"]
+            assert data.endswith(LONG_BODY) and request_ids(fake) == ["first"]
             client.close()
             await wait_until(lambda: not sidecar.http.clients.connections)
 
@@ -302,13 +310,13 @@
 
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 1000000", b"Transfer-Encoding: chunked"])
-def test_an_answer_that_breaks_off_takes_none_away_that_went_before_it(tmp_path, framing):
-    """Nor its own beginning: a client that has read nothing of an answer sends its request again."""
+def test_a_truncated_response_does_not_lose_the_response_before_it(tmp_path, framing):
+    """Nor is its own beginning lost: a client that has read nothing of a response sends its request again."""
 
     async def play():
-        async def break_off(got, reader, writer):
+        async def truncate(got, reader, writer):
             if got.headers["x-request-id"] == "first":
-                writer.write(http_response(200, LONG))
+                writer.write(http_response(200, LONG_BODY))
                 return
             part = bytes(2 * MAX_BUFFERED_BYTES)
             part = b"%x\r\n%s\r\n" % (len(part), part) if b"chunked" in framing else part
@@ -316,13 +324,13 @@
             await writer.drain()
             writer.close()
 
-        fake = await FakePeer(break_off).start()
+        fake = await FakePeer(truncate).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
-            client = connect_narrow(sidecar.port)
+            client = connect_with_small_buffer(sidecar.port)
             client.sendall(http_request("order", "first") + http_request("order", "second"))
             await wait_until(lambda: len(fake.received) == 2 and not sidecar.engine.requests.pending)
             data, _ = await receive(client)
-            first, _, rest = data.partition(LONG)
+            first, _, rest = data.partition(LONG_BODY)
             assert first.startswith(b"HTTP/1.1 200") and rest.startswith(b"HTTP/1.1 200")
             assert (
                 framing.lower() in rest.lower() and len(rest) < 1_000_000 and not rest.endswith(b"0\r\n\r\n")
@@ -333,8 +341,8 @@
     run(play())
 
 
-def test_what_waits_behind_an_answer_that_breaks_off_is_not_sent_on(tmp_path):
-    """No answer could follow: also once a client that is slow to read has taken what there is."""
+def test_a_request_queued_behind_a_truncated_response_is_not_forwarded(tmp_path):
+    """It could not be answered, not even after a slow client has read all of the truncated response."""
 
     async def play():
         async def answer_in_part(got, reader, writer):
@@ -344,32 +352,35 @@
                 )
             await reader.read()
 
-        fakes = [await FakePeer(answer_in_part).start() for _ in range(4)]  # so that one is left to send to
+        # Several, so that a server for the second request is left.
+        fakes = [await FakePeer(answer_in_part).start() for _ in range(4)]
         async with sidecar_before(tmp_path, *fakes) as sidecar:
-            client = connect_narrow(sidecar.port)
+            client = connect_with_small_buffer(sidecar.port)
             await wait_until(lambda: sidecar.http.clients.connections)
-            front = sidecar_connection(sidecar, client)
-            front.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, NARROW)
+            client_connection = sidecar_connection(sidecar, client)
+            client_connection.transport.get_extra_info("socket").setsockopt(
+                socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER
+            )
             client.sendall(
                 http_request("order", "first") + http_request("order", "second", "3000m", bytes(1000))
             )
-            await wait_until(lambda: front.write_paused)
+            await wait_until(lambda: client_connection.write_paused)
             (attempt,) = sidecar.engine.attempts.in_flight.values()
             attempt.upstream_attempt.give_up(Status.CANCELLED)
-            assert front.write_paused and not front.current
+            assert client_connection.write_paused and not client_connection.current
             data, _ = await receive(client)
             assert data.count(b"HTTP/1.1") == 1 and len(data) < 1_000_000
-            assert not front.current and not front.queue
+            assert not client_connection.current and not client_connection.queue
             client.close()
             await wait_until(lambda: not sidecar.http.clients.connections)
-            assert [ident for fake in fakes for ident in ids(fake)] == ["first"]
+            assert [request_id for fake in fakes for request_id in request_ids(fake)] == ["first"]
             assert sidecar.engine.memory.reserved_bytes == 0
 
     run(play())
 
 
-def test_a_client_that_does_not_close_after_its_last_answer_is_let_go(tmp_path, monkeypatch):
-    """One look is enough where its machine has all: the time to linger does not begin anew."""
+def test_a_client_that_does_not_close_after_its_last_response_is_disconnected(tmp_path, monkeypatch):
+    """The time-out of the draining close is not restarted if the client's host has received everything."""
     monkeypatch.setattr(closing_connection, "DRAINING_CLOSE_TIMEOUT_S", 0.3)
 
     async def play():
@@ -377,20 +388,24 @@
         async with sidecar_before(tmp_path, fake) as sidecar:
             client = connect(sidecar.port)
             client.sendall(http_request("order", "last", "3000m", b"", "Connection: close"))
-            await wait_until(lambda: any(front.draining for front in sidecar.http.clients.connections))
-            rang = asyncio.get_running_loop().create_future()
-            # Bells ring in the order of their times, and its own was set before.
+            await wait_until(
+                lambda: any(
+                    client_connection.draining for client_connection in sidecar.http.clients.connections
+                )
+            )
+            timer_fired = asyncio.get_running_loop().create_future()
+            # Timers fire in the order of their times, and the timer of the draining close was set before.
             asyncio.get_running_loop().call_later(
-                closing_connection.DRAINING_CLOSE_TIMEOUT_S + 0.05, rang.set_result, None
+                closing_connection.DRAINING_CLOSE_TIMEOUT_S + 0.05, timer_fired.set_result, None
             )
-            await rang
+            await timer_fired
             assert not sidecar.http.clients.connections
             client.close()
 
     run(play())
 
 
-def test_a_slow_client_can_tell_that_an_answer_without_a_length_was_cut(tmp_path):
+def test_a_slow_client_gets_a_reset_if_a_response_without_a_length_is_truncated(tmp_path):
     async def play():
         async def endless(got, reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + bytes(8 << 20))
@@ -399,7 +414,7 @@
         fake = await FakePeer(endless).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
             sidecar.http.clients.timeouts.slow_reader_s = 0.1
-            client = connect_narrow(sidecar.port)
+            client = connect_with_small_buffer(sidecar.port)
             client.sendall(http_request("order", "old").replace(b"HTTP/1.1", b"HTTP/1.0"))
             await wait_until(lambda: fake.received)
             await wait_until(lambda: not sidecar.http.clients.connections)
@@ -410,8 +425,8 @@
     run(play())
 
 
-def test_what_waits_behind_a_last_answer_is_let_go_of(tmp_path):
-    """Guards the memory of messages: what was held of requests that are not taken up any more."""
+def test_requests_queued_behind_the_last_response_are_released(tmp_path):
+    """The memory reserved for requests that are not served any more would leak."""
 
     async def play():
         server = Server()
@@ -419,11 +434,11 @@
             client = connect(sidecar.port)
             behind = b"".join(http_request("order", f"id{n}", "3000m", bytes(1000)) for n in range(4))
             client.sendall(http_request("order", "first") + behind)
-            taken = await server.accept()
-            await taken.wait_for(b"first")
+            server_connection = await server.accept()
+            await server_connection.wait_for(b"first")
             await wait_until(lambda: len(sidecar_connection(sidecar, client).queue) == 4)
             sidecar.engine.lifecycle.final_answers_given = True
-            taken.answer()
+            server_connection.answer()
             data, _ = await receive(client)
             assert data.count(b"HTTP/1.1 200") == data.count(b"HTTP/1.1 503") == 1
             client.close()
@@ -435,31 +450,31 @@
     run(play())
 
 
-# A client that has ended its sending
+# Clients that have shut down sending
 
 
-@pytest.mark.parametrize("seen", ["read", "behind unread bytes", "asked"])
-def test_a_client_that_still_reads_is_told_that_what_was_sent_on_has_failed(tmp_path, seen):
-    """A half-close looks like leaving. A bare close would tell such a client to send its request again."""
+@pytest.mark.parametrize("detection", ["read", "behind unread bytes", "asked"])
+def test_a_half_closed_client_gets_502_for_a_request_that_was_forwarded(tmp_path, detection):
+    """A half-close looks like a disconnect. After a close without a response, the client would retry."""
 
     async def play():
         server = Server()
         async with sidecar_before(tmp_path, server) as sidecar:
             client = connect(sidecar.port)
             client.sendall(http_request("order", "held"))
-            taken = await server.accept()
-            await taken.wait_for(b"held")
-            front = sidecar_connection(sidecar, client)
-            if seen == "behind unread bytes":
+            server_connection = await server.accept()
+            await server_connection.wait_for(b"held")
+            client_connection = sidecar_connection(sidecar, client)
+            if detection == "behind unread bytes":
                 client.sendall(
                     b"".join(http_request("order", f"id{n}") for n in range(MAX_PIPELINED_REQUESTS))
                 )
-                await wait_until(lambda: front.paused)
+                await wait_until(lambda: client_connection.paused)
                 client.sendall(http_request("order", "unread"))
             client.shutdown(socket.SHUT_WR)
-            if seen == "asked":
-                block_until_eof_readable(front)
-                assert front.is_disconnected(front.current)
+            if detection == "asked":
+                block_until_eof_readable(client_connection)
+                assert client_connection.is_disconnected(client_connection.current)
             data, _ = await receive(client)
             assert data.startswith(b"HTTP/1.1 502") and data.count(b"HTTP/1.1") == 1
             await wait_until(
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -1,4 +1,4 @@
-"""Bodies and answers too long to be held: they flow, with bounded memory, and what breaks off shows."""
+"""Bodies and responses too long to be buffered: streamed with bounded memory, and visibly truncated."""
 
 import asyncio
 import contextlib
@@ -34,7 +34,7 @@
 
 
 class Server:
-    """A server that reads requests of any framing and answers as `act` says, by hand."""
+    """A server that reads requests of any framing, and whose responses `act` writes."""
 
     def __init__(self, act):
         self.act = act
@@ -73,7 +73,7 @@
         return await reader.readexactly(int(length[0].split(":")[1])) if length else b""
 
 
-async def say_ok(reader, writer):
+async def respond_ok(reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
 
@@ -85,8 +85,8 @@
     return body
 
 
-def chunked_head(ident="ab"):
-    head = http_request("order", ident).split(b"Content-Length")[0]
+def chunked_head(request_id="ab"):
+    head = http_request("order", request_id).split(b"Content-Length")[0]
     return head + b"Transfer-Encoding: chunked\r\n\r\n"
 
 
@@ -99,9 +99,9 @@
         assert not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
 
 
-def test_long_bodies_flow_through_in_either_framing(tmp_path):
+def test_long_bodies_are_streamed_with_a_length_or_in_chunks(tmp_path):
     async def play():
-        server = await Server(say_ok).start()
+        server = await Server(respond_ok).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             data = PIECE * 48  # 3 MB
             assert (await send_request(sidecar.port, http_request("order", "one", "3000m", data))).code == 200
@@ -115,7 +115,7 @@
                 b"\r\nContent-Length: ", b"\r\nContent-Length:\t "
             )
             head, _, rest = spaced.partition(b"\r\n\r\n")
-            # white space is no part
+            # white space is not part of the value
             assert (await send_request(sidecar.port, head + b" \r\n\r\n" + rest)).code == 200
             assert server.bodies == [data, data, data]
             assert sidecar.engine.stats.forwards == 3
@@ -124,8 +124,8 @@
     run(play())
 
 
-def test_a_body_that_still_comes_is_not_held_beyond_its_bound(tmp_path):
-    """Backpressure: a server that does not read stops the client, and nothing piles up between."""
+def test_a_streamed_body_is_not_buffered_beyond_its_limit(tmp_path):
+    """A server that does not read pauses the client, so that the body does not accumulate in the sidecar."""
 
     async def play():
         listening = socket.create_server((HOST, 0))
@@ -136,14 +136,16 @@
             writer.transport.set_write_buffer_limits(high=0)
             writer.write(http_request("order", "big", "3000m", bytes(BIG)))
             await wait_until(lambda: sidecar.http.clients.connections)
-            (front,) = sidecar.http.clients.connections
-            await wait_until(lambda: any(one.stream.unsent for one in sidecar.upstreams.connections))
-            await wait_until(lambda: front.paused and front.uploading is not None)
+            (client_connection,) = sidecar.http.clients.connections
+            await wait_until(
+                lambda: any(connection.stream.unsent for connection in sidecar.upstreams.connections)
+            )
+            await wait_until(lambda: client_connection.paused and client_connection.uploading is not None)
             (connection,) = sidecar.upstreams.connections
             assert connection.unwritten
             assert len(connection.stream.unsent) < 2 * MB
             assert sidecar.engine.memory.reserved_bytes < 2 * MAX_BUFFERED_BYTES
-            writer.transport.abort()  # the client gives up: nothing has run
+            writer.transport.abort()  # the client disconnects: the request has not run
             await wait_until(
                 lambda: not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
             )
@@ -154,15 +156,15 @@
     run(play())
 
 
-def test_the_first_bytes_of_a_long_answer_go_on_at_once(tmp_path):
+def test_the_first_bytes_of_a_long_response_are_forwarded_at_once(tmp_path):
     async def play():
         async def slowly(reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % BIG + PIECE)
-            await go.wait()
+            await proceed.wait()
             writer.write(bytes(BIG - len(PIECE)))
             await writer.drain()
 
-        go = asyncio.Event()
+        proceed = asyncio.Event()
         server = await Server(slowly).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             events = []
@@ -173,10 +175,10 @@
             head = await reader.readuntil(b"\r\n\r\n")
             assert b"Content-Length: %d" % BIG in head
             assert await reader.readexactly(len(PIECE)) == PIECE
-            await asyncio.sleep(0.4)  # past its deadline: an answer that has begun has none
-            go.set()
+            await asyncio.sleep(0.4)  # past its deadline, which does not apply once the response has begun
+            proceed.set()
             assert await reader.readexactly(BIG - len(PIECE)) == bytes(BIG - len(PIECE))
-            writer.write(http_request("order", "cd"))  # the connection is of further use
+            writer.write(http_request("order", "cd"))  # the connection stays usable
             await reader.readuntil(b"\r\n\r\n")
             writer.close()
             started = [event for event in events if isinstance(event, api.StreamStarted)]
@@ -188,42 +190,42 @@
     run(play())
 
 
-@pytest.mark.parametrize("drains", ["the sidecar", "its server"])
-def test_an_answer_that_flows_while_a_drain_begins_comes_to_its_end(tmp_path, monkeypatch, drains):
+@pytest.mark.parametrize("draining", ["the sidecar", "its server"])
+def test_a_response_that_is_streamed_when_a_drain_begins_is_completed(tmp_path, monkeypatch, draining):
     monkeypatch.setattr(lifecycle, "IDLE_CLOSE_DELAY_S", 0.0)
 
     async def play():
         async def act(reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * len(PIECE)) + PIECE)
-            await go.wait()
+            await proceed.wait()
             writer.write(PIECE)
 
-        go = asyncio.Event()
+        proceed = asyncio.Event()
         server = await Server(act).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(http_request("order", "ab"))
             head = await reader.readuntil(b"\r\n\r\n")
             assert b" 200 " in head and await reader.readexactly(len(PIECE)) == PIECE
-            if drains == "the sidecar":
+            if draining == "the sidecar":
                 sidecar.engine.drain()
                 await wait_until(lambda: sidecar.engine.lifecycle.closing_idle_connections)
             else:
                 change = endpoint_update(2, entry("s1", server.address, "DRAINING"), snapshot=False)
                 sidecar.engine.on_endpoint_update(parse_endpoint_update(change, sidecar.endpoint_ids))
-            go.set()
+            proceed.set()
             assert await reader.readexactly(len(PIECE)) == PIECE
-            if drains == "the sidecar":
-                assert await reader.read() == b""  # then it is let go
+            if draining == "the sidecar":
+                assert await reader.read() == b""  # then the connection is closed
             else:
-                assert not sidecar.upstreams.connections  # nothing more may go to it
+                assert not sidecar.upstreams.connections  # no further request may be sent to it
             assert sidecar.engine.stats.results[2] == [1, 0, 0]
             writer.close()
 
     run(play())
 
 
-def test_an_answer_in_small_chunks_is_passed_on_and_ends_well(tmp_path):
+def test_a_response_in_small_chunks_is_forwarded_completely(tmp_path):
     async def play():
         async def chunks(reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -244,7 +246,7 @@
                 else:
                     assert await read_chunks(reader) == whole
             writer.close()
-            # A client of HTTP/1.0 knows no chunks: the connection's end delimits.
+            # An HTTP/1.0 client does not know chunked encoding: the end of the connection delimits the body.
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(b"GET /lookup HTTP/1.0\r\nX-Request-Id: old\r\n\r\n")
             got = await reader.read()
@@ -254,7 +256,7 @@
     run(play())
 
 
-def test_an_answer_that_its_connections_end_delimits_is_whole(tmp_path):
+def test_a_response_delimited_by_the_end_of_the_connection_is_complete(tmp_path):
     async def play():
         async def short(reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + PIECE)
@@ -265,8 +267,8 @@
         server = await Server(short).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            for ident in ("one", "two"):  # the client's connection is of further use
-                writer.write(http_request("order", ident))
+            for request_id in ("one", "two"):  # the client's connection stays usable
+                writer.write(http_request("order", request_id))
                 head = await reader.readuntil(b"\r\n\r\n")
                 if b"chunked" in head:
                     assert await read_chunks(reader) == PIECE * 2
@@ -277,7 +279,7 @@
     run(play())
 
 
-def test_a_rejection_without_a_length_is_still_one(tmp_path):
+def test_a_rejection_without_a_length_is_recognized(tmp_path):
     async def play():
         async def full(reader, writer):
             writer.write(b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\n\r\nfull")
@@ -294,21 +296,21 @@
 @pytest.mark.parametrize(
     "framing", [b"X-None: x", b"Content-Length: %d" % BIG, b"Transfer-Encoding: chunked"]
 )
-def test_a_broken_tail_shows(tmp_path, framing):
+def test_a_client_sees_that_a_response_is_truncated(tmp_path, framing):
     async def play():
         async def broken(reader, writer):
             data = b"%x\r\n%s\r\n" % (len(PIECE), PIECE) if b"chunked" in framing else PIECE
             writer.write(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n" + data)
-            await go.wait()
+            await proceed.wait()
             reset(writer) if b"None" in framing else writer.close()
 
-        go = asyncio.Event()
+        proceed = asyncio.Event()
         server = await Server(broken).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(http_request("order", "ab"))
             await reader.readuntil(b"\r\n\r\n")
-            go.set()
+            proceed.set()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
                 await (reader.readexactly(BIG) if b"Length" in framing else read_chunks(reader))
             writer.close()
@@ -318,7 +320,7 @@
     run(play())
 
 
-def test_a_client_that_does_not_read_stops_its_server_and_is_let_go(tmp_path, monkeypatch):
+def test_a_client_that_does_not_read_pauses_its_server_and_is_disconnected(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "SLOW_READER_TIMEOUT_S", 0.3)
 
     async def play():
@@ -334,7 +336,9 @@
             sock.setblocking(False)
             await loop.sock_connect(sock, (HOST, sidecar.port))
             await loop.sock_sendall(sock, http_request("order", "ab"))
-            await wait_until(lambda: any(c.response_paused for c in sidecar.upstreams.connections))
+            await wait_until(
+                lambda: any(connection.response_paused for connection in sidecar.upstreams.connections)
+            )
             (client,) = sidecar.http.clients.connections
             assert client.transport.get_write_buffer_size() < MB
             assert sidecar.engine.memory.reserved_bytes < MB
@@ -345,18 +349,18 @@
     run(play())
 
 
-def test_what_a_failed_upload_may_still_do_is_the_modules_to_say(tmp_path):
-    """Its server broke off half-way: it can't have run, and can't be brought again."""
+def test_an_upload_whose_server_closes_early_is_reported_as_connect_failed_and_not_retried(tmp_path):
+    """The request cannot have run, and its body is no longer buffered for a retry."""
 
     async def play():
-        async def hang_up(reader, writer):
+        async def close_early(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             reading.set()
-            await go.wait()
+            await proceed.wait()
             writer.transport.abort()
 
-        reading, go = asyncio.Event(), asyncio.Event()
-        server = await asyncio.start_server(hang_up, HOST, 0)
+        reading, proceed = asyncio.Event(), asyncio.Event()
+        server = await asyncio.start_server(close_early, HOST, 0)
         address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", address)))) as sidecar:
             events = []
@@ -366,10 +370,10 @@
             whole = http_request("order", "ab", "3000m", bytes(BIG))
             writer.write(whole[: 256 * 1024])
             await reading.wait()
-            go.set()
-            got = await read_message(reader)  # refused at once, while it is still sending
+            proceed.set()
+            got = await read_message(reader)  # rejected at once, while the client is still sending
             assert got.code == 503 and "retry-after" in got.headers
-            writer.write(whole[256 * 1024 :])  # the rest is read and thrown away, the connection goes on
+            writer.write(whole[256 * 1024 :])  # the rest is read and discarded, the connection stays usable
             writer.write(b"GET /-/ready HTTP/1.1\r\n\r\n")
             assert (await read_message(reader)).code == 200
             writer.close()
@@ -383,18 +387,16 @@
     run(play())
 
 
-def test_an_upload_that_finds_no_server_at_first_goes_to_another(tmp_path):
+def test_an_upload_is_sent_to_another_server_if_the_first_refuses_the_connection(tmp_path):
     async def play():
         free = socket.create_server((HOST, 0))
         nobody = f"{HOST}:{free.getsockname()[1]}"
         free.close()
-        server = await Server(say_ok).start()
+        server = await Server(respond_ok).start()
         entries = [entry("s1", nobody), entry("s2", server.address)]
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, *entries))) as sidecar:
             for n in range(4):
-                sidecar.engine.balancer.retry_policy.tokens = (
-                    5.0  # how often it may repeat is not the matter here
-                )
+                sidecar.engine.balancer.retry_policy.tokens = 5.0  # the retry budget is not under test
                 got = await send_request(
                     sidecar.port, http_request("order", f"id{n}", "3000m", bytes(200_000))
                 )
@@ -404,11 +406,11 @@
     run(play())
 
 
-def test_an_upload_that_stalls_is_answered_and_its_attempt_given_up(tmp_path, monkeypatch):
+def test_an_upload_that_stalls_gets_408_and_its_attempt_is_cancelled(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "HEAD_TIMEOUT_S", 0.3)
 
     async def play():
-        server = await Server(say_ok).start()
+        server = await Server(respond_ok).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             whole = http_request("order", "ab", "3000m", bytes(BIG))
             assert (await send_request(sidecar.port, whole[: 256 * 1024])).code == 408
@@ -419,9 +421,9 @@
     run(play())
 
 
-def test_a_spoilt_chunk_far_into_a_body_is_400_and_never_runs(tmp_path):
+def test_a_malformed_chunk_of_a_streamed_body_gets_400_and_the_request_never_runs(tmp_path):
     async def play():
-        server = await Server(say_ok).start()
+        server = await Server(respond_ok).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             good = b"%x\r\n%s\r\n" % (len(PIECE), PIECE)
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -436,7 +438,7 @@
     run(play())
 
 
-def test_a_slow_body_is_allowed_and_one_after_another_keeps_its_order(tmp_path, monkeypatch):
+def test_a_slow_body_is_accepted_and_pipelined_bodies_keep_their_order(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "HEAD_TIMEOUT_S", 0.3)
     monkeypatch.setattr(clients, "MIN_BODY_BYTES_PER_S", 1000)
 
@@ -447,7 +449,7 @@
             whole = http_request("order", "slow", "4000m", bytes(4000))
             start = len(whole) - 4000
             writer.write(whole[:start])
-            for at in range(start, len(whole), 100):  # 0.8 s, with 5 kB a second
+            for at in range(start, len(whole), 100):  # takes 0.8 s, at 5 kB a second
                 writer.write(whole[at : at + 100])
                 await asyncio.sleep(0.02)
             assert (await read_message(reader)).code == 200
@@ -462,18 +464,20 @@
     run(play())
 
 
-def test_a_client_that_left_takes_along_what_still_waits_for_a_connection(tmp_path, monkeypatch):
-    """Guards servers against a request without its body: that goes when its client does."""
+def test_a_request_that_waits_for_a_connection_is_not_sent_after_its_client_disconnects(
+    tmp_path, monkeypatch
+):
+    """Its body is discarded with the client, so that a server would get a request without its body."""
     connect = upstream.Upstreams._connect
 
-    async def later(*args):
+    async def delayed(*args):
         waiting.set()
         with contextlib.suppress(asyncio.CancelledError):
-            await go.wait()
+            await proceed.wait()
         await connect(*args)
 
-    monkeypatch.setattr(upstream.Upstreams, "_connect", later)
-    go, waiting = asyncio.Event(), asyncio.Event()
+    monkeypatch.setattr(upstream.Upstreams, "_connect", delayed)
+    proceed, waiting = asyncio.Event(), asyncio.Event()
 
     async def play():
         fake = await FakePeer(answer_ok).start()
@@ -484,7 +488,7 @@
             writer.transport.abort()
             await wait_until(lambda: not sidecar.engine.requests.pending)
             assert not sidecar.engine.attempts.in_flight and sidecar.engine.memory.reserved_bytes == 0
-            go.set()
+            proceed.set()
             assert (
                 await send_request(sidecar.port, http_request("order", "stays", "3000m", b"body"))
             ).code == 200
@@ -494,7 +498,7 @@
     run(play())
 
 
-def test_a_body_is_held_until_its_bound_and_then_flows():
+def test_a_body_is_buffered_up_to_its_limit_and_then_streamed():
     class Sink:
         def __init__(self):
             self.parts = []
