--- a/ochreflow/simulation/__init__.py
+++ b/ochreflow/simulation/__init__.py
@@ -1,4 +1,4 @@
-"""Scenarios of the lab played in simulated time: the decision module alone among modelled nodes.
+"""Simulation of the lab's scenarios in simulated time: the decision module alone, with modelled nodes.
 
-No socket, no clock and no thread: the same scenario, seed and module give the same bytes.
+It uses no socket, no system clock and no thread, so the same scenario, seed and module give the same bytes.
 """
--- a/ochreflow/simulation/capacity_oracle.py
+++ b/ochreflow/simulation/capacity_oracle.py
@@ -1,4 +1,4 @@
-"""An oracle that knows the fleet's capacity at each moment: what could have been answered in time."""
+"""Oracle that knows the fleet's capacity at all times, and so which requests could be answered in time."""
 
 from __future__ import annotations
 
@@ -6,45 +6,45 @@
 from ..lab.scenario import Scenario, StepAction
 from .simulation import LogicalRequest, Simulation
 
-LONG_AGO_S = -1_000_000_000.0  # the start of a node that is warm from the beginning
+LONG_AGO_S = -1_000_000_000.0  # start time of a node that is warm from the beginning
 MIN_CAPACITY = 0.1  # warm cores; less would let the waiting time grow without bound
-NODE_LEAVES = frozenset({StepAction.REMOVE, StepAction.VANISH, StepAction.DRAIN, StepAction.DELIST})
-NODE_STARTS = frozenset({StepAction.ADD, StepAction.RESTART})
+LEAVE_ACTIONS = frozenset({StepAction.REMOVE, StepAction.VANISH, StepAction.DRAIN, StepAction.DELIST})
+START_ACTIONS = frozenset({StepAction.ADD, StepAction.RESTART})
 
 
 def logical_id(request_id: str) -> str:
-    """Return the request id of the first attempt, which names the logical request."""
+    """Return the request id of the first attempt, which identifies the logical request."""
     return request_id.split("-")[0]
 
 
-def answerable(run: Simulation) -> set[str]:
-    """Return the logical requests that a fleet which is one queue could answer within the objective."""
+def answerable_requests(run: Simulation) -> set[str]:
+    """Return the logical requests that the fleet, as a single queue, could answer within the objective."""
     scenario, requests = run.scenario, run.requests
     fleet = scenario.fleet
-    node_capacity = fleet.queue_capacity + (fleet.concurrency or fleet.cores)  # requests at a node
+    node_capacity = fleet.queue_capacity + (fleet.concurrency or fleet.cores)  # requests
     costs = _costs(run)
     drawn_work_s = sum(requests[logical_id(request_id)].work_s for request_id in costs) or 1.0
-    saving = sum(costs.values()) / drawn_work_s  # what nodes save by keys that they know
+    cost_factor = sum(costs.values()) / drawn_work_s  # below 1 if nodes save work by cached keys
     mean_cost_s = sum(costs.values()) / max(len(costs), 1)
     backlog_s, previous_s = 0.0, 0.0
-    found = set()
-    for request_id, request in sorted(requests.items(), key=_due):
+    answerable = set()
+    for request_id, request in sorted(requests.items(), key=_due_time):
         now_s = request.due_s
         drained_s = warm_cores(scenario, (previous_s + now_s) / 2) * (now_s - previous_s)
         backlog_s = max(backlog_s - drained_s, 0.0)
         previous_s = now_s
-        cost_s = request.work_s * saving
+        cost_s = request.work_s * cost_factor
         nodes = cores_by_node(scenario, now_s)
         wait_s = backlog_s / max(sum(nodes.values()), MIN_CAPACITY) + cost_s
         objective_s = scenario.request_classes[request.class_name].objective_s
         if wait_s <= objective_s and backlog_s < len(nodes) * node_capacity * mean_cost_s:
             backlog_s += cost_s
-            found.add(request_id)
-    return found
+            answerable.add(request_id)
+    return answerable
 
 
 def _costs(run: Simulation) -> dict[str, float]:
-    """Return the work of each request that was started, by its request id."""
+    """Return the work, in seconds of a warm core, of each started request by its request id."""
     return {
         event["id"]: event["cost"]
         for name, log in run.event_logs.items()
@@ -54,7 +54,7 @@
     }
 
 
-def _due(item: tuple[str, LogicalRequest]) -> float:
+def _due_time(item: tuple[str, LogicalRequest]) -> float:
     return item[1].due_s
 
 
@@ -64,7 +64,7 @@
 
 
 def cores_by_node(scenario: Scenario, now_s: float) -> dict[int, float]:
-    """Return the nodes that are there at a time of the run, and the warm cores that each is worth."""
+    """Return the capacity of each node that is present at a time of the run, in warm cores."""
     fleet = scenario.fleet
     initial_s = 0.0 if fleet.starts_warming_up else LONG_AGO_S
     started_s: dict[int, float] = dict.fromkeys(range(1, fleet.node_count + 1), initial_s)
@@ -74,9 +74,9 @@
         if step_s > now_s:
             break
         for number in step.nodes:
-            if step.action in NODE_LEAVES:
+            if step.action in LEAVE_ACTIONS:
                 started_s.pop(number, None)
-            elif step.action in NODE_STARTS:
+            elif step.action in START_ACTIONS:
                 started_s[number] = step_s
             elif step.action is StepAction.SLOW_DOWN:
                 slowdown[number] = step.amount
--- a/ochreflow/simulation/clock.py
+++ b/ochreflow/simulation/clock.py
@@ -1,4 +1,4 @@
-"""Simulated time: a queue of calls in the order of their times."""
+"""Simulated time: a queue of scheduled calls, ordered by their times."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 from typing import Any
 
 NS_PER_S = 1_000_000_000
-START_NS = 1_700_000_000 * NS_PER_S  # on the scale of Unix time, which the starts of nodes are given in
+START_NS = 1_700_000_000 * NS_PER_S  # Unix time, as for the start times of nodes
 
 
 class Clock:
-    """Nanoseconds. Calls due at one moment happen in the order in which they were scheduled."""
+    """Clock in nanoseconds. Calls with the same due time run in the order in which they were scheduled."""
 
     def __init__(self) -> None:
-        """Begin at START_NS with nothing scheduled."""
-        self.now = START_NS
-        self.queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.number = 0
+        """Begin at `START_NS` with no scheduled calls."""
+        self.now_ns = START_NS
+        self.scheduled: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.sequence_number = 0
 
     def read(self) -> int:
-        """Return the present time in nanoseconds."""
-        return self.now
+        """Return the current time in nanoseconds."""
+        return self.now_ns
 
     @property
     def seconds(self) -> float:
-        """Seconds since the start."""
-        return (self.now - START_NS) / NS_PER_S
-
-    def at(self, when: int, call: Callable[..., None], *arguments: Any) -> None:
-        """Schedule a call at a time, or now if that has passed."""
-        self.number += 1
-        heapq.heappush(self.queue, (max(when, self.now), self.number, call, arguments))
-
-    def after(self, seconds: float, call: Callable[..., None], *arguments: Any) -> None:
-        """Schedule a call after so many seconds."""
-        self.at(self.now + int(seconds * NS_PER_S), call, *arguments)
-
-    def run(self, until: int) -> None:
-        """Let time pass up to this moment."""
-        while self.queue and self.queue[0][0] <= until:
-            self.now, _, call, arguments = heapq.heappop(self.queue)
-            call(*arguments)
-        self.now = until
+        """Time since the start in seconds."""
+        return (self.now_ns - START_NS) / NS_PER_S
+
+    def call_at(self, when_ns: int, callback: Callable[..., None], *arguments: Any) -> None:
+        """Schedule a call at a time, or now if that time has passed."""
+        self.sequence_number += 1
+        heapq.heappush(self.scheduled, (max(when_ns, self.now_ns), self.sequence_number, callback, arguments))
+
+    def call_later(self, delay_s: float, callback: Callable[..., None], *arguments: Any) -> None:
+        """Schedule a call after a delay."""
+        self.call_at(self.now_ns + int(delay_s * NS_PER_S), callback, *arguments)
+
+    def run(self, until_ns: int) -> None:
+        """Advance the time to `until_ns`, and run the calls that are due by then."""
+        while self.scheduled and self.scheduled[0][0] <= until_ns:
+            self.now_ns, _, callback, arguments = heapq.heappop(self.scheduled)
+            callback(*arguments)
+        self.now_ns = until_ns
--- a/ochreflow/simulation/limit_trace_report.py
+++ b/ochreflow/simulation/limit_trace_report.py
@@ -1,4 +1,4 @@
-"""Traces for a person: a line for each scenario, and one HTML file of plots."""
+"""Report on traces of the concurrency limit: a line for each scenario, and an HTML file with plots."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .limit_scenarios import LIMIT_SCENARIOS
 from .limit_trace import STEP_S, Trace, TraceSummary, trace
 
-HEAD = "course               offered  in time   oracle  needless    late  lets go s  shed after"
+HEADER = "course               offered  in time   oracle  needless    late  lets go s  shed after"
 
 
 def _trace(seed: int, name: str) -> tuple[Trace, TraceSummary]:
@@ -18,14 +18,14 @@
     return trace(scenario, seed, fault_end)
 
 
-def mean(summaries: list[TraceSummary]) -> dict[str, float]:
+def field_means(summaries: list[TraceSummary]) -> dict[str, float]:
     """Return the mean of each field over the seeds."""
-    names = [one.name for one in fields(TraceSummary)]
-    return {name: sum(getattr(one, name) for one in summaries) / len(summaries) for name in names}
+    names = [field.name for field in fields(TraceSummary)]
+    return {name: sum(getattr(summary, name) for summary in summaries) / len(summaries) for name in names}
 
 
-def line(name: str, means: dict[str, float]) -> str:
-    """Return the line of a scenario."""
+def report_line(name: str, means: dict[str, float]) -> str:
+    """Return the report's line for a scenario."""
     offered = means["offered"]
     return (
         f"{name:<20} {offered:>7.0f} {means['in_time'] / offered:>8.4f} {means['oracle'] / offered:>8.4f} "
@@ -35,17 +35,17 @@
 
 
 def run(names: list[str], seeds: int, processes: int, html: str | None) -> int:
-    """Trace scenarios, and print the line of each."""
-    print(HEAD)
+    """Trace scenarios and print a line for each; return the exit code."""
+    print(HEADER)
     plots: dict[str, Trace] = {}
     with ProcessPoolExecutor(processes) as pool:
         pending = {
             name: [pool.submit(partial(_trace, seed), name) for seed in range(1, seeds + 1)] for name in names
         }
         for name, runs in pending.items():
-            results = [one.result() for one in runs]
+            results = [run.result() for run in runs]
             plots[name] = results[0][0]
-            print(line(name, mean([summary for _, summary in results])))
+            print(report_line(name, field_means([summary for _, summary in results])))
     if html is not None:
         _write_plots(Path(html), plots)
     return 0
@@ -71,4 +71,4 @@
         for axes in (requests, concurrency, pressure):
             axes.legend(fontsize=7, loc="upper right" if axes is pressure else "upper left")
         parts.append((f"{name}: {LIMIT_SCENARIOS[name][0].description}", encode_figure(figure)))
-    path.write_text(format_page("What the limit does", parts), encoding="utf-8")
+    path.write_text(format_page("The concurrency limit over time", parts), encoding="utf-8")
--- a/ochreflow/simulation/policy_loader.py
+++ b/ochreflow/simulation/policy_loader.py
@@ -1,4 +1,4 @@
-"""The decision module of a build: the one of this package, or of another checkout beside it."""
+"""Loader for the decision module of a build: this package's own, or that of another checkout."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from ..errors import OchreflowError
 
-# What earlier builds call the names used here: owner (empty: the module itself), name, earlier name.
+# Names that earlier builds have for those used here: owner (empty: the module itself), name, earlier name.
 _EARLIER_NAMES = (
     ("Effect", "IDEMPOTENT", "SAFE"),
     ("Status", "REJECTED", "FULL"),
@@ -21,16 +21,16 @@
     ("", "RequestCancelled", "Dropped"),
 )
 _EARLIER_FIELDS = {"warm_up_ns": "warm_within_ns"}  # of `Settings`
-_EARLIER_PARTS = {"limiter": "limit", "endpoints": "fleet"}  # of `Balancer`
+_EARLIER_ATTRIBUTES = {"limiter": "limit", "endpoints": "fleet"}  # of `Balancer`
 
 
 class PolicyNotFoundError(OchreflowError, FileNotFoundError):
-    """A folder without a decision module."""
+    """A directory has no decision module."""
 
 
 @dataclass(slots=True)
 class PolicyModules:
-    """The modules of a decision module that callers use."""
+    """The parts of a decision module that its callers use."""
 
     interface: ModuleType
     balancer: ModuleType
@@ -38,38 +38,41 @@
 
 
 def load_policy(build_dir: Path | None) -> PolicyModules:
-    """Load `build_dir`/ochreflow/policy, or this package's own; PolicyNotFoundError if there is none."""
+    """Load `build_dir`/ochreflow/policy, or this package's own without `build_dir`.
+
+    Raise `PolicyNotFoundError` if there is none.
+    """
     package = "ochreflow"
     if build_dir is not None:
-        place = (build_dir / "ochreflow").resolve()
-        if not (place / "policy" / "__init__.py").exists():
-            message = f"{place / 'policy'}: no decision module there"
+        package_dir = (build_dir / "ochreflow").resolve()
+        if not (package_dir / "policy" / "__init__.py").exists():
+            message = f"{package_dir / 'policy'}: no decision module in this directory"
             raise PolicyNotFoundError(message)
-        package = f"_build_{abs(hash(place)):x}"
+        package = f"_build_{abs(hash(package_dir)):x}"
         if package not in sys.modules:
-            # An empty parent package: only the decision module and the errors below it are loaded.
+            # The parent package is empty, so that only the decision module and its errors are loaded.
             sys.modules[package] = parent = ModuleType(package)
-            parent.__path__ = [str(place)]
+            parent.__path__ = [str(package_dir)]
     name = f"{package}.policy"
     interface = importlib.import_module(f"{name}.interface")
-    _add_earlier_names(interface)
+    _add_current_names(interface)
     renamed = importlib.util.find_spec(f"{name}.balancer") is not None
     balancer = importlib.import_module(f"{name}.{'balancer' if renamed else 'logic'}")
     if build_dir is not None:
-        balancer.Balancer.__getattr__ = _earlier_part  # asked only for parts that this build does not have
+        balancer.Balancer.__getattr__ = _earlier_attribute  # called only for missing attributes
     return PolicyModules(interface, balancer, importlib.import_module(f"{name}.settings"))
 
 
-def _earlier_part(balancer: object, name: str) -> object:
-    """Find a part of an earlier build's balancer by the name that it has in this build."""
-    if name not in _EARLIER_PARTS:
+def _earlier_attribute(balancer: object, name: str) -> object:
+    """Return an attribute of an earlier build's balancer by the name that it has in this build."""
+    if name not in _EARLIER_ATTRIBUTES:
         missing = f"{type(balancer).__name__!r} object has no attribute {name!r}"
         raise AttributeError(missing)
-    return getattr(balancer, _EARLIER_PARTS[name])
+    return getattr(balancer, _EARLIER_ATTRIBUTES[name])
 
 
-def _add_earlier_names(interface: ModuleType) -> None:
-    """Let a simulation use an earlier build by the names of this one."""
+def _add_current_names(interface: ModuleType) -> None:
+    """Add this build's names to the interface of an earlier build."""
     for owner, name, earlier in _EARLIER_NAMES:
         holder = getattr(interface, owner) if owner else interface
         if not hasattr(holder, name):
@@ -78,9 +81,9 @@
     if not _EARLIER_FIELDS.keys() <= fields.keys():
         earlier_settings = interface.Settings
 
-        def settings(**given: object) -> object:
+        def settings(**values: object) -> object:
             return earlier_settings(
-                **{_EARLIER_FIELDS.get(name, name): value for name, value in given.items()}
+                **{_EARLIER_FIELDS.get(name, name): value for name, value in values.items()}
             )
 
         interface.Settings = settings  # type: ignore[attr-defined]  # a module's attribute
--- a/ochreflow/simulation/simulated_directory.py
+++ b/ochreflow/simulation/simulated_directory.py
@@ -1,4 +1,4 @@
-"""The directory in simulated time: the list as it is, and what each sidecar is notified of."""
+"""Directory in simulated time: the current list of nodes, and its notifications to the sidecars."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SimulatedDirectory:
-    """Owns the entries, and the numbers by which the decision module knows the nodes."""
+    """Owns the entries, and the numbers that identify the nodes in the decision module."""
 
     def __init__(
         self, scenario: Scenario, seed: int, policy: PolicyModules, clock: Clock, event_log: MemoryEventLog
@@ -35,50 +35,50 @@
         self.watchers: list[SimulatedSidecar] = []
         self.down = False
         self.version = 0
-        self.idle_at = START_NS  # when the calls before have been served
+        self.idle_at = START_NS  # nanoseconds; when all earlier calls have been served
 
     def node(self, number: int) -> SimulatedNode | None:
-        """Return the node that the decision module knows by a number; None if there is none."""
+        """Return the node with this number; None if there is none."""
         return self.nodes.get(self.names[number])
 
     def name(self, number: int) -> str:
-        """Return the name of the node that the decision module knows by a number."""
+        """Return the name of the node with this number."""
         return self.names[number]
 
     def number(self, name: str) -> int:
-        """Return the number of a node, a new one for a name that was not met before."""
+        """Return the number of a node; assign one to a new name."""
         if name not in self.numbers:
             self.numbers[name] = len(self.numbers) + 1
             self.names[self.numbers[name]] = name
         return self.numbers[name]
 
     def put(self, change: dict[str, Any]) -> None:
-        """Change an entry, and notify watchers."""
+        """Add or change an entry, and notify the watchers."""
         name = change["name"]
         entry = {**self.entries.get(name, {}), **change}
         self.entries[name] = entry
         self.version += 1
-        self.clock.after(self.behaviour.notify_delay_s + NETWORK_DELAY_S, self._notify_all, dict(entry))
+        self.clock.call_later(self.behaviour.notify_delay_s + NETWORK_DELAY_S, self._notify_all, dict(entry))
 
     def watch(self, sidecar: SimulatedSidecar) -> None:
-        """Answer a call with the complete list, in its turn; after that it is notified of changes."""
+        """Answer a sidecar with the complete list, after all earlier calls; then notify it of changes."""
         service_ns = NS_PER_S / self.behaviour.calls_per_s if self.behaviour.calls_per_s else 0
-        self.idle_at = max(self.idle_at, self.clock.now) + int(service_ns)
-        self.clock.at(self.idle_at + int(2 * NETWORK_DELAY_S * NS_PER_S), self._answer, sidecar)
+        self.idle_at = max(self.idle_at, self.clock.now_ns) + int(service_ns)
+        self.clock.call_at(self.idle_at + int(2 * NETWORK_DELAY_S * NS_PER_S), self._answer, sidecar)
 
     def stop_watching(self, sidecar: SimulatedSidecar) -> None:
-        """Notify a sidecar no more."""
+        """Stop notifying a sidecar."""
         if sidecar in self.watchers:
             self.watchers.remove(sidecar)
 
     def break_watches(self) -> None:
-        """Fail all watches."""
+        """Fail the watches of all sidecars."""
         watchers, self.watchers = self.watchers, []
         for sidecar in watchers:
             sidecar.post(self.api.Membership(self.api.ListKind.FAILED, 0, []))
 
     def cached_list(self) -> Any:
-        """Return the list as a sidecar is given it at its start."""
+        """Return the list that a sidecar gets at its start."""
         return self._membership(self.api.ListKind.CACHED, list(self.entries.values()))
 
     def _membership(self, kind: Any, entries: list[dict[str, Any]]) -> Any:
--- a/ochreflow/simulation/simulated_node.py
+++ b/ochreflow/simulation/simulated_node.py
@@ -1,4 +1,4 @@
-"""Nodes in simulated time: the lab's model of a node behind a network with a fixed delay."""
+"""Node in simulated time: the lab's model of a node, behind a network with a fixed delay."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from ..lab.node_model import DeduplicationGroup, NodeModel
 from .clock import Clock
 
-NETWORK_DELAY_S = 0.0002  # that a message takes one way
+NETWORK_DELAY_S = 0.0002  # in each direction
 MIN_TIMER_S = 1e-9
 
-OnReply = Callable[[Reply | None], None]  # None: the connection broke
+OnReply = Callable[[Reply | None], None]  # None: the connection was closed
 
 
 class SimulatedNode:
-    """One node; it may be killed and never comes back as the same."""
+    """A node until it is killed; a restarted node is another object."""
 
     def __init__(
         self,
@@ -36,23 +36,23 @@
         event_log: MemoryEventLog,
         dedup_group: DeduplicationGroup,
     ) -> None:
-        """Start the node at the present time of the clock."""
+        """Start the node at the clock's current time."""
         self.clock = clock
         self.event_log = event_log
         self.model = NodeModel(profile, seed, clock.seconds, dedup_group)
         self.alive = True
         self.number = 0
         self.pending: dict[int, OnReply] = {}
-        self.timer_due: float | None = None
+        self.timer_due_s: float | None = None
         self.frozen = False
-        self.delayed: list[Callable[[], None]] = []  # what arrived while it was frozen
+        self.delayed: list[Callable[[], None]] = []  # messages that arrived while it was frozen
 
     def freeze(self) -> None:
-        """Stop in the middle of everything; what arrives waits."""
+        """Suspend the node; messages that arrive are delayed until `thaw`."""
         self.frozen = True
 
     def thaw(self) -> None:
-        """Go on, with what arrived meanwhile."""
+        """Resume the node, and handle the delayed messages."""
         self.frozen = False
         delayed, self.delayed = self.delayed, []
         self._perform(self.model.advance(self.clock.seconds))
@@ -60,24 +60,24 @@
             handle()
 
     def send(self, request: NodeRequest, on_reply: OnReply) -> int:
-        """Send a request that arrives after the network's delay; return its number here."""
+        """Send a request, which arrives after the network's delay; return its number at this node."""
         self.number += 1
         self.pending[self.number] = on_reply
-        self.clock.after(NETWORK_DELAY_S, self._arrive, self.number, request)
+        self.clock.call_later(NETWORK_DELAY_S, self._arrive, self.number, request)
         return self.number
 
     def abandon(self, number: int) -> None:
-        """Disconnect the client of a request."""
+        """Close the client's connection for a request."""
         if self.pending.pop(number, None) is not None:
-            self.clock.after(NETWORK_DELAY_S, self._disconnected, number)
+            self.clock.call_later(NETWORK_DELAY_S, self._disconnected, number)
 
     def kill(self) -> None:
-        """End at once: every connection breaks."""
+        """Kill the node: close every connection at once."""
         self.alive = False
-        self._break_connections()
+        self._close_connections()
 
     def control(self, order: dict[str, Any]) -> None:
-        """Set faults; see `NodeModel.control`."""
+        """Apply a control order, which sets faults; see `NodeModel.control`."""
         self._perform(self.model.control(self.clock.seconds, order))
 
     def _arrive(self, number: int, request: NodeRequest) -> None:
@@ -100,25 +100,25 @@
                 case RecordEvent():
                     self.event_log.record(action.kind, **action.fields)
                 case Collapse():
-                    self._break_connections()
+                    self._close_connections()
                 case CloseConnection():
                     self._reply(action.number, None)
                 case Reply():
                     self._reply(action.number, action)
-        self.timer_due = self.model.next_event_at()
-        if self.timer_due is not None:
-            delay_s = max(self.timer_due - self.clock.seconds, 0.0) + MIN_TIMER_S
-            self.clock.after(delay_s, self._wake, self.timer_due)
+        self.timer_due_s = self.model.next_event_at()
+        if self.timer_due_s is not None:
+            delay_s = max(self.timer_due_s - self.clock.seconds, 0.0) + MIN_TIMER_S
+            self.clock.call_later(delay_s, self._wake, self.timer_due_s)
 
-    def _wake(self, due: float) -> None:
-        if self.alive and not self.frozen and due == self.timer_due:
+    def _wake(self, due_s: float) -> None:
+        if self.alive and not self.frozen and due_s == self.timer_due_s:
             self._perform(self.model.advance(self.clock.seconds))
 
     def _reply(self, number: int, reply: Reply | None) -> None:
         on_reply = self.pending.pop(number, None)
         if on_reply is not None:
-            self.clock.after(NETWORK_DELAY_S, on_reply, reply)
+            self.clock.call_later(NETWORK_DELAY_S, on_reply, reply)
 
-    def _break_connections(self) -> None:
+    def _close_connections(self) -> None:
         for number in list(self.pending):
             self._reply(number, None)
--- a/ochreflow/simulation/simulated_sidecar.py
+++ b/ochreflow/simulation/simulated_sidecar.py
@@ -1,7 +1,7 @@
-"""One sidecar in simulated time: the decision module, and as little around it as its actions need.
+"""Sidecar in simulated time: the decision module, and the minimum that its actions require.
 
-What the engine of the program guarantees, this keeps in the same way: an attempt ends some time before its
-request's deadline, and a request that then has no final response gets one.
+It gives the same guarantees as the core's engine: an attempt ends `ATTEMPT_MARGIN_NS` before its request's
+deadline, and a request without a final response gets one `WATCHDOG_MARGIN_NS` before it.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 STATUS_OK = 200
 EJECTION_LOG_PREFIX = "ejected "
 
-OnResponse = Callable[[ClientOutcome, str, float], None]  # outcome, body, seconds after which to retry
+OnResponse = Callable[[ClientOutcome, str, float], None]  # outcome, body, seconds to wait before a retry
 
 
 class EndpointSource(Protocol):
-    """Where a sidecar learns of nodes."""
+    """Source of the list of nodes."""
 
     def watch(self, sidecar: SimulatedSidecar) -> None:
-        """Answer with the complete list, then notify of changes."""
+        """Answer with the complete list, then notify the sidecar of changes."""
 
     def node(self, number: int) -> SimulatedNode | None:
-        """Return the node of this number."""
+        """Return the node with this number; None if there is none."""
 
     def name(self, number: int) -> str:
-        """Return the name of the node of this number."""
+        """Return the name of the node with this number."""
 
 
 @dataclass(frozen=True, slots=True)
 class SidecarConfig:
-    """The name, the settings in the platform's form, and the seed of a sidecar."""
+    """Configuration of a sidecar; the settings are in the platform's format."""
 
     name: str
     settings: dict[str, Any]
@@ -49,12 +49,12 @@
 
 
 @dataclass(slots=True)
-class PendingRequest:
-    """A request that has no final response yet."""
+class SimulatedRequest:
+    """A request without a final response."""
 
     scheduled: ScheduledRequest
     request_id: str
-    deadline: int  # nanoseconds
+    deadline_ns: int
     on_response: OnResponse
     attempts: int = 0
     may_have_run: bool = False
@@ -62,16 +62,16 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """An attempt that has not ended."""
+    """An attempt in flight."""
 
     server: int
-    sent_at: int  # nanoseconds
+    sent_ns: int
     node: SimulatedNode | None = None
     number: int = 0  # of its request at the node
 
 
 class SimulatedSidecar:
-    """Feeds the decision module with requests, outcomes and timers, and performs its actions."""
+    """Passes requests, outcomes and timers to the decision module, and performs its actions."""
 
     def __init__(
         self,
@@ -91,27 +91,27 @@
         self.endpoints = endpoints
         self.run_log = run_log
         self.alive = True
-        self.pending: dict[int, PendingRequest] = {}
+        self.pending: dict[int, SimulatedRequest] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.next_id = 1
-        self.events: list[Any] = []
+        self.event_queue: list[Any] = []
         self.handling = False
 
     def post(self, event: Any) -> None:
-        """Hand the module an event after those that came before it; then perform its actions."""
+        """Let the module handle an event after all earlier ones, and perform its actions."""
         if not self.alive:
             return
-        self.events.append(event)
+        self.event_queue.append(event)
         if self.handling:
             return
         self.handling = True
-        while self.events:
-            for action in self.balancer.handle(self.clock.now, self.events.pop(0)):
+        while self.event_queue:
+            for action in self.balancer.handle(self.clock.now_ns, self.event_queue.pop(0)):
                 self._perform(action)
         self.handling = False
 
     def kill(self) -> None:
-        """End at once: pending clients lose their connections."""
+        """Kill the sidecar: the connections of pending clients are closed."""
         self.alive = False
         for pending in list(self.pending.values()):
             pending.on_response(ClientOutcome.UNANSWERED, "", 0.0)
@@ -131,21 +131,21 @@
         *,
         retry: bool,
     ) -> int:
-        """Accept a request; return its number here."""
+        """Accept a request; return its number at this sidecar."""
         number = self.next_id
         self.next_id += 1
-        deadline = self.clock.now + int(timeout_s * NS_PER_S)
-        self.pending[number] = PendingRequest(scheduled, request_id, deadline, on_response)
-        self.clock.at(deadline - WATCHDOG_MARGIN_NS, self._give_up, number)
+        deadline_ns = self.clock.now_ns + int(timeout_s * NS_PER_S)
+        self.pending[number] = SimulatedRequest(scheduled, request_id, deadline_ns, on_response)
+        self.clock.call_at(deadline_ns - WATCHDOG_MARGIN_NS, self._time_out, number)
         class_number = self.class_numbers[scheduled.request_class.name]
         cost_hint_ns = int(scheduled.cost_hint_s * NS_PER_S)
         write = scheduled.request_class.idempotency != Idempotency.IDEMPOTENT
         key = scheduled.key + 1
-        self.post(self.api.Request(number, class_number, 0, deadline, key, cost_hint_ns, retry, write))
+        self.post(self.api.Request(number, class_number, 0, deadline_ns, key, cost_hint_ns, retry, write))
         return number
 
     def abandon(self, number: int) -> None:
-        """Disconnect the client of a request."""
+        """Handle the disconnection of a request's client."""
         if self.pending.pop(number, None) is not None:
             self.post(self.api.RequestCancelled(number))
 
@@ -154,8 +154,8 @@
         if pending is not None:
             pending.on_response(outcome, body, retry_after_ns / NS_PER_S)
 
-    def _give_up(self, number: int) -> None:
-        """End what is left of a request shortly before its deadline."""
+    def _time_out(self, number: int) -> None:
+        """End the attempts of a request and give it a final response, shortly before its deadline."""
         pending = self.pending.get(number)
         if pending is None or not self.alive:
             return
@@ -175,36 +175,36 @@
             return
         number = pending.attempts
         pending.attempts += 1
-        attempt = Attempt(action.server, self.clock.now)
+        attempt = Attempt(action.server, self.clock.now_ns)
         self.attempts[action.id, number] = attempt
-        remaining = pending.deadline - ATTEMPT_MARGIN_NS - self.clock.now
-        timeout = min(action.timeout_ns, remaining) if action.timeout_ns > 0 else remaining
+        remaining_ns = pending.deadline_ns - ATTEMPT_MARGIN_NS - self.clock.now_ns
+        timeout_ns = min(action.timeout_ns, remaining_ns) if action.timeout_ns > 0 else remaining_ns
         node = self.endpoints.node(action.server)
-        if pending.attempts > self.settings.max_attempts or timeout <= 0:
+        if pending.attempts > self.settings.max_attempts or timeout_ns <= 0:
             self._end_attempt(action.id, number, self.api.Status.NOT_SENT)
         elif node is None or not node.alive:
             status = self.api.Status.CONNECT_FAILED
-            self.clock.after(2 * NETWORK_DELAY_S, self._end_attempt, action.id, number, status)
+            self.clock.call_later(2 * NETWORK_DELAY_S, self._end_attempt, action.id, number, status)
         else:
             attempt.node = node
             attempt.number = node.send(
                 _node_request(pending), lambda reply: self._handle_reply(action.id, number, reply)
             )
             status = self.api.Status.TIMEOUT
-            self.clock.at(self.clock.now + timeout, self._end_attempt, action.id, number, status)
+            self.clock.call_at(self.clock.now_ns + timeout_ns, self._end_attempt, action.id, number, status)
 
     def _handle_reply(self, number: int, attempt_number: int, reply: Reply | None) -> None:
-        """Handle what came back from a node; None: the connection broke."""
+        """Handle a node's response; None: the connection was closed."""
         status = self.api.Status
         if reply is None or reply.malformation in (Malformation.TRUNCATED, Malformation.GARBLED):
             self._end_attempt(number, attempt_number, status.RESET)
         elif reply.malformation is Malformation.STALLED:
-            return  # what would complete it never comes
+            return  # the rest of the response never arrives
         elif reply.status == STATUS_OK:
             self._end_attempt(number, attempt_number, status.OK, reply.body)
         else:
-            ended = status.REJECTED if reply.not_run else status.ERROR
-            self._end_attempt(number, attempt_number, ended)
+            outcome = status.REJECTED if reply.not_run else status.ERROR
+            self._end_attempt(number, attempt_number, outcome)
 
     def _end_attempt(self, number: int, attempt_number: int, status: Any, body: str = "") -> None:
         attempt = self.attempts.pop((number, attempt_number), None)
@@ -219,9 +219,9 @@
             pending.may_have_run |= not never_ran
             if status is statuses.OK:
                 self._finish(number, ClientOutcome.SERVED, body)
-        duration = self.clock.now - attempt.sent_at
+        duration_ns = self.clock.now_ns - attempt.sent_ns
         final = number not in self.pending
-        self.post(self.api.Outcome(number, attempt_number, attempt.server, status, duration, final))
+        self.post(self.api.Outcome(number, attempt_number, attempt.server, status, duration_ns, final))
 
     # Actions of the module
 
@@ -237,8 +237,8 @@
         elif kind is api.Cancel:
             self._end_attempt(action.id, action.attempt, api.Status.CANCELLED)
         elif kind is api.SetTimer:
-            delay = -(-action.after_ns // NS_PER_MS) * NS_PER_MS  # as the engine rounds it
-            self.clock.at(self.clock.now + delay, self.post, api.Timer(action.token))
+            delay_ns = -(-action.after_ns // NS_PER_MS) * NS_PER_MS  # rounded up, as by the engine
+            self.clock.call_at(self.clock.now_ns + delay_ns, self.post, api.Timer(action.token))
         elif kind is api.Watch:
             self.endpoints.watch(self)
         elif kind is api.Log and action.text.startswith(EJECTION_LOG_PREFIX):
@@ -246,7 +246,7 @@
             self.run_log.record(EventKind.EJECTED, name=node, by=self.name)
 
 
-def _node_request(pending: PendingRequest) -> NodeRequest:
+def _node_request(pending: SimulatedRequest) -> NodeRequest:
     scheduled = pending.scheduled
     request_class = scheduled.request_class
     keyed = request_class.idempotency == Idempotency.IDEMPOTENT_WITH_KEY
--- a/ochreflow/simulation/simulation.py
+++ b/ochreflow/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""Plays one scenario of the lab in simulated time, writes the same event logs, and asks the same judge."""
+"""Runs a scenario of the lab in simulated time, with the event logs and the judge of a run on processes."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 from .simulated_sidecar import SidecarConfig, SimulatedSidecar
 
 NS_PER_MS = 1_000_000
-SIDECAR_START_S = 0.5  # that a sidecar takes to start again
-RUN_ON_S = 1.0  # beyond the last deadline
+SIDECAR_START_S = 0.5  # time that a sidecar takes to restart
+FINAL_MARGIN_S = 1.0  # simulated after the last deadline
 TICK_INTERVAL_S = 0.5  # of simulated time
 WARMING_UP_SEED_OFFSET = 100_000
 RESTART_SEED_STEP = 10_000
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class LogicalRequest:
-    """What a client wants, over all its attempts."""
+    """A request of a client, over all its attempts."""
 
     work_s: float  # on a warm core
     due_s: float  # since the start of the run
@@ -53,10 +53,10 @@
 
 
 class Simulation:
-    """One run."""
+    """One run of a scenario."""
 
     def __init__(self, scenario: Scenario, seed: int, policy: PolicyModules) -> None:
-        """Start nothing yet."""
+        """Create the run; `run` starts it."""
         self.scenario = scenario
         self.seed = seed
         self.policy = policy
@@ -68,11 +68,11 @@
         self.sidecars: dict[int, SimulatedSidecar] = {}
         self.client_logs: list[MemoryEventLog] = []
         self.sidecar_starts = 0
-        self.dedup_groups: dict[int, DeduplicationGroup] = {}  # of the nodes at the start
+        self.dedup_groups: dict[int, DeduplicationGroup] = {}  # of the initial nodes, by group
         self.requests: dict[str, LogicalRequest] = {}  # by the request id of their first attempt
 
     def event_log(self, name: str) -> MemoryEventLog:
-        """Return the event log of a name; a node that is started again goes on with its own."""
+        """Return the event log with this name; a restarted node continues its log."""
         return self.event_logs.setdefault(name, MemoryEventLog(self.clock.read))
 
     # Nodes and sidecars
@@ -82,9 +82,9 @@
         name = f"node-{number}"
         profile = NodeProfile(**node_profile(self.scenario, name, warming_up=warming_up))
         seed = self.seed * 1000 + number + (WARMING_UP_SEED_OFFSET if warming_up else 0)
-        since_ms = self.clock.now // NS_PER_MS if warming_up else 0
+        since_ms = self.clock.now_ns // NS_PER_MS if warming_up else 0
         entry = directory_entry(self.scenario, number, name, since_ms)
-        # A node that is started again has forgotten its idempotency keys, as its process has.
+        # A restarted node has lost its idempotency keys, as a restarted process has.
         started_later = warming_up and not self.scenario.fleet.starts_warming_up
         group = DeduplicationGroup()
         if not started_later:
@@ -94,7 +94,7 @@
         return entry
 
     def start_sidecar(self, number: int) -> None:
-        """Start a sidecar, with the list as it is."""
+        """Start a sidecar with the current list."""
         settings = platform_config(self.scenario, number, "", "", [])["settings"]
         self.sidecar_starts += 1
         seed = self.seed * 100 + number + RESTART_SEED_STEP * self.sidecar_starts
@@ -111,18 +111,20 @@
         """Schedule the next request of the clients of one sidecar."""
         request = next(schedule)
         if request.due_s < self.scenario.duration_s:
-            self.clock.at(START_NS + int(request.due_s * NS_PER_S), self._send, schedule, request, number)
+            self.clock.call_at(
+                START_NS + int(request.due_s * NS_PER_S), self._send, schedule, request, number
+            )
 
     def _send(self, schedule: Iterator[ScheduledRequest], request: ScheduledRequest, number: int) -> None:
         self._schedule_next(schedule, number)
         request_class = request.request_class
         work_s = request.work_factor * request_class.mean_work_s
         self.requests[request.request_id] = LogicalRequest(work_s, request.due_s, request_class.name)
-        self._attempt(request, number, 0, self.clock.now)
+        self._attempt(request, number, 0, self.clock.now_ns)
 
-    def _attempt(self, request: ScheduledRequest, number: int, attempt: int, due: int) -> None:
-        """Send an attempt of a client to sidecar `number`; `due` is when the first was sent."""
-        remaining_s = request.request_class.deadline_s - (self.clock.now - due) / NS_PER_S
+    def _attempt(self, request: ScheduledRequest, number: int, attempt: int, first_sent_ns: int) -> None:
+        """Send a client's attempt to sidecar `number`; `first_sent_ns` is the time of its first attempt."""
+        remaining_s = request.request_class.deadline_s - (self.clock.now_ns - first_sent_ns) / NS_PER_S
         sidecar = self.sidecars[number]
         if attempt and remaining_s < MIN_REMAINING_S:
             return
@@ -139,25 +141,27 @@
                 log.record(EventKind.RESPONSE, id=request_id, outcome=extra, code=0, body="")
                 return
             answered = True
-            latency_s = (self.clock.now - due) / NS_PER_S
+            latency_s = (self.clock.now_ns - first_sent_ns) / NS_PER_S
             result = {"outcome": outcome, "body": body, "took": latency_s}
             log.record(EventKind.RESPONSE, id=request_id, cls=class_name, **result)
             if outcome is ClientOutcome.REJECTED and attempt + 1 < self.scenario.load.max_attempts:
-                self.clock.after(retry_after_s, self._attempt, request, number, attempt + 1, due)
+                self.clock.call_later(
+                    retry_after_s, self._attempt, request, number, attempt + 1, first_sent_ns
+                )
 
         if not sidecar.alive:
             finish(ClientOutcome.UNANSWERED)
             return
-        accepted = sidecar.accept(request, request_id, remaining_s, finish, retry=attempt > 0)
+        accepted_number = sidecar.accept(request, request_id, remaining_s, finish, retry=attempt > 0)
 
         def disconnect(outcome: ClientOutcome) -> None:
             if not answered:
                 finish(outcome)
-                sidecar.abandon(accepted)
+                sidecar.abandon(accepted_number)
 
         if request.abandon_after_s:
-            self.clock.after(request.abandon_after_s, disconnect, ClientOutcome.ABANDONED)
-        self.clock.after(remaining_s + RESPONSE_GRACE_S, disconnect, ClientOutcome.UNANSWERED)
+            self.clock.call_later(request.abandon_after_s, disconnect, ClientOutcome.ABANDONED)
+        self.clock.call_later(remaining_s + RESPONSE_GRACE_S, disconnect, ClientOutcome.UNANSWERED)
 
     # Steps
 
@@ -169,8 +173,8 @@
             for number in self.sidecars:
                 self._replace_sidecar(number, kill=step.action is StepAction.KILL_SIDECAR)
         else:
-            for place, number in enumerate(step.nodes):
-                replacement = step.replacements[place] if step.replacements else number
+            for position, number in enumerate(step.nodes):
+                replacement = step.replacements[position] if step.replacements else number
                 self._apply_to_node(step, number, replacement)
 
     def _apply_to_directory(self, action: StepAction) -> None:
@@ -180,16 +184,16 @@
             case StepAction.DIRECTORY_DOWN:
                 self.directory.down = True
                 self.directory.break_watches()
-            case _:  # restart, move: the new one has the same list
+            case _:  # a restarted or moved directory has the same list
                 self.directory.break_watches()
 
     def _replace_sidecar(self, number: int, *, kill: bool) -> None:
-        """Killed, it is back after a while; ended, it answers what is pending beside the new one."""
+        """Kill and restart a sidecar, or start a new one while the old one completes its requests."""
         old = self.sidecars[number]
         if kill:
             self.run_log.record(EventKind.PROCESS_KILLED, name=old.name)
             old.kill()
-            self.clock.after(SIDECAR_START_S, self.start_sidecar, number)
+            self.clock.call_later(SIDECAR_START_S, self.start_sidecar, number)
         else:
             self.start_sidecar(number)
             self.directory.stop_watching(old)
@@ -216,7 +220,7 @@
     # The run
 
     def run(self, on_tick: Callable[[float], None] = lambda _elapsed_s: None) -> RunResult:
-        """Play it to its end, and judge it; `on_tick` is called every half second of simulated time."""
+        """Run to the end and judge the run; `on_tick` is called every `TICK_INTERVAL_S` of simulated time."""
         scenario = self.scenario
         for number in range(1, scenario.fleet.node_count + 1):
             entry = self.start_node(number, warming_up=scenario.fleet.starts_warming_up)
@@ -228,10 +232,10 @@
             schedule = ArrivalSchedule(client_load(scenario), self.seed * 100 + number)
             self._schedule_next(iter(schedule), number)
         for step in scenario.steps:
-            self.clock.at(START_NS + int(step.at * scenario.duration_s * NS_PER_S), self._apply, step)
+            self.clock.call_at(START_NS + int(step.at * scenario.duration_s * NS_PER_S), self._apply, step)
         max_deadline_s = max(spec.deadline_s for spec in scenario.request_classes.values())
-        while self.clock.seconds < scenario.duration_s + max_deadline_s + RUN_ON_S:
-            self.clock.run(self.clock.now + int(TICK_INTERVAL_S * NS_PER_S))
+        while self.clock.seconds < scenario.duration_s + max_deadline_s + FINAL_MARGIN_S:
+            self.clock.run(self.clock.now_ns + int(TICK_INTERVAL_S * NS_PER_S))
             on_tick(self.clock.seconds)
         return self._result()
 
@@ -240,12 +244,12 @@
         clients = [log.events for log in self.client_logs]
         run = RunEvents(clients, nodes, self.event_logs["directory"].events, self.run_log.events)
         report = judge(run, self.scenario.non_idempotent, RESOURCE_LIMITS)
-        everything = {name: log.events for name, log in sorted(self.event_logs.items())}
-        digest = blake2b(json.dumps(everything).encode(), digest_size=DIGEST_BYTES).hexdigest()
+        all_events = {name: log.events for name, log in sorted(self.event_logs.items())}
+        digest = blake2b(json.dumps(all_events).encode(), digest_size=DIGEST_BYTES).hexdigest()
         run_series = build_series(run, self.scenario.duration_s)
         return RunResult(report, 0.0, [], run_series, digest)
 
 
-def simulate(scenario: Scenario, seed: int, program: Path | None = None) -> RunResult:
-    """Play a scenario with the decision module of a build; this package's own without `program`."""
-    return Simulation(scenario, seed, load_policy(program)).run()
+def simulate(scenario: Scenario, seed: int, build_dir: Path | None = None) -> RunResult:
+    """Run a scenario with the decision module of a build, or with this package's own without `build_dir`."""
+    return Simulation(scenario, seed, load_policy(build_dir)).run()
--- a/ochreflow/simulation/slow_start_server.py
+++ b/ochreflow/simulation/slow_start_server.py
@@ -1,4 +1,4 @@
-"""A server of a simple kind: it has a share of a core, and works at full speed until that is used up."""
+"""Model of a server with a CPU quota: it works at full speed until the quota of a period is used up."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 from .slow_start_metrics import CAPACITY_PER_S, slow_start_ramp
 
-MEAN_WORK_S = 0.02  # that a request takes at full speed, in the mean
-THROTTLE_PERIOD_S = 0.1  # in which a server may use up its share at full speed
-MAX_QUEUE_S = 0.5  # of waiting, beyond which it rejects requests
+MEAN_WORK_S = 0.02  # mean work of a request, at full speed
+THROTTLE_PERIOD_S = 0.1  # in which a server may use up its quota at full speed
+MAX_QUEUE_S = 0.5  # waiting time above which a server rejects requests
 
 
 @dataclass(slots=True)
 class Server:
-    """A server; the times of its sends and its answers are counted."""
+    """A server, with the times of its sends and the number of its responses."""
 
-    started_s: float | None = None  # None: warm since long ago
-    slow_while_warming_up: bool = False  # it works at its ramp's speed, else as a warm one
+    started_s: float | None = None  # None: warm from the beginning
+    slow_while_warming_up: bool = False  # works at its ramp's speed while cold, not at full speed
     capacity_per_s: float = CAPACITY_PER_S  # when warm
     removed: bool = False
-    free_at_s: float = 0.0  # when what it has accepted is within its share
-    sends: list[float] = field(default_factory=list)  # seconds since its start
+    free_at_s: float = 0.0  # when the accepted work fits its quota again
+    sends: list[float] = field(default_factory=list)  # times in seconds since its start
     answered: int = 0
 
     def accept(self, now_s: float, work_s: float) -> float | None:
-        """Return the seconds that the answer takes; None: rejected."""
+        """Return the response time in seconds; None if the request is rejected."""
         speed = 1.0
         if self.slow_while_warming_up and self.started_s is not None:
             speed = slow_start_ramp(now_s - self.started_s)
