--- a/tests/test_answered_at_the_end.py
+++ b/tests/test_answered_at_the_end.py
@@ -1,6 +1,6 @@
-"""Up to the end of a process, what was read is answered, and nothing is sent on that can't be answered.
+"""Until a process ends, it answers every request that it has read, and forwards none that it cannot answer.
 
-A client whose connection ends without an answer sends its request once more, to whichever process listens.
+A client whose connection closes without a response sends its request again, to whichever process listens.
 """
 
 import asyncio
@@ -32,15 +32,15 @@
 from ochreflow.http.request_reader import ReadState
 
 CLIENTS = 6
-AFTER_END = 0.3  # seconds in which a connect and a request to a server on this machine would come up
+FORWARD_TIME_S = 0.3  # in which a request would certainly reach a server on this machine
 
 
-def ids(fake):
+def request_ids(fake):
     return [got.headers["x-request-id"] for got in fake.received]
 
 
-def test_a_request_that_is_read_once_the_end_has_come_is_turned_away(tmp_path):
-    """The end is decided, and the process has not come to close its sockets yet."""
+def test_a_request_read_after_shutdown_has_begun_is_rejected(tmp_path):
+    """Shutdown has begun, and the process has not closed its sockets yet."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
@@ -51,49 +51,49 @@
             writer.write(http_request("order", "late"))
             got = await read_message(reader)
             assert got.code == 503 and got.headers["connection"] == "close"
-            assert ids(fake) == ["warm"]
+            assert request_ids(fake) == ["warm"]
             writer.close()
 
     run(play())
 
 
-def test_a_connection_that_is_made_after_the_end_sends_nothing_on(tmp_path):
-    """It was accepted before, and the loop hands it over later."""
+def test_a_connection_established_after_the_close_forwards_nothing(tmp_path):
+    """It was accepted before the close, and the event loop creates its transport afterwards."""
 
     async def play():
         server = Server()
         loop = asyncio.get_running_loop()
         sidecar = Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", server.address))))
-        with socket.create_server((HOST, 0)) as door:
-            client = connect(door.getsockname()[1])
+        with socket.create_server((HOST, 0)) as listener:
+            client = connect(listener.getsockname()[1])
             client.sendall(http_request("order", "late"))
-            accepted, _ = door.accept()
+            accepted, _ = listener.accept()
         sidecar.close()
         await loop.connect_accepted_socket(sidecar.http.connection, accepted)
-        (front,) = sidecar.http.clients.connections
-        await wait_until(lambda: front.has_sent_request)
-        await asyncio.sleep(AFTER_END)
+        (client_connection,) = sidecar.http.clients.connections
+        await wait_until(lambda: client_connection.has_sent_request)
+        await asyncio.sleep(FORWARD_TIME_S)
         assert server.read_all() == b""
-        front.close()
+        client_connection.close()
         client.close()
         server.close()
-        await wait_until(lambda: front.closed)
+        await wait_until(lambda: client_connection.closed)
 
     run(play())
 
 
 @pytest.mark.parametrize("end", ["sidecar", "engine"])
-def test_what_may_have_run_is_answered_before_its_connection_closes(tmp_path, end):
+def test_a_request_that_may_have_run_is_answered_before_its_connection_closes(tmp_path, end):
     async def play():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
         ) as sidecar:
-            held = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
-            taken = await server.accept()
-            await taken.wait_for(b"held")
+            response_task = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
+            server_connection = await server.accept()
+            await server_connection.wait_for(b"held")
             (sidecar if end == "sidecar" else sidecar.engine).close()
-            assert (await held).code in (502, 504)
+            assert (await response_task).code in (502, 504)
             assert server.read_all().count(b"X-Request-Id") == 1
         server.close()
 
@@ -101,37 +101,43 @@
 
 
 @pytest.mark.parametrize("end", ["answer all", "close"])
-def test_a_request_that_the_end_answers_is_not_sent_to_another_server_meanwhile(tmp_path, end):
-    """Its attempt waits for a connection: given up, it never ran, and another server could be tried."""
+def test_a_request_answered_at_shutdown_is_not_sent_to_another_server(tmp_path, end):
+    """Its attempt waits for a connection: given up, it has not run, so that a retry would be possible."""
 
     async def play():
         fakes = {name: await FakePeer(answer_ok).start() for name in ("s1", "s2")}
-        stage = SidecarHarness(tmp_path, [entry(name, fake.address) for name, fake in fakes.items()])
-        async with stage.sidecar as sidecar:
+        harness = SidecarHarness(tmp_path, [entry(name, fake.address) for name, fake in fakes.items()])
+        async with harness.sidecar as sidecar:
             number = 0
             while not all(fake.received for fake in fakes.values()):
                 number += 1
                 assert (await send_request(sidecar.port, http_request("order", f"warm{number}"))).code == 200
-            sidecar.upstreams.close_idle(stage.names.server("s1"))
-            stage.block_connects()
-            while not sidecar.engine.requests.pending:  # a connection to the other server stands ready
+            sidecar.upstreams.close_idle(harness.names.server("s1"))
+            harness.block_connects()
+            while not sidecar.engine.requests.pending:  # the other server has an idle connection
                 number += 1
-                asked = asyncio.create_task(send_request(sidecar.port, http_request("order", f"id{number}")))
-                await wait_until(lambda asked=asked: asked.done() or stage.loop.blocked_connects)
+                response_task = asyncio.create_task(
+                    send_request(sidecar.port, http_request("order", f"id{number}"))
+                )
+                await wait_until(
+                    lambda response_task=response_task: response_task.done() or harness.loop.blocked_connects
+                )
             if end == "close":
                 sidecar.close()
             else:
                 sidecar.engine.lifecycle._give_final_answers()
-            assert (await asked).code == 503
-            await asyncio.sleep(AFTER_END)
-            assert f"id{number}" not in [ident for fake in fakes.values() for ident in ids(fake)]
-            stage.loop.connect_allowed.set()
+            assert (await response_task).code == 503
+            await asyncio.sleep(FORWARD_TIME_S)
+            assert f"id{number}" not in [
+                request_id for fake in fakes.values() for request_id in request_ids(fake)
+            ]
+            harness.loop.connect_allowed.set()
 
     run(play())
 
 
-class Resending:
-    """A client as the protocol has it: what meets a close before its answer is sent once more."""
+class ResendingClient:
+    """A client that resends a request whose connection closed before the response, as it may."""
 
     def __init__(self, port, name):
         self.port = port
@@ -144,18 +150,18 @@
         number, reader, writer = 0, None, None
         while not self.stop:
             number += 1
-            ident = f"{self.name}-{number}"
+            request_id = f"{self.name}-{number}"
             for _ in range(10):
                 try:
                     if writer is None:
                         reader, writer = await asyncio.open_connection(HOST, self.port)
-                    writer.write(http_request("order", ident, "3000m", ident.encode()))
+                    writer.write(http_request("order", request_id, "3000m", request_id.encode()))
                     got = await read_message(reader)
                 except (OSError, asyncio.IncompleteReadError):
                     writer = None
-                    self.resent.append(ident)
+                    self.resent.append(request_id)
                     continue
-                self.codes[ident] = got.code
+                self.codes[request_id] = got.code
                 if got.headers.get("connection") == "close":
                     writer.close()
                     writer = None
@@ -164,8 +170,8 @@
             writer.close()
 
 
-def test_requests_run_once_while_processes_hand_over_their_socket(tmp_path):
-    """Three processes one after another, and clients that use their connections to the last."""
+def test_requests_run_once_while_processes_replace_each_other_on_the_same_socket(tmp_path):
+    """Three processes run one after another, and the clients use their connections until they are closed."""
 
     async def play():
         async def act(message, reader, writer):
@@ -174,18 +180,22 @@
 
         fake = await FakePeer(act).start()
         listening = socket.create_server((HOST, 0))
-        folder = tmp_path / "run"
-        folder.mkdir()
+        shared_dir = tmp_path / "run"
+        shared_dir.mkdir()
         data = config(endpoint_update(1, entry("s1", fake.address)))
-        handed = {"inherited": listening, "shared_dir": folder}
-        clients = [Resending(listening.getsockname()[1], f"c{n}") for n in range(CLIENTS)]
-        async with Process(tmp_path / "p0", data, **handed) as first:
+        process_options = {"inherited": listening, "shared_dir": shared_dir}
+        clients = [ResendingClient(listening.getsockname()[1], f"c{n}") for n in range(CLIENTS)]
+        async with Process(tmp_path / "p0", data, **process_options) as first:
             playing = asyncio.gather(*(client.play() for client in clients))
             old = first
             for number in (1, 2):
-                new = await Process(tmp_path / f"p{number}", data, **handed).__aenter__()
-                enough = {client: len(client.codes) + 20 for client in clients}
-                await wait_until(lambda least=enough: all(len(one.codes) > least[one] for one in clients))
+                new = await Process(tmp_path / f"p{number}", data, **process_options).__aenter__()
+                expected_counts = {client: len(client.codes) + 20 for client in clients}
+                await wait_until(
+                    lambda expected=expected_counts: all(
+                        len(client.codes) > expected[client] for client in clients
+                    )
+                )
                 old.process.send_signal(signal.SIGTERM)
                 async with asyncio.timeout(WAIT_TIMEOUT_S):
                     assert await old.process.wait() == 0
@@ -195,18 +205,20 @@
             await playing
             await old.__aexit__()
         listening.close()
-        answered = {ident: code for client in clients for ident, code in client.codes.items()}
+        answered = {request_id: code for client in clients for request_id, code in client.codes.items()}
         assert set(answered.values()) <= {200, 503}
-        assert sorted(ids(fake)) == sorted(ident for ident, code in answered.items() if code == 200)
-        # All that was sent again was answered in the end, and none of it had run before.
-        assert all(ident in answered for client in clients for ident in client.resent)
+        assert sorted(request_ids(fake)) == sorted(
+            request_id for request_id, code in answered.items() if code == 200
+        )
+        # Every resent request was answered in the end, and none of them had run before.
+        assert all(request_id in answered for client in clients for request_id in client.resent)
 
     run(play())
 
 
 @pytest.mark.parametrize("end", ["open", "left", "answered"])
-def test_a_request_that_comes_again_on_another_connection_does_not_run_again(tmp_path, end):
-    """By its id, while the first one is open, when its client has left, or when it has been answered."""
+def test_a_request_resent_on_another_connection_does_not_run_again(tmp_path, end):
+    """Its id is recognized while the first one is open, after its client has left, and after its response."""
 
     async def play():
         server = Server()
@@ -215,12 +227,12 @@
         ) as sidecar:
             client = connect(sidecar.port)
             client.sendall(http_request("order", "same"))
-            taken = await server.accept()
-            await taken.wait_for(b"same")
+            server_connection = await server.accept()
+            await server_connection.wait_for(b"same")
             if end == "left":
                 client.close()
             elif end == "answered":
-                taken.answer()
+                server_connection.answer()
             if end != "open":
                 await wait_until(lambda: not sidecar.engine.requests.pending)
             assert (await send_request(sidecar.port, http_request("order", "same"))).code == 409
@@ -232,51 +244,51 @@
 
 
 def changed_effects(data):
-    """The same configuration with every class of another effect."""
-    turned = {"pure": "side_effect", "token": "pure", "side_effect": "pure"}
+    """Return the configuration with another effect for every class."""
+    replacements = {"pure": "side_effect", "token": "pure", "side_effect": "pure"}
     settings = {**data["settings"]}
-    settings["classes"] = [{**spec, "repeat": turned[spec["repeat"]]} for spec in settings["classes"]]
+    settings["classes"] = [{**spec, "repeat": replacements[spec["repeat"]]} for spec in settings["classes"]]
     return {**data, "settings": settings}
 
 
-def test_a_new_configuration_changes_the_effect_of_no_class(tmp_path):
-    """Neither for a request that is open, nor for one that comes later: an unsafe one stays unsafe."""
+def test_a_reload_does_not_change_the_effect_of_a_class(tmp_path):
+    """An unsafe class stays unsafe, both for open requests and for later ones."""
 
     async def play():
         async def reset_unless(got, reader, writer):
             if got.headers["x-request-id"] == "open":
                 opened.set()
-                await go.wait()
+                await proceed.wait()
             writer.transport.abort()
 
-        opened, go = asyncio.Event(), asyncio.Event()
+        opened, proceed = asyncio.Event(), asyncio.Event()
         fakes = [await FakePeer(reset_unless).start() for _ in range(2)]
         data = config(endpoint_update(1, *(entry(f"s{n}", fake.address) for n, fake in enumerate(fakes))))
         async with Process(tmp_path / "c", data) as sidecar:
-            held = asyncio.create_task(send_request(sidecar.port, http_request("order", "open")))
+            response_task = asyncio.create_task(send_request(sidecar.port, http_request("order", "open")))
             await opened.wait()
             changed = {**changed_effects(data), "discovery": f"{HOST}:10"}
             sidecar.path.write_text(json.dumps(changed))
             sidecar.process.send_signal(signal.SIGHUP)
             await sidecar.wait_for_log(b"discovery is now at")
-            go.set()
-            assert (await held).code == 502
+            proceed.set()
+            assert (await response_task).code == 502
             assert (await send_request(sidecar.port, http_request("order", "later"))).code == 502
             as_safe = http_request("order", "safe").replace(b"POST", b"GET")
             assert (await send_request(sidecar.port, as_safe)).code == 405
             assert (await send_request(sidecar.port, http_request("lookup", "look"))).code in (502, 503)
-        assert sorted(ids(fakes[0]) + ids(fakes[1])).count("open") == 1
-        assert sorted(ids(fakes[0]) + ids(fakes[1])).count("later") == 1
+        assert sorted(request_ids(fakes[0]) + request_ids(fakes[1])).count("open") == 1
+        assert sorted(request_ids(fakes[0]) + request_ids(fakes[1])).count("later") == 1
 
     run(play())
 
 
-# Refusals behind a request that was sent on
+# Errors after a request that was forwarded
 
 
 @pytest.mark.parametrize("behind", [b"\0garbage\r\n\r\n", b"POST /order HTTP/1.1\r\nX-Half: "])
-def test_what_goes_wrong_behind_a_request_does_not_take_its_answer_away(tmp_path, behind):
-    """What follows is no request, or comes to no end in time."""
+def test_an_invalid_message_after_a_request_does_not_lose_the_response_to_the_request(tmp_path, behind):
+    """The message that follows is malformed, or is not completed in time."""
 
     async def play():
         server = Server()
@@ -285,18 +297,18 @@
         ) as sidecar:
             client = connect(sidecar.port)
             client.sendall(http_request("order", "first") + http_request("order", "second") + behind)
-            taken = await server.accept()
-            await taken.wait_for(b"first")
-            front = sidecar_connection(sidecar, client)
-            if front.read_state is not ReadState.ENDED:
-                await wait_until(lambda: front.message_begun)
-                front.expire()
-            assert front.current is not None and len(front.queue) == 2
+            server_connection = await server.accept()
+            await server_connection.wait_for(b"first")
+            client_connection = sidecar_connection(sidecar, client)
+            if client_connection.read_state is not ReadState.ENDED:
+                await wait_until(lambda: client_connection.message_begun)
+                client_connection.expire()
+            assert client_connection.current is not None and len(client_connection.queue) == 2
             reader, writer = await asyncio.open_connection(sock=client)
-            taken.answer()
+            server_connection.answer()
             assert (await read_message(reader)).code == 200
-            await taken.wait_for(b"second")
-            taken.answer()
+            await server_connection.wait_for(b"second")
+            server_connection.answer()
             assert (await read_message(reader)).code == 200
             assert (await read_message(reader)).code in (400, 408)
             assert await reader.read() == b""
@@ -307,9 +319,9 @@
     run(play())
 
 
-@pytest.mark.parametrize("why", ["time", "malformed", "memory"])
-def test_a_body_that_is_cut_short_is_refused_only_where_it_can_not_have_run(tmp_path, why):
-    """Part of it has gone on to a server, and the rest never comes: nothing whole may arrive there."""
+@pytest.mark.parametrize("reason", ["time", "malformed", "memory"])
+def test_a_truncated_body_is_rejected_and_never_completed_at_the_server(tmp_path, reason):
+    """Part of it has been forwarded when it stalls or becomes malformed. A lack of memory does no harm."""
 
     async def play():
         server = Server()
@@ -321,26 +333,39 @@
             head = head.replace(b"Content-Length: 0\r\n", b"")
             piece = bytes(100_000)
             client.sendall(head + b"%x\r\n%s\r\n" % (len(piece), piece))
-            taken = await server.accept()
-            await wait_until(lambda: taken.read_available() or taken.received.count(b"\0") == len(piece))
-            front = sidecar_connection(sidecar, client)
-            if why == "time":
-                front.expire()
-            elif why == "memory":
+            server_connection = await server.accept()
+            await wait_until(
+                lambda: (
+                    server_connection.read_available()
+                    or server_connection.received.count(b"\0") == len(piece)
+                )
+            )
+            client_connection = sidecar_connection(sidecar, client)
+            if reason == "time":
+                client_connection.expire()
+            elif reason == "memory":
                 sidecar.engine.memory.limit = 0
                 client.sendall(b"%x\r\n%s\r\n0\r\n\r\n" % (len(piece), piece))
-                taken.sock.setblocking(False)
-                await wait_until(lambda: taken.read_available() or taken.received.endswith(b"0\r\n\r\n"))
-                taken.answer()
+                server_connection.sock.setblocking(False)
+                await wait_until(
+                    lambda: (
+                        server_connection.read_available()
+                        or server_connection.received.endswith(b"0\r\n\r\n")
+                    )
+                )
+                server_connection.answer()
             else:
                 client.sendall(b"zz\r\n")
             reader, writer = await asyncio.open_connection(sock=client)
             got = await read_message(reader)
-            assert got.code == {"time": 408, "malformed": 400, "memory": 200}[why]
+            assert got.code == {"time": 408, "malformed": 400, "memory": 200}[reason]
             writer.close()
-            if why != "memory":
-                await wait_until(lambda: taken.read_available() or taken.ended)
-                assert not taken.received.endswith(b"0\r\n\r\n") and sidecar.engine.stats.forwards == 0
+            if reason != "memory":
+                await wait_until(lambda: server_connection.read_available() or server_connection.ended)
+                assert (
+                    not server_connection.received.endswith(b"0\r\n\r\n")
+                    and sidecar.engine.stats.forwards == 0
+                )
             assert server.read_all().count(b"X-Request-Id") == 1
         server.close()
 
