--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -96,7 +96,7 @@
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
             assert (await read_message(reader)).body == b"served 1"
-            # The requests have the whole deadline of their class: before it has seen some requests, the
+            # The requests have the full deadline of their class: before it has seen some requests, the
             # decision module takes one with a shorter deadline for a late retry, and may reject it while
             # others are open.
             many = [http_request("order", f"id{n}", "4000m", b"%d" % n) for n in range(40)]
@@ -123,8 +123,8 @@
             assert (await send_request(sidecar.port, data)).body == b"abcde"
             body = b"x" * request_reader.MAX_BODY_BYTES
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            whole = http_request("order", "big", "3000m", body, "Expect: 100-continue")
-            writer.write(whole[: -len(body)])
+            request = http_request("order", "big", "3000m", body, "Expect: 100-continue")
+            writer.write(request[: -len(body)])
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100 ")
             writer.write(body)
             assert (await read_message(reader)).body == body
--- a/tests/test_second_response.py
+++ b/tests/test_second_response.py
@@ -365,12 +365,12 @@
     settling_time(LONG_SETTLING_TIME_S)
 
     async def play():
-        refuse = asyncio.Event()
+        send_rejection = asyncio.Event()
 
         async def act(got, reader, writer):
             await answer_ok(got, reader, writer)
             if got.headers["x-request-id"] == "first":
-                await refuse.wait()
+                await send_rejection.wait()
                 writer.write(REJECTION)
 
         server = await FakePeer(act).start()
@@ -379,7 +379,7 @@
             assert (await send_request(sidecar.port, http_request("lookup", "first"))).code == 200
             second = asyncio.create_task(send_request(sidecar.port, http_request(class_name, "second")))
             await wait_until(lambda: sidecar.engine.attempts.in_flight)
-            refuse.set()
+            send_rejection.set()
             assert (await second).code == 200
         copies = [got for got in server.received if got.headers["x-request-id"] == "second"]
         assert len(copies) == 1
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -106,8 +106,8 @@
             data = PIECE * 48  # 3 MB
             assert (await send_request(sidecar.port, http_request("order", "one", "3000m", data))).code == 200
             parts = [b"%x;ext=1\r\n%s\r\n" % (len(PIECE), PIECE) for _ in range(48)]
-            whole = chunked_head() + b"".join(parts) + b"0\r\nX-Trailer: x\r\n\r\n"
-            assert (await send_request(sidecar.port, whole)).code == 200
+            request = chunked_head() + b"".join(parts) + b"0\r\nX-Trailer: x\r\n\r\n"
+            assert (await send_request(sidecar.port, request)).code == 200
             assert server.bodies == [data, data]
             assert f"content-length: {len(data)}" in server.heads[0]
             assert "transfer-encoding: chunked" in server.heads[1]
@@ -236,21 +236,21 @@
 
         server = await Server(chunks).start()
         async with sidecar_before(tmp_path, server) as sidecar:
-            whole = bytes(65 + n % 26 for n in range(50))
+            expected_body = bytes(65 + n % 26 for n in range(50))
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             for n in range(3):
                 writer.write(http_request("order", f"id{n}"))
                 head = await reader.readuntil(b"\r\n\r\n")
                 if b"Content-Length: 50" in head:
-                    assert await reader.readexactly(50) == whole
+                    assert await reader.readexactly(50) == expected_body
                 else:
-                    assert await read_chunks(reader) == whole
+                    assert await read_chunks(reader) == expected_body
             writer.close()
             # An HTTP/1.0 client does not know chunked encoding: the end of the connection delimits the body.
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             writer.write(b"GET /lookup HTTP/1.0\r\nX-Request-Id: old\r\n\r\n")
             got = await reader.read()
-            assert got.endswith(b"\r\n\r\n" + whole) and b"chunked" not in got
+            assert got.endswith(b"\r\n\r\n" + expected_body) and b"chunked" not in got
             writer.close()
 
     run(play())
@@ -367,13 +367,13 @@
             handle = sidecar.engine.balancer.handle
             sidecar.engine.balancer.handle = lambda now, event: events.append(event) or handle(now, event)
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            whole = http_request("order", "ab", "3000m", bytes(BIG))
-            writer.write(whole[: 256 * 1024])
+            request = http_request("order", "ab", "3000m", bytes(BIG))
+            writer.write(request[: 256 * 1024])
             await reading.wait()
             proceed.set()
             got = await read_message(reader)  # rejected at once, while the client is still sending
             assert got.code == 503 and "retry-after" in got.headers
-            writer.write(whole[256 * 1024 :])  # the rest is read and discarded, the connection stays usable
+            writer.write(request[256 * 1024 :])  # the rest is read and discarded, the connection stays usable
             writer.write(b"GET /-/ready HTTP/1.1\r\n\r\n")
             assert (await read_message(reader)).code == 200
             writer.close()
@@ -412,8 +412,8 @@
     async def play():
         server = await Server(respond_ok).start()
         async with sidecar_before(tmp_path, server) as sidecar:
-            whole = http_request("order", "ab", "3000m", bytes(BIG))
-            assert (await send_request(sidecar.port, whole[: 256 * 1024])).code == 408
+            request = http_request("order", "ab", "3000m", bytes(BIG))
+            assert (await send_request(sidecar.port, request[: 256 * 1024])).code == 408
             await wait_until(lambda: server.broken)
             await wait_until(lambda: not sidecar.engine.requests.pending)
             assert not server.bodies and sidecar.engine.stats.results[2] == [0, 0, 1]
@@ -446,11 +446,11 @@
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            whole = http_request("order", "slow", "4000m", bytes(4000))
-            start = len(whole) - 4000
-            writer.write(whole[:start])
-            for at in range(start, len(whole), 100):  # takes 0.8 s, at 5 kB a second
-                writer.write(whole[at : at + 100])
+            request = http_request("order", "slow", "4000m", bytes(4000))
+            start = len(request) - 4000
+            writer.write(request[:start])
+            for at in range(start, len(request), 100):  # takes 0.8 s, at 5 kB a second
+                writer.write(request[at : at + 100])
                 await asyncio.sleep(0.02)
             assert (await read_message(reader)).code == 200
             writer.write(http_request("order", "one", "4000m", bytes(300_000)))
