--- a/tests/test_wire_records.py
+++ b/tests/test_wire_records.py
@@ -1,4 +1,4 @@
-"""Each record of the simulator's wire, by the examples of its page: events decoded, actions encoded."""
+"""Decoding and encoding of each record of the simulator's wire protocol, by the examples of its page."""
 
 import struct
 
@@ -69,53 +69,53 @@
     return EventBatch.parse(struct.pack("<QI", 5, len(records)) + b"".join(records) + tail)
 
 
-def decoded(batch, lists=None):
-    (at,) = batch.record_offsets()
-    return decode_event(batch.body[at], batch, at, lists or {})
+def decode(batch, lists=None):
+    (offset,) = batch.record_offsets()
+    return decode_event(batch.body[offset], batch, offset, lists or {})
 
 
-def encoded(add):
+def encode(append_records):
     reply = Reply()
-    add(reply)
+    append_records(reply)
     return b"".join(reply.records), bytes(reply.tail)
 
 
 @pytest.mark.parametrize(("record", "tail", "event"), EVENTS)
-def test_an_event_is_decoded_from_the_bytes_of_the_page(record, tail, event):
-    assert decoded(batch_of(event_record(record), tail=tail)) == event
+def test_an_event_is_decoded_from_its_example_on_the_page(record, tail, event):
+    assert decode(batch_of(event_record(record), tail=tail)) == event
 
 
 @pytest.mark.parametrize(("record", "tail", "action"), ACTIONS)
-def test_an_action_is_encoded_to_the_bytes_of_the_page(record, tail, action):
+def test_an_action_is_encoded_to_its_example_on_the_page(record, tail, action):
     expected = bytes.fromhex(record).ljust(ACTION_SIZE, b"\0"), tail
-    assert encoded(lambda reply: encode_actions(INSTANCE, [action], reply)) == expected
+    assert encode(lambda reply: encode_actions(INSTANCE, [action], reply)) == expected
 
 
-def test_an_internal_error_is_encoded_to_the_bytes_of_the_page():
+def test_an_internal_error_is_encoded_to_its_example_on_the_page():
     expected = bytes.fromhex("13 0300 00000000 12000000").ljust(ACTION_SIZE, b"\0"), b"index out of range"
-    assert encoded(lambda reply: encode_internal_error(INSTANCE, "index out of range", reply)) == expected
+    assert encode(lambda reply: encode_internal_error(INSTANCE, "index out of range", reply)) == expected
 
 
-def test_a_list_is_decoded_from_the_bytes_of_the_page():
+def test_a_list_is_decoded_from_its_example_on_the_page():
     rows = (
         "074a1203 0000 00 0000 01 0000803f 0000000000000000",
         "f211902c 0100 00 0000 01 0000c03f 009d966b01000000",
     )
-    lists = event_record("1a 00000000 00000000 02000000")
-    endpoints = event_record("11 0300 02 29000000 00000000")
-    batch = batch_of(lists, endpoints, tail=bytes.fromhex("".join(rows)))
-    first, second = batch.record_offsets()
-    number, entries = decode_server_list(batch, first)
+    list_record = event_record("1a 00000000 00000000 02000000")
+    endpoints_record = event_record("11 0300 02 29000000 00000000")
+    batch = batch_of(list_record, endpoints_record, tail=bytes.fromhex("".join(rows)))
+    list_offset, endpoints_offset = batch.record_offsets()
+    number, entries = decode_server_list(batch, list_offset)
     assert number == 0
     assert entries == [
         api.Endpoint(SERVER, 0, 0, 0, api.State.READY, 1.0),
         api.Endpoint(OTHER_SERVER, 1, 0, 0, api.State.READY, 1.5, 6_100_000_000),
     ]
-    event = decode_event(EventCode.ENDPOINTS, batch, second, {number: entries})
+    event = decode_event(EventCode.ENDPOINTS, batch, endpoints_offset, {number: entries})
     assert event == api.Membership(api.ListKind.CACHED, 41, entries)
 
 
-def test_the_examples_have_every_code():
+def test_the_examples_cover_every_code():
     events = {int(record.split()[0], 16) for record, _, _ in EVENTS}
     assert events == {*DECODERS, EventCode.NOTE_FROM}
     assert {int(record.split()[0], 16) for record, _, _ in ACTIONS} == {*ActionCode} - {
