--- a/ochreflow/http/acceptor.py
+++ b/ochreflow/http/acceptor.py
@@ -78,7 +78,7 @@
             sock.close()
 
     def _pause(self, error: OSError) -> None:
-        """Evict clients that wait for nothing, and leave new connections in the backlog for a while."""
+        """Evict clients without a pending response, and leave new connections in the backlog for a while."""
         wait = self.accept_throttle.out_of_descriptors(monotonic())
         evicted = 0
         if error.errno in DESCRIPTOR_ERRNOS:
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -267,7 +267,7 @@
         return silent[0] if self.last_received[silent[0]] <= now - FIRST_REQUEST_DELAY_S else incomplete[0]
 
     def evict_one(self) -> bool:
-        """Close one connection that waits for nothing; return False if there is none.
+        """Close one connection without a pending response; return False if there is none.
 
         Protects accepted requests against a lack of descriptors: their attempts need some.
         """
@@ -288,7 +288,7 @@
         return self.evict_one()
 
     def _evictable(self) -> Iterable[Client]:
-        """Return the connections that wait for nothing, the oldest first."""
+        """Return the connections without a pending response, the oldest first."""
         closable = (client for client in self.idle if client.closable)
         return chain(
             (client for client in self.draining if not client.serving),
@@ -297,13 +297,13 @@
         )
 
     def _is_evictable(self, client: Client) -> bool:
-        """Return whether a connection waits for nothing."""
+        """Return whether a connection has no pending response."""
         if client in self.last_received or client.draining:
             return not client.serving
         return client.closable
 
     def _evict(self, limit: int) -> int:
-        """Close up to `limit` connections that wait for nothing; return how many were closed."""
+        """Close up to `limit` connections without a pending response; return how many were closed."""
         if self.admission is None:
             evicted = list(islice(self._evictable(), limit))
         else:
@@ -317,7 +317,7 @@
         return len(evicted)
 
     def _enforce_quota(self) -> None:
-        """Evict clients after the quota has shrunk, as soon as enough of them wait for nothing.
+        """Evict clients after the quota has shrunk, as soon as enough of them have no pending response.
 
         Protects operators, discovery and requests: a new connection replaces only one client, so clients over
         the quota would stay over it, and with no descriptor left every new connection would be closed.
--- a/ochreflow/http/closing_connection.py
+++ b/ochreflow/http/closing_connection.py
@@ -38,9 +38,7 @@
         self.streamed: StreamedResponse | None = None
         self.end_delimits = False  # whether only the end of the connection delimits the latest response
         self.write_paused = False  # whether the client leaves responses unread
-        self.draining_timer: asyncio.TimerHandle | None = (
-            None  # runs while the connection waits for its client to close
-        )
+        self.draining_timer: asyncio.TimerHandle | None = None  # runs while a draining close is in progress
         self.unacknowledged_at_check = 0  # bytes, when the draining close was last checked
 
     @property
