--- a/tests/engine_simulation.py
+++ b/tests/engine_simulation.py
@@ -1,4 +1,4 @@
-"""The core and the decision module over a simulated loop, transport and clients, checked by a rule."""
+"""Runs the core and the decision module on a simulated loop, transport and clients, checked by a rule."""
 
 import itertools
 
@@ -47,7 +47,7 @@
 
 
 class EngineSimulation:
-    """An engine over simulated parts, with servers 1 to `servers` in two zones and three cells."""
+    """An engine on simulated I/O, with servers 1 to `servers` in two zones and three cells."""
 
     def __init__(self, classes=("unsafe",), servers=6, seed=1, **overrides):
         self.settings = simulated_settings(classes, **overrides)
@@ -70,7 +70,7 @@
         self.publish()
 
     def publish(self):
-        """Give the engine the complete endpoint list in its present state."""
+        """Give the engine the complete endpoint list in its current state."""
         self.version += 1
         records = []
         for number, endpoint in self.endpoints.items():
--- a/tests/simulated_transport.py
+++ b/tests/simulated_transport.py
@@ -1,4 +1,4 @@
-"""The core's transport and clients without sockets; a test takes each step of an attempt by itself."""
+"""A transport and clients without sockets; the test advances each attempt step by step."""
 
 from ochreflow.policy.interface import State, Status
 
@@ -120,7 +120,7 @@
 
 
 class SimulatedTransport:
-    """The transport; it keeps the attempts in flight in the order of their starts."""
+    """An upstream transport that keeps its attempts in flight in the order of their starts."""
 
     def __init__(self, loop, rule):
         self.loop, self.rule = loop, rule
@@ -152,7 +152,7 @@
         return attempt
 
     def _connect_in_start(self, attempt):
-        """Connect as `connect` does, but report an end later, never from within `start`."""
+        """Connect as `connect` does, but report a missed write deadline later, not from within `start`."""
         write_timeout_s = attempt.observer.write_timeout_s()
         if write_timeout_s <= 0.0:
             self.loop.call_soon(attempt.end, Status.NOT_SENT)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -77,7 +77,7 @@
     ]
 
 
-def test_statistics_match_what_clients_and_servers_saw(tmp_path):
+def test_statistics_match_the_responses_to_clients_and_the_requests_at_servers(tmp_path):
     async def play():
         async def act(message, reader, writer):
             request_id = message.headers["x-request-id"]
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -268,7 +268,7 @@
     ]
 
 
-def test_run_imports_only_what_its_configuration_needs(tmp_path):
+def test_run_imports_only_the_modules_that_its_configuration_needs(tmp_path):
     """Guards the memory of a process, which is limited: no click, msgspec, structlog or lab without need."""
     (tmp_path / "c").write_text(json.dumps(config(endpoint_update(1))))
     code = """
