--- a/ochreflow/lab/__init__.py
+++ b/ochreflow/lab/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what surrounds a sidecar, on loopback: nodes, a directory, clients, and a judge of the rules.
+"""Test environment of a sidecar on loopback: fake nodes, a fake directory, clients, and a judge of the rules.
 
-Nothing here is imported by the program, and nothing of the program is imported here.
+The program imports nothing from this package, and this package imports nothing from the program.
 """
--- a/ochreflow/lab/builds.py
+++ b/ochreflow/lab/builds.py
@@ -1,8 +1,8 @@
-"""Builds of the program to compare: a git revision, with settings changed in it.
+"""Builds of the program to compare: this checkout or a git revision, optionally with changed constants.
 
-.                                   the checkout as it is
-HEAD~3                              a revision, in a folder of its own
-.,policy/slow_start.py:BURST_S=0.5      one whose constant has another value
+.                                   this checkout
+HEAD~3                              a git revision
+.,policy/slow_start.py:BURST_S=0.5      this checkout with another value of a constant
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class BuildError(OchreflowError):
-    """A build that can't be had; the text says why in one line."""
+    """A build can't be made; the message gives the reason in one line."""
 
 
 def make_build(build: str, target_dir: Path) -> Path:
-    """Put a build's package into `target_dir`; return that directory."""
+    """Copy the package of a build into `target_dir`, and return that directory."""
     revision, *changes = build.split(",")
     target_dir.mkdir(parents=True)
     if revision == ".":
@@ -47,15 +47,15 @@
 
 
 def _change(package: Path, change: str) -> None:
-    """Give a constant of a module another value."""
+    """Set a constant of a module to another value."""
     match = CHANGE.fullmatch(change)
     if match is None:
-        message = f"{change}: wanted FILE:NAME=VALUE, such as policy/slow_start.py:BURST_S=0.5"
+        message = f"{change}: expected FILE:NAME=VALUE, such as policy/slow_start.py:BURST_S=0.5"
         raise BuildError(message)
     name, constant, value = match.groups()
     path = package / name
     if not path.exists():
-        message = f"{change}: there is no {name}"
+        message = f"{change}: the package has no file {name}"
         raise BuildError(message)
     text, count = re.subn(rf"(?m)^{constant} = .*$", f"{constant} = {value}", path.read_text())
     if count != 1:
--- a/ochreflow/lab/demo.py
+++ b/ochreflow/lab/demo.py
@@ -1,4 +1,4 @@
-"""Plays a scenario with processes on loopback; the demo is one of them."""
+"""Runs scenarios with processes on loopback, among them the demo."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     keep: str | None = None,
     show_progress: bool = False,
 ) -> RunResult:
-    """Play it with a build of the program; its logs and event logs stay in `keep`, or nowhere."""
+    """Run a scenario with a build of the program; keep its logs only if `keep` names a directory."""
     run_dir = Path(keep or tempfile.mkdtemp(prefix="ochreflow-lab-"))
     run_dir.mkdir(parents=True, exist_ok=True)
     try:
@@ -35,7 +35,7 @@
 
 
 def main(duration_s: float, seed: int, keep: str | None) -> int:
-    """Play the demo; 0 if every rule held, 1 if one was broken, 3 if the machine was too slow to tell."""
+    """Run the demo; return 0 if all rules were kept, 1 if one was broken, 3 if the machine was too slow."""
     scenario = msgspec.structs.replace(read_scenario("demo"), duration_s=duration_s)
     result = play(scenario, seed, keep=keep, show_progress=True)
     print(run_text(result))
--- a/ochreflow/lab/differences.py
+++ b/ochreflow/lab/differences.py
@@ -1,7 +1,7 @@
-"""What the difference between two builds is, and whether it is one.
+"""Differences between two builds, with confidence intervals.
 
-Runs are paired by scenario and seed: both builds are offered the same requests, and the scenario's own
-difficulty falls out of the difference. The interval is a bootstrap over the pairs.
+Runs are paired by scenario and seed: both builds are offered the same requests, so the difficulty of the
+scenario cancels out in the difference. The interval is a bootstrap over the pairs.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 BOOTSTRAP_DRAWS = 10_000
 CONFIDENCE = 0.95
-BOOTSTRAP_SEED = 20261201  # the same results give the same interval
+BOOTSTRAP_SEED = 20261201  # fixed, so that the same results give the same interval
 BUILD_COUNT = 2
-MIN_PAIRS = 4  # fewer say nothing of chance
+MIN_PAIRS = 4  # fewer pairs can't tell a difference from chance
 
 
 @dataclass(slots=True)
 class Difference:
-    """The difference of one measure, B less A, over the pairs of one scenario or of all."""
+    """The difference B - A of one measure over the pairs of one scenario or of all scenarios."""
 
     scenario: str
     measure: str
@@ -35,7 +35,7 @@
 
     @property
     def conclusion(self) -> str:
-        """Better, worse, or no difference shown: the interval has both signs, or the pairs are few."""
+        """Better, worse, or no difference shown if the interval contains 0 or the pairs are too few."""
         if self.pairs < MIN_PAIRS or self.low <= 0.0 <= self.high:
             return "no difference shown"
         return "better" if (self.low > 0.0) == self.more_is_better else "worse"
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measure:
-    """What is compared of two runs."""
+    """A value by which runs are compared."""
 
     value: Callable[[dict[str, Any]], float]
     more_is_better: bool
@@ -55,10 +55,10 @@
 
 
 def attempts_per_request(result: dict[str, Any]) -> float:
-    """Return the attempts that reached nodes for each request of a client."""
+    """Return the mean number of attempts that reached nodes per request of a client."""
     counts = result["classes"].values()
-    attempts: float = sum(one["attempts"] for one in counts)
-    requests: float = sum(one["asked"] for one in counts)
+    attempts: float = sum(class_counts["attempts"] for class_counts in counts)
+    requests: float = sum(class_counts["asked"] for class_counts in counts)
     return attempts / max(requests, 1)
 
 
@@ -70,42 +70,43 @@
 
 
 def interval(differences: list[float]) -> tuple[float, float]:
-    """Return where the mean difference lies, by resampling the pairs."""
+    """Return the confidence interval of the mean difference, by resampling the pairs."""
     values = numpy.asarray(differences)
-    source = numpy.random.default_rng(BOOTSTRAP_SEED)
-    means = values[source.integers(0, len(values), (BOOTSTRAP_DRAWS, len(values)))].mean(axis=1)
+    generator = numpy.random.default_rng(BOOTSTRAP_SEED)
+    means = values[generator.integers(0, len(values), (BOOTSTRAP_DRAWS, len(values)))].mean(axis=1)
     low, high = numpy.quantile(means, [(1 - CONFIDENCE) / 2, (1 + CONFIDENCE) / 2])
     return float(low), float(high)
 
 
-def differences(found: list[dict[str, Any]], a: str, b: str) -> list[Difference]:
-    """Compare every measure in every scenario, and in all together. Void runs do not count."""
+def differences(results: list[dict[str, Any]], a: str, b: str) -> list[Difference]:
+    """Compare each measure in each scenario and over all scenarios, without void runs."""
     pairs: dict[tuple[str, int], dict[str, dict[str, Any]]] = defaultdict(dict)
-    for result in found:
+    for result in results:
         if result["verdict"] != "void":
             pairs[result["scenario"], result["seed"]][result["build"]] = result
     complete = {key: pair for key, pair in sorted(pairs.items()) if len(pair) == BUILD_COUNT}
     scenarios = sorted({scenario for scenario, _ in complete})
-    made = []
+    compared = []
     for name in [*scenarios, *(["all"] if len(scenarios) > 1 else [])]:
-        chosen = [pair for (scenario, _), pair in complete.items() if name in (scenario, "all")]
-        for name_of_measure, measure in MEASURES.items():
-            before = [measure.value(pair[a]) for pair in chosen]
-            after = [measure.value(pair[b]) for pair in chosen]
-            low, high = interval([late - early for early, late in zip(before, after, strict=True)])
+        scenario_pairs = [pair for (scenario, _), pair in complete.items() if name in (scenario, "all")]
+        for measure_name, measure in MEASURES.items():
+            before = [measure.value(pair[a]) for pair in scenario_pairs]
+            after = [measure.value(pair[b]) for pair in scenario_pairs]
+            low, high = interval([value_b - value_a for value_a, value_b in zip(before, after, strict=True)])
             means = float(numpy.mean(before)), float(numpy.mean(after))
-            made.append(
-                Difference(name, name_of_measure, len(chosen), *means, low, high, measure.more_is_better)
+            compared.append(
+                Difference(name, measure_name, len(scenario_pairs), *means, low, high, measure.more_is_better)
             )
-    return made
+    return compared
 
 
-def table(found: list[Difference]) -> str:
-    """Return a line for each difference."""
+def table(compared: list[Difference]) -> str:
+    """Return a table with a line for each difference."""
     rows = ["scenario         measure           pairs        A        B  B - A (95 %)         verdict"]
-    for one in found:
+    for difference in compared:
         rows.append(
-            f"{one.scenario:<16} {one.measure:<17} {one.pairs:>5} {one.before:>8.4f} {one.after:>8.4f}  "
-            f"{one.low:+.4f} to {one.high:+.4f}  {one.conclusion}"
+            f"{difference.scenario:<16} {difference.measure:<17} {difference.pairs:>5} "
+            f"{difference.before:>8.4f} {difference.after:>8.4f}  "
+            f"{difference.low:+.4f} to {difference.high:+.4f}  {difference.conclusion}"
         )
     return "\n".join(rows)
--- a/ochreflow/lab/event_log.py
+++ b/ochreflow/lab/event_log.py
@@ -1,6 +1,6 @@
-"""What each part of the lab saw, one JSON line an event, each with its time in nanoseconds of Unix time.
+"""Event logs of the lab's parts: one JSON object per line, with its Unix time in nanoseconds.
 
-The words in the lines are those of the files that exist; `EventKind` and `ClientOutcome` translate them.
+Existing log files fix the event names; `EventKind` and `ClientOutcome` map them to the terms of the code.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 from ..errors import OchreflowError
 
-Event = dict[str, Any]  # "what" (an EventKind), "at" (nanoseconds), and fields of its kind
+Event = dict[str, Any]  # "what" (an EventKind), "at" (nanoseconds), and the fields of that kind
 
 
 class EventKind(StrEnum):
-    """The kinds of events, by the word that stands in a line."""
+    """Kinds of events; the values are the names in event logs."""
 
     # A node
     ACCEPTED = "taken"
@@ -28,12 +28,12 @@
     FAILED = "failed"
     REJECTED = "turned_away"
     DEDUPLICATED = "dropped"
-    DISCARDED = "put_aside"  # its client disconnected before it was started
+    DISCARDED = "put_aside"  # the client disconnected before the work started
     COLLAPSED = "fell"
-    CONTROLLED = "ordered"  # it got a control order
+    CONTROLLED = "ordered"  # received a control order
     # The directory
     CHANGED = "changed"
-    NOTIFIED = "told"  # it answered a watcher
+    NOTIFIED = "told"  # answered a watch request
     DOWN = "down"
     UP = "up"
     # Clients
@@ -46,11 +46,11 @@
     PROCESS_KILLED = "killed"
     PROCESS_TERMINATED = "ended"
     RESOURCES_USED = "used"
-    EJECTED = "ejected"  # a sidecar avoids a node
+    EJECTED = "ejected"  # a sidecar stopped choosing a node
 
 
 class ClientOutcome(StrEnum):
-    """How a request ended for its client, by the word that stands in a line."""
+    """How a request ended for its client; the values are the names in event logs."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -67,48 +67,48 @@
     clients: list[list[Event]]
     nodes: dict[str, list[Event]]
     directory: list[Event] = field(default_factory=list)
-    runner: list[Event] = field(default_factory=list)  # of the scenario runner: steps, processes, resources
+    runner: list[Event] = field(default_factory=list)  # the scenario runner's: steps, processes, resources
 
 
 class EventLogError(OchreflowError, ValueError):
-    """A line of an event log that is no event."""
+    """A line of an event log, other than a truncated last one, is not valid JSON."""
 
 
 class EventLog:
-    """An event log in a file. It is written line by line, so that a kill truncates the last line at most."""
+    """An event log in a file, written line by line: killing the process truncates at most the last line."""
 
     def __init__(self, path: Path | None) -> None:
-        """Append to the file at `path`; without one, nothing is kept."""
+        """Append to the file at `path`; without a path, discard all events."""
         self.path = path
         self.file = path.open("a", buffering=1, encoding="utf-8") if path is not None else None
 
-    def record(self, what: str, **fields: object) -> None:
-        """Write an event of this kind, at the present time."""
+    def record(self, event_kind: str, **fields: object) -> None:
+        """Write an event of this kind with the current time."""
         if self.file is not None:
-            event = {"what": what, "at": time_ns(), **fields}
+            event = {"what": event_kind, "at": time_ns(), **fields}
             self.file.write(json.dumps(event, separators=(",", ":")) + "\n")
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the file, if there is one."""
         if self.file is not None:
             self.file.close()
 
 
 class MemoryEventLog:
-    """An event log that is kept in memory, on the clock it is given (nanoseconds)."""
+    """An event log in memory, with the times of the clock `now` in nanoseconds."""
 
     def __init__(self, now: Callable[[], int]) -> None:
-        """Begin with no event."""
+        """Create an empty log."""
         self.now = now
         self.events: list[Event] = []
 
-    def record(self, what: str, **fields: object) -> None:
-        """Add an event of this kind, at the present time."""
-        self.events.append({"what": what, "at": self.now(), **fields})
+    def record(self, event_kind: str, **fields: object) -> None:
+        """Add an event of this kind with the current time."""
+        self.events.append({"what": event_kind, "at": self.now(), **fields})
 
 
 def read_events(path: Path) -> Iterator[Event]:
-    """Read an event log. A truncated last line is left out; any other that is no event: EventLogError."""
+    """Yield the events of a log, without a truncated last line; raise EventLogError on any other bad line."""
     lines = path.read_bytes().split(b"\n")
     for number, line in enumerate(lines, 1):
         if not line:
@@ -117,5 +117,5 @@
             yield json.loads(line)
         except ValueError:
             if number < len(lines):
-                message = f"{path}: line {number} is no event"
+                message = f"{path}: line {number} is not a valid JSON event"
                 raise EventLogError(message) from None
--- a/ochreflow/lab/html_report.py
+++ b/ochreflow/lab/html_report.py
@@ -1,4 +1,4 @@
-"""One HTML file of a comparison, with its plots inside: nothing else is needed to read it."""
+"""Self-contained HTML report of a comparison, with the plots embedded."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 import matplotlib
 
-matplotlib.use("Agg")  # no window: files only
+matplotlib.use("Agg")  # renders to files, without a display
 from matplotlib import pyplot as pyplot
 
 from .differences import Difference
 from .series import OUTCOMES
 
-COLOURS = {
+COLORS = {
     "served": "#4c9f70",
     "refused": "#e0a030",
     "failed": "#c0504d",
@@ -31,39 +31,41 @@
 )
 
 
-def write(
-    path: Path, labels: tuple[str, str], found: list[dict[str, Any]], compared: list[Difference]
+def write_report(
+    path: Path, labels: tuple[str, str], results: list[dict[str, Any]], compared: list[Difference]
 ) -> None:
-    """Write the table of differences, and for each scenario the lowest seed's run of both builds."""
+    """Write the table of differences and, for each scenario, plots of both runs with the lowest seed."""
     parts = [
         f"<!doctype html><meta charset=utf-8><title>Comparison</title><style>{STYLE}</style>",
         f"<h1>{html.escape(labels[0])} (A) and {html.escape(labels[1])} (B)</h1>",
         _table(compared),
     ]
-    for scenario in sorted({result["scenario"] for result in found}):
-        runs = [result for result in found if result["scenario"] == scenario]
+    for scenario in sorted({result["scenario"] for result in results}):
+        runs = [result for result in results if result["scenario"] == scenario]
         seed = min(result["seed"] for result in runs)
         parts.append(f"<h2>{html.escape(scenario)}, seed {seed}</h2>")
         for label in labels:
             for result in runs:
                 if result["seed"] == seed and result["build"] == label:
                     parts.append(f"<h3>{html.escape(label)}: worth {result['worth']:.3f}</h3>")
-                    parts.append(f'<img alt="run" src="data:image/png;base64,{plot(result["series"])}">')
+                    parts.append(f'<img alt="run" src="data:image/png;base64,{plot_run(result["series"])}">')
     path.write_text("\n".join(parts), encoding="utf-8")
 
 
 def _table(compared: list[Difference]) -> str:
     head = "<tr><th>scenario<th>measure<th>pairs<th>A<th>B<th>B - A, 95 %<th>verdict"
     rows = [
-        f"<tr><td>{html.escape(one.scenario)}<td>{one.measure}<td>{one.pairs}<td>{one.before:.4f}"
-        f"<td>{one.after:.4f}<td>{one.low:+.4f} to {one.high:+.4f}<td class={one.conclusion}>{one.conclusion}"
-        for one in compared
+        f"<tr><td>{html.escape(difference.scenario)}<td>{difference.measure}<td>{difference.pairs}"
+        f"<td>{difference.before:.4f}<td>{difference.after:.4f}"
+        f"<td>{difference.low:+.4f} to {difference.high:+.4f}"
+        f"<td class={difference.conclusion}>{difference.conclusion}"
+        for difference in compared
     ]
     return f"<table>{head}{''.join(rows)}</table>"
 
 
-def plot(run: dict[str, Any]) -> str:
-    """One run as a picture (PNG, base64): outcomes, latency and work in nodes, the faults marked behind."""
+def plot_run(run: dict[str, Any]) -> str:
+    """Return the plot of a run as base64 PNG: outcomes, latency, requests in nodes, and the faults."""
     step = run["step_s"]
     times = [step * (number + 0.5) for number in range(len(run["requests"]))]
     figure, (outcomes, latency, in_node) = pyplot.subplots(3, 1, figsize=(11, 8), sharex=True)
@@ -71,7 +73,7 @@
         times,
         *([count / step for count in run["outcomes"][name]] for name in OUTCOMES),
         labels=OUTCOMES,
-        colors=[COLOURS[name] for name in OUTCOMES],
+        colors=[COLORS[name] for name in OUTCOMES],
         step="mid",
     )
     outcomes.step(times, [count / step for count in run["requests"]], "k:", where="mid", label="asked")
@@ -86,7 +88,7 @@
     for name in sorted({name for _, name in run["ejections"]}):
         ejected_at = [at for at, ejected in run["ejections"] if ejected == name]
         in_node.plot(ejected_at, [0.0] * len(ejected_at), "v", markersize=4, label=f"{name} ejected")
-    in_node.set_ylabel("in hand")
+    in_node.set_ylabel("requests in node")
     in_node.set_xlabel("s")
     _shade(figure.axes, run["faults"], times[-1] + step / 2)
     for axes in figure.axes:
@@ -95,15 +97,15 @@
 
 
 def encode_figure(figure: Any) -> str:
-    """A figure as PNG, in base64; it is closed."""
-    target = io.BytesIO()
-    figure.savefig(target, format="png", dpi=90, bbox_inches="tight")
+    """Return a figure as base64 PNG, and close it."""
+    buffer = io.BytesIO()
+    figure.savefig(buffer, format="png", dpi=90, bbox_inches="tight")
     pyplot.close(figure)
-    return base64.b64encode(target.getvalue()).decode()
+    return base64.b64encode(buffer.getvalue()).decode()
 
 
 def format_page(title: str, plots: list[tuple[str, str]]) -> str:
-    """A page of pictures with a heading for each."""
+    """Return an HTML page of base64 PNG plots, each with a heading."""
     parts = [
         f"<!doctype html><meta charset=utf-8><title>{title}</title><style>{STYLE}</style><h1>{title}</h1>"
     ]
@@ -113,7 +115,7 @@
 
 
 def _shade(all_axes: list[Any], steps: list[Any], end: float) -> None:
-    """Shade the time from each step to the next, and say on top which it was."""
+    """Shade the period from each step to the next, and write the step's text above it."""
     edges = [at for at, _ in steps] + [end]
     for number, (at, text) in enumerate(steps):
         for axes in all_axes:
--- a/ochreflow/lab/judge.py
+++ b/ochreflow/lab/judge.py
@@ -1,6 +1,6 @@
-"""Judges a run by the event logs of clients, nodes and the directory; it knows nothing of the sidecar.
+"""Judges a run by the event logs of clients, nodes and the directory, without knowledge of the sidecar.
 
-Each finding names the request or node, times and evidence. A rule without a finding was kept.
+Each finding names the request or node, the times and the evidence. A rule without a finding was kept.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from .latency import LatencyHistogram
 
 NS_PER_S = 1_000_000_000
-SOCKET_SLACK_S = 0.05  # that each limit grows by on real sockets
-DRAIN_GRACE_S = 2.5  # after which a node that drains or is gone gets nothing new
+SOCKET_SLACK_S = 0.05  # added to each time limit, for delays of real sockets
+DRAIN_GRACE_S = 2.5  # after which a draining or removed node must get no new request
 RULES = {
-    "one final answer": "each request got exactly one answer, before its client gave up",
-    "no repeat beyond the class": "no work ran again that may not",
-    "drains kept": f"nothing new reached a draining node {DRAIN_GRACE_S:g} s after the word of it",
-    "no cold node pushed over": "no node fell while it warmed up",
-    "true answers": "what was served is what a node made for that request",
-    "within its means": "no sidecar held more memory or descriptors than it was given",
+    "one final answer": "each request got exactly one response before its client gave up",
+    "no repeat beyond the class": "no request ran twice whose class forbids it",
+    "drains kept": f"nothing new reached a node {DRAIN_GRACE_S:g} s after it was reported draining or gone",
+    "no cold node pushed over": "no node collapsed while it warmed up",
+    "true answers": "each served body was made by a node for that request",
+    "within its means": "no sidecar exceeded its limits of memory and descriptors",
 }
 REACHED_NODE = (EventKind.ACCEPTED, EventKind.DEDUPLICATED, EventKind.REJECTED)
 
@@ -36,18 +36,18 @@
 
 @dataclass(slots=True)
 class Report:
-    """What happened, and which rules were broken."""
+    """The figures of a run and the violations of rules."""
 
     findings: list[Finding] = field(default_factory=list)
-    by_class: dict[str, Counter[str]] = field(default_factory=dict)  # requests and their outcomes
-    latency: dict[str, LatencyHistogram] = field(default_factory=dict)  # by class, of what was served
-    # By class and by the request id of the first attempt: seconds until it was served, None if it was not.
+    by_class: dict[str, Counter[str]] = field(default_factory=dict)  # numbers of requests and of outcomes
+    latency: dict[str, LatencyHistogram] = field(default_factory=dict)  # by class, of served requests
+    # By class and by the request id of the first attempt: seconds until it was served; None: not served.
     logical_requests: dict[str, dict[str, float | None]] = field(default_factory=dict)
     attempts: Counter[str] = field(default_factory=Counter)  # by class: requests that reached nodes
-    by_node: dict[str, Counter[str]] = field(default_factory=dict)  # events
+    by_node: dict[str, Counter[str]] = field(default_factory=dict)  # numbers of events
     peak_usage: dict[tuple[str, str], float] = field(default_factory=dict)  # by sidecar and resource
 
-    def broken(self, rule: str) -> list[str]:
+    def finding_texts(self, rule: str) -> list[str]:
         """Return the texts of the findings of a rule."""
         return [finding.text for finding in self.findings if finding.rule == rule]
 
@@ -57,8 +57,8 @@
 ) -> Report:
     """Judge a run by its event logs.
 
-    `non_idempotent` names the classes whose work must not run twice, keyed ones too: a node that drops a
-    repeat says so itself. `resource_limits` is what one sidecar may use, "memory_mb" and "sockets".
+    `non_idempotent` names the classes whose work must not run twice, including keyed ones, since a node
+    records the duplicates that it drops. `resource_limits` are for one sidecar, "memory_mb" and "sockets".
     """
     report = Report()
     requests: dict[str, Event] = {}
@@ -79,7 +79,7 @@
 
 
 def _downtimes(runner_events: list[Event]) -> list[tuple[int, int]]:
-    """Return when a sidecar was killed and not yet back, with a moment for its clients to see it."""
+    """Return the periods from the end of a sidecar to its restart, plus a slack for its clients to notice."""
     spans: list[tuple[int, int]] = []
     down: dict[str, int] = {}
     for event in runner_events:
@@ -97,30 +97,30 @@
     responses: dict[str, list[Event]],
     downtimes: list[tuple[int, int]],
 ) -> None:
-    """Each request gets exactly one response, in time; unless its sidecar was down."""
+    """Check that each request gets exactly one response in time, unless its sidecar was down."""
     for request_id, request in requests.items():
         counts = report.by_class.setdefault(request["cls"], Counter())
         counts[EventKind.REQUEST_SENT] += 1
-        logical = report.logical_requests.setdefault(request["cls"], {})
-        logical.setdefault(request.get("first", request_id), None)
-        got = responses.get(request_id, [])
-        if len(got) != 1 or got[0]["outcome"] == ClientOutcome.UNANSWERED:
+        logical_requests = report.logical_requests.setdefault(request["cls"], {})
+        logical_requests.setdefault(request.get("first", request_id), None)
+        recorded = responses.get(request_id, [])
+        if len(recorded) != 1 or recorded[0]["outcome"] == ClientOutcome.UNANSWERED:
             counts[ClientOutcome.UNANSWERED] += 1
-            if len(got) == 1 and any(start <= got[0]["at"] <= end for start, end in downtimes):
+            if len(recorded) == 1 and any(start <= recorded[0]["at"] <= end for start, end in downtimes):
                 continue  # no sidecar ran that could have answered
-            text = f"request {request_id}: {len(got)} answers, lost"
+            text = f"request {request_id}: {len(recorded)} answers recorded, expected one that is not lost"
             report.findings.append(Finding("one final answer", text))
         else:
-            _judge_response(report, request_id, request, got[0])
+            _judge_response(report, request_id, request, recorded[0])
 
 
 def _judge_response(report: Report, request_id: str, request: Event, response: Event) -> None:
     class_name, outcome = request["cls"], response["outcome"]
-    logical = report.logical_requests[class_name]
+    logical_requests = report.logical_requests[class_name]
     first_id = request.get("first", request_id)
     report.by_class[class_name][outcome] += 1
-    if outcome == ClientOutcome.ABANDONED:  # it wants nothing any more
-        logical.pop(first_id, None)
+    if outcome == ClientOutcome.ABANDONED:  # the client needs no response any more
+        logical_requests.pop(first_id, None)
         return
     waited_s = (response["at"] - request["at"]) / NS_PER_S
     if waited_s > request["deadline"] + request.get("slack", 0.0) + SOCKET_SLACK_S:
@@ -128,14 +128,14 @@
         report.findings.append(Finding("one final answer", text))
     if outcome == ClientOutcome.SERVED:
         report.latency.setdefault(class_name, LatencyHistogram()).add(response["took"])
-        if logical.get(first_id) is None:
-            logical[first_id] = response["took"]
+        if logical_requests.get(first_id) is None:
+            logical_requests[first_id] = response["took"]
 
 
 def _judge_duplicate_executions(
     report: Report, nodes: dict[str, list[Event]], non_idempotent: set[str]
 ) -> None:
-    """Work that must not run twice is accepted once; counts what reached nodes, too."""
+    """Check that nodes accept non-idempotent requests once; count the attempts that reached nodes."""
     accepted: dict[str, list[str]] = defaultdict(list)
     for name, events in nodes.items():
         counts = report.by_node.setdefault(name, Counter())
@@ -145,20 +145,20 @@
                 report.attempts[event["cls"]] += 1
             if event["what"] == EventKind.ACCEPTED and event["cls"] in non_idempotent:
                 accepted[event["id"]].append(f"{name} at {event['at']}")
-    for request_id, places in accepted.items():
-        if len(places) > 1:
-            text = f"request {request_id} was taken {len(places)} times: {', '.join(places)}"
+    for request_id, acceptances in accepted.items():
+        if len(acceptances) > 1:
+            text = f"request {request_id} was accepted {len(acceptances)} times: {', '.join(acceptances)}"
             report.findings.append(Finding("no repeat beyond the class", text))
 
 
 def _readiness(directory: Iterable[Event]) -> dict[str, list[tuple[int, bool]]]:
-    """Return, by node, when the directory first said that it is ready, and when that it is not."""
+    """Return for each node the times at which the directory changed its readiness, with the new value."""
     changes: dict[str, list[tuple[int, bool]]] = defaultdict(list)
     for event in directory:
         if event["what"] != EventKind.NOTIFIED:
             continue
         entries = dict(event["entries"])
-        if event.get("whole"):  # what is absent from a complete list is gone
+        if event.get("whole"):  # nodes that are absent from a complete list are removed
             entries = {**dict.fromkeys(changes, "DELETED"), **entries}
         for name, status in entries.items():
             ready = status == "SERVING"
@@ -170,43 +170,46 @@
 def _judge_drains(
     report: Report, nodes: dict[str, list[Event]], readiness: dict[str, list[tuple[int, bool]]]
 ) -> None:
-    """Nothing new reaches a node so long after the directory said that it drains or is gone."""
+    """Check that no new request reaches a node DRAIN_GRACE_S after it was reported draining or removed."""
     for name, changes in readiness.items():
         for event in nodes.get(name, []):
             if event["what"] not in REACHED_NODE:
                 continue
-            before = [change for change in changes if change[0] <= event["at"]]
-            if not before or before[-1][1]:
+            earlier = [change for change in changes if change[0] <= event["at"]]
+            if not earlier or earlier[-1][1]:
                 continue
-            late_s = (event["at"] - before[-1][0]) / NS_PER_S
+            late_s = (event["at"] - earlier[-1][0]) / NS_PER_S
             if late_s > DRAIN_GRACE_S + SOCKET_SLACK_S:
-                text = f"{name} got request {event['id']} {late_s:.3f} s after the word of its end"
+                text = f"{name} got request {event['id']} {late_s:.3f} s after the directory reported its end"
                 report.findings.append(Finding("drains kept", text))
 
 
 def _judge_collapses(report: Report, nodes: dict[str, list[Event]]) -> None:
-    """No node collapses while it warms up."""
+    """Check that no node collapses while it warms up."""
     for name, events in nodes.items():
         for event in events:
             if event["what"] == EventKind.COLLAPSED:
-                text = f"{name} fell: {event['offered']:.2f} s of work came, {event['bearable']:.2f} could be"
+                text = (
+                    f"{name} collapsed: {event['offered']:.2f} s of work came, "
+                    f"{event['bearable']:.2f} s bearable"
+                )
                 report.findings.append(Finding("no cold node pushed over", text))
 
 
 def _judge_bodies(report: Report, responses: dict[str, list[Event]], nodes: dict[str, list[Event]]) -> None:
-    """What is served is the body that a node made for this request."""
-    made = {
+    """Check that each served body was made by a node for that request."""
+    produced_bodies = {
         f"{name}:{event['id']}"
         for name, events in nodes.items()
         for event in events
         if event["what"] in (EventKind.COMPLETED, EventKind.DEDUPLICATED)
     }
-    for request_id, got in responses.items():
-        for response in got:
+    for request_id, recorded in responses.items():
+        for response in recorded:
             if response["outcome"] != ClientOutcome.SERVED:
                 continue
             body = response["body"]
-            if body not in made or not body.endswith(f":{request_id}"):
+            if body not in produced_bodies or not body.endswith(f":{request_id}"):
                 text = f"request {request_id} was served {body!r}, which no node made for it"
                 report.findings.append(Finding("true answers", text))
 
@@ -214,7 +217,7 @@
 def _judge_resources(
     report: Report, runner_events: list[Event], resource_limits: Mapping[str, float]
 ) -> None:
-    """No sidecar uses more than its limits: one finding for each limit, at the peak."""
+    """Check the resource limits of each sidecar; add one finding for each exceeded limit, at the peak."""
     peaks: dict[tuple[str, str], Event] = {}
     for event in runner_events:
         for resource in resource_limits if event["what"] == EventKind.RESOURCES_USED else ():
@@ -225,5 +228,5 @@
         report.peak_usage[name, resource] = event[resource]
         if event[resource] > resource_limits[resource]:
             used, limit = event[resource], resource_limits[resource]
-            text = f"{name} held {resource} {used:g} of {limit:g} at {event['at']}"
+            text = f"{name} used {resource} {used:g} with a limit of {limit:g} at {event['at']}"
             report.findings.append(Finding("within its means", text))
--- a/ochreflow/lab/run_report.py
+++ b/ochreflow/lab/run_report.py
@@ -1,4 +1,4 @@
-"""A run for a person: progress, a table, a verdict on each rule."""
+"""Readable report of a run: progress, a table, and a verdict on each rule."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from .scenario_runner import ScenarioRunner
 
 BAR_WIDTH = 20
-MAX_FINDINGS = 3  # shown of a rule
+MAX_FINDINGS = 3  # shown for each rule
 MS_PER_S = 1000
 CLASS_HEAD = "class       asked  served  refused  failed    p50 ms   p99 ms  attempts/request"
 NODE_HEAD = "node        taken     ran  failed  turned away  repeats dropped"
 
 
 def print_progress(elapsed_s: float, runner: ScenarioRunner) -> None:
-    """Print one line; on a terminal it is written over."""
+    """Print one line of progress; on a terminal it overwrites the previous one."""
     counts: Counter[str] = Counter()
     for load in runner.loads:
         counts.update(load.outcomes)
@@ -34,18 +34,18 @@
 
 
 def run_text(result: RunResult) -> str:
-    """Return the whole result as text."""
+    """Return the result as text."""
     text = f"\n{table(result.report)}\n{verdicts(result.report)}"
     for crash in result.crashes:
         text += f"\n  BROKEN  no crash: {crash}"
     if result.void:
-        late = f"{result.max_send_delay_s:.2f} s late"
-        text += f"\n\nVoid: the clients' own sends were up to {late} on this machine."
+        delay = f"{result.max_send_delay_s:.2f} s late"
+        text += f"\n\nVoid: the clients sent up to {delay} on this machine, too late to judge the sidecar."
     return text
 
 
 def table(report: Report) -> str:
-    """Return a line for each class and for each node."""
+    """Return a table with a line for each class and for each node."""
     lines = [CLASS_HEAD]
     for name, counts in sorted(report.by_class.items()):
         latency = report.latency.get(name, LatencyHistogram())
@@ -68,11 +68,11 @@
 
 def verdicts(report: Report) -> str:
     """Return a line for each rule, with its first findings."""
-    lines = ["", "What clients, nodes and the directory wrote down says of the rules:"]
+    lines = ["", "Verdicts by the event logs of clients, nodes and the directory:"]
     for rule, meaning in RULES.items():
-        broken = report.broken(rule)
-        lines.append(f"  {'BROKEN' if broken else 'kept  '}  {rule}: {meaning}")
-        lines += [f"            {text}" for text in broken[:MAX_FINDINGS]]
-        if len(broken) > MAX_FINDINGS:
-            lines.append(f"            and {len(broken) - MAX_FINDINGS} more")
+        violations = report.finding_texts(rule)
+        lines.append(f"  {'BROKEN' if violations else 'kept  '}  {rule}: {meaning}")
+        lines += [f"            {text}" for text in violations[:MAX_FINDINGS]]
+        if len(violations) > MAX_FINDINGS:
+            lines.append(f"            and {len(violations) - MAX_FINDINGS} more")
     return "\n".join(lines)
--- a/ochreflow/lab/runs.py
+++ b/ochreflow/lab/runs.py
@@ -1,6 +1,6 @@
-"""Many runs: scenarios by seeds, some at a time, a line and a JSON object for each.
+"""Runs scenarios with several seeds in parallel, and reports a line and a JSON object for each run.
 
-The keys of the objects and the words of the lines are those of the files that exist.
+Existing result files fix the keys of the objects and the words of the lines.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from .run_result import RunResult
 from .scenario import Scenario, read_scenario
 
-COUNTED: tuple[str, ...] = (
+COUNT_NAMES: tuple[str, ...] = (
     EventKind.REQUEST_SENT,
     ClientOutcome.SERVED,
     ClientOutcome.REJECTED,
@@ -28,7 +28,7 @@
     ClientOutcome.UNANSWERED,
     ClientOutcome.ABANDONED,
 )
-MAX_FINDINGS = 3  # printed of a run
+MAX_FINDINGS = 3  # printed for each run
 MS_PER_S = 1000
 EXIT_BROKEN, EXIT_VOID = 1, 3
 
@@ -37,17 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RunPlan:
-    """Which runs to play."""
+    """The runs to do."""
 
-    names: list[str]  # of scenarios
-    seeds: int  # each scenario is played with seeds 1 to this
-    processes: int  # runs at a time
-    duration_s: float | None = None  # in place of the scenarios' own
-    out: str | None = None  # a file to which a JSON line is appended for each run
+    scenario_names: list[str]
+    seed_count: int  # each scenario runs with the seeds 1 to seed_count
+    processes: int  # runs in parallel
+    duration_s: float | None = None  # overrides the duration of the scenarios
+    out: str | None = None  # path of a file to which a JSON line is appended for each run
 
     def scenarios(self) -> dict[str, Scenario]:
-        """Read the scenarios; ScenarioError if one can't be played."""
-        scenarios = {name: read_scenario(name) for name in self.names}
+        """Read the scenarios; raise ScenarioError if one is invalid."""
+        scenarios = {name: read_scenario(name) for name in self.scenario_names}
         if self.duration_s is None:
             return scenarios
         return {
@@ -58,17 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One run to play."""
+    """One run of a scenario."""
 
     name: str  # of the scenario
     scenario: Scenario
     seed: int
-    build: str = ""  # the name of the build
-    program: Path | None = None  # the folder of the build; None: this package
+    build: str = ""  # name of the build
+    program: Path | None = None  # directory of the build; None: this package
 
 
 def play_job(play: Player, job: Job, *, with_series: bool = False) -> dict[str, Any]:
-    """Play one run; return its result in plain values."""
+    """Do one run and return its result as a JSON object."""
     run = play(job.scenario, job.seed, job.program)
     report = run.report
     classes = {name: _class_result(job.scenario, report, name) for name in report.by_class}
@@ -90,13 +90,15 @@
 
 
 def _class_result(scenario: Scenario, report: Report, name: str) -> dict[str, Any]:
-    counts, logical = report.by_class[name], report.logical_requests[name]
+    counts, logical_requests = report.by_class[name], report.logical_requests[name]
     latency = report.latency.get(name, LatencyHistogram())
     objective_s = scenario.request_classes[name].objective_s
     return {
-        **{str(word): counts[word] for word in COUNTED},
-        "wanted": len(logical),
-        "in_time": sum(latency_s is not None and latency_s <= objective_s for latency_s in logical.values()),
+        **{str(count_name): counts[count_name] for count_name in COUNT_NAMES},
+        "wanted": len(logical_requests),
+        "in_time": sum(
+            latency_s is not None and latency_s <= objective_s for latency_s in logical_requests.values()
+        ),
         "p50": round(latency.percentile(0.5), 4),
         "p99": round(latency.percentile(0.99), 4),
         "attempts": report.attempts[name],
@@ -104,9 +106,9 @@
 
 
 def weighted_goodput(scenario: Scenario, classes: dict[str, dict[str, Any]]) -> float:
-    """Return the part of the logical requests that was served within the objective, by priority weight.
+    """Return the share of logical requests served within the objective, weighted by priority.
 
-    A logical request counts once, however many attempts it took, and its time runs from the first one.
+    A logical request counts once, however many attempts it takes; its latency starts at the first attempt.
     """
     weights = {name: scenario.request_classes[name].priority_weight for name in classes}
     total_weight = sum(weights[name] * counts["wanted"] for name, counts in classes.items())
@@ -114,12 +116,14 @@
     return in_time / total_weight if total_weight else 0.0
 
 
-def line(result: dict[str, Any]) -> str:
-    """Return the line of a run."""
+def format_result(result: dict[str, Any]) -> str:
+    """Return the result of a run as one line of text."""
     classes = result["classes"].values()
-    totals = {word: sum(counts[word] for counts in classes) for word in COUNTED}
+    totals = {count_name: sum(counts[count_name] for counts in classes) for count_name in COUNT_NAMES}
     optional = ClientOutcome.ABANDONED
-    text = " ".join(f"{word} {number}" for word, number in totals.items() if number or word != optional)
+    text = " ".join(
+        f"{count_name} {number}" for count_name, number in totals.items() if number or count_name != optional
+    )
     p99_s = max((counts["p99"] for counts in classes), default=0.0)
     build = f" {result['build']}" if result["build"] else ""
     head = f"{result['scenario']:<16} seed {result['seed']:<3}{build} {result['verdict']:<7}"
@@ -129,23 +133,25 @@
 def play_jobs(
     play: Player, jobs: list[Job], processes: int, *, with_series: bool = False
 ) -> Iterator[dict[str, Any]]:
-    """Play all, some at a time; give each result as it is there."""
+    """Do all runs in parallel processes; yield each result when its run ends."""
     with ProcessPoolExecutor(processes) as pool:
-        runs = [pool.submit(play_job, play, job, with_series=with_series) for job in jobs]
-        for run in as_completed(runs):
-            yield run.result()
+        futures = [pool.submit(play_job, play, job, with_series=with_series) for job in jobs]
+        for future in as_completed(futures):
+            yield future.result()
 
 
 def run_all(play: Player, plan: RunPlan) -> int:
-    """Play all, and print a line for each as it ends; 1 if a rule was broken, 3 if a run was void."""
+    """Do all runs and print a line for each when it ends; return the exit code (see `exit_code`)."""
     scenarios = plan.scenarios()
     jobs = [
-        Job(name, scenario, seed) for seed in range(1, plan.seeds + 1) for name, scenario in scenarios.items()
+        Job(name, scenario, seed)
+        for seed in range(1, plan.seed_count + 1)
+        for name, scenario in scenarios.items()
     ]
     verdicts = set()
     for number, result in enumerate(play_jobs(play, jobs, plan.processes), 1):
         verdicts.add(result["verdict"])
-        print(f"[{number}/{len(jobs)}] {line(result)}", flush=True)
+        print(f"[{number}/{len(jobs)}] {format_result(result)}", flush=True)
         for finding in result["findings"][:MAX_FINDINGS]:
             print(f"      {finding}")
         if plan.out is not None:
@@ -161,6 +167,6 @@
 
 
 def append_result(out: str, result: dict[str, Any]) -> None:
-    """Append a JSON line to a file."""
+    """Append a result as a JSON line to the file `out`."""
     with Path(out).open("a", encoding="utf-8") as file:
         file.write(json.dumps(result) + "\n")
--- a/ochreflow/lab/scenario.py
+++ b/ochreflow/lab/scenario.py
@@ -1,6 +1,6 @@
-"""Scenario files: a fleet, a load, and a time line of faults. Checked completely before anything is started.
+"""Scenario files: a fleet, a load and a timeline of faults, validated completely before a run starts.
 
-The keys of a file are translated here: each class names the word of the file beside its own field.
+The classes map the keys of a file to the terms of the code: `rename` gives the key of each renamed field.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
         "priority_weight": "worth",
     },
 ):
-    """A class of requests."""
+    """A request class."""
 
     share: Positive
-    mean_work_s: Positive  # on a warm core
+    mean_work_s: Positive  # on a core that is warmed up
     idempotency: Idempotency
     objective_s: Positive = 2.0
     deadline_s: Positive = 6.0
@@ -65,7 +65,7 @@
         "local_nodes": "near",
     },
 ):
-    """The nodes at the start of a run, node-1, node-2 and so on; see `NodeProfile` for most of the fields."""
+    """The nodes at the start of a run (node-1, node-2, ...); `NodeProfile` explains most of the fields."""
 
     node_count: Annotated[int, msgspec.Meta(ge=1, le=64)] = 6
     cores: PositiveCount = 2
@@ -79,9 +79,9 @@
     key_cache_ttl_s: NonNegative = 5.0
     key_cache_size: PositiveCount = 64
     max_connections: Count = 0
-    group_size: PositiveCount = 1  # nodes that drop each other's repeats
+    group_size: PositiveCount = 1  # nodes that share one set of idempotency keys to drop duplicates
     starts_warming_up: bool = False
-    local_nodes: Count = 0  # nodes in the sidecars' own zone; 0: every second one
+    local_nodes: Count = 0  # nodes in the sidecars' own zone; 0: every second node
 
 
 class Burst(
@@ -90,7 +90,7 @@
     frozen=True,
     rename={"start": "at", "end": "until", "factor": "times"},
 ):
-    """A part of the run in which the rate is multiplied; start and end are parts of the run."""
+    """A period with a multiplied request rate; start and end are fractions of the run."""
 
     start: Share
     end: Share
@@ -114,11 +114,11 @@
         "max_attempts": "tries",
     },
 ):
-    """What clients send; see `ClientProfile` for the shares."""
+    """The requests that clients send; `ClientProfile` explains the shares."""
 
-    rate_per_s: Positive = 120.0  # all sidecars together
+    rate_per_s: Positive = 120.0  # over all sidecars
     key_count: PositiveCount = 800
-    wave_amplitude: Share = 0.0  # the part by which the rate swings, once over the run
+    wave_amplitude: Share = 0.0  # relative amplitude of one cycle of the rate over the run
     bursts: tuple[Burst, ...] = ()
     abandon_share: Share = 0.0
     slow_share: Share = 0.0
@@ -130,29 +130,29 @@
 
 
 class StepAction(StrEnum):
-    """What a step does; the values are the words of scenario files."""
+    """Actions of steps; the values are the names in scenario files."""
 
-    BLACKHOLE = "swallow"  # accepts requests, answers none
-    FAIL_FAST = "fail"  # the share `amount` fails at once
+    BLACKHOLE = "swallow"  # accepts requests and answers none
+    FAIL_FAST = "fail"  # the share `amount` of requests fails at once
     SLOW_DOWN = "slow"  # work takes `amount` times as long
-    MALFORM = "spoil"  # the share `amount` of responses gets the `malformation`
-    RECOVER = "well"  # all of these end
-    FREEZE = "freeze"  # stops in the middle of everything: connections stay open and silent
-    THAW = "thaw"  # ... and goes on
+    MALFORM = "spoil"  # the share `amount` of responses has the `malformation`
+    RECOVER = "well"  # ends all of the above
+    FREEZE = "freeze"  # stops the process: connections stay open and silent
+    THAW = "thaw"  # continues a frozen process
     DRAIN = "drain"
     UNDRAIN = "serve"
-    REMOVE = "gone"  # killed, and the directory says so
-    VANISH = "vanish"  # killed, and the directory never says so
-    DELIST = "delist"  # the directory says that it is gone, and it lives on
+    REMOVE = "gone"  # killed, and removed from the directory
+    VANISH = "vanish"  # killed, but still listed in the directory
+    DELIST = "delist"  # removed from the directory, but still running
     ADD = "come"  # a new node starts cold
-    REPLACE = "replace"  # killed, and another (`replacements`) starts cold at its address
-    RESTART = "restart"  # killed, and started cold under the same name
+    REPLACE = "replace"  # killed, and another node (`replacements`) starts cold at its address
+    RESTART = "restart"  # killed, and started cold with the same name
     DIRECTORY_DOWN = "directory_down"
     DIRECTORY_UP = "directory_up"
-    DIRECTORY_RESTART = "directory_restart"  # killed, and started again with an index begun anew
-    DIRECTORY_MOVE = "directory_move"  # another one, at another address; sidecars get SIGHUP
-    UPGRADE_SIDECAR = "upgrade_sidecar"  # the new one starts beside the old one on its socket
-    KILL_SIDECAR = "kill_sidecar"  # without a warning, and started again
+    DIRECTORY_RESTART = "directory_restart"  # killed, and started with a new index
+    DIRECTORY_MOVE = "directory_move"  # replaced by one at another address; sidecars get SIGHUP
+    UPGRADE_SIDECAR = "upgrade_sidecar"  # a new process takes over the socket of the old one
+    KILL_SIDECAR = "kill_sidecar"  # SIGKILL, and started again
     END_SIDECAR = "end_sidecar"  # SIGTERM, and started again
 
 
@@ -173,7 +173,7 @@
     frozen=True,
     rename={"action": "do", "amount": "much", "replacements": "by", "malformation": "form"},
 ):
-    """One fault. `at` is the part of the run at which it begins; most last until another step ends them."""
+    """A fault that starts at the fraction `at` of the run; most faults last until another step ends them."""
 
     at: Share
     action: StepAction
@@ -194,7 +194,7 @@
         "sidecar_count": "sidecars",
     },
 ):
-    """A whole scenario."""
+    """A scenario."""
 
     description: str
     request_classes: dict[str, RequestClassSpec]
@@ -207,18 +207,18 @@
 
     @property
     def non_idempotent(self) -> list[str]:
-        """The classes whose requests must not be executed twice; nodes drop repeats of keyed ones."""
+        """Classes whose requests must not be executed twice; nodes drop duplicates of keyed ones."""
         return [
             name for name, spec in self.request_classes.items() if spec.idempotency != Idempotency.IDEMPOTENT
         ]
 
 
 class ScenarioError(OchreflowError):
-    """A scenario that can't be played; the text says why in one line."""
+    """A scenario is invalid or can't be read; the message gives the reason in one line."""
 
 
 def read_scenario(name: str) -> Scenario:
-    """Read a file, or a scenario of the library by its name; ScenarioError if it can't be played."""
+    """Read a scenario from a .toml file or from the library by name; raise ScenarioError if it is invalid."""
     path = Path(name) if name.endswith(".toml") else LIBRARY / f"{name}.toml"
     try:
         scenario = msgspec.convert(tomllib.loads(path.read_text()), Scenario)
@@ -234,35 +234,37 @@
 
 
 def _check_steps(scenario: Scenario, path: str) -> None:
-    """Check what single values can't tell: that steps name nodes that are there."""
-    known = set(range(1, scenario.fleet.node_count + 1))
+    """Check that the steps only name nodes that exist at that time; the schema can't express it."""
+    known_nodes = set(range(1, scenario.fleet.node_count + 1))
     for number, step in enumerate(sorted(scenario.steps, key=lambda step: step.at)):
         if step.action is StepAction.REPLACE and len(step.replacements) != len(step.nodes):
-            message = f"{path}: steps[{number}]: replace wants a node in `by` for each in `nodes`"
+            message = (
+                f"{path}: steps[{number}]: replace needs exactly one node in `by` for each node in `nodes`"
+            )
             raise ScenarioError(message)
         if step.action is StepAction.ADD:
-            known |= set(step.nodes)
+            known_nodes |= set(step.nodes)
         elif step.action is StepAction.REPLACE:
-            known = known - set(step.nodes) | set(step.replacements)
-        elif unknown := set(step.nodes) - known:
+            known_nodes = known_nodes - set(step.nodes) | set(step.replacements)
+        elif unknown := set(step.nodes) - known_nodes:
             missing = ", ".join(map(str, sorted(unknown)))
-            message = f"{path}: steps[{number}]: {step.action} of nodes that are not there: {missing}"
+            message = f"{path}: steps[{number}]: {step.action} of nodes that do not exist then: {missing}"
             raise ScenarioError(message)
 
 
 def rate_factor(scenario: Scenario, elapsed_s: float) -> float:
-    """Return the factor on the load at a time of the run."""
-    part = elapsed_s / scenario.duration_s
+    """Return the factor on the request rate at a time of the run."""
+    run_fraction = elapsed_s / scenario.duration_s
     load = scenario.load
-    factor = 1.0 + load.wave_amplitude * (2.0 * abs(2.0 * (part % 1.0) - 1.0) - 1.0)
+    factor = 1.0 + load.wave_amplitude * (2.0 * abs(2.0 * (run_fraction % 1.0) - 1.0) - 1.0)
     for burst in load.bursts:
-        if burst.start <= part < burst.end:
+        if burst.start <= run_fraction < burst.end:
             factor *= burst.factor
     return factor
 
 
 def client_load(scenario: Scenario) -> ClientLoad:
-    """Return what the clients of each sidecar send."""
+    """Return the load that the clients of each sidecar send."""
     load = scenario.load
     request_classes = [
         RequestClass(name, spec.share, spec.idempotency, spec.deadline_s, spec.mean_work_s)
@@ -282,10 +284,10 @@
 
 
 def node_profile(scenario: Scenario, name: str, *, warming_up: bool) -> dict[str, Any]:
-    """Return the fields of the `NodeProfile` of a node; a warm one needs no time to warm up."""
+    """Return the fields of a node's `NodeProfile`; the warm-up time of a warm node is 0."""
     fields = msgspec.structs.asdict(scenario.fleet)
-    for other in ("node_count", "group_size", "local_nodes", "starts_warming_up"):
-        del fields[other]
+    for fleet_field in ("node_count", "group_size", "local_nodes", "starts_warming_up"):
+        del fields[fleet_field]
     mean_work_s = {class_name: spec.mean_work_s for class_name, spec in scenario.request_classes.items()}
     warm_up_s = fields["warm_up_s"] if warming_up else 0.0
     return {**fields, "name": name, "mean_work_s": mean_work_s, "warm_up_s": warm_up_s}
--- a/ochreflow/lab/scenario_runner.py
+++ b/ochreflow/lab/scenario_runner.py
@@ -1,4 +1,4 @@
-"""Plays one scenario: the load and the steps in their time, among processes; judges the run."""
+"""Runs a scenario with processes: starts the fleet, sends the load, applies the steps and judges the run."""
 
 from __future__ import annotations
 
@@ -23,36 +23,36 @@
 from .series import build_series
 from .step_orders import NODE_ORDERS, STATUS_AFTER
 
-SAMPLE_INTERVAL_S = 0.25  # between looks at what sidecars use
+SAMPLE_INTERVAL_S = 0.25  # between samples of the sidecars' resource usage
 TICK_INTERVAL_S = 1.0
 
 
 def step_text(step: Step) -> str:
-    """Return a step for a person: its action and its nodes."""
+    """Return a step as readable text: its action and its nodes."""
     return f"{step.action.replace('_', ' ')} {', '.join(map(str, step.nodes))}".strip()
 
 
 class ScenarioRunner:
-    """Plays one scenario; the sidecar's package is taken from the folder `program`, if one is given."""
+    """Runs one scenario; `program` is the directory of the sidecar's package, if it isn't this one."""
 
     def __init__(self, scenario: Scenario, run_dir: Path, seed: int, program: Path | None = None) -> None:
-        """Start nothing yet; event logs and process logs go into `run_dir`."""
+        """Create the environment without starting it; event logs and process logs go into `run_dir`."""
         self.scenario = scenario
         self.run_dir = run_dir
         self.seed = seed
         self.event_log = EventLog(run_dir / "stage.jsonl")
         self.environment = self.make_environment(program)
         self.loads: list[LoadGenerator] = []
-        self.latest_step = "all is well"
+        self.latest_step = "no step yet"
 
     def make_environment(self, program: Path | None) -> ProcessEnvironment:
-        """Make what owns the parts of the run."""
+        """Return the environment that starts and stops the processes of the run."""
         return ProcessEnvironment(self.scenario, self.run_dir, self.seed, self.event_log, program)
 
     async def run(
         self, on_tick: Callable[[float, ScenarioRunner], None] = lambda _elapsed_s, _runner: None
     ) -> RunResult:
-        """Play it to its end, and judge it; `on_tick` is called once a second."""
+        """Run the scenario to its end and judge it; call `on_tick` once a second."""
         try:
             await self.environment.start_fleet()
             await self.environment.start_directory()
@@ -74,7 +74,7 @@
         return self._result()
 
     def _load(self, number: int, address: str) -> LoadGenerator:
-        """Make the clients of one sidecar."""
+        """Return the load generator for one sidecar."""
         host, _, port = address.rpartition(":")
         event_log = EventLog(self.run_dir / f"clients-{number}.jsonl")
         seed = self.seed * 100 + number
@@ -112,8 +112,8 @@
                     kill = step.action is StepAction.KILL_SIDECAR
                     await self.environment.restart_sidecar(number, kill=kill)
         else:
-            for place, number in enumerate(step.nodes):
-                replacement = step.replacements[place] if step.replacements else number
+            for position, number in enumerate(step.nodes):
+                replacement = step.replacements[position] if step.replacements else number
                 await self._apply_to_node(step, number, replacement)
 
     async def _apply_to_directory(self, action: StepAction) -> None:
@@ -148,16 +148,16 @@
                 await environment.publish(await environment.start_node(replacement, reused))
 
     def _result(self) -> RunResult:
-        """Read the event logs and judge them."""
+        """Read and judge the event logs."""
         paths = {path.stem: path for path in self.run_dir.glob("*.jsonl")}
         nodes = {name: list(read_events(path)) for name, path in paths.items() if name.startswith("node")}
         clients = [list(read_events(path)) for name, path in paths.items() if name.startswith("clients")]
         directories = [path for name, path in paths.items() if name.startswith("directory")]
-        notified = sorted(
+        directory_events = sorted(
             (event for path in directories for event in read_events(path)), key=lambda event: event["at"]
         )
-        runner = list(read_events(self.run_dir / "stage.jsonl"))
-        run = RunEvents(clients, nodes, notified, runner)
+        runner_events = list(read_events(self.run_dir / "stage.jsonl"))
+        run = RunEvents(clients, nodes, directory_events, runner_events)
         report = judge(run, self.scenario.non_idempotent, RESOURCE_LIMITS)
         max_send_delay_s = max(load.max_send_delay_s for load in self.loads)
         run_series = build_series(run, self.scenario.duration_s)
--- a/ochreflow/lab/series.py
+++ b/ochreflow/lab/series.py
@@ -1,4 +1,4 @@
-"""A run step by step: requests and their outcomes, latencies, and what each node had in process or queued."""
+"""Time series of a run: requests, outcomes, latencies, and the requests in process or queued in each node."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 PERCENTILES = (("p50", 0.5), ("p90", 0.9), ("p99", 0.99))
 FINISHED = (EventKind.COMPLETED, EventKind.FAILED, EventKind.DISCARDED)
 
-StepOf = Callable[[int], int]  # the step of a time in nanoseconds
+StepIndex = Callable[[int], int]  # the index of the step that contains a time in nanoseconds
 
 
 @dataclass(slots=True)
@@ -31,75 +31,79 @@
     step_s: float = STEP_S
     requests: list[int] = field(default_factory=list)
     outcomes: dict[str, list[int]] = field(default_factory=dict)
-    latency_s: dict[str, list[float]] = field(default_factory=dict)  # of what was served, by percentile
-    in_node: dict[str, list[int]] = field(default_factory=dict)  # by node, at the end of each step
-    ejections: list[tuple[float, str]] = field(default_factory=list)  # when in seconds, and of which node
-    faults: list[tuple[float, str]] = field(default_factory=list)  # when in seconds, and which steps
+    latency_s: dict[str, list[float]] = field(default_factory=dict)  # of served requests, by percentile
+    in_node: dict[str, list[int]] = field(default_factory=dict)  # requests by node, at the end of each step
+    ejections: list[tuple[float, str]] = field(default_factory=list)  # time in seconds, and the ejected node
+    faults: list[tuple[float, str]] = field(default_factory=list)  # time in seconds, and the steps
 
 
 def build_series(run: RunEvents, duration_s: float) -> Series:
-    """Put a run's event logs into steps of half a second."""
+    """Return the series of a run, in steps of half a second."""
     started_at = next((event["at"] for event in run.runner if event["what"] == EventKind.RUN_STARTED), 0)
-    count = max(int(duration_s / STEP_S), 1)
+    step_count = max(int(duration_s / STEP_S), 1)
 
-    def step_of(at: int) -> int:
-        return min(max(int((at - started_at) / NS_PER_S / STEP_S), 0), count - 1)
+    def step_index(at: int) -> int:
+        return min(max(int((at - started_at) / NS_PER_S / STEP_S), 0), step_count - 1)
 
-    made = Series(requests=[0] * count, outcomes={str(name): [0] * count for name in OUTCOMES})
-    _add_clients(made, run.clients, step_of, count)
+    run_series = Series(
+        requests=[0] * step_count, outcomes={str(name): [0] * step_count for name in OUTCOMES}
+    )
+    _add_clients(run_series, run.clients, step_index, step_count)
     for name, events in run.nodes.items():
-        made.in_node[name] = _in_node(events, step_of, count)
-    _add_runner(made, run.runner, started_at)
-    return made
+        run_series.in_node[name] = _in_node(events, step_index, step_count)
+    _add_runner(run_series, run.runner, started_at)
+    return run_series
 
 
-def _add_clients(made: Series, clients: list[list[Event]], step_of: StepOf, count: int) -> None:
-    latencies_s: list[list[float]] = [[] for _ in range(count)]
+def _add_clients(
+    run_series: Series, clients: list[list[Event]], step_index: StepIndex, step_count: int
+) -> None:
+    latencies_s: list[list[float]] = [[] for _ in range(step_count)]
     for events in clients:
         for event in events:
-            step = step_of(event["at"])
+            step = step_index(event["at"])
             if event["what"] == EventKind.REQUEST_SENT:
-                made.requests[step] += 1
-            elif event["outcome"] in made.outcomes:
-                made.outcomes[event["outcome"]][step] += 1
+                run_series.requests[step] += 1
+            elif event["outcome"] in run_series.outcomes:
+                run_series.outcomes[event["outcome"]][step] += 1
                 if event["outcome"] == ClientOutcome.SERVED:
                     latencies_s[step].append(event["took"])
-    for name, part in PERCENTILES:
-        made.latency_s[name] = [percentile(values, part) for values in latencies_s]
+    for name, quantile in PERCENTILES:
+        run_series.latency_s[name] = [percentile(values, quantile) for values in latencies_s]
 
 
-def _add_runner(made: Series, runner_events: list[Event], started_at: int) -> None:
+def _add_runner(run_series: Series, runner_events: list[Event], started_at: int) -> None:
     for event in runner_events:
         elapsed_s = (event["at"] - started_at) / NS_PER_S
         if event["what"] == EventKind.STEP:
             at_s, text = round(elapsed_s, 2), _step_text(event)
-            if made.faults and made.faults[-1][0] == at_s:
-                text = f"{made.faults.pop()[1]}; {text}"
-            made.faults.append((at_s, text))
+            if run_series.faults and run_series.faults[-1][0] == at_s:
+                text = f"{run_series.faults.pop()[1]}; {text}"
+            run_series.faults.append((at_s, text))
         elif event["what"] == EventKind.EJECTED:
-            made.ejections.append((elapsed_s, event["name"]))
+            run_series.ejections.append((elapsed_s, event["name"]))
 
 
 def _step_text(event: dict[str, Any]) -> str:
     return f"{event['do'].replace('_', ' ')} {', '.join(map(str, event['nodes']))}".strip()
 
 
-def percentile(values: list[float], part: float) -> float:
-    """Return the value that so large a part of all stay under; 0 of none."""
+def percentile(values: list[float], quantile: float) -> float:
+    """Return the value at a quantile between 0 and 1; 0 without values."""
     ordered = sorted(values)
-    return ordered[min(int(len(ordered) * part), len(ordered) - 1)] if ordered else 0.0
+    return ordered[min(int(len(ordered) * quantile), len(ordered) - 1)] if ordered else 0.0
 
 
-def _in_node(events: list[Event], step_of: StepOf, count: int) -> list[int]:
-    """Return the requests accepted and not finished, failed or discarded; a blackhole keeps them."""
+def _in_node(events: list[Event], step_index: StepIndex, step_count: int) -> list[int]:
+    """Return the unfinished requests (not completed, failed or discarded) at the end of each step."""
     changes: dict[int, int] = defaultdict(int)
     for event in events:
         if event["what"] == EventKind.ACCEPTED:
-            changes[step_of(event["at"])] += 1
+            changes[step_index(event["at"])] += 1
         elif event["what"] in FINISHED:
-            changes[step_of(event["at"])] -= 1
-    current, row = 0, []
-    for step in range(count):
-        current += changes[step]
-        row.append(current)
-    return row
+            changes[step_index(event["at"])] -= 1
+    unfinished, unfinished_by_step = 0, []
+    for step in range(step_count):
+        unfinished += changes[step]
+        unfinished_by_step.append(unfinished)
+    return unfinished_by_step
--- a/ochreflow/lab/sidecar_log.py
+++ b/ochreflow/lab/sidecar_log.py
@@ -1,4 +1,4 @@
-"""What a running sidecar says and uses: ejections in its log, memory and descriptors."""
+"""Observes running sidecars: ejections in their logs, memory and descriptors."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class EjectionReader:
-    """Reads the sidecars' logs as they grow, and records which nodes they eject."""
+    """Reads the sidecars' logs incrementally, and records the nodes that they eject."""
 
     def __init__(self, log_dir: Path, event_log: EventLog) -> None:
-        """Read `log_dir`/NAME.log for each sidecar."""
+        """Read the log of each sidecar from `log_dir`/NAME.log."""
         self.log_dir = log_dir
         self.event_log = event_log
-        self.offsets: dict[str, int] = {}  # bytes of each log that were read
-        self.nodes: dict[tuple[str, str], str] = {}  # the node that a sidecar knows by a number
+        self.offsets: dict[str, int] = {}  # bytes read so far, by sidecar
+        self.nodes: dict[tuple[str, str], str] = {}  # node names by sidecar and its server number
 
     def forget(self, name: str) -> None:
-        """Read a log from its start again: its sidecar was started again."""
+        """Read the log of a restarted sidecar from its start."""
         self.offsets.pop(name, None)
 
     def read(self, name: str) -> None:
@@ -42,7 +42,7 @@
 
 
 def resource_usage(pid: int) -> dict[str, float]:
-    """Return the resident memory and the descriptors of a process; nothing of one that has just ended."""
+    """Return the resident memory and the open descriptors of a process; an empty dict if it has ended."""
     try:
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
         return {
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -70,8 +70,8 @@
     assert "\nMAX_CONSECUTIVE_FAILURES = 9.5\n" in text and "\nOVERLOAD_SHARE = 1.0\n" in text
     for number, (wrong, message) in enumerate(
         [
-            (".,STRIKES=9", "wanted FILE:NAME=VALUE"),
-            (".,policy/none.py:MAX_CONSECUTIVE_FAILURES=9", "there is no policy/none.py"),
+            (".,STRIKES=9", "expected FILE:NAME=VALUE"),
+            (".,policy/none.py:MAX_CONSECUTIVE_FAILURES=9", "the package has no file policy/none.py"),
             (".,policy/balancer.py:NONE=9", "no constant NONE"),
             ("no-such-revision", "no-such-revision"),
         ]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -249,7 +249,7 @@
     "ran twice": (
         {"clients": [sent("b"), answered("b")], "n": node_did("b"), "m": node_did("b", 1.3)},
         "no repeat beyond the class",
-        "request b was taken 2 times: n at 1200000000, m at 1300000000",
+        "request b was accepted 2 times: n at 1200000000, m at 1300000000",
     ),
     "drain not kept": (
         {
@@ -258,7 +258,7 @@
             "directory": [at(6.0, "told", entries={"n": "DRAINING"})],
         },
         "drains kept",
-        "n got request b 3.200 s after the word of its end",
+        "n got request b 3.200 s after the directory reported its end",
     ),
     "drain told again": (
         {
@@ -276,7 +276,7 @@
             "directory": [at(6.0, "told", entries={"m": "SERVING"}, whole=True)],
         },
         "drains kept",
-        "n got request b 3.200 s after the word of its end",
+        "n got request b 3.200 s after the directory reported its end",
     ),
     "too much memory": (
         {
@@ -286,12 +286,12 @@
             ]
         },
         "within its means",
-        "sidecar-1 held memory_mb 300 of 192 at 3000000000",
+        "sidecar-1 used memory_mb 300 with a limit of 192 at 3000000000",
     ),
     "pushed over": (
         {"m": [at(5.0, "fell", offered=9.0, bearable=2.0)]},
         "no cold node pushed over",
-        "m fell: 9.00 s of work came, 2.00 could be",
+        "m collapsed: 9.00 s of work came, 2.00 s bearable",
     ),
     "another's answer": (
         {"clients": [sent("b"), answered("b", 1.5, "served", "n:a")]},
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -153,7 +153,7 @@
         ("speed = 1\n", "speed"),
         ('[[steps]]\nat = 2.0\ndo = "drain"\n', "steps[0].at"),
         ('[[steps]]\nat = 0.1\ndo = "explode"\n', "explode"),
-        ('[[steps]]\nat = 0.1\ndo = "drain"\nnodes = [9]\n', "nodes that are not there: 9"),
+        ('[[steps]]\nat = 0.1\ndo = "drain"\nnodes = [9]\n', "nodes that do not exist then: 9"),
         ("[load]\nrate = 0\n", "load.rate"),
         ("[", "Invalid"),
     ],
