--- a/ochreflow/lab/duplicates/__init__.py
+++ b/ochreflow/lab/duplicates/__init__.py
@@ -1,1 +1,1 @@
-"""A search for duplicated effects: sidecars on loopback under drawn faults, judged by the protocol's rule."""
+"""Searches for duplicated effects: sidecars on loopback with random faults, judged by the protocol's rule."""
--- a/ochreflow/lab/duplicates/attempt_reader.py
+++ b/ochreflow/lab/duplicates/attempt_reader.py
@@ -1,4 +1,4 @@
-"""Reads one attempt from a server's connection: what has come of it so far, and whether it is complete."""
+"""Reads one attempt from a server's connection and tracks how much of it has arrived."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 import httptools
 
 MAX_READ_BYTES = 16 * 1024
-SMALL_READ_BYTES = 1024  # bytes read at a time where the rest is to stay with the sender
-MAX_LOOP_LAG_S = 0.02  # that may pass from the arrival of bytes until a waiting reader sees them
+SMALL_READ_BYTES = 1024  # per read where the unread rest is to stay in the sender's buffers
+MAX_LOOP_LAG_S = 0.02  # longest time from the arrival of bytes until a waiting reader is resumed
 
 
 class AttemptReader:
-    """Reads one request from a connection, and knows when its last byte came."""
+    """Reads one request from a connection and bounds the time at which its last byte arrived."""
 
     def __init__(self, sock: socket.socket, now: Callable[[], float], last_empty_at: float) -> None:
-        """Take the run's clock, and the time at which nothing of this attempt had come."""
+        """Use `now` as the run's clock; no byte of this attempt had arrived at `last_empty_at`."""
         self.sock = sock
         self.now = now
         self.parser = httptools.HttpRequestParser(self)
@@ -25,12 +25,12 @@
         self.headers: dict[str, str] = {}
         self.head_complete = False
         self.complete = False
-        self.body_bytes = 0  # of the body, as far as it has come
-        self.began_at = -1.0  # when its first byte was read
-        self.last_empty_at = last_empty_at  # what was read last came no sooner
+        self.body_bytes = 0  # of the body, received so far
+        self.began_at = -1.0  # when its first byte was read; negative before
+        self.last_empty_at = last_empty_at  # the socket was seen empty then: bytes read since arrived later
 
     async def read(self, max_bytes: int = MAX_READ_BYTES) -> bool:
-        """Take what comes next; False once the peer has ended or reset the connection."""
+        """Read the next bytes; return False once the peer has closed or reset the connection."""
         try:
             try:
                 data = self.sock.recv(max_bytes)
@@ -42,7 +42,7 @@
         return self._feed(data)
 
     def read_buffered(self) -> bool:
-        """Take what the system holds; False if that is nothing."""
+        """Read what is in the socket's receive buffer; return False if it is empty."""
         try:
             data = self.sock.recv(MAX_READ_BYTES)
         except OSError:
@@ -62,27 +62,27 @@
 
     @property
     def request_id(self) -> str:
-        """The value of X-Request-Id; empty if there is none."""
+        """Return the value of X-Request-Id, or an empty string without that header."""
         return self.headers.get("x-request-id", "")
 
-    # Called by the parser
+    # Callbacks of the parser
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Store a header under its lower-case name."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Note that the head is complete."""
+        """Mark the head as complete."""
         self.head_complete = True
 
     def on_body(self, data: bytes) -> None:
-        """Count a part of the body."""
+        """Count the bytes of a part of the body."""
         self.body_bytes += len(data)
 
     def on_message_complete(self) -> None:
-        """Note that the request is complete."""
+        """Mark the request as complete."""
         self.complete = True
--- a/ochreflow/lab/duplicates/classes.py
+++ b/ochreflow/lab/duplicates/classes.py
@@ -1,4 +1,4 @@
-"""Request classes as the platform's settings describe them."""
+"""Request classes as in the platform's settings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Effect(Enum):
-    """Whether a request may be retried; the values are the settings' words."""
+    """Whether a request may be retried; the values are those of the settings."""
 
     IDEMPOTENT = "pure"
     IDEMPOTENT_WITH_KEY = "token"
@@ -15,7 +15,7 @@
 
 
 class Scope(Enum):
-    """The servers that drop a retry of a request whose idempotency key one of them has seen."""
+    """The group of servers that drop a retry if one of them has already seen its idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,11 +30,11 @@
     effect: Effect
     deadline: float
     scope: Scope = Scope.ALL
-    window: float = 0.0  # from the first attempt on: retries with its idempotency key are dropped
+    window: float = 0.0  # since the first attempt; servers drop retries with its idempotency key for so long
 
     @property
     def rejectable(self) -> bool:
-        """Whether a rejection does no harm even when an attempt may have run."""
+        """Whether the client may be told to retry even if an attempt may have run."""
         return self.effect is Effect.IDEMPOTENT or (
             self.effect is Effect.IDEMPOTENT_WITH_KEY and self.scope is Scope.ALL
         )
--- a/ochreflow/lab/duplicates/client.py
+++ b/ochreflow/lab/duplicates/client.py
@@ -1,4 +1,4 @@
-"""The clients of the sidecars: a request goes on an idle connection if there is one, as in the protocol."""
+"""Clients of the sidecars, which reuse idle connections as the protocol allows."""
 
 from __future__ import annotations
 
@@ -14,44 +14,44 @@
 from .recorder import EventRecorder
 from .wire import request_bytes
 
-RESPONSE_GRACE_S = 0.8  # for which a client waits beyond its deadline
-CONNECT_TIMEOUT_S = 6.0  # a sidecar may take so long to end and come back
-CONNECT_RETRY_DELAY_S = 0.05  # until a client tries again where nobody listens
+RESPONSE_GRACE_S = 0.8  # how long a client waits beyond the request's deadline
+CONNECT_TIMEOUT_S = 6.0  # a sidecar may take this long to stop and start again
+CONNECT_RETRY_DELAY_S = 0.05  # after a refused connection
 PIECE_DELAY_S = 0.005  # between the pieces of a request that is written slowly
-WAITED_LONG_ENOUGH = "waited long enough"  # what is recorded of a client whose wait is over
+WAIT_EXPIRED = "waited long enough"  # recorded as the reason of a client whose time limit has expired
 
 
 class ExchangeResult(Enum):
-    """How a request ended for its client on one connection."""
+    """The result of a request on one connection, as its client sees it."""
 
     ANSWERED = auto()
-    CLOSED_UNANSWERED = auto()  # without a byte of an answer: on a reused connection perhaps unread
+    CLOSED_UNANSWERED = auto()  # without a byte of a response; a reused connection may leave requests unread
     ABANDONED = auto()
 
 
 class Clients:
-    """Owns the clients of all sidecars: their idle connections, and the request on each of the others."""
+    """Sends requests to the sidecars and owns the idle connections to each of them."""
 
     def __init__(
         self,
         recorder: EventRecorder,
-        address: Callable[[int], tuple[str, int]],
+        sidecar_address: Callable[[int], tuple[str, int]],
         killed_at: Callable[[int], float],
     ) -> None:
-        """Take what gives the address of a sidecar, and when it was last killed."""
+        """Look up the address of a sidecar, and when it was last killed, by its number."""
         self.recorder = recorder
-        self.address = address
-        self.killed_at = killed_at  # connections to a sidecar that were opened before ended with it
+        self.sidecar_address = sidecar_address
+        self.killed_at = killed_at  # connections to a sidecar opened before this time ended with its process
         self.idle: dict[int, list[ClientConnection]] = defaultdict(list)
         self.connections = 0
 
     async def send(self, request: ClientRequest) -> None:
-        """Play one request to its end; once more where a reused connection was closed without an answer."""
+        """Send a request and wait for the result; resend it once if a reused connection closes unanswered."""
         fresh = False
         while True:
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                    connection = await self._connection(request.sidecar, fresh=fresh)
+                    connection = await self._acquire_connection(request.sidecar, fresh=fresh)
             except TimeoutError:
                 return
             reused = connection.used
@@ -61,9 +61,9 @@
             fresh = True
 
     async def _send(self, request: ClientRequest, connection: ClientConnection) -> ExchangeResult:
-        """Send it on a connection, and wait for what comes."""
+        """Send a request on a connection and wait for its response, a close or the time limit."""
         loop = asyncio.get_running_loop()
-        connection.answer_begun = connection.request_written = False
+        connection.response_begun = connection.request_written = False
         status = connection.status = loop.create_future()
         disconnect_timer = None
         if request.disconnects_after is not None:
@@ -73,14 +73,14 @@
         try:
             async with asyncio.timeout(request.deadline + RESPONSE_GRACE_S):
                 await self._write(request, connection)
-                answered = await status
-            self.recorder.add(request.id, ResponseReceived(self.recorder.now(), answered))
+                status_code = await status
+            self.recorder.add(request.id, ResponseReceived(self.recorder.now(), status_code))
             if not connection.closed:
                 self.idle[request.sidecar].append(connection)
         except ConnectionResetError:
             return self._record_reset(request, connection)
         except TimeoutError:
-            self.recorder.add(request.id, ClientDisconnected(self.recorder.now(), WAITED_LONG_ENOUGH))
+            self.recorder.add(request.id, ClientDisconnected(self.recorder.now(), WAIT_EXPIRED))
             return ExchangeResult.ABANDONED
         else:
             return ExchangeResult.ANSWERED
@@ -92,18 +92,18 @@
                 connection.abort()
 
     def _record_reset(self, request: ClientRequest, connection: ClientConnection) -> ExchangeResult:
-        """Record that the connection ended before the answer was complete, unless the client ended it."""
+        """Record a close before the response was complete, unless the client closed the connection."""
         if connection.disconnected_by_client:
             return ExchangeResult.ABANDONED
         killed = self.killed_at(request.sidecar) >= connection.opened_at
-        closed = ConnectionClosed(self.recorder.now(), connection.answer_begun, killed)
+        closed = ConnectionClosed(self.recorder.now(), connection.response_begun, killed)
         self.recorder.add(request.id, closed)
-        if killed or connection.answer_begun:
+        if killed or connection.response_begun:
             return ExchangeResult.ABANDONED
         return ExchangeResult.CLOSED_UNANSWERED
 
     def _disconnect(self, request: ClientRequest, connection: ClientConnection) -> None:
-        """Leave as the plan says, if the answer is still waited for."""
+        """Disconnect as planned if the client still waits for the response."""
         mode = request.disconnect_mode
         if mode is None or connection.status is None or connection.status.done() or connection.closed:
             return
@@ -114,7 +114,7 @@
             self.recorder.add(request.id, ClientHalfClosed(self.recorder.now()))
             connection.half_close()
 
-    async def _connection(self, sidecar: int, *, fresh: bool) -> ClientConnection:
+    async def _acquire_connection(self, sidecar: int, *, fresh: bool) -> ClientConnection:
         idle = self.idle[sidecar]
         while idle and not fresh:
             connection = idle.pop()
@@ -123,7 +123,9 @@
         loop = asyncio.get_running_loop()
         while True:
             with contextlib.suppress(OSError):
-                _, connection = await loop.create_connection(self._new_connection, *self.address(sidecar))
+                _, connection = await loop.create_connection(
+                    self._new_connection, *self.sidecar_address(sidecar)
+                )
                 return connection
             await asyncio.sleep(CONNECT_RETRY_DELAY_S)
 
@@ -134,18 +136,18 @@
     async def _write(self, request: ClientRequest, connection: ClientConnection) -> None:
         transport = connection.transport
         assert transport is not None
-        written = RequestSent(
-            self.recorder.now(), request.sidecar, request.cls.name, request.size, connection.number
+        sent = RequestSent(
+            self.recorder.now(), request.sidecar, request.request_class.name, request.size, connection.number
         )
-        self.recorder.add(request.id, written)
+        self.recorder.add(request.id, sent)
         data = request_bytes(request)
-        step = -(-len(data) // request.pieces)
-        for begin in range(0, len(data), step):
+        piece_bytes = -(-len(data) // request.pieces)
+        for begin in range(0, len(data), piece_bytes):
             if begin:
                 await asyncio.sleep(PIECE_DELAY_S)
             if connection.closed:
                 return
-            transport.write(data[begin : begin + step])
+            transport.write(data[begin : begin + piece_bytes])
         connection.request_written = True
 
     def close(self) -> None:
--- a/ochreflow/lab/duplicates/client_connection.py
+++ b/ochreflow/lab/duplicates/client_connection.py
@@ -15,32 +15,32 @@
     """A connection to a sidecar, with at most one request on it."""
 
     def __init__(self, number: int, opened_at: float) -> None:
-        """Take its number in the run, and when its opening began."""
+        """Start without a transport; `number` is unique in the run, `opened_at` is when connecting began."""
         self.number = number
         self.opened_at = opened_at
         self.transport: asyncio.Transport | None = None
-        self.used = False  # an answer has come on it
+        self.used = False  # a complete response was received on it
         self.status: asyncio.Future[int] | None = None  # of the request in flight
-        self.answer_begun = False  # bytes of its answer have come
+        self.response_begun = False  # bytes of its response have arrived
         self.closed = False
         self.request_written = False  # of the request in flight
         self.disconnected_by_client = False
         self.parser = httptools.HttpResponseParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of an answer; what is no answer ends the connection."""
-        self.answer_begun = True
+        """Parse a part of a response; abort the connection if it is malformed."""
+        self.response_begun = True
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
 
     def on_message_complete(self) -> None:
-        """Hand over the status code of a complete answer."""
+        """Set the status code of the complete response as the result of the request in flight."""
         if self.status is not None and not self.status.done():
             self.used = True
             self.closed = self.closed or not self.parser.should_keep_alive()
@@ -53,19 +53,19 @@
             self.status.set_exception(ConnectionResetError())
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection without sending buffered data."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
 
     def half_close(self) -> None:
-        """Send nothing more, also no further request, and wait for the answer."""
+        """Shut down sending, so that no further request follows, and wait for the response."""
         self.closed = True
         assert self.transport is not None
         self.transport.write_eof()
 
     def disconnect(self, mode: DisconnectMode) -> None:
-        """Leave as the plan says."""
+        """Disconnect in the planned manner, without waiting for the response."""
         self.closed = self.disconnected_by_client = True
         assert self.transport is not None
         if mode is DisconnectMode.HALF_CLOSE:
--- a/ochreflow/lab/duplicates/drawing.py
+++ b/ochreflow/lab/duplicates/drawing.py
@@ -1,6 +1,6 @@
-"""Draws a plan from its seed alone: the same seed gives the same plan, however the run goes.
+"""Draws a plan from its seed alone: the same seed gives the same plan, whatever happens in the run.
 
-The order of the draws is a part of what a seed means: a draw that is added goes behind the others.
+The order of the draws determines what a seed gives: a new draw has to be added after all others.
 """
 
 from __future__ import annotations
@@ -41,18 +41,18 @@
 CHUNKED_SHARE = 0.2  # of the requests with a body
 PIECES = (1, 1, 1, 3)
 DEADLINES_S = (0.4, 0.8, 1.5, 2.5)
-DEADLINE_FACTORS = (1.0, 1.0, 0.5)  # by which a request's deadline is that of its class
-WINDOWS_S = (0.1, 0.15, 0.4, 1.0, 3.0)  # the first ones end before most retries come
+DEADLINE_FACTORS = (1.0, 1.0, 0.5)  # the deadline of a request relative to that of its class
+WINDOWS_S = (0.1, 0.15, 0.4, 1.0, 3.0)  # the shortest end before most retries arrive
 CLASS_WEIGHTS = (1, 6, 1, 2, 2)  # in the order of `_draw_classes`
-DISCONNECT_SHARE = 0.1  # of the clients leave
-EARLY_DISCONNECT_S = 0.05  # about as long as most requests take
+DISCONNECT_SHARE = 0.1  # of the clients disconnect
+EARLY_DISCONNECT_S = 0.05  # about the duration of most requests
 
 MIN_SIDECARS, MAX_SIDECARS = 2, 5
 MIN_SERVERS, MAX_SERVERS = 4, 8
 ZONES = 2
 SERVERS_PER_CELL = 2
-RECEIVE_BUFFER_SIZES_BYTES = (0, 1024, 1024, 4096, 4096, 4096, 16_384)  # 0: the system's own
-SEGMENT_SIZES_BYTES = (536, 1460, 1460, 1460)  # small ones keep the sender's buffer small
+RECEIVE_BUFFER_SIZES_BYTES = (0, 1024, 1024, 4096, 4096, 4096, 16_384)  # 0: the system's default
+SEGMENT_SIZES_BYTES = (536, 1460, 1460, 1460)  # small segments keep the sender's buffer small
 HEDGING_SHARE = 0.5  # of the runs allow hedged requests
 CONNECT_TIMEOUTS_S = (0.25, 0.25, 1.6)
 
@@ -61,7 +61,7 @@
 LAST_SERVER_STEP_BEFORE_END_S = 0.5
 RESTART_SHARE = 0.7  # of the sidecars get a signal
 FREEZE_LENGTHS_S = (0.005, 0.02, 0.1, 0.3)
-LAST_RESTART_BEFORE_END_S = 1.5  # what happens later is not seen to its end
+LAST_RESTART_BEFORE_END_S = 1.5  # the effects of a later restart would not be seen completely
 MIN_STEP_AT_S = 0.3
 MIN_LAST_STEP_AT_S = 0.4
 
@@ -71,16 +71,16 @@
 REQUESTS_PER_SURGE = 30
 SURGE_REQUESTS_PER_SECOND = 500.0
 PAIRS_PER_SECOND = 4.0
-LONG_ANSWERS_BYTES = (8_000, 20_000, 30_000)  # more than a client of a pair takes without reading
-LAST_SHARE = 0.5  # of the pairs ask for the connection to be closed behind them
-PAIR_DELAYS_S = (0.02, 0.2)  # the bounds
+LONG_RESPONSES_BYTES = (8_000, 20_000, 30_000)  # more than the receive buffer of a pair's client holds
+CLOSE_CONNECTION_SHARE = 0.5  # of the pairs request a close after the last response
+PAIR_DELAYS_S = (0.02, 0.2)  # lower and upper bound
 FIRST_BURST_AT_S = 0.2
 FIRST_FREEZE_AT_S = 0.1
 REQUEST_ID_BITS = 64
 
 
 def draw(seed: int, seconds: float, fault_groups: frozenset[FaultGroup]) -> Plan:
-    """The plan of a run whose requests begin within so many seconds."""
+    """Draw the plan of a run whose requests begin within `seconds`."""
     rng = random.Random(seed)
     classes = _draw_classes(rng)
     sidecars = rng.randint(MIN_SIDECARS, MAX_SIDECARS)
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Drawer:
-    """Draws the parts of a plan, each from the same generator."""
+    """Draws the parts of a plan from one random generator."""
 
     rng: random.Random
     seconds: float
@@ -134,23 +134,23 @@
     def _request_id(self) -> str:
         return f"{self.rng.getrandbits(REQUEST_ID_BITS):016x}"
 
-    def _small_request(self, at: float, sidecar: int, cls: RequestClass) -> ClientRequest:
-        """A request without a body, whose client waits for its answer."""
+    def _small_request(self, at: float, sidecar: int, request_class: RequestClass) -> ClientRequest:
+        """Draw a request without a body, whose client waits for the response."""
         return ClientRequest(
             at,
             self._request_id(),
             sidecar,
-            cls,
+            request_class,
             size=0,
             chunked=False,
-            deadline=cls.deadline,
+            deadline=request_class.deadline,
             pieces=1,
             disconnects_after=None,
             disconnect_mode=None,
         )
 
     def servers(self) -> tuple[ServerPlan, ...]:
-        """The servers, in two zones, two to a cell."""
+        """Draw the servers, which alternate between two zones; two share a cell."""
         rng = self.rng
         return tuple(
             ServerPlan(
@@ -163,32 +163,32 @@
         )
 
     def requests(self) -> Iterator[ClientRequest]:
-        """Requests of all classes, at random times."""
+        """Draw requests of all classes at random times."""
         at = 0.0
         while (at := at + self.rng.expovariate(REQUESTS_PER_SECOND)) < self.seconds:
             yield self._request(at)
 
     def _request(self, at: float) -> ClientRequest:
         rng = self.rng
-        cls = rng.choices(self.classes, CLASS_WEIGHTS)[0]
-        has_body = cls.effect is not Effect.IDEMPOTENT
-        max_wait = rng.choice((EARLY_DISCONNECT_S, cls.deadline))
-        disconnects_after = rng.uniform(0.0, max_wait) if rng.random() < DISCONNECT_SHARE else None
+        request_class = rng.choices(self.classes, CLASS_WEIGHTS)[0]
+        has_body = request_class.effect is not Effect.IDEMPOTENT
+        max_delay = rng.choice((EARLY_DISCONNECT_S, request_class.deadline))
+        disconnects_after = rng.uniform(0.0, max_delay) if rng.random() < DISCONNECT_SHARE else None
         return ClientRequest(
             at,
             self._request_id(),
             rng.randrange(self.sidecars),
-            cls,
+            request_class,
             size=rng.choice(BODY_SIZES_BYTES) if has_body else 0,
             chunked=has_body and rng.random() < CHUNKED_SHARE,
-            deadline=cls.deadline * rng.choice(DEADLINE_FACTORS),
+            deadline=request_class.deadline * rng.choice(DEADLINE_FACTORS),
             pieces=rng.choice(PIECES),
             disconnects_after=disconnects_after if FaultGroup.CLIENTS in self.fault_groups else None,
             disconnect_mode=rng.choice(list(DisconnectMode)),
         )
 
     def surges(self) -> Iterator[ClientRequest]:
-        """Requests that follow each other so closely that connections are used again at once."""
+        """Draw requests so close to each other that connections are reused immediately."""
         if FaultGroup.BURSTS not in self.fault_groups:
             return
         _, non_idempotent, *_ = self.classes
@@ -200,7 +200,7 @@
                 yield self._small_request(at, sidecar, non_idempotent)
 
     def server_steps(self, servers: int) -> tuple[ServerStep, ...]:
-        """Changes of servers, which may overlap."""
+        """Draw changes of servers, which may overlap."""
         if FaultGroup.SERVERS not in self.fault_groups:
             return ()
         rng = self.rng
@@ -217,7 +217,7 @@
         )
 
     def sidecar_steps(self) -> tuple[SidecarStep, ...]:
-        """At most one signal that is not a freeze for each sidecar, and freezes, in the order of time."""
+        """Draw freezes and at most one other signal for each sidecar, in order of time."""
         steps: list[SidecarStep] = []
         for sidecar in range(self.sidecars):
             if FaultGroup.SIDECARS in self.fault_groups and self.rng.random() < RESTART_SHARE:
@@ -250,7 +250,7 @@
         )
 
     def pairs(self, steps: tuple[SidecarStep, ...]) -> tuple[PipelinedPair, ...]:
-        """Pairs at sidecars that never end: a process that ends may lose what a slow client has not read."""
+        """Draw pairs for sidecars that never stop, since a stopping process may lose unread responses."""
         if FaultGroup.CLIENTS not in self.fault_groups:
             return ()
         ending = {step.sidecar for step in steps if step.change in (SidecarChange.TERM, SidecarChange.KILL)}
@@ -264,9 +264,11 @@
         rng = self.rng
         idempotent, non_idempotent, *_ = self.classes
         at = rng.uniform(FIRST_BURST_AT_S, self.seconds)
-        answer_size = rng.choice(LONG_ANSWERS_BYTES)
-        lookup = replace(self._small_request(at, sidecar, idempotent), answer_size=answer_size)
-        last = rng.random() < LAST_SHARE
-        order = replace(self._small_request(at, sidecar, non_idempotent), last=last)
-        line_after = rng.uniform(*PAIR_DELAYS_S)
-        return PipelinedPair(at, lookup, order, line_after, line_after + rng.uniform(*PAIR_DELAYS_S))
+        response_size = rng.choice(LONG_RESPONSES_BYTES)
+        lookup = replace(self._small_request(at, sidecar, idempotent), response_size=response_size)
+        closes_connection = rng.random() < CLOSE_CONNECTION_SHARE
+        order = replace(self._small_request(at, sidecar, non_idempotent), closes_connection=closes_connection)
+        empty_line_after = rng.uniform(*PAIR_DELAYS_S)
+        return PipelinedPair(
+            at, lookup, order, empty_line_after, empty_line_after + rng.uniform(*PAIR_DELAYS_S)
+        )
--- a/ochreflow/lab/duplicates/events.py
+++ b/ochreflow/lab/duplicates/events.py
@@ -1,4 +1,4 @@
-"""What happened to one request, as its client and the servers saw it, on one clock in seconds."""
+"""Events of one request, as observed by its client and the servers, on one clock in seconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Something that happened at a time."""
+    """An event at a time since the run began."""
 
     at: float
 
@@ -17,29 +17,29 @@
     """The client began to write the request."""
 
     sidecar: int
-    cls: str
+    class_name: str
     size: int  # of the body
     connection: int
 
     def __str__(self) -> str:
-        """The line of a report."""
+        """Return the line for the report."""
         where = f"to sidecar {self.sidecar}, connection {self.connection}"
-        return f"client writes {self.cls}, body {self.size} bytes, {where}"
+        return f"client writes {self.class_name}, body {self.size} bytes, {where}"
 
 
 @dataclass(frozen=True, slots=True)
 class CopyReceived(Event):
-    """A server read the last byte of an attempt: a complete copy of the request has reached it."""
+    """A server read the last byte of an attempt and so has a complete copy of the request."""
 
     attempt: int
     server: int
-    began: float  # when its first byte was read
-    not_before: float  # its last byte came no sooner: the server's socket was seen empty then
+    began_at: float  # when its first byte was read
+    not_before: float  # earliest arrival of its last byte: the socket was seen empty then
     size: int
 
     def __str__(self) -> str:
-        """The line of a report."""
-        waited = self.at - self.began
+        """Return the line for the report."""
+        waited = self.at - self.began_at
         return f"COPY {self.attempt} is whole at server {self.server}: {self.size} bytes in {waited:.3f} s"
 
 
@@ -50,84 +50,84 @@
     attempt: int
 
     def __str__(self) -> str:
-        """The line of a report."""
+        """Return the line for the report."""
         return f"attempt {self.attempt} is turned away, and never ran"
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded(Event):
-    """The attempt is over for its server: it has answered, or has seen the connection end."""
+    """The attempt ended at its server: it has responded, or has seen the connection close."""
 
     attempt: int
 
     def __str__(self) -> str:
-        """The line of a report."""
+        """Return the line for the report."""
         return f"attempt {self.attempt} is over for its server"
 
 
 @dataclass(frozen=True, slots=True)
 class ServerAction(Event):
-    """Something that a server did; shown to readers, never judged."""
+    """An action of a server, which is printed but not judged."""
 
     attempt: int
     server: int
     text: str
 
     def __str__(self) -> str:
-        """The line of a report."""
+        """Return the line for the report."""
         return f"server {self.server}, attempt {self.attempt}: {self.text}"
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseReceived(Event):
-    """The client has the complete final answer."""
+    """The client received the complete final response."""
 
     code: int
 
     def __str__(self) -> str:
-        """The line of a report."""
+        """Return the line for the report."""
         return f"client got {self.code}"
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionClosed(Event):
-    """The sidecar's side ended the client's connection before the answer was complete."""
+    """The sidecar closed the client's connection before the response was complete."""
 
-    answer_begun: bool
-    killed: bool  # the sidecar was killed: it could not have answered
+    response_begun: bool
+    killed: bool  # the sidecar was killed, so that it could not have responded
 
     def __str__(self) -> str:
-        """The line of a report."""
-        answer = "part of an answer" if self.answer_begun else "no answer"
+        """Return the line for the report."""
+        answer = "part of an answer" if self.response_begun else "no answer"
         return f"client's connection ended with {answer}{', the sidecar was killed' if self.killed else ''}"
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected(Event):
-    """The client closed its connection, or its sending on it."""
+    """The client closed its connection or its sending side, or stopped waiting."""
 
     reason: str
 
     def __str__(self) -> str:
-        """The line of a report."""
+        """Return the line for the report."""
         return f"client left: {self.reason}"
 
 
 @dataclass(frozen=True, slots=True)
 class ClientHalfClosed(Event):
-    """The client ended its sending after the complete request, and waits for the answer; never judged."""
+    """The client shut down sending after the complete request and waits for the response; not judged."""
 
     def __str__(self) -> str:
-        """The line of a report."""
+        """Return the line for the report."""
         return "client has ended its sending, and waits for the answer"
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessEvent(Event):
-    """Something that happened to a sidecar or a server as a whole; shown to readers, never judged."""
+    """An event of a whole sidecar or server, which is printed but not judged."""
 
     text: str
 
     def __str__(self) -> str:
-        """The line of a report."""
+        """Return the line for the report."""
         return self.text
--- a/ochreflow/lab/duplicates/exchange.py
+++ b/ochreflow/lab/duplicates/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt on a server's connection: read, treated as the plan says, and recorded."""
+"""Handles one attempt on a server's connection: reads it, ends it as planned and records it."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 import socket
 
 from ..socket_reset import reset
-from .answers import ANSWERS, GARBAGE, TRUNCATED_ANSWERS, answer_bytes
+from .answers import GARBAGE, RESPONSES, TRUNCATED_RESPONSES, response_bytes
 from .attempt_reader import MAX_READ_BYTES, SMALL_READ_BYTES, AttemptReader
 from .events import AttemptEnded, AttemptRejected, CopyReceived, ServerAction
 from .plan import ClientRequest
 from .run_context import RunContext
 from .treatment import Ending, Treatment
 
-BUFFER_MOVE_DELAY_S = 0.002  # in which the system moves on what a peer's side still holds
-EMPTY_READS = 3  # in a row that find nothing: all has come
-MAX_SECOND_ANSWER_DELAY_S = 0.03  # after which a second answer is left out: the protocol gives sockets 50 ms
+BUFFER_MOVE_DELAY_S = 0.002  # time in which the system transfers what the peer has buffered
+EMPTY_READS = 3  # consecutive reads without data after which the buffers count as empty
+MAX_SECOND_RESPONSE_DELAY_S = 0.03  # no later second response: the protocol gives sockets 50 ms
 
 
 class Exchange:
-    """Owns one attempt, from its first byte to its server's ending."""
+    """One attempt at its server, from its first byte to its ending."""
 
     def __init__(
         self, server_number: int, context: RunContext, sock: socket.socket, last_empty_at: float
     ) -> None:
-        """Read from a connection that had no bytes of this attempt at `last_empty_at`."""
+        """Read the attempt from `sock`, on which none of its bytes had arrived at `last_empty_at`."""
         self.server_number = server_number
         self.context = context
         self.recorder = context.recorder
@@ -36,7 +36,7 @@
         self.ended = False
 
     async def run(self) -> bool:
-        """Serve it; False if the connection can't be used again."""
+        """Handle the attempt; return False if the connection cannot be reused."""
         while not self.reader.head_complete:
             if not await self.reader.read(SMALL_READ_BYTES):
                 return False
@@ -53,11 +53,11 @@
             self._record_end()
 
     async def _serve_plainly(self) -> bool:
-        """Serve a request that is not judged: one of a burst."""
+        """Serve a request of a burst, which is not judged."""
         while not self.reader.complete:
             if not await self.reader.read():
                 return False
-        await self._send(ANSWERS[Ending.SERVE])
+        await self._send(RESPONSES[Ending.SERVE])
         return True
 
     async def _treat(self, request: ClientRequest, treatment: Treatment) -> bool:
@@ -86,7 +86,7 @@
         return True
 
     async def _wait(self, seconds: float) -> bool:
-        """Let time pass; False if the attempt was given up meanwhile, which shows only if it is complete."""
+        """Wait; return False if the connection is closed meanwhile, which only complete attempts notice."""
         if not self.reader.complete:
             await asyncio.sleep(seconds)
             return True
@@ -99,7 +99,7 @@
     # The ending
 
     async def _end_attempt(self, treatment: Treatment) -> bool:
-        """Do what the plan says; False if the connection is gone by it."""
+        """End the attempt as planned; return False if that closes the connection."""
         if treatment.drain_first:
             await self._empty_buffers()
         self._record_ending(treatment)
@@ -110,47 +110,49 @@
             case Ending.GARBAGE:
                 await self._send(GARBAGE)
             case Ending.TRUNCATED_HEAD | Ending.HALF_CLOSE:
-                if data := TRUNCATED_ANSWERS[treatment.ending]:
+                if data := TRUNCATED_RESPONSES[treatment.ending]:
                     await self._send(data)
                 self.sock.shutdown(socket.SHUT_WR)
             case Ending.SILENT:
                 pass
             case _:
-                await self._answer(treatment.ending)
+                await self._respond(treatment.ending)
         return True
 
-    async def _answer(self, ending: Ending) -> None:
+    async def _respond(self, ending: Ending) -> None:
         if ending is Ending.REJECT:
             self.recorder.add(self.request_id, AttemptRejected(self.recorder.now(), self.attempt))
         self._record_end()
-        answer_size = self.context.requests[self.request_id].answer_size
-        if ending is Ending.SERVE and answer_size:
-            await self._send(answer_bytes(200, body=b"x" * answer_size))
+        response_size = self.context.requests[self.request_id].response_size
+        if ending is Ending.SERVE and response_size:
+            await self._send(response_bytes(200, body=b"x" * response_size))
         else:
-            await self._send(ANSWERS[ending])
+            await self._send(RESPONSES[ending])
 
     async def _read_rest(self, treatment: Treatment) -> bool:
-        """Read all that still comes; True if another request may follow."""
+        """Read what still arrives; return True if another request may follow."""
         ending = treatment.ending
-        if treatment.second_answer_after is not None and ending in ANSWERS:
-            await self._send_second_answer(treatment.second_answer_after, treatment.second_ending or ending)
+        if treatment.second_response_after is not None and ending in RESPONSES:
+            await self._send_second_response(
+                treatment.second_response_after, treatment.second_ending or ending
+            )
         if not self.reader.complete:
             await asyncio.sleep(treatment.resume_reading_after)
             if not await self._read_all():
                 return False
-        if ending in ANSWERS:
+        if ending in RESPONSES:
             return True
         while await self._read():
             pass
         return False
 
-    async def _send_second_answer(self, delay: float, ending: Ending) -> None:
-        answered_at = self.recorder.now()
+    async def _send_second_response(self, delay: float, ending: Ending) -> None:
+        responded_at = self.recorder.now()
         await asyncio.sleep(delay)
-        if self.recorder.now() - answered_at > MAX_SECOND_ANSWER_DELAY_S:
+        if self.recorder.now() - responded_at > MAX_SECOND_RESPONSE_DELAY_S:
             return
         self._record_action(f"a second answer: {ending.value}")
-        await self._send(ANSWERS[ending])
+        await self._send(RESPONSES[ending])
 
     # The connection
 
@@ -158,7 +160,7 @@
         await asyncio.get_running_loop().sock_sendall(self.sock, data)
 
     async def _read(self, max_bytes: int = MAX_READ_BYTES) -> bool:
-        """Read what comes next; False once the connection has ended."""
+        """Read the next bytes; return False once the connection has been closed."""
         more = await self.reader.read(max_bytes)
         self._record_copy()
         if not more:
@@ -166,14 +168,14 @@
         return more
 
     async def _read_all(self) -> bool:
-        """Read until the request is complete; False if the connection ends before."""
+        """Read until the request is complete; return False if the connection is closed before."""
         while not self.reader.complete:
             if not await self._read():
                 return False
         return True
 
     async def _empty_buffers(self) -> None:
-        """Read all that the system holds, here and on the peer's side."""
+        """Read everything that is buffered in the system, on both sides of the connection."""
         empty_reads = 0
         while empty_reads < EMPTY_READS and not self.reader.complete:
             if self.reader.read_buffered():
@@ -183,10 +185,10 @@
                 await asyncio.sleep(BUFFER_MOVE_DELAY_S)
             self._record_copy()
 
-    # The record
+    # Recording
 
     def _record_copy(self) -> None:
-        """Record the copy once it is complete."""
+        """Record the copy, once, when it is complete."""
         reader = self.reader
         if not reader.complete or self.copy_recorded:
             return
--- a/ochreflow/lab/duplicates/fault_groups.py
+++ b/ochreflow/lab/duplicates/fault_groups.py
@@ -1,4 +1,4 @@
-"""The groups of faults that a search may leave out."""
+"""The groups of faults that can be excluded from a search."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class FaultGroup(Enum):
-    """A group of drawn faults that can be left out of a search."""
+    """A group of random faults that can be excluded from a search."""
 
-    EARLY = "early"  # servers act while a request is partly written
-    FREEZE = "freeze"  # a sidecar does not run for a moment, so that events fall into one turn of its loop
-    SECOND_ANSWER = "second-answer"  # a second answer on a kept connection
-    MALFORMED = "spoilt"  # answers that contradict themselves
+    EARLY = "early"  # servers end attempts of which only a part has been written
+    FREEZE = "freeze"  # a sidecar is stopped briefly, so that several events reach one turn of its event loop
+    SECOND_ANSWER = "second-answer"  # a second response on a persistent connection
+    MALFORMED = "spoilt"  # responses that contradict themselves
     SIDECARS = "sidecars"  # signals to sidecars
     SERVERS = "servers"  # servers restart, drain, move to other groups, accept late
-    CLIENTS = "clients"  # clients leave
+    CLIENTS = "clients"  # clients disconnect
     BURSTS = "bursts"  # many small requests at once
--- a/ochreflow/lab/duplicates/pipelining.py
+++ b/ochreflow/lab/duplicates/pipelining.py
@@ -1,4 +1,4 @@
-"""A client with a small buffer that writes two requests at once, then an empty line, and reads late."""
+"""A client with a small receive buffer that pipelines two requests, sends an empty line and reads late."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 
 import httptools
 
-from .client import CONNECT_TIMEOUT_S, RESPONSE_GRACE_S, WAITED_LONG_ENOUGH
+from .client import CONNECT_TIMEOUT_S, RESPONSE_GRACE_S, WAIT_EXPIRED
 from .events import ClientDisconnected, ConnectionClosed, RequestSent, ResponseReceived
 from .plan import PipelinedPair
 from .recorder import EventRecorder
 from .wire import request_bytes
 
 RECEIVE_BUFFER_BYTES = 4096
-EMPTY_LINE = b"\r\n"  # behind a request; a server ignores it (RFC 9112, 2.2)
-NO_CONNECTION = 0  # such a connection has no number: it is not used again
+EMPTY_LINE = b"\r\n"  # after a request; a server ignores it (RFC 9112, 2.2)
+NO_CONNECTION = 0  # recorded in place of a connection number: the connection is not reused
 
 
 class PairConnection(asyncio.Protocol):
-    """A connection that reads nothing until its reading is resumed, and then the answers in their order."""
+    """A connection that reads the responses in order once its reading is resumed."""
 
     def __init__(self, recorder: EventRecorder, request_ids: tuple[str, ...]) -> None:
-        """Expect an answer to each of these requests, in this order."""
+        """Expect a response to each of these requests, in this order."""
         self.recorder = recorder
         self.unanswered = list(request_ids)
-        self.answer_begun = False  # a part of the next answer has come
+        self.response_begun = False  # a part of the next response has arrived
         self.finished = asyncio.get_running_loop().create_future()
         self.parser = httptools.HttpResponseParser(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse answers; what is none ends the exchange."""
+        """Parse responses; end the exchange on a malformed one."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -45,15 +45,15 @@
         if not self.finished.done():
             self.finished.set_result(None)
 
-    # Called by the parser
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """Note that an answer has begun."""
-        self.answer_begun = True
+        """Mark the next response as begun."""
+        self.response_begun = True
 
     def on_message_complete(self) -> None:
-        """Record an answer."""
-        self.answer_begun = False
+        """Record a complete response."""
+        self.response_begun = False
         response = ResponseReceived(self.recorder.now(), self.parser.get_status_code())
         self.recorder.add(self.unanswered.pop(0), response)
         if not self.unanswered:
@@ -61,24 +61,26 @@
 
 
 async def play_pair(pair: PipelinedPair, address: tuple[str, int], recorder: EventRecorder) -> None:
-    """Play a pair to its end."""
+    """Send a pair of requests and record how each of them ended."""
     requests = (pair.lookup, pair.order)
     connection = PairConnection(recorder, tuple(request.id for request in requests))
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             transport = await _connect(connection, address)
-    except OSError:  # also a time-out
+    except OSError:  # includes TimeoutError
         return
     for request in requests:
         recorder.add(
             request.id,
-            RequestSent(recorder.now(), request.sidecar, request.cls.name, request.size, NO_CONNECTION),
+            RequestSent(
+                recorder.now(), request.sidecar, request.request_class.name, request.size, NO_CONNECTION
+            ),
         )
     transport.write(b"".join(request_bytes(request) for request in requests))
-    await asyncio.sleep(pair.line_after)
+    await asyncio.sleep(pair.empty_line_after)
     if not transport.is_closing():
         transport.write(EMPTY_LINE)
-    await asyncio.sleep(pair.reads_after - pair.line_after)
+    await asyncio.sleep(pair.reads_after - pair.empty_line_after)
     if not transport.is_closing():
         transport.resume_reading()
     with contextlib.suppress(TimeoutError):
@@ -99,18 +101,18 @@
         sock.close()
         raise
     transport, _ = await loop.create_connection(lambda: connection, sock=sock)
-    transport.pause_reading()  # not sooner: the loop begins to read once the connection is made
+    transport.pause_reading()  # only now, since the event loop starts reading when the connection is made
     return transport
 
 
 def _record_missing(connection: PairConnection, recorder: EventRecorder) -> None:
-    """Record how the requests without an answer ended."""
-    answer_begun = connection.answer_begun
+    """Record how the requests without a complete response ended."""
+    response_begun = connection.response_begun
     for request_id in connection.unanswered:
         if connection.finished.done():
             recorder.add(
-                request_id, ConnectionClosed(recorder.now(), answer_begun=answer_begun, killed=False)
+                request_id, ConnectionClosed(recorder.now(), response_begun=response_begun, killed=False)
             )
         else:
-            recorder.add(request_id, ClientDisconnected(recorder.now(), WAITED_LONG_ENOUGH))
-        answer_begun = False
+            recorder.add(request_id, ClientDisconnected(recorder.now(), WAIT_EXPIRED))
+        response_begun = False
--- a/ochreflow/lab/duplicates/plan.py
+++ b/ochreflow/lab/duplicates/plan.py
@@ -1,7 +1,7 @@
-"""What a run does: its servers, requests and faults.
+"""The plan of a run: its servers, requests and faults.
 
-How a server treats an attempt is drawn when the attempt comes, from the seed, the request's id and the
-number of the attempt, so it does not depend on when or where it comes.
+The treatment of an attempt is drawn when the attempt arrives, from the seed, the request's id and the number
+of the attempt, so it does not depend on when or at which server the attempt arrives.
 """
 
 from __future__ import annotations
@@ -16,44 +16,44 @@
 
 
 class DisconnectMode(Enum):
-    """How a client leaves a connection."""
+    """How a client disconnects."""
 
     CLOSE = "close"
     RESET = "reset"
     HALF_CLOSE = "half_close"
-    END_SENDING = "end_sending"  # a half-close after the complete request; it waits for the answer
+    END_SENDING = "end_sending"  # a half-close after the complete request; the client waits for the response
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
     """One request of a client. Times in seconds."""
 
-    at: float  # since the run's begin
+    at: float  # since the start of the run
     id: str
     sidecar: int
-    cls: RequestClass
+    request_class: RequestClass
     size: int  # bytes of its body
     chunked: bool
     deadline: float
-    pieces: int  # in which its body is written
-    disconnects_after: float | None  # after so long the client goes away
+    pieces: int  # in which the request is written
+    disconnects_after: float | None  # until the client disconnects
     disconnect_mode: DisconnectMode | None
-    answer_size: int = 0  # of a 200's body; 0: a few bytes
-    last: bool = False  # the client asks for the connection to be closed behind the answer
+    response_size: int = 0  # bytes of the body of a 200; 0: a few bytes
+    closes_connection: bool = False  # the client sends `Connection: close`
 
 
 @dataclass(frozen=True, slots=True)
 class ServerPlan:
-    """A server, as it is at first."""
+    """The initial state of a server."""
 
     zone: int
     cell: int
-    receive_buffer: int  # bytes; 0: the system's own
-    segment: int  # bytes, at most; 0: the system's own
+    receive_buffer_bytes: int  # 0: the system's default
+    max_segment_bytes: int  # 0: the system's default
 
 
 class ServerChange(Enum):
-    """What happens to a server as a whole."""
+    """A change of a whole server."""
 
     RESTART = "restart"
     DRAIN = "drain"
@@ -62,7 +62,7 @@
 
 
 class SidecarChange(Enum):
-    """What happens to a sidecar: the signal that it gets."""
+    """The signal that a sidecar receives."""
 
     TERM = "SIGTERM"
     HUP = "SIGHUP"
@@ -72,18 +72,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStep:
-    """A change of a server. Times in seconds."""
+    """A change of a server at a time. Times in seconds."""
 
     at: float
     server: int
     change: ServerChange
     seconds: float
-    group_offset: int  # it moves to the group of the server so many numbers further
+    group_offset: int  # a move is to the group of the server whose number is higher by this offset
 
 
 @dataclass(frozen=True, slots=True)
 class SidecarStep:
-    """A change of a sidecar. Times in seconds."""
+    """A signal to a sidecar at a time. Times in seconds."""
 
     at: float
     sidecar: int
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """Many small idempotent requests at once: work for a sidecar's loop."""
+    """Many small idempotent requests at once, which load a sidecar's event loop."""
 
     at: float
     sidecar: int
@@ -102,24 +102,24 @@
 
 @dataclass(frozen=True, slots=True)
 class PipelinedPair:
-    """Two requests that are written at once by a client with a small buffer, which reads late.
+    """Two requests that a client with a small receive buffer pipelines; it reads the responses late.
 
-    The first one's answer fills the buffer, so the second one's stays with the sidecar's machine for a while.
+    The first response fills the buffer, so the second one stays in the sidecar's send buffer for a while.
     """
 
     at: float
     lookup: ClientRequest
     order: ClientRequest
-    line_after: float  # seconds until the client writes an empty line, as some do behind a body
-    reads_after: float  # seconds until it reads
+    empty_line_after: float  # seconds until the client writes an empty line, as some clients do after a body
+    reads_after: float  # seconds until the client reads
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """All of a run but the treatments of its attempts."""
+    """Everything in a run except the drawn treatments of its attempts."""
 
     seed: int
-    seconds: float  # in which requests begin
+    seconds: float  # during which requests begin
     fault_groups: frozenset[FaultGroup]
     sidecars: int
     classes: tuple[RequestClass, ...]
@@ -132,18 +132,22 @@
     sidecar_steps: tuple[SidecarStep, ...]
     bursts: tuple[Burst, ...]
     pairs: tuple[PipelinedPair, ...] = ()
-    # In place of drawn ones, by the attempt's number; any further is served.
-    fixed: tuple[Treatment, ...] = ()
+    # Treatments in place of drawn ones, by the attempt's number; later attempts are served.
+    fixed_treatments: tuple[Treatment, ...] = ()
 
     def treatment(self, request: ClientRequest, attempt: int) -> Treatment:
-        """How a server treats this attempt of a request."""
-        if self.fixed:
-            return self.fixed[attempt] if attempt < len(self.fixed) else Treatment(Ending.SERVE)
+        """Return the treatment of an attempt, numbered from 0, of a request."""
+        if self.fixed_treatments:
+            return (
+                self.fixed_treatments[attempt]
+                if attempt < len(self.fixed_treatments)
+                else Treatment(Ending.SERVE)
+            )
         rng = random.Random(f"{self.seed}:{request.id}:{attempt}")
         return draw_treatment(
             rng,
             self.fault_groups,
             body_bytes=request.size,
-            grouped=request.cls.scope is not Scope.ALL,
+            grouped=request.request_class.scope is not Scope.ALL,
             servers=len(self.servers),
         )
--- a/ochreflow/lab/duplicates/recorder.py
+++ b/ochreflow/lab/duplicates/recorder.py
@@ -1,4 +1,4 @@
-"""All that was seen in a run, by request, on one clock."""
+"""Records the events of a run by request, on one clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from .events import Event, ProcessEvent
 
-PROCESS_EVENTS_BEFORE_S = 1.0  # before a request: what happened to processes then may explain it
+PROCESS_EVENTS_BEFORE_S = 1.0  # process events this long before a request may explain its events
 
 
 class EventRecorder:
@@ -15,24 +15,24 @@
 
     def __init__(self) -> None:
         """Start the clock."""
-        self.began = monotonic()
+        self.started_at = monotonic()
         self.requests: dict[str, list[Event]] = defaultdict(list)
         self.process_events: list[ProcessEvent] = []
 
     def now(self) -> float:
-        """Seconds since the run began."""
-        return monotonic() - self.began
+        """Return the seconds since the run began."""
+        return monotonic() - self.started_at
 
     def add(self, request_id: str, event: Event) -> None:
-        """Record what happened to a request."""
+        """Record an event of a request."""
         self.requests[request_id].append(event)
 
     def record_process_event(self, text: str) -> None:
-        """Record what happened to a sidecar or a server as a whole."""
+        """Record an event of a whole sidecar or server."""
         self.process_events.append(ProcessEvent(self.now(), text))
 
     def timeline(self, request_id: str) -> list[Event]:
-        """The events of one request in order, with what happened to processes meanwhile."""
+        """Return the events of one request with the process events around them, in order of time."""
         events = self.requests[request_id]
         begin, end = min(event.at for event in events), max(event.at for event in events)
         around = [
--- a/ochreflow/lab/duplicates/run.py
+++ b/ochreflow/lab/duplicates/run.py
@@ -1,4 +1,4 @@
-"""Runs one plan on real sockets, and judges what was recorded."""
+"""Runs one plan on real sockets and judges the recorded events."""
 
 from __future__ import annotations
 
@@ -21,29 +21,29 @@
 from .run_context import RunContext
 from .server import Server
 
-FINISH_TIMEOUT_S = 10.0  # seconds for which the last requests and restarts are waited for
+FINISH_TIMEOUT_S = 10.0  # how long to wait for the last requests and restarts
 
 
-def run_plan(plan: Plan, program: Path, keep: Path | None = None) -> RunResult:
-    """Play a plan with the program of a checkout; logs, with a line for each attempt, are kept in `keep`."""
+def run_plan(plan: Plan, checkout: Path, keep: Path | None = None) -> RunResult:
+    """Run a plan with the sidecar of a checkout; keep its logs, with a line for each attempt, in `keep`."""
     run_dir = keep or Path(tempfile.mkdtemp(prefix="ochreflow-duplicates-"))
     run_dir.mkdir(parents=True, exist_ok=True)
     try:
-        return uvloop.run(_play(plan, run_dir, program, with_debug_lines=keep is not None))
+        return uvloop.run(_play(plan, run_dir, checkout, with_debug_lines=keep is not None))
     finally:
         if keep is None:
             shutil.rmtree(run_dir, ignore_errors=True)
 
 
-async def _play(plan: Plan, run_dir: Path, program: Path, *, with_debug_lines: bool) -> RunResult:
-    return await Run(plan, run_dir, program, with_debug_lines=with_debug_lines).play()
+async def _play(plan: Plan, run_dir: Path, checkout: Path, *, with_debug_lines: bool) -> RunResult:
+    return await Run(plan, run_dir, checkout, with_debug_lines=with_debug_lines).play()
 
 
 class Run:
-    """Owns all that takes part in one run."""
+    """Owns the servers, sidecars and clients of one run."""
 
-    def __init__(self, plan: Plan, run_dir: Path, program: Path, *, with_debug_lines: bool) -> None:
-        """Prepare a run of the checkout at `program`, whose files go into `run_dir`."""
+    def __init__(self, plan: Plan, run_dir: Path, checkout: Path, *, with_debug_lines: bool) -> None:
+        """Prepare a run of the sidecar of `checkout`, whose files are written to `run_dir`."""
         self.plan = plan
         self.recorder = EventRecorder()
         pairs = (request for pair in plan.pairs for request in (pair.lookup, pair.order))
@@ -55,7 +55,7 @@
             Server(number, server_plan, context) for number, server_plan in enumerate(plan.servers)
         ]
         self.fleet = Fleet(
-            plan, run_dir, program, self.recorder, self.servers, with_debug_lines=with_debug_lines
+            plan, run_dir, checkout, self.recorder, self.servers, with_debug_lines=with_debug_lines
         )
         self.clients = Clients(
             self.recorder, lambda number: self.fleet.addresses[number], self.fleet.killed_at
@@ -66,13 +66,13 @@
         self.started_at = 0.0
 
     async def play(self) -> RunResult:
-        """Play it, and judge it."""
+        """Run the plan and judge the recorded events."""
         try:
             for server in self.servers:
                 await server.start()
             await self.fleet.start()
             self.started_at = self.recorder.now()
-            await self._play_all()
+            await self._play_steps()
         finally:
             await self.fleet.stop()
             self.clients.close()
@@ -81,7 +81,7 @@
                 server.stop()
         return self._judge_run()
 
-    async def _play_all(self) -> None:
+    async def _play_steps(self) -> None:
         plan = self.plan
         parts = [
             *(self._play_request(request) for request in plan.requests),
@@ -96,7 +96,7 @@
             task.cancel()
         await asyncio.gather(*unfinished, return_exceptions=True)
         for task in done:
-            task.result()  # a fault of the search itself ends it
+            task.result()  # raises the exception of a failed step: a fault of the search itself ends the run
 
     async def _wait_until(self, at: float) -> None:
         await asyncio.sleep(max(self.started_at + at - self.recorder.now(), 0.0))
@@ -108,13 +108,15 @@
     async def _burst(self, burst: Burst) -> None:
         await self._wait_until(burst.at)
         lookup = self.plan.classes[0]
-        names = (
+        request_ids = (
             f"{self.plan.seed % 65536:04x}{round(burst.at * 1e6):08x}{number:04x}"
             for number in range(burst.count)
         )
         requests = [
-            ClientRequest(burst.at, name, burst.sidecar, lookup, 0, False, lookup.deadline, 1, None, None)
-            for name in names
+            ClientRequest(
+                burst.at, request_id, burst.sidecar, lookup, 0, False, lookup.deadline, 1, None, None
+            )
+            for request_id in request_ids
         ]
         await asyncio.gather(*(self.burst_clients.send(request) for request in requests))
 
@@ -147,13 +149,13 @@
                 await asyncio.sleep(step.seconds)
                 server.resume_accepting()
 
-    def _move(self, number: int, further: int) -> None:
-        """Move a server to the group of the one so many numbers further, and publish it in the directory."""
-        placement = self.servers[(number + further) % len(self.servers)].placements[-1]
+    def _move(self, number: int, group_offset: int) -> None:
+        """Move a server to the group of the one `group_offset` numbers after it, and publish the move."""
+        placement = self.servers[(number + group_offset) % len(self.servers)].placements[-1]
         self.servers[number].move(placement.zone, placement.cell)
         self.fleet.publish(self.servers[number])
 
-    # The end
+    # Judging
 
     def _placements(self, server: int, begin: float, end: float) -> list[Placement]:
         return self.servers[server].placements_between(begin, end)
@@ -166,13 +168,13 @@
                 continue
             result.requests += 1
             result.copies += sum(isinstance(event, CopyReceived) for event in events)
-            if request.cls.effect is Effect.NON_IDEMPOTENT:
+            if request.request_class.effect is Effect.NON_IDEMPOTENT:
                 result.count_non_idempotent(events)
             if violations := find_violations(
-                request.cls, events, self._placements, hedging=self.plan.hedging
+                request.request_class, events, self._placements, hedging=self.plan.hedging
             ):
                 result.failures.append(
-                    Failure(request_id, request.cls, violations, self.recorder.timeline(request_id))
+                    Failure(request_id, request.request_class, violations, self.recorder.timeline(request_id))
                 )
         result.failures.sort(key=lambda failure: failure.violations[0].at)
         return result
--- a/ochreflow/lab/duplicates/run_context.py
+++ b/ochreflow/lab/duplicates/run_context.py
@@ -1,4 +1,4 @@
-"""What all servers of a run have in common."""
+"""The state that all servers of a run share."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from .recorder import EventRecorder
 
 Freezer = Callable[[int], AbstractAsyncContextManager[None]]
-"""Freezes a sidecar, by its number, for as long as the context lasts."""
+"""Freezes a sidecar, by its number, while the context lasts."""
 Mover = Callable[[int, int], None]
-"""Moves a server, by its number, to the group of the server so many numbers further."""
+"""Moves a server, by its number, to the group of the server whose number is higher by an offset."""
 
 
 class AttemptCounter:
-    """Numbers the attempts of each request over all servers, in the order in which their heads come."""
+    """Numbers the attempts of each request over all servers, in the order in which their heads arrive."""
 
     def __init__(self) -> None:
         """Start with no attempts."""
         self.counts: dict[str, int] = defaultdict(int)
 
     def next_number(self, request_id: str) -> int:
-        """The number of an attempt that has just come, from 0."""
+        """Return the number, from 0, of an attempt that has just arrived."""
         self.counts[request_id] += 1
         return self.counts[request_id] - 1
 
 
 @dataclass(slots=True)
 class RunContext:
-    """The plan of a run, its recorder, and what a server may do to others."""
+    """The plan of a run, its recorder, and the functions with which a server freezes sidecars or moves."""
 
     plan: Plan
     recorder: EventRecorder
--- a/ochreflow/lab/duplicates/search.py
+++ b/ochreflow/lab/duplicates/search.py
@@ -1,4 +1,4 @@
-"""Many runs: a line for each, the events of its first request that broke the rule, and the sums."""
+"""Runs many plans and prints a line for each, the events of its first failure, and the totals."""
 
 from __future__ import annotations
 
@@ -16,37 +16,37 @@
 
 PACKAGE_START = Path("ochreflow") / "__main__.py"
 CHECKOUT = Path(__file__).resolve().parents[3]
-MAX_LISTED_FAILURES = 3  # broken requests that are named under the line of a run
+MAX_LISTED_FAILURES = 3  # requests that broke the rule, listed under the line of a run
 
 
 class SearchError(OchreflowError):
-    """A search that can't be run; the text says why in one line."""
+    """The options of a search are invalid; the message gives the reason in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class SearchOptions:
-    """What to search. `program` is a checkout whose sidecar is played."""
+    """The options of a search. `checkout` is the checkout whose sidecar is run."""
 
     seed: int = 1
     runs: int = 1
     seconds: float = 5.0
     jobs: int = 1
-    program: Path = CHECKOUT
+    checkout: Path = CHECKOUT
     fault_groups: frozenset[FaultGroup] = frozenset(FaultGroup)
     keep: Path | None = None
 
     def check(self) -> None:
-        """SearchError if it can't be played."""
-        if not (self.program / PACKAGE_START).is_file():
-            message = f"{self.program}: no checkout, it has no {PACKAGE_START}"
+        """Raise SearchError if the search cannot be run."""
+        if not (self.checkout / PACKAGE_START).is_file():
+            message = f"{self.checkout}: not a checkout of ochreflow, {PACKAGE_START} is missing"
             raise SearchError(message)
         if self.keep is not None and self.keep.exists() and not self.keep.is_dir():
-            message = f"{self.keep}: no folder"
+            message = f"{self.keep}: not a directory, cannot keep logs there"
             raise SearchError(message)
 
 
 def search(options: SearchOptions) -> int:
-    """Play all runs, and print what they come to; 0 if none broke the rule, 1 if one did."""
+    """Play all runs and print their results; return 0 if none broke the rule, 1 otherwise."""
     options.check()
     totals = Totals()
     for result in _run_results(options):
@@ -57,11 +57,11 @@
         if result.failures:
             print(format_timeline(result.failures[0]), flush=True)
     print(format_totals(totals))
-    return 1 if totals.broken else 0
+    return 1 if totals.broken_seeds else 0
 
 
 def _run_results(options: SearchOptions) -> Iterator[RunResult]:
-    """Each run's result as it is there."""
+    """Yield the result of each run as it becomes available."""
     seeds = range(options.seed, options.seed + options.runs)
     if options.jobs == 1:
         yield from (_play_seed(options, seed) for seed in seeds)
@@ -74,4 +74,4 @@
 
 def _play_seed(options: SearchOptions, seed: int) -> RunResult:
     keep = options.keep / f"seed-{seed}" if options.keep is not None else None
-    return run_plan(draw(seed, options.seconds, options.fault_groups), options.program.resolve(), keep)
+    return run_plan(draw(seed, options.seconds, options.fault_groups), options.checkout.resolve(), keep)
--- a/ochreflow/lab/duplicates/server.py
+++ b/ochreflow/lab/duplicates/server.py
@@ -1,4 +1,4 @@
-"""A server on loopback whose attempts are treated as the plan says."""
+"""A fake server on loopback that treats attempts as planned."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
     """Owns a listening socket, its connections and their tasks."""
 
     def __init__(self, number: int, plan: ServerPlan, context: RunContext) -> None:
-        """Be the server of this number in a run; `start` makes it listen."""
+        """Create the server with this number in the run; `start` makes it listen."""
         self.number = number
         self.plan = plan
         self.context = context
         self.recorder = context.recorder
         self.placements = [Placement(-math.inf, plan.zone, plan.cell)]
         self.tasks: set[asyncio.Task[None]] = set()
-        self.socks: set[socket.socket] = set()
-        self.listening: socket.socket | None = None
-        self.accepting: asyncio.Task[None] | None = None
+        self.sockets: set[socket.socket] = set()
+        self.listener: socket.socket | None = None
+        self.accept_task: asyncio.Task[None] | None = None
         self.port = 0
-        self.backlog_empty_at = 0.0  # what is accepted next came no sooner
+        self.backlog_empty_at = 0.0  # connections accepted next arrived no earlier
 
     # Listening
 
     async def start(self) -> None:
-        """Listen, at the port that was used before if there was one."""
-        while self.listening is None:
+        """Listen and accept connections; a restarted server keeps its port."""
+        while self.listener is None:
             try:
-                self.listening = self._listen()
-            except OSError:  # a connection of someone else may have its port for a moment
+                self.listener = self._listen()
+            except OSError:  # another connection may temporarily use its port
                 await asyncio.sleep(LISTEN_RETRY_DELAY_S)
         self.resume_accepting()
 
@@ -58,35 +58,35 @@
     def _bind(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if self.plan.receive_buffer:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, self.plan.receive_buffer)
-        if self.plan.segment:
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, self.plan.segment)
+        if self.plan.receive_buffer_bytes:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, self.plan.receive_buffer_bytes)
+        if self.plan.max_segment_bytes:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, self.plan.max_segment_bytes)
         sock.bind((HOST, self.port))
         sock.listen(BACKLOG)
         self.port = sock.getsockname()[1]
 
     def resume_accepting(self) -> None:
-        """Accept from now on, also what has waited."""
-        if self.listening is not None and self.accepting is None:
-            self.listening.listen(BACKLOG)
-            self.accepting = asyncio.get_running_loop().create_task(self._accept(self.listening))
+        """Accept connections, including those that wait in the backlog."""
+        if self.listener is not None and self.accept_task is None:
+            self.listener.listen(BACKLOG)
+            self.accept_task = asyncio.get_running_loop().create_task(self._accept(self.listener))
 
     def pause_accepting(self) -> None:
-        """Leave connections in a backlog of one; the system answers no further ones."""
-        if self.accepting is not None:
-            self.accepting.cancel()
-            self.accepting = None
-        if self.listening is not None:
-            self.listening.listen(0)
-
-    async def _accept(self, listening: socket.socket) -> None:
+        """Stop accepting; the backlog shrinks to one connection, and the system ignores further ones."""
+        if self.accept_task is not None:
+            self.accept_task.cancel()
+            self.accept_task = None
+        if self.listener is not None:
+            self.listener.listen(0)
+
+    async def _accept(self, listener: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         while True:
             try:
-                sock, _ = listening.accept()
+                sock, _ = listener.accept()
             except BlockingIOError:
-                sock, _ = await loop.sock_accept(listening)
+                sock, _ = await loop.sock_accept(listener)
                 self.backlog_empty_at = self.recorder.now() - MAX_LOOP_LAG_S
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -95,33 +95,33 @@
             task.add_done_callback(self.tasks.discard)
 
     def stop(self) -> None:
-        """Stop as a killed process does: connections are reset, new ones refused."""
+        """Stop like a killed process: reset connections and refuse new ones."""
         self.pause_accepting()
-        if self.listening is not None:
-            self.listening.close()
-            self.listening = None
+        if self.listener is not None:
+            self.listener.close()
+            self.listener = None
         for task in list(self.tasks):
             task.cancel()
-        for sock in list(self.socks):
+        for sock in list(self.sockets):
             reset(sock)
 
     def move(self, zone: int, cell: int) -> None:
-        """Belong to another group from now on."""
+        """Move the server to another zone and cell from now on."""
         self.placements.append(Placement(self.recorder.now(), zone, cell))
 
     def placements_between(self, begin: float, end: float) -> list[Placement]:
-        """The placements that it had between two times."""
+        """Return the placements of the server between two times."""
         ends = [*(placement.since for placement in self.placements[1:]), math.inf]
         return [
             placement
-            for placement, until in zip(self.placements, ends, strict=True)
-            if placement.since <= end and until >= begin
+            for placement, placement_end in zip(self.placements, ends, strict=True)
+            if placement.since <= end and placement_end >= begin
         ]
 
     # Connections
 
     async def _serve(self, sock: socket.socket, opened_at: float) -> None:
-        self.socks.add(sock)
+        self.sockets.add(sock)
         empty_at = opened_at
         try:
             while await Exchange(self.number, self.context, sock, empty_at).run():
@@ -129,5 +129,5 @@
         except OSError:
             pass
         finally:
-            self.socks.discard(sock)
+            self.sockets.discard(sock)
             sock.close()
--- a/ochreflow/lab/duplicates/sidecar_config.py
+++ b/ochreflow/lab/duplicates/sidecar_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a sidecar and the directory's entries, in the platform's words."""
+"""Builds the configuration of a sidecar and the directory's entries in the platform's format."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 NS_PER_S = 1_000_000_000
 MS_PER_S = 1000
-OBJECTIVE_SHARE = 0.5  # of a deadline is the latency objective
-SEEDS_PER_RUN = 100  # so that no two sidecars of neighbouring runs have one seed
+OBJECTIVE_SHARE = 0.5  # the latency objective as a part of the deadline
+SEEDS_PER_RUN = 100  # keeps the seeds of sidecars in consecutive runs distinct
 
 
 def directory_entry(server: Server, status: str = "SERVING", since_ms: int = 0) -> dict[str, object]:
-    """A server as the directory lists it."""
+    """Return the directory's entry for a server."""
     placement = server.placements[-1]
     return {
         "name": f"server-{server.number}",
@@ -36,7 +36,7 @@
     directory_address: str,
     entries: list[dict[str, object]],
 ) -> dict[str, object]:
-    """The configuration of the sidecar of this number, which knows these servers from the first."""
+    """Return the configuration of a sidecar that knows the servers of `entries` from its start."""
     host, port = listen
     return {
         "name": f"sidecar-{number}",
@@ -51,7 +51,7 @@
 
 
 def _settings(plan: Plan, number: int) -> dict[str, object]:
-    """The settings in the platform's form."""
+    """Return the settings of a sidecar in the platform's format."""
     return {
         "accounts": [],
         "ceilings": {
@@ -63,7 +63,7 @@
             "second-copies": plan.hedging,
             "send-cap": plan.max_attempts,
         },
-        "classes": [_class_settings(cls) for cls in plan.classes],
+        "classes": [_class_settings(request_class) for request_class in plan.classes],
         "dcs": ZONES,
         "kinds": [NODE_TYPE],
         "my-zone": number % len(ZONES),
@@ -82,15 +82,15 @@
     }
 
 
-def _class_settings(cls: RequestClass) -> dict[str, object]:
-    """A request class in the platform's form."""
+def _class_settings(request_class: RequestClass) -> dict[str, object]:
+    """Return the settings of a request class in the platform's format."""
     return {
-        "name": cls.name,
-        "deadline-ns": round(cls.deadline * MS_PER_S) * NS_PER_MS,
-        "objective-ns": round(cls.deadline * OBJECTIVE_SHARE * MS_PER_S) * NS_PER_MS,
-        "repeat": cls.effect.value,
-        "key-scope": cls.scope.value,
-        "window-ns": round(cls.window * MS_PER_S) * NS_PER_MS,
+        "name": request_class.name,
+        "deadline-ns": round(request_class.deadline * MS_PER_S) * NS_PER_MS,
+        "objective-ns": round(request_class.deadline * OBJECTIVE_SHARE * MS_PER_S) * NS_PER_MS,
+        "repeat": request_class.effect.value,
+        "key-scope": request_class.scope.value,
+        "window-ns": round(request_class.window * MS_PER_S) * NS_PER_MS,
         "points": 1.0,
         "late-value": 0.0,
         "stream": False,
--- a/ochreflow/lab/duplicates/treatment.py
+++ b/ochreflow/lab/duplicates/treatment.py
@@ -1,4 +1,4 @@
-"""How a server treats one attempt, and how that is drawn."""
+"""The treatment of one attempt by a server, and how it is drawn."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
     """How a server treats one attempt. Times in seconds."""
 
     ending: Ending
-    early: bool = False  # it ends before its last byte has come, if its body is large enough
-    read_share: float = 0.0  # of the body, read before an early ending
+    early: bool = False  # the attempt ends before its last byte has arrived, if its body is large enough
+    read_share: float = 0.0  # share of the body that is read before an early ending
     delay: float = 0.0  # before the ending
-    freeze_for: float | None = None  # the sidecar is frozen at the ending, and so long after
-    drain_first: bool = False  # the system's buffers are emptied right before the ending
+    freeze_for: float | None = None  # the sidecar is frozen at the ending and for this long after it
+    drain_first: bool = False  # the system's buffers are emptied immediately before the ending
     resume_reading_after: float = 0.0  # after the ending
-    second_answer_after: float | None = None  # after the answer; None: no second one
-    second_ending: Ending | None = None  # which one; None: the same again
-    group_offset: int | None = None  # it first moves to the group of the server so many numbers further
+    second_response_after: float | None = None  # after the first response; None: no second response
+    second_ending: Ending | None = None  # of the second response; None: the same as the first
+    group_offset: int | None = None  # the server first moves, see `ServerStep.group_offset`
 
 
-EARLY_ENDINGS = {  # weights, for requests of which a part has come
+EARLY_ENDINGS = {  # weights, for requests that have arrived in part
     Ending.HALF_CLOSE: 4,
     Ending.RESET: 2,
     Ending.SERVE: 2,
@@ -83,11 +83,11 @@
     )
 )
 EARLY_SHARE = 0.4  # of the attempts with a body that is long enough
-MIN_EARLY_BODY_BYTES = 40_000  # of a smaller body nothing would stay with the sender
+MIN_EARLY_BODY_BYTES = 40_000  # a smaller body would leave the sender's buffers completely
 FREEZE_EARLY_SHARE = 0.6  # of the attempts that are ended before they are complete
 FREEZE_COMPLETE_SHARE = 0.1  # of the others
 DRAIN_FIRST_SHARE = 0.7  # of the attempts
-SECOND_ANSWER_SHARE = 0.05  # of the answers are followed by a second one
+SECOND_RESPONSE_SHARE = 0.05  # of the responses are followed by a second one
 MOVED_ENDINGS = {  # weights; most leave open whether the attempt ran, so that a retry may follow
     Ending.RESET: 3,
     Ending.HALF_CLOSE: 2,
@@ -97,16 +97,16 @@
     Ending.SILENT: 1,
     Ending.SERVE: 1,
 }
-MOVED_SHARE = 0.25  # of the attempts of classes whose idempotency keys count in a zone or cell
-MOVED_DELAYS_S = (0.02, 0.05, 0.1)  # in which the sidecars are notified of the move
+MOVED_SHARE = 0.25  # of the attempts whose idempotency keys are valid only in a zone or cell
+MOVED_DELAYS_S = (0.02, 0.05, 0.1)  # until the ending, while the sidecars are notified of the move
 
 
 def draw_treatment(
     rng: random.Random, fault_groups: frozenset[FaultGroup], *, body_bytes: int, grouped: bool, servers: int
 ) -> Treatment:
-    """How an attempt is treated, in a fleet of so many servers.
+    """Draw the treatment of an attempt in a run with `servers` servers.
 
-    `grouped` says that its idempotency key counts only in a group of servers, so that their moves matter.
+    `grouped`: the idempotency key is valid only in a group of servers, so that their moves matter.
     """
     if FaultGroup.SERVERS in fault_groups and grouped and rng.random() < MOVED_SHARE:
         return _draw_move(rng, servers)
@@ -114,13 +114,13 @@
 
 
 def _draw_move(rng: random.Random, servers: int) -> Treatment:
-    """A server that has the complete attempt moves to another group, and then ends the attempt."""
+    """Draw a treatment whose server, after reading the whole attempt, moves to another group and ends it."""
     ending = _weighted_choice(rng, MOVED_ENDINGS)
     return Treatment(ending, delay=rng.choice(MOVED_DELAYS_S), group_offset=rng.randrange(1, servers))
 
 
 def _draw_ending(rng: random.Random, fault_groups: frozenset[FaultGroup], body_bytes: int) -> Treatment:
-    # Chances are drawn before the group is looked at: what a group leaves out changes no later draw.
+    # Chances are drawn before the fault group is checked: excluding a group changes no later draw.
     early = (
         rng.random() < EARLY_SHARE and FaultGroup.EARLY in fault_groups and body_bytes >= MIN_EARLY_BODY_BYTES
     )
@@ -130,7 +130,7 @@
     ending = _weighted_choice(rng, endings)
     freeze_share = FREEZE_EARLY_SHARE if early else FREEZE_COMPLETE_SHARE
     freezes = rng.random() < freeze_share and FaultGroup.FREEZE in fault_groups
-    answers_twice = rng.random() < SECOND_ANSWER_SHARE and FaultGroup.SECOND_ANSWER in fault_groups
+    responds_twice = rng.random() < SECOND_RESPONSE_SHARE and FaultGroup.SECOND_ANSWER in fault_groups
     return Treatment(
         ending,
         early,
@@ -139,7 +139,7 @@
         freeze_for=rng.choice((0.0, 0.0, 0.005, 0.02, 0.1)) if freezes else None,
         drain_first=rng.random() < DRAIN_FIRST_SHARE,
         resume_reading_after=rng.choice((0.0, 0.0, 0.01, 0.1)),
-        second_answer_after=rng.choice((0.001, 0.003, 0.01)) if answers_twice else None,
+        second_response_after=rng.choice((0.001, 0.003, 0.01)) if responds_twice else None,
         second_ending=rng.choice((None, Ending.REJECT)),
     )
 
--- a/ochreflow/lab/duplicates/wire.py
+++ b/ochreflow/lab/duplicates/wire.py
@@ -1,4 +1,4 @@
-"""A client's request as bytes."""
+"""Encodes the requests of clients."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 def request_bytes(request: ClientRequest) -> bytes:
-    """A request as it goes over the wire."""
-    idempotent = request.cls.effect is Effect.IDEMPOTENT
+    """Return a request as HTTP/1.1 bytes."""
+    idempotent = request.request_class.effect is Effect.IDEMPOTENT
     head = [
-        f"{'GET' if idempotent else 'POST'} /{request.cls.name}/part HTTP/1.1",
+        f"{'GET' if idempotent else 'POST'} /{request.request_class.name}/part HTTP/1.1",
         f"Host: {HOST}",
         f"X-Request-Id: {request.id}",
         f"X-Deadline: {round(request.deadline * MS_PER_S)}m",
     ]
-    if request.last:
+    if request.closes_connection:
         head.append("Connection: close")
-    if request.cls.effect is Effect.IDEMPOTENT_WITH_KEY:
+    if request.request_class.effect is Effect.IDEMPOTENT_WITH_KEY:
         head.append(f"Idempotency-Key: key-of-{request.id}")
     body = b"x" * request.size
     if request.chunked:
--- a/tests/test_duplicate_plan.py
+++ b/tests/test_duplicate_plan.py
@@ -1,4 +1,4 @@
-"""The plans of the duplicate search: what a seed draws, and what may be left out."""
+"""The plans of the duplicate search: what a seed draws, and which fault groups can be excluded."""
 
 from ochreflow.lab.duplicates.classes import Effect, Scope
 from ochreflow.lab.duplicates.drawing import REQUESTS_PER_SURGE, draw
@@ -11,22 +11,23 @@
 
 
 def test_the_same_seed_draws_the_same_plan_and_treatments():
-    one, other = (draw(7, 5.0, frozenset(FaultGroup)) for _ in range(2))
-    assert one == other
-    assert one != draw(8, 5.0, frozenset(FaultGroup))
-    forwards = [one.treatment(request, 0) for request in one.requests]
-    backwards = [other.treatment(request, 0) for request in reversed(other.requests)]
+    first, second = (draw(7, 5.0, frozenset(FaultGroup)) for _ in range(2))
+    assert first == second
+    assert first != draw(8, 5.0, frozenset(FaultGroup))
+    forwards = [first.treatment(request, 0) for request in first.requests]
+    backwards = [second.treatment(request, 0) for request in reversed(second.requests)]
     assert forwards == backwards[::-1]
 
 
-def test_plans_leave_out_the_groups_that_are_not_asked_for():
+def test_plans_contain_no_faults_of_excluded_groups():
     plan = draw(7, 5.0, frozenset())
     assert not plan.server_steps and not plan.sidecar_steps and not plan.bursts and not plan.pairs
     treatments = [plan.treatment(request, 0) for request in plan.requests]
     assert not any(
-        one.early or one.second_answer_after is not None or one.freeze_for is not None for one in treatments
+        treatment.early or treatment.second_response_after is not None or treatment.freeze_for is not None
+        for treatment in treatments
     )
-    assert not any(one.group_offset is not None for one in treatments)
+    assert not any(treatment.group_offset is not None for treatment in treatments)
     assert not any(request.disconnects_after is not None for request in plan.requests)
 
 
@@ -34,8 +35,8 @@
     plans = [draw(seed, 5.0, frozenset(FaultGroup)) for seed in range(20)]
     endings = {plan.treatment(request, 0).ending for plan in plans for request in plan.requests}
     assert endings == set(Ending)
-    assert {request.cls.scope for plan in plans for request in plan.requests} == set(Scope)
-    assert {request.cls.effect for plan in plans for request in plan.requests} == set(Effect)
+    assert {request.request_class.scope for plan in plans for request in plan.requests} == set(Scope)
+    assert {request.request_class.effect for plan in plans for request in plan.requests} == set(Effect)
     modes = {
         request.disconnect_mode
         for plan in plans
@@ -45,25 +46,25 @@
     assert modes == set(DisconnectMode)
 
 
-def test_surges_are_a_part_of_the_bursts():
+def test_surges_belong_to_the_fault_group_of_bursts():
     plan = draw(7, 5.0, frozenset(FaultGroup))
-    without = draw(7, 5.0, frozenset(FaultGroup) - {FaultGroup.BURSTS})
-    rushed = set(plan.requests) - set(without.requests)
-    assert len(rushed) == 5 * REQUESTS_PER_SURGE
-    assert {request.cls.effect for request in rushed} == {Effect.NON_IDEMPOTENT}
-    assert all(request in plan.requests for request in without.requests)
+    without_bursts = draw(7, 5.0, frozenset(FaultGroup) - {FaultGroup.BURSTS})
+    surge_requests = set(plan.requests) - set(without_bursts.requests)
+    assert len(surge_requests) == 5 * REQUESTS_PER_SURGE
+    assert {request.request_class.effect for request in surge_requests} == {Effect.NON_IDEMPOTENT}
+    assert all(request in plan.requests for request in without_bursts.requests)
 
 
-def test_pairs_are_drawn_at_sidecars_that_never_end_only():
+def test_pairs_are_drawn_only_for_sidecars_that_never_stop():
     plans = [draw(seed, 5.0, frozenset(FaultGroup)) for seed in range(20)]
-    ends = (SidecarChange.TERM, SidecarChange.KILL)
+    stop_signals = (SidecarChange.TERM, SidecarChange.KILL)
     for plan in plans:
-        ending = {step.sidecar for step in plan.sidecar_steps if step.change in ends}
-        assert not ending & {pair.order.sidecar for pair in plan.pairs}
+        stopped_sidecars = {step.sidecar for step in plan.sidecar_steps if step.change in stop_signals}
+        assert not stopped_sidecars & {pair.order.sidecar for pair in plan.pairs}
     assert sum(bool(plan.pairs) for plan in plans) > len(plans) // 2
 
 
-def test_servers_move_while_they_have_attempts_of_which_the_group_matters():
+def test_servers_move_only_during_attempts_with_keys_of_a_zone_or_cell():
     plans = [draw(seed, 5.0, frozenset(FaultGroup)) for seed in range(20)]
     moved = [
         (plan, request)
@@ -71,5 +72,5 @@
         for request in plan.requests
         if plan.treatment(request, 0).group_offset is not None
     ]
-    assert {request.cls.scope for _, request in moved} == {Scope.ZONE, Scope.CELL}
+    assert {request.request_class.scope for _, request in moved} == {Scope.ZONE, Scope.CELL}
     assert all(0 < plan.treatment(request, 0).group_offset < len(plan.servers) for plan, request in moved)
--- a/tests/test_duplicate_search.py
+++ b/tests/test_duplicate_search.py
@@ -1,4 +1,4 @@
-"""The duplicate search: its command, and a small fixed part of it on sockets."""
+"""The duplicate search: its command, and a few fixed runs of it on sockets."""
 
 import textwrap
 from concurrent.futures import ProcessPoolExecutor
@@ -42,20 +42,20 @@
         ["more"],
     ],
 )
-def test_what_cannot_be_searched_is_one_line_and_starts_nothing(arguments, capsys, monkeypatch):
-    monkeypatch.setattr(searching, "run_plan", lambda *_: pytest.fail("it played"))
+def test_invalid_arguments_give_one_error_line_and_start_no_run(arguments, capsys, monkeypatch):
+    monkeypatch.setattr(searching, "run_plan", lambda *_: pytest.fail("a run was started"))
     assert main(["lab", "duplicates", *arguments]) == 2
-    said = capsys.readouterr()
-    assert said.out == ""
-    assert len(said.err.splitlines()) == 1
+    output = capsys.readouterr()
+    assert output.out == ""
+    assert len(output.err.splitlines()) == 1
 
 
-# On sockets. A program that sends each request to two servers has to be found out.
+# On sockets. The search has to detect a program that sends each request to two servers.
 
-TWICE = """
+DUPLICATING_SIDECAR = """
     import asyncio, json, os
 
-    async def put(address, data):
+    async def forward(address, data):
         reader, writer = await asyncio.open_connection(*address.split(":"))
         writer.write(data)
         head = await reader.readuntil(b"\\r\\n\\r\\n")
@@ -68,7 +68,7 @@
             length = [line for line in head.lower().split(b"\\r\\n") if line.startswith(b"content-length:")]
             body = await reader.readexactly(int(length[0].split(b":")[1])) if length else b""
             servers = [entry["address"] for entry in config["known"]["endpoints"]][:2]
-            codes = [await put(server, head + body) for server in servers]
+            codes = [await forward(server, head + body) for server in servers]
             writer.write(b"HTTP/1.1 %s X\\r\\nContent-Length: 0\\r\\n\\r\\n" % codes[0])
 
     async def run():
@@ -80,39 +80,39 @@
     config = json.load(open(os.environ["GW_CONFIG"]))
     asyncio.run(run())
 """
-ALONE = ["--without", "early", "--without", "freeze", "--without", "sidecars", "--without", "servers"]
+EXCLUDED = ["--without", "early", "--without", "freeze", "--without", "sidecars", "--without", "servers"]
 
 
 @pytest.mark.xdist_group("real-time")
-def test_the_command_finds_a_program_that_sends_requests_twice(tmp_path, capsys):
+def test_the_command_detects_a_program_that_sends_requests_twice(tmp_path, capsys):
     package = tmp_path / "ochreflow"
     package.mkdir()
-    (package / "__main__.py").write_text(textwrap.dedent(TWICE))
-    arguments = ["--build", str(tmp_path), "--seed", "3", "--seconds", "2", *ALONE, "--without", "bursts"]
+    (package / "__main__.py").write_text(textwrap.dedent(DUPLICATING_SIDECAR))
+    arguments = ["--build", str(tmp_path), "--seed", "3", "--seconds", "2", *EXCLUDED, "--without", "bursts"]
     assert main(["lab", "duplicates", *arguments]) == 1
-    said = capsys.readouterr().out
-    assert "a second whole copy" in said
-    assert "Events of " in said and "COPY 1 is whole" in said
-    assert "1 of 1 runs broke the rule: 3" in said
+    report = capsys.readouterr().out
+    assert "a second whole copy" in report
+    assert "Events of " in report and "COPY 1 is whole" in report
+    assert "1 of 1 runs broke the rule: 3" in report
 
 
 @pytest.mark.xdist_group("real-time")
-def test_a_build_that_does_not_start_is_one_line(tmp_path, capsys):
+def test_a_build_that_does_not_start_gives_one_error_line(tmp_path, capsys):
     package = tmp_path / "ochreflow"
     package.mkdir()
     (package / "__main__.py").write_text("raise SystemExit('first line\\nno such thing')")
     assert main(["lab", "duplicates", "--build", str(tmp_path)]) == 2
-    said = capsys.readouterr()
-    assert said.out == ""
-    assert len(said.err.splitlines()) == 1 and "no such thing" in said.err
+    output = capsys.readouterr()
+    assert output.out == ""
+    assert len(output.err.splitlines()) == 1 and "no such thing" in output.err
 
 
-PARTLY = 65536  # bytes of a body of which the system takes some 48,000 while its server reads nothing
-UNREAD = ServerPlan(zone=0, cell=0, receive_buffer=4096, segment=1460)
+PARTLY_WRITTEN_BODY_BYTES = 65536  # the system buffers some 48,000 bytes while the server reads nothing
+UNREAD_SERVER = ServerPlan(zone=0, cell=0, receive_buffer_bytes=4096, max_segment_bytes=1460)
 
 
 def fixed_plan(size, treatment, servers, disconnects_after=None, disconnect_mode=None):
-    """Eight orders, whose first attempts are treated alike."""
+    """Return a plan of eight non-idempotent requests whose first attempts get the same treatment."""
     plan = draw(1, 2.0, frozenset())
     order = replace(plan.classes[1], deadline=1.5)
     requests = tuple(
@@ -140,53 +140,59 @@
         classes=classes,
         servers=servers,
         requests=requests,
-        fixed=(treatment,),
+        fixed_treatments=(treatment,),
     )
 
 
-def partly_written(ending):
-    """Requests that a server ends while they are partly written, in a turn in which the rest could go out."""
+def partly_written_plan(ending):
+    """Return a plan whose servers end partly written requests just when their buffers accept the rest."""
     treatment = Treatment(ending, early=True, delay=0.02, freeze_for=0.0, drain_first=True)
-    return fixed_plan(PARTLY, treatment, (UNREAD,) * 4)
+    return fixed_plan(PARTLY_WRITTEN_BODY_BYTES, treatment, (UNREAD_SERVER,) * 4)
 
 
 @pytest.mark.xdist_group("real-time")
 @pytest.mark.parametrize("ending", [Ending.HALF_CLOSE, Ending.GARBAGE])
-def test_what_is_partly_written_when_its_server_ends_is_not_retried(ending):
-    result = run_plan(partly_written(ending), ROOT)
+def test_requests_partly_written_when_their_server_ends_them_are_not_retried(ending):
+    result = run_plan(partly_written_plan(ending), ROOT)
     assert [format_timeline(failure) for failure in result.failures] == []
     assert result.crashed == []
-    assert result.copies >= len(partly_written(ending).requests)  # the rest did come, or nothing was tried
+    # With fewer copies the rest of the bodies never arrived, and nothing was tested.
+    assert result.copies >= len(partly_written_plan(ending).requests)
 
 
-PLAIN = ServerPlan(zone=0, cell=0, receive_buffer=0, segment=0)
+DEFAULT_SERVER = ServerPlan(zone=0, cell=0, receive_buffer_bytes=0, max_segment_bytes=0)
 
 
-def pipelined(request, number, lookups):
-    """A pair whose empty line crosses the close behind its last answer."""
-    lookup = replace(request, id=f"{100 + number:016x}", cls=lookups, answer_size=30_000)
-    order = replace(request, id=f"{200 + number:016x}", last=True)
-    return PipelinedPair(request.at, lookup, order, line_after=0.8, reads_after=0.9)
+def pipelined_pair(request, number, lookup_class):
+    """Return a pair whose empty line crosses the close after its last response."""
+    lookup = replace(request, id=f"{100 + number:016x}", request_class=lookup_class, response_size=30_000)
+    order = replace(request, id=f"{200 + number:016x}", closes_connection=True)
+    return PipelinedPair(request.at, lookup, order, empty_line_after=0.8, reads_after=0.9)
 
 
 @pytest.mark.xdist_group("real-time")
-def test_clients_that_end_their_sending_or_read_late_are_answered():
+def test_clients_that_half_close_or_read_late_get_their_responses():
     treatment = Treatment(Ending.SERVE, delay=0.3)
-    alone = fixed_plan(0, treatment, (PLAIN,) * 4)
+    base_plan = fixed_plan(0, treatment, (DEFAULT_SERVER,) * 4)
     pairs = tuple(
-        pipelined(request, number, alone.classes[0]) for number, request in enumerate(alone.requests)
+        pipelined_pair(request, number, base_plan.classes[0])
+        for number, request in enumerate(base_plan.requests)
     )
-    ending = fixed_plan(
-        200, treatment, (PLAIN,) * 4, disconnects_after=0.1, disconnect_mode=DisconnectMode.END_SENDING
+    half_closing = fixed_plan(
+        200,
+        treatment,
+        (DEFAULT_SERVER,) * 4,
+        disconnects_after=0.1,
+        disconnect_mode=DisconnectMode.END_SENDING,
     )
-    result = run_plan(replace(ending, pairs=pairs), ROOT)
+    result = run_plan(replace(half_closing, pairs=pairs), ROOT)
     assert [format_timeline(failure) for failure in result.failures] == []
-    assert result.copies == len(ending.requests) + 2 * len(pairs)
-    assert result.non_idempotent_answers == {502: len(ending.requests), 200: len(pairs)}
+    assert result.copies == len(half_closing.requests) + 2 * len(pairs)
+    assert result.non_idempotent_responses == {502: len(half_closing.requests), 200: len(pairs)}
 
 
 @pytest.mark.xdist_group("real-time")
-def test_no_drawn_run_breaks_the_rule():
+def test_drawn_runs_keep_the_rule():
     plans = [draw(seed, 2.5, frozenset(FaultGroup)) for seed in (2, 10)]
     with ProcessPoolExecutor(len(plans)) as pool:
         results = list(pool.map(run_plan, plans, [ROOT] * len(plans)))
