--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""Scenarios in simulated time: the same bytes for the same seed, and the same judge."""
+"""Scenarios in simulated time: reproducible event logs, judged like those of runs on processes."""
 
 import msgspec
 import pytest
@@ -10,11 +10,11 @@
 from ochreflow.simulation.policy_loader import load_policy
 from ochreflow.simulation.simulation import Simulation, simulate
 
-OF_THE_MODULE = [rule for rule, (file, *_) in SABOTAGE.items() if file.startswith("policy/")]
+RULES_OF_THE_MODULE = [rule for rule, (file, *_) in SABOTAGE.items() if file.startswith("policy/")]
 
 
 @pytest.mark.parametrize("name", scenario_names())
-def test_the_library_keeps_every_rule(name):
+def test_every_scenario_of_the_library_keeps_every_rule(name):
     result = simulate(read_scenario(name), 3)
     assert result.outcome == 0, result.report.findings[:3]
     durations = [
@@ -23,48 +23,50 @@
     assert sum(time is not None for time in durations) > 0.8 * len(durations) > 500
 
 
-def test_the_same_seed_gives_the_same_bytes_and_another_one_others():
-    made = read_scenario("odd-clients")
-    digests = [simulate(made, seed).digest for seed in (5, 5, 6)]
+def test_the_same_seed_gives_the_same_digest_and_another_seed_another():
+    scenario = read_scenario("odd-clients")
+    digests = [simulate(scenario, seed).digest for seed in (5, 5, 6)]
     assert digests[0] == digests[1] != digests[2]
 
 
-@pytest.mark.parametrize("rule", OF_THE_MODULE)
-def test_a_sabotaged_module_is_convicted(rule, tmp_path):
-    file, old, new, made = SABOTAGE[rule]
-    for seed in range(1, 9):  # what chance decides needs some seeds; a good module breaks nothing in any
-        assert simulate(made, seed).outcome == 0
-    program = sabotaged(tmp_path, file, old, new)
-    found = {
-        finding.rule for seed in range(1, 9) for finding in simulate(made, seed, program).report.findings
+@pytest.mark.parametrize("rule", RULES_OF_THE_MODULE)
+def test_a_sabotaged_module_breaks_its_rule(rule, tmp_path):
+    file, old, new, scenario = SABOTAGE[rule]
+    for seed in range(1, 9):  # several seeds, as violations may depend on chance
+        assert simulate(scenario, seed).outcome == 0
+    build_dir = sabotaged(tmp_path, file, old, new)
+    broken_rules = {
+        finding.rule
+        for seed in range(1, 9)
+        for finding in simulate(scenario, seed, build_dir).report.findings
     }
-    assert rule in found
+    assert rule in broken_rules
 
 
-def test_unanswered_requests_of_a_killed_sidecar_are_counted_and_excused():
+def test_unanswered_requests_of_a_killed_sidecar_are_counted_but_break_no_rule():
     result = simulate(read_scenario("kill-loop"), 1)
     lost = sum(counts["lost"] for counts in result.report.by_class.values())
     assert lost > 10 and result.outcome == 0
 
 
-def test_the_margins_are_those_of_the_engine():
-    """The simulation may not import it, and keeps its own copy."""
+def test_the_margins_equal_those_of_the_engine():
+    """The simulation may not import the core, so it has its own copy of the margins."""
     assert simulated_sidecar.ATTEMPT_MARGIN_NS == attempt_manager.ATTEMPT_MARGIN_NS
     assert simulated_sidecar.WATCHDOG_MARGIN_NS == request_manager.WATCHDOG_MARGIN_NS
 
 
-@pytest.mark.parametrize("made", [TROUBLED, DRAINED, KILLED, COLD])
-def test_what_is_offered_depends_on_the_seed_alone(made):
-    """Slower nodes answer less, and are asked the same."""
-    first = simulate(made, 2).report.logical_requests
-    slower = msgspec.structs.replace(made, fleet=msgspec.structs.replace(made.fleet, cores=1))
-    again = simulate(slower, 2).report.logical_requests
-    assert {name: set(idents) for name, idents in first.items()} == {
-        name: set(idents) for name, idents in again.items()
+@pytest.mark.parametrize("scenario", [TROUBLED, DRAINED, KILLED, COLD])
+def test_the_offered_load_depends_on_the_seed_but_not_on_the_nodes(scenario):
+    """Slower nodes give fewer responses, but clients send the same requests."""
+    first = simulate(scenario, 2).report.logical_requests
+    slower = msgspec.structs.replace(scenario, fleet=msgspec.structs.replace(scenario.fleet, cores=1))
+    with_slower_nodes = simulate(slower, 2).report.logical_requests
+    assert {name: set(request_ids) for name, request_ids in first.items()} == {
+        name: set(request_ids) for name, request_ids in with_slower_nodes.items()
     }
 
 
-def test_a_build_without_a_decision_module_is_an_error(tmp_path):
+def test_loading_a_build_without_a_decision_module_raises_an_error(tmp_path):
     with pytest.raises(FileNotFoundError, match="no decision module"):
         load_policy(tmp_path)
     assert (
@@ -73,7 +75,7 @@
     )
 
 
-def test_nodes_of_a_group_drop_each_other_s_duplicates():
+def test_nodes_of_a_group_share_a_deduplication_group():
     run = Simulation(read_scenario("odd-clients"), 1, load_policy(None))
     run.run()
     nodes = run.directory.nodes
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""Courses of the limit: what is traced, and the cold start that the traces found to be an outage."""
+"""Traces of the concurrency limit, and the outage that they showed after a cold start of the whole fleet."""
 
 import msgspec
 import pytest
@@ -11,46 +11,50 @@
 replace = msgspec.structs.replace
 
 
-def cold(sidecars, cores, rate, **fleet):
-    course = LIMIT_SCENARIOS["cold start"][0]
-    made = replace(course, sidecar_count=sidecars, load=replace(course.load, rate_per_s=rate))
-    return replace(made, fleet=replace(course.fleet, cores=cores, **fleet))
+def cold_start(sidecars, cores, rate, **fleet):
+    base = LIMIT_SCENARIOS["cold start"][0]
+    scenario = replace(base, sidecar_count=sidecars, load=replace(base.load, rate_per_s=rate))
+    return replace(scenario, fleet=replace(base.fleet, cores=cores, **fleet))
 
 
 @pytest.mark.parametrize(("sidecars", "cores"), [(1, 2), (4, 2), (16, 4)])
-def test_a_fleet_that_warms_up_together_is_used_at_once(sidecars, cores):
-    """With no answer there was no pace, and with no pace no answer, until the fleet was warm by its clock."""
-    result = simulate(cold(sidecars, cores, 65.0 * cores), 1)
+def test_a_fleet_that_starts_cold_answers_from_the_beginning(sidecars, cores):
+    """Without a response slow start allowed no sends, so that none came until the warm-up time was over."""
+    result = simulate(cold_start(sidecars, cores, 65.0 * cores), 1)
     assert result.outcome == 0
     durations = [time for logical in result.report.logical_requests.values() for time in logical.values()]
     assert sum(time is not None for time in durations) > 0.9 * len(durations)
 
 
 @pytest.mark.parametrize(("sidecars", "cores"), [(1, 1), (4, 1), (1, 4), (16, 4)])
-def test_no_fleet_that_warms_up_collapses_under_far_too_high_load(sidecars, cores):
-    given = cold(sidecars, cores, 300.0 * cores, warm_up_s=30.0, start_capacity=0.05)
-    assert not simulate(replace(given, duration_s=16.0), 1).report.findings
-
-
-def test_a_trace_counts_every_request_once_and_the_oracle_knows_the_fleet():
-    course, ended = LIMIT_SCENARIOS["step"]
-    made, figures = trace(course, 2, ended)
-    assert len(made.limit) == len(made.offered) == 60
-    assert sum(made.offered) == figures.offered > 10_000
-    for at, offered in enumerate(made.offered):
-        assert made.in_time[at] <= made.admitted[at] <= offered >= made.oracle[at]
-    assert 0.8 < figures.oracle / figures.offered < 1.0  # the step is more than the fleet can do
-    calm = [at for at in range(60) if at < 16]
-    assert all(made.oracle[at] == made.offered[at] for at in calm)
-    slow, _ = trace(replace(course, fleet=replace(course.fleet, cores=1)), 2, ended)
-    assert sum(slow.oracle) < 0.8 * sum(made.oracle)
-
-
-def test_the_command_traces_and_plots(tmp_path):
+def test_a_cold_fleet_does_not_collapse_under_overload(sidecars, cores):
+    scenario = cold_start(sidecars, cores, 300.0 * cores, warm_up_s=30.0, start_capacity=0.05)
+    assert not simulate(replace(scenario, duration_s=16.0), 1).report.findings
+
+
+def test_a_trace_counts_each_request_once_and_the_oracle_follows_the_capacity():
+    scenario, fault_end = LIMIT_SCENARIOS["step"]
+    traced, summary = trace(scenario, 2, fault_end)
+    assert len(traced.limit) == len(traced.offered) == 60
+    assert sum(traced.offered) == summary.offered > 10_000
+    for step, offered in enumerate(traced.offered):
+        assert traced.in_time[step] <= traced.admitted[step] <= offered >= traced.oracle[step]
+    assert 0.8 < summary.oracle / summary.offered < 1.0  # the step exceeds the fleet's capacity
+    before_fault = [step for step in range(60) if step < 16]
+    assert all(traced.oracle[step] == traced.offered[step] for step in before_fault)
+    slow, _ = trace(replace(scenario, fleet=replace(scenario.fleet, cores=1)), 2, fault_end)
+    assert sum(slow.oracle) < 0.8 * sum(traced.oracle)
+
+
+def test_the_command_prints_a_line_and_writes_plots(tmp_path):
     html = tmp_path / "t.html"
-    done = command("lab", "trace", "few", "--seeds", "2", "--jobs", "2", "--html", str(html))
-    assert done.returncode == 0, done.stderr
-    assert done.stdout.splitlines()[1].startswith("few ") and "1.0000" in done.stdout
+    completed = command("lab", "trace", "few", "--seeds", "2", "--jobs", "2", "--html", str(html))
+    assert completed.returncode == 0, completed.stderr
+    assert completed.stdout.splitlines()[1].startswith("few ") and "1.0000" in completed.stdout
     assert html.read_text().count("data:image/png;base64,") == 1
-    done = command("lab", "trace", "none")
-    assert done.returncode == 2 and "no such course" in done.stderr and done.stderr.count("\n") == 1
+    completed = command("lab", "trace", "none")
+    assert (
+        completed.returncode == 2
+        and "no such course" in completed.stderr
+        and completed.stderr.count("\n") == 1
+    )
