--- a/ochreflow/lab/duplicates/drawing.py
+++ b/ochreflow/lab/duplicates/drawing.py
@@ -265,10 +265,16 @@
         idempotent, non_idempotent, *_ = self.classes
         at = rng.uniform(FIRST_BURST_AT_S, self.seconds)
         response_size = rng.choice(LONG_RESPONSES_BYTES)
-        lookup = replace(self._small_request(at, sidecar, idempotent), response_size=response_size)
+        first_request = replace(self._small_request(at, sidecar, idempotent), response_size=response_size)
         closes_connection = rng.random() < CLOSE_CONNECTION_SHARE
-        order = replace(self._small_request(at, sidecar, non_idempotent), closes_connection=closes_connection)
+        second_request = replace(
+            self._small_request(at, sidecar, non_idempotent), closes_connection=closes_connection
+        )
         empty_line_after = rng.uniform(*PAIR_DELAYS_S)
         return PipelinedPair(
-            at, lookup, order, empty_line_after, empty_line_after + rng.uniform(*PAIR_DELAYS_S)
+            at,
+            first_request,
+            second_request,
+            empty_line_after,
+            empty_line_after + rng.uniform(*PAIR_DELAYS_S),
         )
--- a/ochreflow/lab/duplicates/exchange.py
+++ b/ochreflow/lab/duplicates/exchange.py
@@ -43,7 +43,7 @@
         self.request_id = self.reader.request_id
         request = self.context.requests.get(self.request_id)
         if request is None:
-            return await self._serve_plainly()
+            return await self._serve_unjudged()
         self.attempt = self.context.attempts.next_number(self.request_id)
         self._record_action("head read")
         self._record_copy()
@@ -52,7 +52,7 @@
         finally:
             self._record_end()
 
-    async def _serve_plainly(self) -> bool:
+    async def _serve_unjudged(self) -> bool:
         """Serve a request of a burst, which is not judged."""
         while not self.reader.complete:
             if not await self.reader.read():
--- a/ochreflow/lab/duplicates/fleet.py
+++ b/ochreflow/lab/duplicates/fleet.py
@@ -24,10 +24,10 @@
 from .server import Server
 from .sidecar_config import directory_entry, sidecar_configuration
 
-LISTENS = " listens at "  # part of the line that a sidecar logs once it listens
+LISTENING_MARKER = " listens at "  # part of the line that a sidecar logs once it listens
 LOG_POLL_INTERVAL_S = 0.01
 KILL_DELAY_S = 0.7  # after SIGTERM, beyond the longest deadline
-DEBUG_LINES = '[log]\nlevel = "debug"\nper_second = 10000\n'
+DEBUG_CONFIG = '[log]\nlevel = "debug"\nper_second = 10000\n'
 SIGSTOP_DELAY_S = 0.003  # until SIGSTOP has surely taken effect
 
 
@@ -63,7 +63,7 @@
         self.addresses: dict[int, tuple[str, int]] = {}
         self.kill_times: dict[int, float] = {}
         self.freeze_counts: dict[int, int] = defaultdict(int)  # freezes in effect, by sidecar
-        self.starts = 0
+        self.start_count = 0
         self.stopping: set[int] = set()  # sidecars that are being stopped on purpose
         self.crashed: list[str] = []
 
@@ -71,7 +71,7 @@
     def _debug_arguments(run_dir: Path) -> tuple[str, ...]:
         """Write a configuration that logs each attempt and final response; return the arguments for it."""
         path = (run_dir / "debug.toml").absolute()
-        path.write_text(DEBUG_LINES)
+        path.write_text(DEBUG_CONFIG)
         return ("--config", str(path))
 
     # The directory
@@ -93,8 +93,8 @@
 
     async def start_sidecar(self, number: int) -> None:
         """Start a sidecar and wait until it listens; a restarted one keeps its address."""
-        self.starts += 1
-        log_path = self.run_dir / f"sidecar-{number}-{self.starts}.log"
+        self.start_count += 1
+        log_path = self.run_dir / f"sidecar-{number}-{self.start_count}.log"
         path = self.configure(number)
         with log_path.open("wb") as file:
             process = await asyncio.create_subprocess_exec(
@@ -109,7 +109,7 @@
             )
         self.processes[number] = process
         output = await self._wait_until_listening(number, process, log_path)
-        host, _, port = output.split(LISTENS)[1].split()[0].rpartition(":")
+        host, _, port = output.split(LISTENING_MARKER)[1].split()[0].rpartition(":")
         self.addresses[number] = (host, int(port))
         self.stopping.discard(number)
 
@@ -118,7 +118,7 @@
         """Wait until a sidecar listens and return its output; raise FleetError if it does not."""
         try:
             async with asyncio.timeout(START_TIMEOUT_S):
-                while LISTENS not in (output := log_path.read_text(errors="replace")):
+                while LISTENING_MARKER not in (output := log_path.read_text(errors="replace")):
                     if process.returncode is not None:
                         last_line = (output.strip().splitlines() or ["no output"])[-1]
                         message = f"sidecar {number} did not start: {last_line}"
--- a/ochreflow/lab/duplicates/pipelining.py
+++ b/ochreflow/lab/duplicates/pipelining.py
@@ -60,9 +60,9 @@
             self._finish()
 
 
-async def play_pair(pair: PipelinedPair, address: tuple[str, int], recorder: EventRecorder) -> None:
+async def send_pair(pair: PipelinedPair, address: tuple[str, int], recorder: EventRecorder) -> None:
     """Send a pair of requests and record how each of them ended."""
-    requests = (pair.lookup, pair.order)
+    requests = (pair.first_request, pair.second_request)
     connection = PairConnection(recorder, tuple(request.id for request in requests))
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/ochreflow/lab/duplicates/plan.py
+++ b/ochreflow/lab/duplicates/plan.py
@@ -108,8 +108,8 @@
     """
 
     at: float
-    lookup: ClientRequest
-    order: ClientRequest
+    first_request: ClientRequest
+    second_request: ClientRequest
     empty_line_after: float  # seconds until the client writes an empty line, as some clients do after a body
     reads_after: float  # seconds until the client reads
 
--- a/ochreflow/lab/duplicates/run.py
+++ b/ochreflow/lab/duplicates/run.py
@@ -14,7 +14,7 @@
 from .events import CopyReceived
 from .fleet import Fleet
 from .judge import Placement, find_violations
-from .pipelining import play_pair
+from .pipelining import send_pair
 from .plan import Burst, ClientRequest, PipelinedPair, Plan, ServerChange, ServerStep, SidecarStep
 from .recorder import EventRecorder
 from .result import Failure, RunResult
@@ -29,14 +29,14 @@
     run_dir = keep or Path(tempfile.mkdtemp(prefix="ochreflow-duplicates-"))
     run_dir.mkdir(parents=True, exist_ok=True)
     try:
-        return uvloop.run(_play(plan, run_dir, checkout, with_debug_lines=keep is not None))
+        return uvloop.run(_run(plan, run_dir, checkout, with_debug_lines=keep is not None))
     finally:
         if keep is None:
             shutil.rmtree(run_dir, ignore_errors=True)
 
 
-async def _play(plan: Plan, run_dir: Path, checkout: Path, *, with_debug_lines: bool) -> RunResult:
-    return await Run(plan, run_dir, checkout, with_debug_lines=with_debug_lines).play()
+async def _run(plan: Plan, run_dir: Path, checkout: Path, *, with_debug_lines: bool) -> RunResult:
+    return await Run(plan, run_dir, checkout, with_debug_lines=with_debug_lines).execute()
 
 
 class Run:
@@ -46,7 +46,7 @@
         """Prepare a run of the sidecar of `checkout`, whose files are written to `run_dir`."""
         self.plan = plan
         self.recorder = EventRecorder()
-        pairs = (request for pair in plan.pairs for request in (pair.lookup, pair.order))
+        pairs = (request for pair in plan.pairs for request in (pair.first_request, pair.second_request))
         self.requests = {request.id: request for request in (*plan.requests, *pairs)}
         context = RunContext(
             plan, self.recorder, lambda number: self.fleet.frozen(number), self._move, self.requests
@@ -65,14 +65,14 @@
         )
         self.started_at = 0.0
 
-    async def play(self) -> RunResult:
+    async def execute(self) -> RunResult:
         """Run the plan and judge the recorded events."""
         try:
             for server in self.servers:
                 await server.start()
             await self.fleet.start()
             self.started_at = self.recorder.now()
-            await self._play_steps()
+            await self._execute_steps()
         finally:
             await self.fleet.stop()
             self.clients.close()
@@ -81,14 +81,14 @@
                 server.stop()
         return self._judge_run()
 
-    async def _play_steps(self) -> None:
+    async def _execute_steps(self) -> None:
         plan = self.plan
         parts = [
-            *(self._play_request(request) for request in plan.requests),
+            *(self._send_request(request) for request in plan.requests),
             *(self._server_step(step) for step in plan.server_steps),
             *(self._sidecar_step(step) for step in plan.sidecar_steps),
             *(self._burst(burst) for burst in plan.bursts),
-            *(self._play_pair(pair) for pair in plan.pairs),
+            *(self._send_pair(pair) for pair in plan.pairs),
         ]
         tasks = [asyncio.ensure_future(part) for part in parts]
         done, unfinished = await asyncio.wait(tasks, timeout=plan.seconds + FINISH_TIMEOUT_S)
@@ -101,28 +101,28 @@
     async def _wait_until(self, at: float) -> None:
         await asyncio.sleep(max(self.started_at + at - self.recorder.now(), 0.0))
 
-    async def _play_request(self, request: ClientRequest) -> None:
+    async def _send_request(self, request: ClientRequest) -> None:
         await self._wait_until(request.at)
         await self.clients.send(request)
 
     async def _burst(self, burst: Burst) -> None:
         await self._wait_until(burst.at)
-        lookup = self.plan.classes[0]
+        idempotent = self.plan.classes[0]
         request_ids = (
             f"{self.plan.seed % 65536:04x}{round(burst.at * 1e6):08x}{number:04x}"
             for number in range(burst.count)
         )
         requests = [
             ClientRequest(
-                burst.at, request_id, burst.sidecar, lookup, 0, False, lookup.deadline, 1, None, None
+                burst.at, request_id, burst.sidecar, idempotent, 0, False, idempotent.deadline, 1, None, None
             )
             for request_id in request_ids
         ]
         await asyncio.gather(*(self.burst_clients.send(request) for request in requests))
 
-    async def _play_pair(self, pair: PipelinedPair) -> None:
+    async def _send_pair(self, pair: PipelinedPair) -> None:
         await self._wait_until(pair.at)
-        await play_pair(pair, self.fleet.addresses[pair.lookup.sidecar], self.recorder)
+        await send_pair(pair, self.fleet.addresses[pair.first_request.sidecar], self.recorder)
 
     async def _sidecar_step(self, step: SidecarStep) -> None:
         await self._wait_until(step.at)
--- a/ochreflow/lab/duplicates/search.py
+++ b/ochreflow/lab/duplicates/search.py
@@ -46,7 +46,7 @@
 
 
 def search(options: SearchOptions) -> int:
-    """Play all runs and print their results; return 0 if none broke the rule, 1 otherwise."""
+    """Execute all runs and print their results; return 0 if none broke the rule, 1 otherwise."""
     options.check()
     totals = Totals()
     for result in _run_results(options):
@@ -64,14 +64,14 @@
     """Yield the result of each run as it becomes available."""
     seeds = range(options.seed, options.seed + options.runs)
     if options.jobs == 1:
-        yield from (_play_seed(options, seed) for seed in seeds)
+        yield from (_run_seed(options, seed) for seed in seeds)
         return
     with ProcessPoolExecutor(options.jobs) as pool:
-        runs = [pool.submit(_play_seed, options, seed) for seed in seeds]
+        runs = [pool.submit(_run_seed, options, seed) for seed in seeds]
         for run in as_completed(runs):
             yield run.result()
 
 
-def _play_seed(options: SearchOptions, seed: int) -> RunResult:
+def _run_seed(options: SearchOptions, seed: int) -> RunResult:
     keep = options.keep / f"seed-{seed}" if options.keep is not None else None
     return run_plan(draw(seed, options.seconds, options.fault_groups), options.checkout.resolve(), keep)
--- a/tests/test_duplicate_plan.py
+++ b/tests/test_duplicate_plan.py
@@ -60,7 +60,7 @@
     stop_signals = (SidecarChange.TERM, SidecarChange.KILL)
     for plan in plans:
         stopped_sidecars = {step.sidecar for step in plan.sidecar_steps if step.change in stop_signals}
-        assert not stopped_sidecars & {pair.order.sidecar for pair in plan.pairs}
+        assert not stopped_sidecars & {pair.second_request.sidecar for pair in plan.pairs}
     assert sum(bool(plan.pairs) for plan in plans) > len(plans) // 2
 
 
--- a/tests/test_duplicate_search.py
+++ b/tests/test_duplicate_search.py
@@ -114,13 +114,13 @@
 def fixed_plan(size, treatment, servers, disconnects_after=None, disconnect_mode=None):
     """Return a plan of eight non-idempotent requests whose first attempts get the same treatment."""
     plan = draw(1, 2.0, frozenset())
-    order = replace(plan.classes[1], deadline=1.5)
+    order_class = replace(plan.classes[1], deadline=1.5)
     requests = tuple(
         ClientRequest(
             0.1 + number * 0.1,
             f"{number + 1:016x}",
             number % 2,
-            order,
+            order_class,
             size,
             False,
             1.5,
@@ -130,7 +130,7 @@
         )
         for number in range(8)
     )
-    classes = (plan.classes[0], order, *plan.classes[2:])
+    classes = (plan.classes[0], order_class, *plan.classes[2:])
     return replace(
         plan,
         sidecars=2,
@@ -163,11 +163,13 @@
 DEFAULT_SERVER = ServerPlan(zone=0, cell=0, receive_buffer_bytes=0, max_segment_bytes=0)
 
 
-def pipelined_pair(request, number, lookup_class):
+def pipelined_pair(request, number, idempotent_class):
     """Return a pair whose empty line crosses the close after its last response."""
-    lookup = replace(request, id=f"{100 + number:016x}", request_class=lookup_class, response_size=30_000)
-    order = replace(request, id=f"{200 + number:016x}", closes_connection=True)
-    return PipelinedPair(request.at, lookup, order, empty_line_after=0.8, reads_after=0.9)
+    first_request = replace(
+        request, id=f"{100 + number:016x}", request_class=idempotent_class, response_size=30_000
+    )
+    second_request = replace(request, id=f"{200 + number:016x}", closes_connection=True)
+    return PipelinedPair(request.at, first_request, second_request, empty_line_after=0.8, reads_after=0.9)
 
 
 @pytest.mark.xdist_group("real-time")
