--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The operators' pages quote only what the program writes: event names, fields and sentences of its log."""
+"""The operators' pages quote only what the program logs: event names, fields and texts."""
 
 import ast
 import re
@@ -12,7 +12,7 @@
 ROOT = Path(__file__).parent.parent
 LEVELS = {"debug", "info", "warning", "error", "exception"}
 OPERATING, ON_CALL = ROOT / "docs" / "operating.md", ROOT / "docs" / "on-call.md"
-# What the two pages quote beside the log: HTTP, commands, configuration and the one line of a failed start.
+# Other quotes in the two pages: HTTP, commands, configuration and the error line of a failed start.
 OTHER_QUOTES = re.compile(
     r"GET /|Connection: |ochreflow |(undrain|lab|--config) |python |pip |"
     r"on = |level = |log\.format = |GW_FD |\[limits\] |ulimit "
@@ -20,8 +20,8 @@
 
 
 def events_in_source():
-    """Each event that the program writes, with its level and the fields of its one call."""
-    found = {}
+    """Return the level and the fields of each event that the program logs; each event has a single call."""
+    events = {}
     for path in sorted((ROOT / "ochreflow").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             match node:
@@ -32,14 +32,14 @@
                     fields = {keyword.arg for keyword in node.keywords}
                     if level == "exception":
                         level, fields = "error", fields | {"trace"}
-                    assert found.setdefault(event, (level, fields)) == (level, fields), event
-    return found
+                    assert events.setdefault(event, (level, fields)) == (level, fields), event
+    return events
 
 
-def table_rows(page, head):
-    """The cells of the table that begins with this line."""
+def table_rows(page, header):
+    """Yield the cells of each row of the table that begins with the line `header`."""
     lines = page.read_text().splitlines()
-    rows = lines[lines.index(head) + 2 :]
+    rows = lines[lines.index(header) + 2 :]
     for row in rows:
         if not row.startswith("|"):
             return
@@ -47,13 +47,13 @@
 
 
 def quotes(page):
-    """What the page quotes that has a space in it, as a sentence of the log has."""
+    """Return the quotes of a page that contain a space, as the texts of the log do."""
     text = " ".join(page.read_text().split())
     return [quote for quote in re.findall(r"`([^`]+)`", text) if " " in quote]
 
 
 def is_log_sentence(quote):
-    """Whether an event's text can read so or begin so. Words in capitals stand for fields."""
+    """Return whether a quote is an event's text or the start of one; words in capitals stand for fields."""
     for text in EVENTS.values():
         pattern = re.sub(r"\\\{\w+\\\}", "(.+)", re.escape(text))
         if (pattern != "(.+)" and re.fullmatch(pattern, quote)) or text.startswith(quote):
@@ -61,29 +61,29 @@
     return False
 
 
-def test_every_event_has_its_text_and_every_text_its_event():
+def test_every_event_has_a_text_and_every_text_an_event():
     assert set(events_in_source()) == set(EVENTS)
 
 
-def test_the_text_of_an_event_names_only_fields_that_it_has():
+def test_the_text_of_an_event_refers_only_to_its_fields():
     for event, (_, fields) in events_in_source().items():
         assert set(re.findall(r"\{(\w+)\}", EVENTS[event])) <= fields, event
 
 
-def test_the_table_of_events_is_what_the_source_writes():
+def test_the_table_of_events_matches_the_source():
     rows = list(table_rows(OPERATING, "| event | level | fields |"))
     table = {event.strip("`"): (level, set(re.findall(r"`(\w+)`", fields))) for event, level, fields in rows}
     assert len(rows) == len(table)
     assert table == events_in_source()
 
 
-def test_the_table_of_texts_is_what_the_program_writes():
+def test_the_table_of_texts_matches_the_log():
     rows = list(table_rows(ON_CALL, "| event | the line says | what it means, what to do |"))
     assert {event.strip("`"): text.strip("`") for event, text, _ in rows} == EVENTS
 
 
 @pytest.mark.parametrize("page", [ON_CALL, OPERATING], ids=["on-call", "operating"])
-def test_a_quoted_sentence_is_one_of_the_log(page):
+def test_a_quoted_text_is_a_text_of_the_log(page):
     unknown = [
         quote for quote in quotes(page) if not OTHER_QUOTES.match(quote) and not is_log_sentence(quote)
     ]
@@ -91,8 +91,8 @@
 
 
 @pytest.mark.parametrize("page", [ON_CALL, OPERATING], ids=["on-call", "operating"])
-def test_a_quoted_name_of_an_event_exists(page):
-    """A name with an underline is an event, a field of one, or a key of a file named on the page."""
+def test_a_quoted_event_or_field_name_exists(page):
+    """A name with an underscore is an event, a field of an event, a key of the configuration, or a reason."""
     fields = set().union(*(fields for _, fields in events_in_source().values()))
     keys = set(re.findall(r"\w+", (ROOT / "deploy" / "ochreflow.toml").read_text()))
     names = set(re.findall(r"`([a-z]+(?:_[a-z]+)+)`", page.read_text()))
--- a/tests/test_docs_paths.py
+++ b/tests/test_docs_paths.py
@@ -1,4 +1,4 @@
-"""The files that the pages name exist, and the glossary names terms that the code has."""
+"""Files that the pages refer to exist, and terms in the glossary are names in the code."""
 
 import re
 from pathlib import Path
@@ -11,12 +11,12 @@
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_files_named_in_a_page_exist(page):
+def test_files_that_a_page_refers_to_exist(page):
     named = set(PATH.findall((ROOT / page).read_text()))
     assert named and sorted(path for path in named if not (ROOT / path).exists()) == []
 
 
-def test_terms_of_the_glossary_are_names_of_the_code():
+def test_terms_of_the_glossary_are_names_in_the_code():
     text = "\n".join(path.read_text() for path in (ROOT / "ochreflow").rglob("*.py"))
     names = set(re.findall(r"\w+", text))
     rows = [line for line in (ROOT / "docs/GLOSSARY.md").read_text().splitlines() if line.startswith("| ")]
