--- a/ochreflow/lab/step_orders.py
+++ b/ochreflow/lab/step_orders.py
@@ -7,9 +7,7 @@
 
 from .scenario import Step, StepAction
 
-NODE_ORDERS: dict[
-    StepAction, Callable[[Step], dict[str, Any]]
-] = {  # the control order that the node receives
+NODE_ORDERS: dict[StepAction, Callable[[Step], dict[str, Any]]] = {  # the order to the node
     StepAction.BLACKHOLE: lambda _step: {"swallow": True},
     StepAction.FAIL_FAST: lambda step: {"fail": step.amount},
     StepAction.SLOW_DOWN: lambda step: {"slow": step.amount},
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -1,4 +1,4 @@
-"""Comparing builds: pairs, intervals, verdicts, and what a report holds."""
+"""Comparison of builds: pairs, intervals, conclusions and the report."""
 
 import json
 import subprocess
@@ -22,8 +22,8 @@
     }
 
 
-def worths(found):
-    return {one.scenario: one for one in differences(found, "A", "B") if one.measure == "worth"}
+def worth_by_scenario(results):
+    return {found.scenario: found for found in differences(results, "A", "B") if found.measure == "worth"}
 
 
 @pytest.mark.parametrize(
@@ -33,23 +33,23 @@
         ([-0.02, -0.03, -0.01, -0.02, -0.02], "worse"),
         ([0.05, -0.04, 0.03, -0.05, 0.01], "no difference shown"),
         ([0.0] * 5, "no difference shown"),
-        ([0.5, 0.5], "no difference shown"),  # two pairs say nothing of chance
+        ([0.5, 0.5], "no difference shown"),  # two pairs can't tell a difference from chance
     ],
 )
 def test_the_conclusion_follows_the_interval_of_pairs(by, verdict):
-    # Seeds differ by far more than builds do: only pairing shows it.
-    found = [result("A", seed, 0.1 * seed) for seed in range(len(by))]
-    found += [result("B", seed, 0.1 * seed + more) for seed, more in enumerate(by)]
-    one = worths(found)["s"]
-    assert one.conclusion == verdict and one.pairs == len(by)
-    assert one.low <= sum(by) / len(by) <= one.high
+    # Seeds differ by far more than builds do, so only paired runs show the difference.
+    results = [result("A", seed, 0.1 * seed) for seed in range(len(by))]
+    results += [result("B", seed, 0.1 * seed + change) for seed, change in enumerate(by)]
+    difference = worth_by_scenario(results)["s"]
+    assert difference.conclusion == verdict and difference.pairs == len(by)
+    assert difference.low <= sum(by) / len(by) <= difference.high
 
 
-def test_void_and_single_runs_are_no_pairs_and_all_scenarios_are_summed_up():
-    found = [result(build, seed, 0.5, name) for build in "AB" for seed in range(4) for name in ("s", "t")]
-    found += [result("A", 9, 0.1, "t", "void"), result("B", 9, 0.9, "t"), result("A", 8, 0.1, "s")]
-    made = worths(found)
-    assert {name: one.pairs for name, one in made.items()} == {"s": 4, "t": 4, "all": 8}
+def test_void_and_unpaired_runs_are_left_out_and_all_scenarios_are_combined():
+    results = [result(build, seed, 0.5, name) for build in "AB" for seed in range(4) for name in ("s", "t")]
+    results += [result("A", 9, 0.1, "t", "void"), result("B", 9, 0.9, "t"), result("A", 8, 0.1, "s")]
+    combined = worth_by_scenario(results)
+    assert {name: difference.pairs for name, difference in combined.items()} == {"s": 4, "t": 4, "all": 8}
 
 
 def test_the_interval_is_the_same_each_time_and_narrows_with_pairs():
@@ -59,13 +59,14 @@
     assert many[1] - many[0] < few[1] - few[0]
 
 
-def test_builds_are_had_or_refused_in_one_line(tmp_path):
-    made = make_build(
+def test_a_build_has_the_changed_constants_and_an_invalid_one_gives_a_one_line_error(tmp_path):
+    build_dir = make_build(
         ".,policy/outlier_detection.py:MAX_CONSECUTIVE_FAILURES=9.5,policy/slow_start.py:OVERLOAD_SHARE=1.0",
         tmp_path / "a",
     )
     text = "".join(
-        (made / "ochreflow/policy" / name).read_text() for name in ("outlier_detection.py", "slow_start.py")
+        (build_dir / "ochreflow/policy" / name).read_text()
+        for name in ("outlier_detection.py", "slow_start.py")
     )
     assert "\nMAX_CONSECUTIVE_FAILURES = 9.5\n" in text and "\nOVERLOAD_SHARE = 1.0\n" in text
     for number, (wrong, message) in enumerate(
@@ -81,7 +82,7 @@
         assert message in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_a_revision_is_had_from_git(tmp_path, monkeypatch):
+def test_a_revision_is_exported_from_git(tmp_path, monkeypatch):
     repository = tmp_path / "r"
     (repository / "ochreflow").mkdir(parents=True)
     (repository / "ochreflow/a.py").write_text("OLD = 1\n")
@@ -95,7 +96,7 @@
 
 def test_the_command_finds_a_worse_build_and_writes_a_report(tmp_path):
     out, html = tmp_path / "r.jsonl", tmp_path / "r.html"
-    worse = ".,policy/state_records.py:MAX_UNSENT_SHARE=0.0"  # what reached no server is given up
+    worse = ".,policy/state_records.py:MAX_UNSENT_SHARE=0.0"  # gives up requests that reached no server
     options = ["--rehearse", "--seeds", "4", "--jobs", "4", "--out", str(out), "--html", str(html)]
     done = command("lab", "compare", ".", worse, "-s", "vanished", "-s", "quiet", *options)
     assert done.returncode == 0, done.stderr
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from simulated import run_scenario
-from test_scenarios import AT_ONCE, scenario
+from test_scenarios import PARALLEL_RUNS, scenario
 
 from ochreflow.lab.event_log import read_events
 from ochreflow.lab.judge import NS_PER_S
@@ -134,7 +134,7 @@
         run_dir.mkdir()
         return name, run_scenario(FAILURES[name][0], run_dir, 4)
 
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
         result = dict(pool.map(judged, FAILURES))
     for name, (_, occurred) in FAILURES.items():
         run = {path.stem: list(read_events(path)) for path in (tmp_path / name).glob("*.jsonl")}
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The fake servers and the judge: what they are said to do wrong they do, and what is wrong is found."""
+"""The fake servers inject the faults that they are ordered to, and the judge reports each violation."""
 
 import asyncio
 import json
@@ -26,18 +26,18 @@
 ROOT = Path(__file__).parent.parent
 
 
-def request(ident, cls="assign", *lines):
-    head = [f"POST /{cls}/x HTTP/1.1", f"X-Request-Id: {ident}", "Content-Length: 0", *lines]
+def request(request_id, class_name="assign", *lines):
+    head = [f"POST /{class_name}/x HTTP/1.1", f"X-Request-Id: {request_id}", "Content-Length: 0", *lines]
     return "\r\n".join(head).encode() + b"\r\n\r\n"
 
 
-def order(**what):
-    body = json.dumps(what).encode()
+def control_order(**fields):
+    body = json.dumps(fields).encode()
     return b"POST /-/lab HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-def with_node(tmp_path, steps, **profile):
-    """Run steps against a node; what it wrote down."""
+def run_with_node(tmp_path, steps, **profile):
+    """Run steps against a fake node, and return the events that it recorded."""
     path = tmp_path / "node.jsonl"
 
     async def play():
@@ -56,7 +56,7 @@
     return list(read_events(path))
 
 
-def kinds(events):
+def count_kinds(events):
     return Counter(event["what"] for event in events)
 
 
@@ -68,53 +68,60 @@
         assert (await send_request(port, request("b", "exposure", token))).body == b"n:b"
         assert (await send_request(port, b"GET /assign HTTP/1.1\r\n\r\n")).code == 404
         node.model.faults.slowdown = 20.0
-        crowd = await asyncio.gather(*(send_request(port, request(f"c{n}")) for n in range(6)))
-        turned = [got for got in crowd if got.code == 503]
-        assert len(turned) == 3 and turned[0].headers["x-not-run"] == "1"
-        assert (await send_request(port, order(draining=True))).code == 200
-        got = await send_request(port, request("d"))
-        assert got.code == 503 and got.headers["x-not-run"] == "1"
-
-    events = with_node(tmp_path, steps, cores=1, queue_capacity=2)
-    assert kinds(events) == {"taken": 5, "began": 5, "ran": 5, "dropped": 1, "turned_away": 4, "ordered": 1}
-
-
-def test_a_node_with_a_fault_answers_nothing_or_fails(tmp_path):
+        responses = await asyncio.gather(*(send_request(port, request(f"c{n}")) for n in range(6)))
+        rejected = [response for response in responses if response.code == 503]
+        assert len(rejected) == 3 and rejected[0].headers["x-not-run"] == "1"
+        assert (await send_request(port, control_order(draining=True))).code == 200
+        response = await send_request(port, request("d"))
+        assert response.code == 503 and response.headers["x-not-run"] == "1"
+
+    events = run_with_node(tmp_path, steps, cores=1, queue_capacity=2)
+    assert count_kinds(events) == {
+        "taken": 5,
+        "began": 5,
+        "ran": 5,
+        "dropped": 1,
+        "turned_away": 4,
+        "ordered": 1,
+    }
+
+
+def test_a_node_with_a_fault_gives_no_response_or_an_error(tmp_path):
     async def steps(node, port):
-        await send_request(port, order(fail=1.0))
+        await send_request(port, control_order(fail=1.0))
         assert (await send_request(port, request("a"))).code == 500
-        await send_request(port, order(fail=0.0, swallow=True))
+        await send_request(port, control_order(fail=0.0, swallow=True))
         _, writer = await asyncio.open_connection(HOST, port)
         writer.write(request("b"))
-        assert (await send_request(port, order(swallow=False))).code == 200
+        assert (await send_request(port, control_order(swallow=False))).code == 200
         assert (await send_request(port, request("c"))).code == 200
-        assert (await send_request(port, order(unknown=1))).code == 400
+        assert (await send_request(port, control_order(unknown=1))).code == 400
         writer.close()
 
-    events = with_node(tmp_path, steps)
+    events = run_with_node(tmp_path, steps)
     assert [event["id"] for event in events if event["what"] == "taken"] == ["a", "b", "c"]
     assert [event["id"] for event in events if event["what"] == "ran"] == ["c"]
 
 
 def test_a_node_that_warms_up_collapses_under_overload_only(tmp_path):
-    async def gently(node, port):
+    async def send_one_by_one(node, port):
         for n in range(10):
             assert (await send_request(port, request(f"g{n}"))).code == 200
 
-    async def hard(node, port):
+    async def send_all_at_once(node, port):
         results = await asyncio.gather(
             *(send_request(port, request(f"h{n}")) for n in range(300)), return_exceptions=True
         )
         assert any(isinstance(result, Exception) for result in results) and node.model.collapsed
 
     profile = {"warm_up_s": 60.0, "start_capacity": 0.15}
-    assert "fell" not in kinds(with_node(tmp_path, gently, **profile))
-    assert kinds(with_node(tmp_path, hard, queue_capacity=1000, **profile))["fell"] == 1
+    assert "fell" not in count_kinds(run_with_node(tmp_path, send_one_by_one, **profile))
+    assert count_kinds(run_with_node(tmp_path, send_all_at_once, queue_capacity=1000, **profile))["fell"] == 1
 
 
 @pytest.mark.parametrize("moment", ["work is due", "a request waits", "a connection comes"])
-def test_a_node_of_a_group_that_ends_records_nothing_more_and_the_others_serve_on(tmp_path, moment):
-    """Guards the event log's end: work, waiting requests and connections of an ended node cross it."""
+def test_an_ended_node_of_a_group_records_nothing_more_and_the_others_keep_serving(tmp_path, moment):
+    """Guards against events after the log is closed, from work, queued requests or connections."""
 
     async def play():
         loop = asyncio.get_running_loop()
@@ -124,29 +131,29 @@
         options = [{"name": name, "cores": 1, "warm_up_s": 0.0, "mean_work_s": work} for name in ("n", "m")]
         first, other = [await open_server("nodes", tmp_path, one, dedup_group) for one in options]
         first.handler.on_end_order = first.end
-        port, beside = (int(place.address.split(":")[1]) for place in (first, other))
+        port, other_port = (int(server.address.split(":")[1]) for server in (first, other))
         writers = []
-        taken = {"work is due": 1, "a request waits": 2, "a connection comes": 0}[moment]
-        for number in range(taken):
+        accepted_count = {"work is due": 1, "a request waits": 2, "a connection comes": 0}[moment]
+        for number in range(accepted_count):
             _, writer = await asyncio.open_connection(HOST, port)
             writer.write(request(f"r{number}", "assign", "X-Lab-Work: 1"))
             writers.append(writer)
-        while kinds(read_events(tmp_path / "n.jsonl"))["taken"] < taken:
+        while count_kinds(read_events(tmp_path / "n.jsonl"))["taken"] < accepted_count:
             await asyncio.sleep(0.001)
-        accepted = first.handler.service.connection() if moment == "a connection comes" else None
-        if accepted is not None:  # it was accepted, and its transport comes up after the end
+        connection = first.handler.service.connection() if moment == "a connection comes" else None
+        if connection is not None:  # accepted before the end, connected to its transport after it
             first.end()
             transport = Transport()
-            accepted.connection_made(transport)
+            connection.connection_made(transport)
             if not transport.aborted:
-                accepted.data_received(request("late"))
+                connection.data_received(request("late"))
         else:
-            assert (await send_request(port, order(end=True))).code == 200
+            assert (await send_request(port, control_order(end=True))).code == 200
         while not first.event_log.file.closed:
             await asyncio.sleep(0.001)
         before = (tmp_path / "n.jsonl").read_bytes()
-        assert (await send_request(beside, request("b"))).body == b"m:b"
-        await asyncio.sleep(0.3)  # longer than the work that was in hand
+        assert (await send_request(other_port, request("b"))).body == b"m:b"
+        await asyncio.sleep(0.3)  # longer than the work in process takes
         for writer in writers:
             writer.close()
         other.end()
@@ -154,11 +161,11 @@
         assert (tmp_path / "n.jsonl").read_bytes() == before
 
     run(play())
-    assert kinds(read_events(tmp_path / "m.jsonl")) == {"taken": 1, "began": 1, "ran": 1}
+    assert count_kinds(read_events(tmp_path / "m.jsonl")) == {"taken": 1, "began": 1, "ran": 1}
 
 
 class Transport(asyncio.Transport):
-    """Of a connection of which it is asked only whether it was broken off."""
+    """A transport that only records whether it was aborted."""
 
     def __init__(self):
         super().__init__()
@@ -185,11 +192,11 @@
         port = server.sockets[0].getsockname()[1]
 
         async def get(query=""):
-            got = await send_request(port, f"GET /api/targets{query} HTTP/1.1\r\n\r\n".encode())
-            return json.loads(got.body)
+            response = await send_request(port, f"GET /api/targets{query} HTTP/1.1\r\n\r\n".encode())
+            return json.loads(response.body)
 
         for name in ("a", "b"):
-            assert (await send_request(port, order(**entry(name)))).code == 200
+            assert (await send_request(port, control_order(**entry(name)))).code == 200
         complete = await get()
         assert complete["snapshot"] and [one["name"] for one in complete["endpoints"]] == ["a", "b"]
         assert (await get("?after=2&wait_ms=1"))["endpoints"] == []
@@ -199,11 +206,11 @@
         writer.write(b"GET /api/targets?after=2&wait_ms=60000 HTTP/1.1\r\n\r\n")
         while not directory.watches:
             await asyncio.sleep(0.001)
-        await send_request(port, order(name="a", status="DRAINING"))
+        await send_request(port, control_order(name="a", status="DRAINING"))
         async with asyncio.timeout(WAIT_TIMEOUT_S):
             notified = json.loads((await read_message(reader)).body)
         assert notified == {"index": 3, "snapshot": False, "endpoints": [entry("a", "DRAINING")]}
-        await send_request(port, order(name="b", status="DELETED"))
+        await send_request(port, control_order(name="b", status="DELETED"))
         assert [one["name"] for one in (await get())["endpoints"]] == ["a"]
         writer.close()
 
@@ -214,26 +221,29 @@
     return {"what": what, "at": int(seconds * NS_PER_S), **fields}
 
 
-def sent(ident, seconds=1.0, cls="assign"):
-    return at(seconds, "asked", id=ident, cls=cls, deadline=2.0)
+def sent(request_id, seconds=1.0, class_name="assign"):
+    return at(seconds, "asked", id=request_id, cls=class_name, deadline=2.0)
 
 
-def answered(ident, seconds=1.5, outcome="served", body=None, cls="assign"):
-    body = f"n:{ident}" if body is None else body
-    return at(seconds, "answered", id=ident, cls=cls, outcome=outcome, body=body, took=0.5)
+def answered(request_id, seconds=1.5, outcome="served", body=None, class_name="assign"):
+    body = f"n:{request_id}" if body is None else body
+    return at(seconds, "answered", id=request_id, cls=class_name, outcome=outcome, body=body, took=0.5)
 
 
-def node_did(ident, seconds=1.2, cls="assign"):
-    return [at(seconds, "taken", id=ident, cls=cls), at(seconds + 0.1, "ran", id=ident, cls=cls)]
+def node_ran(request_id, seconds=1.2, class_name="assign"):
+    return [
+        at(seconds, "taken", id=request_id, cls=class_name),
+        at(seconds + 0.1, "ran", id=request_id, cls=class_name),
+    ]
 
 
-FINE = {
+VALID_EVENTS = {
     "clients": [sent("a"), answered("a"), sent("z", 9.0), answered("z", 9.5, "refused", "")],
-    "n": node_did("a"),
+    "n": node_ran("a"),
     "m": [],
     "directory": [at(0.5, "told", entries={"n": "SERVING", "m": "SERVING"})],
 }
-WRONG = {  # what is written down beside what is fine, the rule that is broken, and what the finding names
+VIOLATIONS = {  # the events added to VALID_EVENTS, the broken rule, and a part of the finding
     "no answer": ({"clients": [sent("b")]}, "one final answer", "request b: 0 answers"),
     "two answers": (
         {"clients": [sent("b"), answered("b", 1.5, "refused"), answered("b", 1.6, "refused")]},
@@ -247,14 +257,14 @@
         "request b: failed after 2.200 of 2 s",
     ),
     "ran twice": (
-        {"clients": [sent("b"), answered("b")], "n": node_did("b"), "m": node_did("b", 1.3)},
+        {"clients": [sent("b"), answered("b")], "n": node_ran("b"), "m": node_ran("b", 1.3)},
         "no repeat beyond the class",
         "request b was accepted 2 times: n at 1200000000, m at 1300000000",
     ),
     "drain not kept": (
         {
             "clients": [sent("b", 9.0), answered("b", 9.5)],
-            "n": node_did("b", 9.2),
+            "n": node_ran("b", 9.2),
             "directory": [at(6.0, "told", entries={"n": "DRAINING"})],
         },
         "drains kept",
@@ -263,7 +273,7 @@
     "drain told again": (
         {
             "clients": [sent("b", 9.0), answered("b", 9.5)],
-            "n": node_did("b", 9.2),
+            "n": node_ran("b", 9.2),
             "directory": [at(t, "told", entries={"n": "DRAINING"}) for t in (6.0, 8.9)],
         },
         "drains kept",
@@ -272,7 +282,7 @@
     "gone, by a whole list without it": (
         {
             "clients": [sent("b", 9.0), answered("b", 9.5)],
-            "n": node_did("b", 9.2),
+            "n": node_ran("b", 9.2),
             "directory": [at(6.0, "told", entries={"m": "SERVING"}, whole=True)],
         },
         "drains kept",
@@ -304,71 +314,71 @@
         "which no node made",
     ),
 }
-RIGHT = {
+VALID_ADDITIONS = {  # events added to VALID_EVENTS that break no rule
     "a repeat that was dropped": {
         "clients": [sent("b"), answered("b")],
-        "n": [*node_did("b"), at(1.4, "dropped", id="b", cls="assign")],
+        "n": [*node_ran("b"), at(1.4, "dropped", id="b", cls="assign")],
     },
     "within the grace": {
         "clients": [sent("b", 8.0), answered("b", 8.4)],
-        "n": node_did("b", 8.2),
+        "n": node_ran("b", 8.2),
         "directory": [at(6.0, "told", entries={"n": "DRAINING"})],
     },
     "after the drain's end": {
         "clients": [sent("b", 9.0), answered("b", 9.5)],
-        "n": node_did("b", 9.2),
+        "n": node_ran("b", 9.2),
         "directory": [at(t, "told", entries={"n": s}) for t, s in ((6.0, "DRAINING"), (8.0, "SERVING"))],
     },
-    "a client that left": {"clients": [sent("b"), answered("b", 1.1, "left", "")], "n": node_did("b")},
+    "a client that left": {"clients": [sent("b"), answered("b", 1.1, "left", "")], "n": node_ran("b")},
     "an execution of what may run again": {
-        "clients": [sent("b", 1.0, "lookup"), answered("b", cls="lookup")],
-        "n": [*node_did("b", 1.2, "lookup"), *node_did("b", 1.3, "lookup")],
+        "clients": [sent("b", 1.0, "lookup"), answered("b", class_name="lookup")],
+        "n": [*node_ran("b", 1.2, "lookup"), *node_ran("b", 1.3, "lookup")],
     },
 }
 
 
-def judged(more):
-    events = {name: [*known, *more.get(name, [])] for name, known in FINE.items()}
+def judge_with(added):
+    events = {name: [*valid, *added.get(name, [])] for name, valid in VALID_EVENTS.items()}
     nodes = {name: events[name] for name in ("n", "m")}
-    means = {"memory_mb": 192, "sockets": 1024}
-    run_events = RunEvents([events["clients"]], nodes, events["directory"], more.get("stage", []))
-    return judge(run_events, ["assign"], means)
+    resource_limits = {"memory_mb": 192, "sockets": 1024}
+    run_events = RunEvents([events["clients"]], nodes, events["directory"], added.get("stage", []))
+    return judge(run_events, ["assign"], resource_limits)
 
 
-@pytest.mark.parametrize("name", WRONG)
-def test_the_judge_convicts_with_evidence(name):
-    more, rule, text = WRONG[name]
-    findings = judged(more).findings
+@pytest.mark.parametrize("name", VIOLATIONS)
+def test_the_judge_reports_each_violation_with_evidence(name):
+    added, rule, text = VIOLATIONS[name]
+    findings = judge_with(added).findings
     assert [finding.rule for finding in findings] == [rule] and text in findings[0].text
 
 
-@pytest.mark.parametrize("name", [None, *RIGHT])
-def test_the_judge_convicts_nobody_else(name):
-    report = judged(RIGHT.get(name, {}))
+@pytest.mark.parametrize("name", [None, *VALID_ADDITIONS])
+def test_the_judge_reports_nothing_about_valid_runs(name):
+    report = judge_with(VALID_ADDITIONS.get(name, {}))
     assert not report.findings
     assert report.by_class["assign"]["asked"] == report.by_class["assign"].total() / 2
 
 
-def test_clients_see_a_second_answer_and_the_judge_convicts_it(tmp_path):
+def test_clients_record_a_second_response_and_the_judge_reports_it(tmp_path):
     async def play():
-        async def twice(message, reader, writer):
-            ident = message.headers["x-request-id"]
+        async def respond_twice_to_the_third(message, reader, writer):
+            request_id = message.headers["x-request-id"]
             writer.write(http_response(503) + (http_response(503) if len(fake.received) == 3 else b""))
-            seen.append(ident)
+            request_ids.append(request_id)
 
-        seen = []
-        fake = await FakePeer(twice).start()
+        request_ids = []
+        fake = await FakePeer(respond_twice_to_the_third).start()
         event_log = EventLog(tmp_path / "clients")
         clients = ClientLoad([RequestClass("assign", 1.0, Idempotency.NON_IDEMPOTENT, 2.0)], 100.0, 5)
         load = LoadGenerator((HOST, fake.port), clients, 1, event_log)
         await load.run(0.3)
         event_log.close()
-        return seen
+        return request_ids
 
-    seen = run(play())
+    request_ids = run(play())
     report = judge(RunEvents([list(read_events(tmp_path / "clients"))], {"n": []}), ["assign"])
-    assert len(seen) > 3
-    assert [finding.text.split(":")[0] for finding in report.findings] == [f"request {seen[2]}"]
+    assert len(request_ids) > 3
+    assert [finding.text.split(":")[0] for finding in report.findings] == [f"request {request_ids[2]}"]
     assert "2 answers" in report.findings[0].text
 
 
@@ -381,7 +391,7 @@
         list(read_events(path))
 
 
-def test_the_demo_plays_to_its_end_and_every_rule_is_kept(tmp_path):
+def test_the_demo_runs_to_its_end_and_keeps_every_rule(tmp_path):
     done = subprocess.run(
         [sys.executable, "-m", "ochreflow.cli", "demo", "--seconds", "6", "--keep", str(tmp_path / "kept")],
         cwd=ROOT,
@@ -407,21 +417,21 @@
             return send_request(port, f"GET /api/targets{query} HTTP/1.1\r\n\r\n".encode())
 
         for number in range(6):
-            await send_request(port, order(name=f"n{number}", address=f"{HOST}:1", status="SERVING"))
-        await send_request(port, order(manners={"per_second": 50.0, "room": 2, "keeps": 3}))
-        codes = sorted(got.code for got in await asyncio.gather(*(get() for _ in range(5))))
+            await send_request(port, control_order(name=f"n{number}", address=f"{HOST}:1", status="SERVING"))
+        await send_request(port, control_order(manners={"per_second": 50.0, "room": 2, "keeps": 3}))
+        codes = sorted(response.code for response in await asyncio.gather(*(get() for _ in range(5))))
         assert codes == [200, 200, 200, 503, 503]
         assert not json.loads((await get("?after=4&wait_ms=9")).body)["snapshot"]
-        assert json.loads((await get("?after=1&wait_ms=9")).body)["snapshot"]  # too long ago
-        await send_request(port, order(manners={"resets": 1.0}))
+        assert json.loads((await get("?after=1&wait_ms=9")).body)["snapshot"]  # no longer kept
+        await send_request(port, control_order(manners={"resets": 1.0}))
         with pytest.raises((OSError, EOFError, AssertionError)):
             await get()
-        await send_request(port, order(manners={"late": 0.2}))
+        await send_request(port, control_order(manners={"late": 0.2}))
         watch = asyncio.create_task(get("?after=6&wait_ms=60000"))
         while not directory.watches:
             await asyncio.sleep(0.001)
-        await send_request(port, order(name="n1", status="DRAINING"))
-        assert directory.watches  # nobody has been told yet
+        await send_request(port, control_order(name="n1", status="DRAINING"))
+        assert directory.watches  # the notification is still delayed
         assert json.loads((await watch).body)["endpoints"][0]["status"] == "DRAINING"
 
     run(play())
@@ -430,17 +440,17 @@
 @pytest.mark.parametrize("form", ["extra", "interim", "cut", "garbled", "stalled"])
 def test_a_node_sends_the_malformed_response_that_was_ordered(tmp_path, form):
     async def steps(node, port):
-        await send_request(port, order(spoil=1.0, form=form))
+        await send_request(port, control_order(spoil=1.0, form=form))
         reader, writer = await asyncio.open_connection(HOST, port)
         writer.write(request("a"))
-        while not (seen := kinds(read_events(tmp_path / "node.jsonl")))["ran"]:
+        while not (counts := count_kinds(read_events(tmp_path / "node.jsonl")))["ran"]:
             await asyncio.sleep(0.005)
-        assert seen["taken"] == 1
+        assert counts["taken"] == 1
         writer.write_eof()
         async with asyncio.timeout(WAIT_TIMEOUT_S):
-            got = await reader.read()
+            response = await reader.read()
         starts = {"interim": b"HTTP/1.1 103", "garbled": b"HTP"}
-        assert got.startswith(starts.get(form, b"HTTP/1.1 200 OK"))
+        assert response.startswith(starts.get(form, b"HTTP/1.1 200 OK"))
         ends = {
             "extra": b"!",
             "interim": b"n:a",
@@ -448,13 +458,13 @@
             "cut": b"\r\n\r\nn",
             "stalled": b"\r\n\r\nn",
         }
-        assert got.endswith(ends[form])
+        assert response.endswith(ends[form])
         writer.close()
 
-    with_node(tmp_path, steps)
+    run_with_node(tmp_path, steps)
 
 
-def test_a_node_holds_no_more_connections_than_it_may(tmp_path):
+def test_a_node_refuses_connections_beyond_its_limit(tmp_path):
     async def steps(node, port):
         first = await asyncio.open_connection(HOST, port)
         first[1].write(request("a"))
@@ -468,21 +478,21 @@
         assert (await read_message(first[0])).body == b"n:c"
         first[1].close()
 
-    assert kinds(with_node(tmp_path, steps, max_connections=1))["taken"] == 2
+    assert count_kinds(run_with_node(tmp_path, steps, max_connections=1))["taken"] == 2
 
 
 def test_clients_disconnect_are_slow_and_retry_after_a_rejection(tmp_path):
     async def play():
-        async def turns(message, reader, writer):
+        async def reject_two_attempts(message, reader, writer):
             first = message.headers["x-request-id"].split("-")[0]
-            tries.setdefault(first, []).append(message)
-            if len(tries[first]) < 3:
+            attempts.setdefault(first, []).append(message)
+            if len(attempts[first]) < 3:
                 writer.write(b"HTTP/1.1 503 No\r\nRetry-After: 0.01\r\nContent-Length: 0\r\n\r\n")
             else:
                 writer.write(http_response(200, b"n:x"))
 
-        tries = {}
-        fake = await FakePeer(turns).start()
+        attempts = {}
+        fake = await FakePeer(reject_two_attempts).start()
         event_log = EventLog(tmp_path / "clients")
         profile = ClientProfile(
             slow_share=0.3, large_body_share=0.3, large_body_bytes=50_000, cost_hint_share=1.0, max_attempts=3
@@ -493,20 +503,21 @@
         load = LoadGenerator((HOST, fake.port), clients, 1, event_log)
         await load.run(0.4)
         event_log.close()
-        return tries, load
+        return attempts, load
 
-    tries, load = run(play())
-    assert len(tries) > 10 and all(len(messages) == 3 for messages in tries.values())
-    assert load.outcomes["served"] == len(tries) and load.outcomes["refused"] == 2 * len(tries)
-    for messages in tries.values():
+    attempts, load = run(play())
+    assert len(attempts) > 10 and all(len(messages) == 3 for messages in attempts.values())
+    assert load.outcomes["served"] == len(attempts) and load.outcomes["refused"] == 2 * len(attempts)
+    for messages in attempts.values():
         assert [message.headers.get("x-retry") for message in messages] == [None, "1", "1"]
         assert len({message.headers["x-request-id"] for message in messages}) == 3
         assert len({message.headers["idempotency-key"] for message in messages}) == 1
-        waits = [int(message.headers["x-deadline"][:-1]) for message in messages]
-        assert waits == sorted(waits, reverse=True) and waits[2] < 2000
+        deadlines_ms = [int(message.headers["x-deadline"][:-1]) for message in messages]
+        assert deadlines_ms == sorted(deadlines_ms, reverse=True) and deadlines_ms[2] < 2000
         assert int(messages[0].headers["x-cost-hint"]) > 1000
-    assert any(len(messages[0].body) > 50_000 for messages in tries.values())
+    assert any(len(messages[0].body) > 50_000 for messages in attempts.values())
     report = judge(RunEvents([list(read_events(tmp_path / "clients"))], {"n": []}), [])
     assert (
-        len(report.logical_requests["a"]) == len(tries) and None not in report.logical_requests["a"].values()
+        len(report.logical_requests["a"]) == len(attempts)
+        and None not in report.logical_requests["a"].values()
     )
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios on the whole program: a good build keeps every rule, each sabotaged one breaks its own."""
+"""Scenarios with the complete program: an unchanged build keeps all rules, a mutated one breaks its own."""
 
 import json
 import shutil
@@ -16,44 +16,44 @@
 from ochreflow.lab.scenario import Burst, Scenario, ScenarioError, rate_factor, read_scenario, scenario_names
 
 PROGRAM = Path(ochreflow.__file__).parent
-AT_ONCE = 3  # builds that play beside each other, a process each
-KINDS = {
+PARALLEL_RUNS = 3  # one process each
+REQUEST_CLASSES = {
     "exposure": {"share": 0.7, "work": 0.045, "repeat": "keyed", "deadline": 2.0},
     "assign": {"share": 0.3, "work": 0.03, "repeat": "unsafe", "deadline": 2.0},
 }
 
 
 def scenario(seconds, rate, nodes, *steps, **fleet):
-    given = {
+    spec = {
         "says": "of a test",
-        "kinds": KINDS,
+        "kinds": REQUEST_CLASSES,
         "seconds": seconds,
         "load": {"rate": rate},
         "fleet": {"nodes": nodes, **fleet},
         "steps": [dict(zip(("at", "do", "nodes", "much"), step, strict=False)) for step in steps],
     }
-    return msgspec.convert(given, Scenario)
+    return msgspec.convert(spec, Scenario)
 
 
-TROUBLED = scenario(5.0, 60, 4, (0.1, "swallow", [1]), (0.3, "fail", [2], 0.7), (0.6, "well", [1, 2]))
+FAULTY_NODES = scenario(5.0, 60, 4, (0.1, "swallow", [1]), (0.3, "fail", [2], 0.7), (0.6, "well", [1, 2]))
 DRAINED = scenario(5.0, 40, 3, (0.1, "drain", [1]))
-KILLED = scenario(  # nodes that hold a good deal die one after the other
+KILLED = scenario(  # nodes with many requests in process die one after the other
     6.0,
     60,
     6,
     (0.05, "slow", [1, 2, 3, 4, 5, 6], 4.0),
     *((at, "vanish", [node]) for at, node in ((0.3, 1), (0.45, 2), (0.6, 3), (0.75, 4))),
 )
-COLD = msgspec.structs.replace(
+COLD_START = msgspec.structs.replace(
     scenario(7.0, 100, 2, (0.1, "gone", [1]), (0.12, "come", [3]), warm_within=60.0, start_capacity=0.05),
     sidecar_count=4,
 )
-SABOTAGE = {  # the rule: where one line is changed, what it becomes, and a scenario in which it matters
+MUTATIONS = {  # by broken rule: the file, the text, its replacement, and a scenario that shows the violation
     "one final answer": (
         "core/request_manager.py",
         "        pending.response_sink.respond(pending.request, response)",
         "        response.answer and pending.response_sink.respond(pending.request, response)",
-        TROUBLED,
+        FAULTY_NODES,
     ),
     "no repeat beyond the class": (
         "policy/safety_rules.py",
@@ -71,14 +71,14 @@
         "policy/safety_rules.py",
         "        return self.slow_start.allows(server, request.class_index, consume=False)",
         "        return bool(server.started) or self.context.random.random() < 0.1",
-        COLD,
+        COLD_START,
     ),
     "within its means": (
         "core/request_manager.py",
         "        self.pending[pending.id] = pending\n",
         "        self.pending[pending.id] = pending\n"
         "        self.__dict__.setdefault('kept', []).append(b'x' * 1_500_000)\n",
-        TROUBLED,
+        FAULTY_NODES,
     ),
     "true answers": (
         "http/response_format.py",
@@ -89,8 +89,8 @@
 }
 
 
-def sabotaged(build_dir, file, old, new):
-    """A copy of the program with one line changed."""
+def mutated_build(build_dir, file, old, new):
+    """Copy the program with one text replaced, and return its directory."""
     shutil.copytree(PROGRAM, build_dir / "ochreflow", ignore=shutil.ignore_patterns("__pycache__"))
     path = build_dir / "ochreflow" / file
     text = path.read_text()
@@ -99,41 +99,44 @@
     return build_dir
 
 
-def test_each_sabotaged_build_is_convicted_and_a_good_one_is_not(tmp_path):
-    """In simulated time (`simulated.py`): a busy machine makes no build late, and excuses none."""
-    assert set(SABOTAGE) == set(RULES)
+def test_each_mutated_build_breaks_its_rule_and_the_unchanged_build_breaks_none(tmp_path):
+    """Runs in simulated time (`simulated.py`), so the load of the machine does not affect the verdicts."""
+    assert set(MUTATIONS) == set(RULES)
 
-    def judged(name, made, program):
+    def run_named(name, tested_scenario, program):
         run_dir = tmp_path / name
         run_dir.mkdir()
-        return name, run_scenario(made, run_dir, 1, program)
-
-    runs = [(f"good {number}", made, None) for number, made in enumerate((TROUBLED, DRAINED, KILLED, COLD))]
-    for number, (rule, (file, old, new, made)) in enumerate(SABOTAGE.items()):
-        runs.append((rule, made, sabotaged(tmp_path / f"program {number}", file, old, new)))
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        result = dict(pool.map(lambda one: judged(*one), runs))
-    for name, run in result.items():
-        if name in SABOTAGE:
+        return name, run_scenario(tested_scenario, run_dir, 1, program)
+
+    runs = [
+        (f"good {number}", tested_scenario, None)
+        for number, tested_scenario in enumerate((FAULTY_NODES, DRAINED, KILLED, COLD_START))
+    ]
+    for number, (rule, (file, old, new, tested_scenario)) in enumerate(MUTATIONS.items()):
+        runs.append((rule, tested_scenario, mutated_build(tmp_path / f"program {number}", file, old, new)))
+    with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
+        results = dict(pool.map(lambda arguments: run_named(*arguments), runs))
+    for name, run in results.items():
+        if name in MUTATIONS:
             assert name in run.broken_rules, name
         else:
             assert not run.findings and not run.crashed, (name, run.findings[:3], run.crashed[:3])
         assert run.requests > 100
 
 
-def test_a_build_that_gives_up_55_ms_after_the_deadline_is_convicted(tmp_path):
-    """The judge allows 50 ms, and nothing is put down to the machine."""
-    file, old, _, made = SABOTAGE["one final answer"]
+def test_a_response_55_ms_after_the_deadline_breaks_the_rule_of_one_final_answer(tmp_path):
+    """The judge allows 50 ms; in simulated time the machine adds no delay."""
+    file, old, _, tested_scenario = MUTATIONS["one final answer"]
     late = """\
-        wait = 0.0 if response.answer else 0.07  # it gives up 15 ms before the deadline
+        wait = 0.0 if response.answer else 0.07  # the program gives up 15 ms before the deadline
         self.loop.call_later(wait, pending.response_sink.respond, pending.request, response)"""
-    run = run_scenario(made, tmp_path, 1, sabotaged(tmp_path / "program", file, old, late))
+    run = run_scenario(tested_scenario, tmp_path, 1, mutated_build(tmp_path / "program", file, old, late))
     assert run.findings and run.broken_rules == {"one final answer"}
     assert all(" after 2.055 of 2 s" in text for _, text in run.findings)
 
 
 @pytest.mark.xdist_group("real-time")
-def test_the_library_is_fine_and_the_command_plays_it(tmp_path):
+def test_the_library_scenarios_are_valid_and_the_command_runs_them(tmp_path):
     assert len(scenario_names()) >= 12
     for name in scenario_names():
         assert read_scenario(name).description
@@ -158,7 +161,7 @@
         ("[", "Invalid"),
     ],
 )
-def test_a_bad_scenario_is_one_line(tmp_path, change, message):
+def test_an_invalid_scenario_gives_a_one_line_error(tmp_path, change, message):
     kinds = '[kinds.a]\nshare = 1\nwork = 0.1\nrepeat = "safe"\n'
     path = tmp_path / "s.toml"
     path.write_text(change if "says" in change or change == "[" else f'says = "x"\n{kinds}{change}')
@@ -171,11 +174,13 @@
     assert done.returncode == 2 and done.stderr.count("\n") == 1
 
 
-def test_the_load_follows_its_shape_and_goodput_counts_what_was_in_time():
-    made = scenario(10.0, 50, 1)
-    load = msgspec.structs.replace(made.load, bursts=(Burst(0.4, 0.5, 2.5),), wave_amplitude=0.5)
-    shaped = msgspec.structs.replace(made, load=load)
+def test_the_rate_follows_wave_and_bursts_and_goodput_counts_requests_in_time():
+    tested_scenario = scenario(10.0, 50, 1)
+    load = msgspec.structs.replace(tested_scenario.load, bursts=(Burst(0.4, 0.5, 2.5),), wave_amplitude=0.5)
+    shaped = msgspec.structs.replace(tested_scenario, load=load)
     assert rate_factor(shaped, 0.0) == 1.5 and rate_factor(shaped, 5.0) == 0.5
     assert rate_factor(shaped, 4.5) / rate_factor(shaped, 5.5) == pytest.approx(2.5)
     counts = {"wanted": 10, "in_time": 5}
-    assert weighted_goodput(made, {"exposure": counts, "assign": {"wanted": 0, "in_time": 0}}) == 0.5
+    assert (
+        weighted_goodput(tested_scenario, {"exposure": counts, "assign": {"wanted": 0, "in_time": 0}}) == 0.5
+    )
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from test_scenarios import COLD, DRAINED, KILLED, SABOTAGE, TROUBLED, sabotaged
+from test_scenarios import COLD_START, DRAINED, FAULTY_NODES, KILLED, MUTATIONS, mutated_build
 
 from ochreflow.core import attempt_manager, request_manager
 from ochreflow.lab.scenario import read_scenario, scenario_names
@@ -10,7 +10,7 @@
 from ochreflow.simulation.policy_loader import load_policy
 from ochreflow.simulation.simulation import Simulation, simulate
 
-RULES_OF_THE_MODULE = [rule for rule, (file, *_) in SABOTAGE.items() if file.startswith("policy/")]
+RULES_OF_THE_MODULE = [rule for rule, (file, *_) in MUTATIONS.items() if file.startswith("policy/")]
 
 
 @pytest.mark.parametrize("name", scenario_names())
@@ -31,10 +31,10 @@
 
 @pytest.mark.parametrize("rule", RULES_OF_THE_MODULE)
 def test_a_sabotaged_module_breaks_its_rule(rule, tmp_path):
-    file, old, new, scenario = SABOTAGE[rule]
+    file, old, new, scenario = MUTATIONS[rule]
     for seed in range(1, 9):  # several seeds, as violations may depend on chance
         assert simulate(scenario, seed).outcome == 0
-    build_dir = sabotaged(tmp_path, file, old, new)
+    build_dir = mutated_build(tmp_path, file, old, new)
     broken_rules = {
         finding.rule
         for seed in range(1, 9)
@@ -55,7 +55,7 @@
     assert simulated_sidecar.WATCHDOG_MARGIN_NS == request_manager.WATCHDOG_MARGIN_NS
 
 
-@pytest.mark.parametrize("scenario", [TROUBLED, DRAINED, KILLED, COLD])
+@pytest.mark.parametrize("scenario", [FAULTY_NODES, DRAINED, KILLED, COLD_START])
 def test_the_offered_load_depends_on_the_seed_but_not_on_the_nodes(scenario):
     """Slower nodes give fewer responses, but clients send the same requests."""
     first = simulate(scenario, 2).report.logical_requests
