--- a/tests/test_duplicate_machine.py
+++ b/tests/test_duplicate_machine.py
@@ -74,7 +74,7 @@
         self.shut_down = False
 
     def teardown(self):
-        if hasattr(self, "stage"):
+        if hasattr(self, "simulation"):
             for request in self.unfinished():  # a request with an incomplete body gets no response
                 self.simulation.disconnect_client(request)
             self.simulation.finish()
