--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -42,7 +42,7 @@
 
 # Greatest Retry-After of a rejection, as a share of the remaining time: the client's retry has the rest.
 RETRY_AFTER_SHARE = 0.5
-MIN_RETRY_AFTER_JITTER = 0.5  # least share of it after jitter, so that rejected clients don't return together
+MIN_RETRY_AFTER_JITTER = 0.5  # least share of Retry-After after jitter; clients must not return together
 MAX_TIMER_TOKEN = 0xFFFFFFFF
 
 
@@ -73,7 +73,7 @@
         )
         self.retry_policy = RetryPolicy(context, self.latency, self.safety_rules)
         self.pending: dict[int, RequestState] = {}
-        self.timer_due_ns = self.timer_token = 0  # of the timer that was set last; 0: none is set
+        self.timer_due_ns = self.timer_token = 0  # due time and token of the latest timer; 0: none is set
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
         """Handle one event at the given time; return the actions to take, in order."""
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -13,7 +13,8 @@
 from .state_records import SECOND, Context, RequestState, Server
 from .tenant_quota import TenantQuotas
 
-# Target latency as a share of the objective; with a mean of half of it about one answer in eight is late.
+# Target latency as a share of the objective: if the mean is half the objective, about one answer in eight is
+# late.
 TARGET_OBJECTIVE_SHARE = 0.45
 TARGET_BASELINES = 1.4  # least target latency in baselines, for objectives not much longer than the baseline
 REJECTION_PRESSURE = 2.0  # sample that a rejection counts as: short queues fill before latency shows it
@@ -26,21 +27,22 @@
 # Greatest target latency as a share of the objective: a baseline learned in a collapse must not raise it.
 MAX_TARGET_OBJECTIVE_SHARE = 0.6
 UPDATE_INTERVAL = 0.1  # shortest deadlines between updates of the limit
-UPDATE_STEP = 0.2  # share of the way to the target that one update goes: its answers alone are noisy
-MIN_GRADIENT = 0.5  # late answers reflect the concurrency of some time ago
+UPDATE_STEP = 0.2  # share of the way to the target in one update, whose few answers are noisy
+MIN_GRADIENT = 0.5  # least factor on the limit: late answers reflect the concurrency of some time ago
 # Pressure below which requests do not queue: a limit that rejects requests there grows in proportion.
 PROBING_PRESSURE = 0.5
-MAX_GRADIENT = 4.0  # other sidecars may be raising their limits too
+MAX_GRADIENT = 4.0  # greatest factor on the limit: other sidecars may be raising their limits too
 # Ceiling in the first shortest deadline, a multiple of the peak in flight plus the ready servers.
 UNTESTED_HEADROOM = 4.0
-# Ceiling after that: a multiple of the requests that recent answers keep in flight at the target latency,
+# Factor, in the ceiling after that, on the requests that recent answers keep in flight at the target latency.
 SURGE_FACTOR = 2.0
-SURGE_ALLOWANCE = 4.0  # plus this many requests, for sidecars that rarely send,
-IDLE_SERVER_ALLOWANCE = 2.0  # plus this many for each ready server, divided among all sidecars.
+SURGE_ALLOWANCE = 4.0  # requests added to that ceiling, for sidecars that rarely send
+# Requests added to that ceiling for each ready server, divided among all sidecars.
+IDLE_SERVER_ALLOWANCE = 2.0
 # Least limit, in requests for each ready server, divided among all sidecars: enough to notice a recovery.
 MIN_LIMIT_PER_SERVER = 0.5
 PEAK_DECAY = 0.95  # factor, for each update, on the recent peak of requests in flight
-# Factor on the goal's weight of the worst-served class: from a weight of 1/4 on, all classes are shed alike.
+# Factor on the weight of the worst-served class in the goal: at 1/4 or more, all classes are shed alike.
 CLASS_EQUALIZATION = 4.0
 # Least probability of admission for a request when none is in flight, to notice a recovery.
 MIN_ADMIT_PROBABILITY = 0.2
@@ -121,7 +123,7 @@
             request.age = spec.deadline_ns - remaining_ns
             in_time = _likelihood(spec.objective_ns - request.age, baseline)
         elif event.is_retry and spec.deadline_ns > client_timeout_ns:
-            # Its time is not shortened: it may have any age up to the deadline less the client timeout.
+            # The retry's time is not shortened: its age may be anything up to the deadline less the timeout.
             in_time = min(
                 max(spec.objective_ns - baseline, 0.0) / (spec.deadline_ns - client_timeout_ns), 1.0
             )
@@ -206,7 +208,7 @@
     def _update_class_shares(self) -> None:
         densities = [self.value_density(class_index) for class_index in range(len(self.latency.baseline))]
         highest = max(densities) or 1.0  # the weights of all classes may be 0
-        # The class that is shed first soon is the worst-served one, which the goal may weigh separately.
+        # The class that is shed first soon becomes the worst-served one, which the goal may weigh separately.
         equalization = min(CLASS_EQUALIZATION * self.context.settings.goal_worst_class, 1.0)
         min_share = MIN_CLASS_SHARE + (1.0 - MIN_CLASS_SHARE) * equalization
         self.class_share = [min_share + (1.0 - min_share) * density / highest for density in densities]
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -17,7 +17,7 @@
 SMOOTHING = 0.08
 # Half-life of an estimate's distance to the mean, in mean gaps between answers of one server.
 ESTIMATE_HALF_LIFE_GAPS = 20.0
-# Half-life, in shortest deadlines, of what a latency says about the queue that other sidecars cause.
+# Half-life of an estimate, in shortest deadlines, as a sign of the queue that other sidecars cause.
 STALE_HALF_LIFE = 4.0
 # Exponent of the ratio of two servers' speeds in the odds of the faster one, while their estimates are stale.
 STALE_ODDS_EXPONENT = 2.0
@@ -27,12 +27,13 @@
 MAX_BIAS_EXCESS = 3.0  # class means that one late answer counts at most
 # Keeps weights between e^-3 and e^3: without any traffic a group's recovery would go unnoticed.
 MAX_BIAS = 3.0
-# Objectives of latency for each unit of the price of crossing zones; it applies when zones are equally fast.
+# Objectives of latency, in a group's bias, for each unit of `Settings.price_cross_zone`; it applies even when
+# zones are equally fast.
 BIAS_CROSS_ZONE_WEIGHT = 3.0
 # Half-life of a load report in shortest deadlines, and the age up to which it is used.
 LOAD_REPORT_HALF_LIFE = 0.5
 GROUP_SMOOTHING = 0.1  # weight of a new sample in a group's means; the first answers count equally
-CROSS_ZONE_WEIGHT = 4.0  # objectives of delay for each unit of the price of crossing zones
+CROSS_ZONE_WEIGHT = 4.0  # objectives of delay for each unit of `Settings.price_cross_zone`
 PAIR = 2  # servers that are compared
 
 
@@ -116,7 +117,7 @@
         return relative_latency
 
     def silence_ns(self, server: Server) -> float:
-        """Return for how many ns a server has not answered with attempts in flight: it shows a hang early."""
+        """Return the ns that a server with attempts in flight has been silent: an early sign of a hang."""
         if not server.in_flight:
             return 0.0
         return self.context.now - max(next(iter(server.in_flight.values()))[0], server.last_alive_at)
@@ -124,7 +125,7 @@
     def record_load_report(
         self, server: Server, report: tuple[float, ...], relative_latency: float = 0.0
     ) -> None:
-        """Record a load report, and the relative latency of the answer that carried it; 0: a health check."""
+        """Record a load report and the relative latency of the answer with it; 0 for a health check."""
         column = self.load_column
         if column is None or len(report) <= column or not 0.0 <= (load := report[column]) < math.inf:
             return
@@ -141,7 +142,7 @@
             ) + SMOOTHING * (latency_per_request - (server.latency_per_request or group.latency_per_request))
 
     def pick(self, request: RequestState) -> Server | None:
-        """Return the sampled server with the lowest delay, preferably one not tried yet; None: there is none.
+        """Return the sampled server with the lowest delay, preferably one not tried yet, or None.
 
         Except with low traffic, two local servers compete with two remote ones plus the cross-zone penalty.
         """
@@ -156,7 +157,7 @@
                     best, lowest = server, delay
             if best is not None:
                 return best
-        for server in self.endpoints.ejected:  # the last resort: one of them may have recovered
+        for server in self.endpoints.ejected:  # last resort: an ejected server may have recovered
             if not server.half_open_in_flight and self.safety_rules.may_send(request, server):
                 return server
         return None
@@ -170,8 +171,9 @@
                 (server, cross_zone_penalty_ns)
                 for server in self.sample_pair(self.endpoints.remote, request, tried)
             ]
-        # There are too few answers to detect an overloaded zone or kind by its single servers: sample two by
-        # weights that follow the latency of each group. The weights include the price of crossing zones.
+        # Single servers answer too seldom to show that their zone or kind is overloaded: sample two by
+        # weights that follow the latency of their groups. The weights include `Settings.price_cross_zone`, so
+        # no penalty is added.
         for servers in (self.endpoints.local + self.endpoints.remote, self.endpoints.outside_subset):
             eligible = [
                 server
@@ -196,13 +198,13 @@
         return math.exp(self.group(server).weight_bias) * sampling_weight
 
     def group(self, server: Server) -> EndpointGroup:
-        """Return the group of a server: those of its kind that are local, or remote, like it."""
+        """Return the group of a server: the servers of its kind that are local or remote as it is."""
         return self.groups[(server.kind, server.zone != self.context.settings.zone)]
 
     def update_weight_bias(self, server: Server, relative_latency: float) -> None:
         """Raise the weight of groups that answer faster than the mean, as in integral control.
 
-        Without it, a zone with too much traffic or a slow kind is overloaded within the first seconds.
+        Without this bias, a zone with too much traffic or a slow kind is overloaded within the first seconds.
         """
         group = self.group(server)
         group.samples += 1
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -15,9 +15,9 @@
 REQUEST_RATE_DEADLINES = 5.0  # shortest deadlines over which the request rate is averaged
 
 # Spans over which the sidecars spread their polls, as shares of the polling interval.
-MIN_POLL_SPREAD = 0.05  # of the first poll, at least
-POLL_SPREAD_PER_SIDECAR = 0.007  # of the first poll, for each sidecar: one service serves all of them
-MAX_POLL_SPREAD = 0.6  # the span doubles with each failure up to this
+MIN_POLL_SPREAD = 0.05  # least span of the first poll
+POLL_SPREAD_PER_SIDECAR = 0.007  # span of the first poll for each sidecar: one service serves all of them
+MAX_POLL_SPREAD = 0.6  # greatest span; it doubles with each failure
 # Least delay before a poll, as a share of the span.
 MIN_POLL_DELAY = 0.1  # gives a failing registry a pause
 MIN_STEADY_POLL_DELAY = 0.75  # once the span no longer grows: polls are spread by then, and fewer are enough
@@ -55,7 +55,7 @@
     def rebuild(self) -> None:
         """Rebuild the lists to sample from, after a server has changed its state."""
         for server in [s for s in self.servers.values() if not s.listed and not s.in_flight]:
-            del self.servers[server.id]  # or memory would grow with every server ever listed
+            del self.servers[server.id]  # otherwise memory would grow with every server ever listed
         ready = [server for server in self.servers.values() if server.ready and server.listed]
         self.ready_count = len(ready)
         self.ejected = [server for server in ready if server.ejected]
@@ -63,7 +63,8 @@
         local = [server for server in ready if server.zone == own_zone and not server.ejected]
         remote = [server for server in ready if server.zone != own_zone and not server.ejected]
         size = self.subset_size = self.needed_subset_size()
-        # Where servers outnumber sidecars, each sidecar is much of a server's load, however little it sends.
+        # Where servers outnumber sidecars, each sidecar is a large part of a server's load, even if it sends
+        # little.
         self.low_traffic = size < len(ready) < self.context.settings.fleet_size
         if self.low_traffic:
             local.sort(key=lambda server: server.rank)  # keeps the same servers while they are healthy
@@ -140,9 +141,9 @@
     def schedule_poll(self) -> None:
         """Schedule the next poll, within a span that spreads the polls of all sidecars.
 
-        When all polled at once, discovery also worked on polls that had timed out, and no sidecar got a list.
-        Discovery may have recovered as soon as the failed poll began: the duration of that poll, the span and
-        an answer must fit into LIST_DEADLINE_NS plus the drain grace.
+        If all polled at once, discovery would also work on polls that have timed out, and no sidecar would
+        get a list. Discovery may have recovered as soon as the failed poll began: the duration of that poll,
+        the span and an answer must fit into LIST_DEADLINE_NS plus the drain grace.
         """
         settings, poll_duration_ns = self.context.settings, self.context.now - self.poll_started_at
         if not settings.polling_required:
--- a/ochreflow/policy/outcome_recorder.py
+++ b/ochreflow/policy/outcome_recorder.py
@@ -21,7 +21,7 @@
 # Least sample for a rejection: a full server is alive, but should get less for a while.
 REJECTION_SAMPLE = 3.0
 MAX_SAMPLE = 10.0  # one request in the long tail must not rule out a server
-STALE_SAMPLE_HALF_LIFE = 3.0  # shortest deadlines after which an estimate has half its weight
+STALE_SAMPLE_HALF_LIFE = 3.0  # shortest deadlines after which an old estimate has half its weight
 SUCCESS_RATE_SMOOTHING = 0.1  # weight of one answer in the success rate of its server
 
 
@@ -52,7 +52,7 @@
     def update_estimates(
         self, server: Server, sent_at: int, class_index: int, event: Outcome, *, presumed_lost: bool
     ) -> None:
-        """Update the estimates with the outcome of an attempt of a class that was sent at `sent_at` ns."""
+        """Update the estimates with the outcome of an attempt that was sent at `sent_at` ns."""
         status = event.status
         if server.ejected:
             server.half_open_in_flight = False
@@ -107,7 +107,8 @@
         if timed_out and server.last_alive_at > sent_at and not presumed_lost:
             self.limiter.record_latency(server, class_index, event.duration_ns)
         if not timed_out:
-            # With less than one request to a server in a deadline, a second failure would come too late.
+            # If each server gets less than one request in a shortest deadline, a second failure would come
+            # more than a deadline later, so the first failed connection ejects the server.
             low_rate = (
                 latency.answer_rate * self.context.shortest_deadline_ns < self.endpoints.ready_count * SECOND
             )
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -27,9 +27,11 @@
 BASE_EJECTION_DEADLINES = 1.0  # shortest deadlines until the first half-open request
 EJECTION_GROWTH = 2.0  # factor on the wait for each further half-open request
 MAX_EJECTION_FACTOR = 8.0  # limit of the wait, in first waits
-EJECTION_JITTER = 0.3  # share of the wait, either way: sidecars must not try a server at the same time
-MAX_EJECTED_SHARE = 0.7  # of the ready servers, for failures; with more, this sidecar may be at fault
-MAX_EJECTED_SHARE_ON_SILENCE = 0.34  # for missing answers alone; if a third is silent, the cause is load
+EJECTION_JITTER = 0.3  # share of the wait, plus or minus: sidecars must not try a server at the same time
+# Limit, for failures, on the ejected share of the ready servers; if more fail, this sidecar may be at fault.
+MAX_EJECTED_SHARE = 0.7
+# The same limit for missing answers alone; if a third of the servers is silent, the cause is load.
+MAX_EJECTED_SHARE_ON_SILENCE = 0.34
 # Least success rate of an ejected server that is used in overload: with less, it does more harm than good.
 MIN_FALLBACK_SUCCESS_RATE = 0.5
 
@@ -52,7 +54,7 @@
         self.has_idempotent_class = any(spec.effect is Effect.IDEMPOTENT for spec in classes)
 
     def record_failure(self, server: Server, weight: float, max_share: float) -> None:
-        """Count a failure with its weight; eject the server if at most `max_share` of all are out then."""
+        """Count a failure with its weight; eject the server unless more than `max_share` would be ejected."""
         server.consecutive_failures += weight
         if server.ejected:
             self.schedule_half_open(server)
@@ -98,17 +100,18 @@
         return None
 
     def readmit(self, server: Server) -> None:
-        """Send to an ejected server again: it has answered."""
+        """Send to an ejected server again, since it has answered."""
         server.ejected = False
         self.endpoints.inflight += server.awaited_count()
         server.relative_latency = min(server.relative_latency, READMITTED_RELATIVE_LATENCY)
         self.endpoints.rebuild()
 
     def presume_lost(self, server: Server, attempt: AttemptKey) -> None:
-        """Stop counting an attempt as in flight once it is overdue twice: its answer is most likely lost.
+        """Stop counting an attempt as in flight: its answer is most likely lost.
 
-        On a network that drops answers, attempts that were never answered filled a shrinking limit until
-        their deadlines, and all requests were rejected.
+        The attempt is unanswered after twice its overdue time, although its server has answered others. On a
+        network that drops answers, such attempts would otherwise fill the shrinking limit until their
+        deadlines, and all requests would be rejected.
         """
         if attempt not in server.presumed_lost:
             self.endpoints.inflight -= not server.ejected
@@ -124,8 +127,8 @@
     def fallback_server(self, request: RequestState) -> Server | None:
         """Return an ejected server for a request that would otherwise be rejected; None if there is none.
 
-        Such a server answers, if often with errors. One that mostly fails or does not answer gets no request,
-        and none gets more requests in flight than the other servers have on average.
+        Such a server answers, though often with errors. A server that mostly fails or does not answer gets no
+        request, and no ejected server gets more requests in flight than the other servers have on average.
         """
         sampled_count = len(self.endpoints.local) + len(self.endpoints.remote)
         max_awaited = max(self.endpoints.inflight / max(sampled_count, 1), 1.0)
--- a/ochreflow/policy/retry_policy.py
+++ b/ochreflow/policy/retry_policy.py
@@ -10,14 +10,14 @@
 
 # Backoffs are shares of the remaining time.
 MIN_BACKOFF_SHARE = 0.004  # a few ticks of a usual deadline, so that a retry leaves the tick of the failure
-BASE_BACKOFF_SHARE = 0.02  # little of the objective, which is a third of the deadline
+BASE_BACKOFF_SHARE = 0.02  # a small part of the objective, which is a third of the deadline
 MAX_BACKOFF_SHARE = 0.25  # leaves later retries time to run
 MAX_BACKOFF_EXPONENT = 6
 # Class means that must remain after the backoff; an answer within less time is very unlikely.
 MIN_USEFUL_CLASS_MEANS = 0.25
 RETRIES_PER_REQUEST = 0.1  # tokens earned per first attempt; bounds amplification when every attempt fails
-REJECTION_RETRY_COST = 0.25  # tokens; rejections by full servers cost them little work
-RETRY_RESERVE_S = 10.0  # seconds of traffic whose tokens may be saved up, for a sudden loss of servers
+REJECTION_RETRY_COST = 0.25  # tokens; a rejection costs a full server little work
+RETRY_RESERVE_S = 10.0  # seconds of traffic whose tokens may be saved for a sudden loss of servers
 
 
 class RetryPolicy:
@@ -40,8 +40,8 @@
     def reserve_retry(self, request: RequestState) -> int | None:
         """Take the tokens for the next retry and return its backoff in ns; None if there is to be no retry.
 
-        The tokens are taken when the retry is scheduled, not when it is sent: else the failed attempts of
-        a lost server would all rely on the same last token.
+        The tokens are taken when the retry is scheduled, not when it is sent: otherwise the failed
+        attempts of a lost server would all rely on the same last token.
         """
         remaining_ns = request.deadline - self.context.now - self.context.settings.tick_ns
         max_share = min(
--- a/ochreflow/policy/slow_start.py
+++ b/ochreflow/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: a token bucket bounds what each sidecar sends to a server that is warming up.
+"""Slow start: a token bucket bounds the requests of each sidecar to a server that is warming up.
 
 All sidecars together may send only a share of the load that overloads the server. The refill rate follows the
 load of warm servers like it, and the server's ramp by the settings. `docs/design/pace.md` has measurements.
@@ -12,7 +12,8 @@
 from .latency import LatencyEstimates
 from .state_records import SECOND, Context, Server
 
-# Share of the load that overloads a server, if the baseline load is taken for its capacity; times its ramp.
+# Refill rate, before the ramp is applied, as a share of the load that overloads a server; the baseline load
+# is taken for the server's capacity.
 OVERLOAD_SHARE = 0.75
 TOKENS_PER_ANSWER = 1.5  # requests earned by each answer, while the load of warm servers is unknown
 # Least refill rate of all sidecars together, times the ramp, as a share of the work of one core.
@@ -82,8 +83,8 @@
     def baseline_load(self, server: Server) -> float:
         """Return the load of a warm server like this one, in requests of mean work a second.
 
-        It is the load of its kind, or of all local or all remote servers while that is unknown. It is less if
-        the cell of the server carries less than its kinds do.
+        This is the load of its kind, or of all local or all remote servers while that is unknown. The load is
+        less if the cell of the server carries less than its kinds do.
         """
         remote = server.zone != self.context.settings.zone
         load = self.kind_loads.get((remote, server.kind), self.zone_loads.get(remote, 0.0))
@@ -103,7 +104,7 @@
             server.slow_start_tokens += self.latency.cost(class_index)
 
     def warm_share(self, server: Server) -> float:
-        """Return the share of its capacity that a server has by now at the least, by the settings."""
+        """Return the least share of its capacity that a server has by now, according to the settings."""
         start, warm = self.context.settings.start_capacity, self.context.settings.warm_up_ns
         age = max(self.context.now - server.started, 0)
         if not server.started or age >= warm:
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -15,7 +15,8 @@
 UNWRITTEN = frozenset((Status.CONNECT_FAILED, Status.NOT_SENT))
 # Statuses that prove that the server did not run the request.
 PROVES_NOT_RUN = UNWRITTEN | {Status.REJECTED}
-# Share of a request's time that may pass before an attempt reaches a server; later retries are of no use.
+# Share of the time from a request's arrival to its deadline. If no attempt has reached a server by then, the
+# request is not retried any more: a later retry would be of no use.
 MAX_UNSENT_SHARE = 0.45
 
 
@@ -48,7 +49,7 @@
     due_ns: int
     kind: TimerKind
     request_id: int = 0
-    rechecks: int = 0  # how often the attempt has been overdue before: 0 or 1
+    rechecks: int = 0  # earlier timers of this kind for the attempt: 0 or 1
     attempt: int = 0
 
 
@@ -142,7 +143,8 @@
 class Attempt(NamedTuple):
     """One attempt of a request.
 
-    It keeps its own zone and cell: an update of the list may move its server after the attempt was sent.
+    An attempt keeps its own zone and cell: an update of the list may move the server after the attempt was
+    sent.
     """
 
     server: Server
