--- a/ochreflow/core/actions.py
+++ b/ochreflow/core/actions.py
@@ -67,7 +67,7 @@
                 assert_never(action)
 
     def send(self, action: api.Send) -> None:
-        """Start an attempt, unless its request has been answered, of which the balancer will hear."""
+        """Start an attempt, unless its request has been answered: the balancer will be notified of that."""
         pending = self.requests.pending.get(action.id)
         if pending is not None:
             self.attempts.start(pending, action.server, action.timeout_ns)
--- a/ochreflow/core/attempt_manager.py
+++ b/ochreflow/core/attempt_manager.py
@@ -59,7 +59,7 @@
 
 
 class Attempt:
-    """One attempt, to which its transport reports until its one end; implements `AttemptObserver`."""
+    """One attempt, to which its transport reports until the attempt ends; implements `AttemptObserver`."""
 
     __slots__ = (
         "first_byte_permitted",
@@ -96,7 +96,7 @@
 
     @property
     def may_run(self) -> bool:
-        """Whether its server may have received all of it, as far as is known before its end."""
+        """Whether the server may have received the whole request, as far as is known before the end."""
         if self.upstream_attempt is None:
             return self.first_byte_permitted
         return self.fully_written or self.upstream_attempt.may_run
@@ -159,7 +159,7 @@
         ]
 
     def may_have_run(self, pending: PendingRequest) -> bool:
-        """Return whether any server may have run it, judging by ended and in-flight attempts."""
+        """Return whether any server may have run the request, by its ended and in-flight attempts."""
         return pending.may_have_run or any(attempt.may_run for attempt in self.of_request(pending))
 
     # Starting
@@ -185,13 +185,13 @@
             )
             if not attempt.first_byte_permitted:
                 self.end(attempt, Status.NOT_SENT, None, ())
-            # Otherwise it may run: its transport reports its end, or the deadline watchdog ends it.
+            # Otherwise the attempt may run: its transport or the deadline watchdog ends it.
 
     def remaining_time_ns(self, attempt: Attempt) -> int:
         """Return the time left to an attempt now: see `AttemptObserver.remaining_time_ns`.
 
-        It is computed again at the time of the write, so that a server does no work that nobody waits for: a
-        value from the time of the decision is too long if connecting took a while. The client's timeout runs
+        The time is computed again at the write, so that a server does no work that nobody waits for: a value
+        from the time of the decision is too long if connecting took a while. The client's timeout runs
         from the last byte of its body.
         """
         request, now = attempt.pending.request, self.clock.now()
@@ -215,14 +215,14 @@
             request.body.complete and now >= request.deadline_ns - ATTEMPT_MARGIN_NS
         ):
             return 0.0
-        if request.body.discarded:  # another attempt has streamed it; the balancer may not know yet
+        if request.body.discarded:  # another attempt has streamed the body; the balancer may not know yet
             return 0.0
         if pending.response_sink.is_disconnected(request):
             return 0.0
         try:
             end_ns = self.balancer.write_by(now, pending.id, attempt.number)
         except Exception:
-            # Protects the response and the connection that are being handled in this loop iteration.
+            # The fault must not affect the response and the connection handled in this loop iteration.
             self.fault_log.log("balancer failed to decide whether an attempt may be written: it is not sent")
             return 0.0
         return math.inf if end_ns >= NO_END else max(end_ns - now, 0) / NS_PER_S
@@ -266,7 +266,7 @@
         pending = attempt.pending
         del self.in_flight[pending.id, attempt.number]
         if attempt.fully_written and status in UNWRITTEN:
-            status = Status.RESET  # `written` has been reported, so it may have run
+            status = Status.RESET  # `written` has been reported, so the server may have run the request
         if status not in PROVES_NOT_RUN:
             pending.may_have_run = True
         if log.debugging:
--- a/ochreflow/core/body.py
+++ b/ochreflow/core/body.py
@@ -32,7 +32,7 @@
         self.buffered = bytearray()
         self.size = 0  # bytes received so far, buffered or not
         self.complete = False
-        self.discarded = False  # no longer buffered in full: no further attempt can send it
+        self.discarded = False  # the body is no longer buffered in full: no further attempt can send it
         self.discarding = False
         self.sink: BodySink | None = None
         self.blocked = False  # the sink accepts no more bytes at present
--- a/ochreflow/core/clock.py
+++ b/ochreflow/core/clock.py
@@ -12,7 +12,7 @@
     """Monotonic time with the epoch of Unix time, in which discovery reports the start times of servers."""
 
     def __init__(self) -> None:
-        """Fix the offset between the two clocks; later steps of the system clock have no effect."""
+        """Fix the offset from monotonic to Unix time; later steps of the system clock have no effect."""
         self.offset = time_ns() - monotonic_ns()
 
     def now(self) -> int:
--- a/ochreflow/core/dispatcher.py
+++ b/ochreflow/core/dispatcher.py
@@ -21,7 +21,8 @@
         self.fault_log = fault_log
         self.queue: deque[api.Event] = deque()
         self.dispatching = False
-        self.latest_actions: list[api.Action] = []  # of the latest event that the balancer began to handle
+        # The actions of the latest event that the balancer began to handle.
+        self.latest_actions: list[api.Action] = []
         self.execute: Callable[[api.Action], None]
 
     def set_executor(self, execute: Callable[[api.Action], None]) -> None:
@@ -43,7 +44,7 @@
                 try:
                     actions = self.balancer.handle(self.clock.now(), event)
                 except Exception:
-                    # Protects all other requests from a fault in one, which the deadline watchdog answers.
+                    # A fault in one request must not affect others; the deadline watchdog answers that one.
                     self.fault_log.log(
                         "balancer failed to handle an event: only actions decided before that are executed"
                     )
@@ -61,6 +62,6 @@
     def _actions_before_fault(self) -> list[api.Action]:
         actions = self.balancer.actions_before_fault()
         if actions is self.latest_actions:
-            return []  # it failed before it began to handle this event: these belong to an earlier one
+            return []  # the balancer failed before it began: these actions belong to an earlier event
         self.latest_actions = actions
         return actions
--- a/ochreflow/core/endpoints.py
+++ b/ochreflow/core/endpoints.py
@@ -9,7 +9,7 @@
 from .log import log
 from .ports import Address, UpstreamTransport
 
-MAX_DISTINCT_NAMES = 256  # of zones, and of kinds; further names share one number
+MAX_DISTINCT_NAMES = 256  # limit for zones and for kinds; further names share one number
 
 
 @dataclass(slots=True)
--- a/ochreflow/core/engine.py
+++ b/ochreflow/core/engine.py
@@ -1,8 +1,8 @@
 """Assembles the core, which drives the balancer between frontends, transports and endpoint sources.
 
-It is independent of protocols. A frontend passes requests in and gets one final response to each; an upstream
-transport sends attempts to servers and reports how they ended; an endpoint source reports the servers. The
-interfaces are in `ports`.
+The core is independent of protocols. A frontend passes requests in and gets one final response to each; an
+upstream transport sends attempts to servers and reports how they ended; an endpoint source reports the
+servers. The interfaces are in `ports`.
 
     request_manager   requests and their final responses, the deadline watchdog
     attempt_manager   attempts: whether their first byte may be written, and how they end
@@ -114,7 +114,7 @@
     def _apply(self, update: EndpointUpdate, kind: api.ListKind | None = None) -> None:
         self.dispatcher.dispatch(update.to_membership(kind))
         self.endpoints.apply(update)
-        # Also after changes: while servers are being replaced, a complete list may never arrive.
+        # Forget ids after changes too: while servers are being replaced, a complete list may never arrive.
         self.endpoints.ids.keep(set(self.balancer.endpoints.servers) | set(self.endpoints.listed))
 
     def on_gossip(self, sender: int, data: bytes) -> None:
--- a/ochreflow/core/lifecycle.py
+++ b/ochreflow/core/lifecycle.py
@@ -11,12 +11,15 @@
 from .ports import Frontend
 
 ACCEPT_AFTER_SIGTERM_S = 0.5  # new connections may still arrive for this time after SIGTERM
-IDLE_CLOSE_DELAY_S = 1.0  # of a drain: until then, responses tell clients to reconnect elsewhere
+# Delay from the start of a drain, during which responses tell clients to reconnect elsewhere.
+IDLE_CLOSE_DELAY_S = 1.0
 IDLE_CLOSE_INTERVAL_S = 0.1  # between two rounds of closing idle connections
-KILL_AFTER_DEADLINE_S = 0.7  # the platform kills no earlier than this after the longest deadline ...
-MAX_DEADLINE_S = 3.0  # ... where a longer deadline counts as this
-# Times before that kill:
-ANNOUNCE_CLOSE_BEFORE_KILL_S = 1.6  # responses announce the close, if no other process takes over
+# After SIGTERM, the platform waits for the longest deadline plus at least this time before it kills the
+# process.
+KILL_AFTER_DEADLINE_S = 0.7
+MAX_DEADLINE_S = 3.0  # a longer deadline delays the kill by this time only
+# The steps of the shutdown, in seconds before the earliest possible kill.
+ANNOUNCE_CLOSE_BEFORE_KILL_S = 1.6  # if no other process takes over, responses announce the close
 ANSWER_BEFORE_KILL_S = 0.4  # pending requests get their final responses
 STOP_BEFORE_KILL_S = 0.1  # the process stops; clients have had time to read their responses
 
@@ -47,7 +50,8 @@
         self.answer_pending = answer_pending
         self.kill_after_s = min(longest_deadline_s, MAX_DEADLINE_S) + KILL_AFTER_DEADLINE_S
         self.phase = Phase.STARTING
-        self.closing_idle_connections = False  # periodically; during a drain, new requests are rejected then
+        # Whether idle connections are closed periodically; during a drain, new requests are rejected then.
+        self.closing_idle_connections = False
         self.announcing_close = False  # shutdown is near: clients should reconnect elsewhere
         self.final_answers_given = False  # all pending requests are answered, new ones are rejected
         self.accepting = False
@@ -125,8 +129,9 @@
     def terminate(self) -> None:
         """Answer pending requests, and those that still arrive for a short time, then stop.
 
-        Where no other process of this sidecar listens yet, clients have only their open connections: these
-        are kept until the remaining time is needed for responses. Where one does, clients reconnect at once.
+        If no other process of this sidecar listens yet, clients have only their open connections: these are
+        kept until the remaining time is needed for responses. If another process does, clients reconnect at
+        once.
         """
         if self.phase is Phase.TERMINATING:
             return
@@ -162,7 +167,7 @@
         self.answer_pending()
 
     def client_disconnected(self) -> None:
-        """Note that a client's connection has closed."""
+        """Stop the process if the last client has disconnected during the shutdown."""
         self._stop_if_unused()
 
     def _stop_if_unused(self) -> None:
--- a/ochreflow/core/limits.py
+++ b/ochreflow/core/limits.py
@@ -24,27 +24,27 @@
         self.total = limit
         self.in_use = 0
         self.connected = 0  # the client connections among those in use
-        self.other_processes = 0  # of this sidecar
+        self.other_processes = 0  # number of other processes of this sidecar
         self.others_in_use = 0
         self.others_connected = 0
-        # Each closes one of its idle connections and returns True, or returns False if it has none.
+        # Each callback closes one idle connection and returns True, or returns False if there is none.
         self.evictors: list[Callable[[], bool]] = []
-        self.system_limit: Callable[[], int | None] = lambda: None  # the system's limit; None: no limit
+        self.system_limit: Callable[[], int | None] = lambda: None  # of the operating system; None: no limit
 
     def evict_idle_connection(self) -> bool:
         """Close one idle connection, never one with an open request; return False if there is none."""
         return any(evict() for evict in self.evictors)
 
     def lower_to(self, max_descriptors: int) -> None:
-        """Lower the total to `max_descriptors`, which the system allows this process, if that is less.
+        """Lower the total to `max_descriptors`, which the operating system allows, if that is less.
 
-        Protects the reserve: if clients took the last descriptor of the process, operators, discovery and
-        attempts would be locked out, since new connections would be closed as soon as they are accepted.
+        This protects the reserve: if clients took the last descriptor of the process, operators, discovery
+        and attempts would be locked out, since new connections would be closed as soon as they are accepted.
         """
         self.total = min(self.total, max_descriptors)
 
     def apply_system_limit(self) -> None:
-        """Apply the current limit of the system, which may be lowered while the process runs."""
+        """Apply the operating system's current limit, which may be lowered while the process runs."""
         if (system_limit := self.system_limit()) is not None:
             self.lower_to(system_limit)
 
@@ -57,9 +57,10 @@
     def max_clients(self) -> int:
         """The number of clients that may be connected to this process.
 
-        Clients need a third of the limit for requests. Any more must leave enough descriptors to attempts, or
-        silent clients would keep every request from reaching a server. In a hot restart clients move to the
-        new process before the old one reports that, so a process always gets at least a third.
+        Clients need a third of the limit for requests. A higher number must leave enough descriptors for
+        attempts, otherwise silent clients would keep every request from reaching a server. In a hot restart
+        clients move to the new process before the old one reports that, so a process always gets at least a
+        third.
         """
         return max(self.limit // 2 - self.others_connected, self.limit // 3)
 
@@ -73,7 +74,8 @@
     """The memory budget of buffered messages, requests and responses together."""
 
     PROGRAM_BYTES = 20 * MB  # memory of the program without any message
-    MESSAGE_SHARE = 0.3  # of the rest: a message may be in memory twice, and freed memory is fragmented
+    # Share of the remaining memory: a message may be in memory twice, and freed memory is fragmented.
+    MESSAGE_SHARE = 0.3
     MIN_BYTES = MB
     MAX_BYTES = 48 * MB
 
@@ -81,7 +83,7 @@
         """Allow the sidecar `limit` bytes in total, including the program itself."""
         self.limit = limit
         self.reserved_bytes = 0
-        self.other_processes = 0  # of this sidecar
+        self.other_processes = 0  # number of other processes of this sidecar
         self.others_reserved_bytes = 0
 
     @property
@@ -107,7 +109,7 @@
 
     descriptors: int
     connected: int  # the client connections among the descriptors
-    reserved_bytes: int  # for messages
+    reserved_bytes: int  # memory reserved for messages
 
 
 class Usage:
--- a/ochreflow/core/log.py
+++ b/ochreflow/core/log.py
@@ -72,7 +72,7 @@
 
     started_s: float
     written: int = 0
-    suppressed: int = 0  # since the last one that was written
+    suppressed: int = 0  # occurrences since the last one that was written
 
 
 class Log:
--- a/ochreflow/core/ports.py
+++ b/ochreflow/core/ports.py
@@ -47,7 +47,7 @@
 
     disposition: Disposition
     reason: Reason
-    answer: object = None  # if it succeeded: the server's response, in the upstream transport's own form
+    answer: object = None  # after success, the server's response, in the upstream transport's own form
     retry_after_ns: int = 0  # how long the client should wait before a retry; 0: unknown
     detail: object = None  # the value that the frontend passed to `RequestManager.body_failed`
 
--- a/ochreflow/core/request_ids.py
+++ b/ochreflow/core/request_ids.py
@@ -6,15 +6,15 @@
 from collections.abc import Hashable
 from time import monotonic
 
-RETENTION_S = 4.0  # after its request has ended, an id may not be reused for this time
+RETENTION_S = 4.0  # time after the end of a request for which its id may not be reused
 MAX_RETAINED_IDS = 8192  # bounds the memory for ids of ended requests; the oldest are released first
 
 
 class RequestIdRegistry:
     """Holds the ids of a frontend's open requests and of those that have just ended.
 
-    It protects an open request from another one with the same id, which a server would take for a second copy
-    of it, and a request that has just been answered from running again.
+    The registry protects an open request from another one with the same id, which a server would take for a
+    second copy, and a request that has just been answered from running again.
     """
 
     def __init__(self) -> None:
--- a/ochreflow/core/stats.py
+++ b/ochreflow/core/stats.py
@@ -24,7 +24,7 @@
 
     outstanding: int  # requests accepted and not yet ended
     discovered: int  # servers in the endpoint list
-    ejected: int  # of these, ejected by the balancer
+    ejected: int  # listed servers that the balancer has ejected
 
 
 class Stats:
