--- a/ochreflow/membership/answer_order.py
+++ b/ochreflow/membership/answer_order.py
@@ -39,6 +39,6 @@
         return update
 
     def accept(self, update: EndpointUpdate) -> None:
-        """Note that `update` is being applied."""
+        """Record that `update` is being applied."""
         self.version = update.version
         self.answers_accepted += 1
--- a/ochreflow/membership/discovery.py
+++ b/ochreflow/membership/discovery.py
@@ -24,8 +24,8 @@
     from .transport import DiscoveryTransport
 
 COMPLETE_LIST_PATH = "/api/targets"
-ANSWER_TIMEOUT_S = 3.5  # in addition to a poll's wait: discovery processes its requests one at a time
-MIN_POLL_INTERVAL_S = 0.1  # between polls that are answered immediately without changes
+ANSWER_TIMEOUT_S = 3.5  # added to a poll's wait, since discovery processes its requests one at a time
+MIN_POLL_INTERVAL_S = 0.1  # least time between polls that are answered immediately without changes
 
 UpdateHandler = Callable[[EndpointUpdate | None, str], None]
 """Called with an update, or with None and the reason of the failure."""
@@ -59,11 +59,11 @@
         self.on_update = on_update
         self.pushed = pushed
         self.watching = False
-        self.resync_pending = False  # the latest poll has stalled: a complete list is requested
+        self.resync_pending = False  # whether a poll has stalled, so that a complete list is requested
         # The answer to a poll of an earlier generation is still applied, but no poll follows it.
         self.watch_generation = 0
-        self.stall_timer = StallTimer(loop)  # of the latest poll
-        self.polled_at = 0.0  # on the loop's clock, in seconds
+        self.stall_timer = StallTimer(loop)  # runs while the latest poll is unanswered
+        self.polled_at = 0.0  # time of the latest poll, on the loop's clock, in seconds
         self.failing = False
         self.closed = False
         self.address = address
@@ -77,8 +77,9 @@
     def switch_address(self, address: Address) -> None:
         """Switch to another discovery at once, and request a complete list from it first.
 
-        Its versions may start again, and answers from the previous address are ignored. The balancer decides
-        when to poll the new one, since all sidecars switch at once; a local agent is polled immediately.
+        The versions of the new discovery may start again, and answers from the previous address are ignored.
+        The balancer decides when to poll the new address, since all sidecars switch at once; a local agent is
+        polled immediately.
         """
         if self.closed or address == self.address:
             return
@@ -145,7 +146,8 @@
             self._start_generation(resync=True)
             return
         if self.resync_pending:
-            # The balancer starts its retry delay at the failure, so one more request is sent now.
+            # After the failure reported below, the balancer polls again only after a delay, which may be too
+            # late to notice a drain. One more request sent now can be answered in the rest of the time.
             self._request(COMPLETE_LIST_PATH, ANSWER_TIMEOUT_S, partial(self._on_poll_answer, generation))
         self._on_failure("no answer in time")
 
@@ -177,7 +179,7 @@
             self._next_poll(generation)
 
     def _accept_late(self, update: EndpointUpdate) -> None:
-        """Apply a late answer to a stalled poll: discovery counts this sidecar as notified."""
+        """Apply a late answer to a stalled poll, since discovery counts this sidecar as notified."""
         try:
             self._accept(update)
         finally:
@@ -190,7 +192,7 @@
 
         def on_body(body: bytes | None, reason: str) -> None:
             if transport is not self.transport or self.closed:
-                return  # an answer from a previous address
+                return  # the answer is from a previous address, or arrived after `close`
             update = None
             if body is not None:
                 try:
--- a/ochreflow/membership/stall_timer.py
+++ b/ochreflow/membership/stall_timer.py
@@ -7,7 +7,7 @@
 
 
 class StallTimer:
-    """Owns the timer of the latest poll."""
+    """Owns the timer that expires if the latest poll is not answered in time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         """Create a timer that is not started yet."""
--- a/ochreflow/membership/timeouts.py
+++ b/ochreflow/membership/timeouts.py
@@ -10,26 +10,28 @@
 has the sum for several deployments. The stalled poll is not cancelled: discovery processes its requests one
 at a time, and a late answer still counts as notified.
 
-The next poll may stall as well, which another long poll would show only after a second wait. So a request
-for the complete list (a resync) is sent, which is answered at once, and the remaining time is shared with one
-more request. `docs/design/discovery.md` has the cases.
+The next poll may stall as well, and a long poll would show that only after a second wait. So the next poll is
+a request for the complete list (a resync), which discovery answers at once. If the resync stalls too, one
+more request is sent; the two share the remaining time. `docs/design/discovery.md` has the cases.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Of a poll without changes, in milliseconds: each sidecar sends discovery three requests a minute.
+# Wait of a poll without changes, in milliseconds: each sidecar sends discovery three requests a minute.
 LONG_POLL_WAIT_MS = 20_000
-# After a poll's wait: the changes that it missed count as notified from then on, by the protocol.
+# Time after a poll's wait from which, by the protocol, the changes that the poll missed count as notified.
 NOTIFIED_AFTER_S = 2.0
-# Of the drain grace; the other half is reserved for a slow answer.
+# Share of the drain grace after which a poll counts as stalled; the rest is reserved for a slow answer.
 STALL_GRACE_SHARE = 0.5
-# For a very short grace: the tolerance that the protocol allows for every limit.
+# Lower limit of that time if the grace is very short: the tolerance that the protocol allows for every limit.
 MIN_STALL_TIMEOUT_S = 0.05
-# Of the time left after a stalled poll; the other half is reserved for the answer to one more request.
+# Share of the time left after a stalled poll in which the resync has to be answered; the rest is reserved for
+# the answer to one more request.
 RESYNC_SHARE = 0.5
-# Of the drain grace: most of it is left for a drain notified in the meantime and for the answer.
+# Retry delay as a share of the drain grace; most of the grace is left for a drain notified in the meantime
+# and for the answer.
 RETRY_GRACE_SHARE = 0.25
 # Upper limit of the retry delay, however long the grace.
 MAX_RETRY_DELAY_S = 0.5
@@ -42,9 +44,9 @@
     """The timeouts of a client's polls: `wait_ms` in milliseconds, all others in seconds."""
 
     wait_ms: int  # time for which discovery may hold a poll without changes
-    poll_stall_s: float  # after a poll's wait: a resync is sent in parallel
-    complete_list_stall_s: float  # of a request for a complete list: it counts as failed
-    resync_stall_s: float  # of a resync sent after a stalled poll: one more request is sent
+    poll_stall_s: float  # time after a poll's wait at which a resync is sent in parallel
+    complete_list_stall_s: float  # time after which a request for a complete list counts as failed
+    resync_stall_s: float  # time after which a resync counts as failed and one more request is sent
     agent_retry_s: float  # delay before a local agent is polled again after a failure
 
 
