--- a/ochreflow/http/acceptor.py
+++ b/ochreflow/http/acceptor.py
@@ -1,8 +1,8 @@
 """Accepts client connections while `[admission]` is on.
 
-A rejected connection costs only a descriptor for a moment: no transport is created for it. The same holds for
-a connection whose client left while it waited in the backlog, and it is not counted. While the system has no
-descriptor left, connections wait in the backlog; see `ochreflow.admission.accept_throttle`.
+A rejected connection costs only a descriptor for a moment: no transport is created. The same holds for a
+connection whose client left while the connection waited in the backlog, which is not counted either. While no
+descriptor is left, connections wait in the backlog; see `ochreflow.admission.accept_throttle`.
 """
 
 from __future__ import annotations
@@ -57,8 +57,8 @@
         self.accept_throttle.accepted(count)
 
     def _admit(self, sock: socket.socket, host: str) -> None:
-        # A client that has left would keep its place for some iterations of the loop, and clients behind it
-        # in the backlog would be rejected.
+        # A client that has left would take a place among the clients for some iterations of the loop, and
+        # clients behind it in the backlog would be rejected.
         if _disconnected_without_data(sock):
             sock.close()
             return
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -11,17 +11,17 @@
 from ..core.limits import Descriptors
 from ..core.log import log
 
-HEAD_TIMEOUT_S = 2.6  # from connecting, or from a message's first byte, until its head is complete
+HEAD_TIMEOUT_S = 2.6  # from connecting, or from a message's first byte, until the message's head is complete
 MIN_BODY_BYTES_PER_S = 32_000  # averaged over one `HEAD_TIMEOUT_S` at a time; clients may send 64 kB a second
-IDLE_TIMEOUT_S = 2.0  # for which a connection without an open request is kept
-SLOW_READER_TIMEOUT_S = 5.0  # for which a client may read nothing of a response
-# Share of the clients' quota of descriptors: more clients than this that have sent nothing are not a burst of
+IDLE_TIMEOUT_S = 2.0  # time for which a connection without an open request is kept
+SLOW_READER_TIMEOUT_S = 5.0  # time for which a client may read nothing of a response
+# Share of the clients' quota of descriptors. If more clients have sent nothing yet, they are not a burst of
 # normal clients.
 MAX_SILENT_SHARE = 0.25
-STALE_AFTER_S = 0.5  # without a byte of an unfinished message; slow clients write more often
+STALE_AFTER_S = 0.5  # time without a byte of an unfinished message; slow clients write more often
 # Clients closed in one sweep after the quota has shrunk: a sweep must not block the event loop for long.
 MAX_EVICTIONS_PER_SWEEP = 32
-FIRST_REQUEST_DELAY_S = 0.02  # for which a new connection's first request may still be in flight
+FIRST_REQUEST_DELAY_S = 0.02  # time for which a new connection's first request may still be in flight
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
 
     @property
     def closable(self) -> bool:
-        """Whether it can be closed at once without losing a request or a response."""
+        """Whether the connection can be closed at once without losing a request or a response."""
         ...
 
     @property
@@ -113,11 +113,11 @@
         ...
 
     def snapshot(self, now: float) -> Sequence[tuple[str, float]]:
-        """Return what is known of addresses, for the next process."""
+        """Return the state of each known address, for the next process."""
         ...
 
     def restore(self, now: float, snapshot: object) -> None:
-        """Load what another process knew of addresses."""
+        """Load the state of the addresses that another process knew."""
         ...
 
     def eviction_candidate(self, now: float, keys: Iterable[Client]) -> Client:
@@ -133,9 +133,9 @@
     """Owns the lists of connections and their count; evicts connections when descriptors run short.
 
     Every connection is in `incomplete` while it has an unfinished message, in `idle` while it has no open
-    request, in `draining` while it waits for its client to close, or in none of them. Those in `incomplete`
-    are also in `last_received`, by the time of their latest byte. All lists are ordered by time, so that a
-    sweep costs nothing for connections within their limits.
+    request, in `draining` while it waits for its client to close, or in none of them. Connections in
+    `incomplete` are also in `last_received`, by the time of their latest byte. All lists are ordered by time,
+    so that a sweep costs nothing for connections within their limits.
     """
 
     def __init__(self, descriptors: Descriptors) -> None:
@@ -232,7 +232,7 @@
                 self.admission.request_completed(monotonic(), client)
 
     def _record_message_begun(self, admission: ConnectionAdmission, now: float, client: Client) -> None:
-        """Record that a message has begun; end the oldest if too many of its address are unfinished."""
+        """Record that a message has begun; if its address has too many unfinished ones, end the oldest."""
         oldest = admission.message_begun(now, client)
         if oldest is not None and oldest is not client:
             self._forget(oldest)
@@ -241,7 +241,7 @@
     def _choose_eviction(self, new: Client) -> Client:
         """Return the connection to close for a new one over the quota.
 
-        Protects normal clients, slow ones included, against clients that connect by the hundred and send
+        This protects normal clients, slow ones included, against clients that connect by the hundred and send
         nothing.
 
         The order is: a connection that has its last response and only has to be closed by its client; one
@@ -269,12 +269,12 @@
     def evict_one(self) -> bool:
         """Close one connection without a pending response; return False if there is none.
 
-        Protects accepted requests against a lack of descriptors: their attempts need some.
+        This protects accepted requests against a lack of descriptors: their attempts need some.
         """
         return self._evict(1) > 0
 
     def evict_for_new_connection(self) -> bool:
-        """Evict one for a connection that is not accepted yet, unless all evictable clients are known ones.
+        """Evict a client for a connection that is not accepted yet, unless all evictable clients are known.
 
         The new connection counts as unknown, and a known client is not evicted for an unknown one.
         Connections accepted in this iteration of the loop are not among the clients yet, so that known
@@ -319,8 +319,8 @@
     def _enforce_quota(self) -> None:
         """Evict clients after the quota has shrunk, as soon as enough of them have no pending response.
 
-        Protects operators, discovery and requests: a new connection replaces only one client, so clients over
-        the quota would stay over it, and with no descriptor left every new connection would be closed.
+        This protects operators, discovery and requests: a new connection replaces only one client, so their
+        number would stay over the quota, and with no descriptor left every new connection would be closed.
         """
         self.descriptors.apply_system_limit()
         if self.descriptors.total < self.applied_total:
@@ -333,7 +333,7 @@
     def sweep(self) -> None:
         """Enforce the quota and the time limits.
 
-        Protects descriptors and memory against clients that never finish a message or never come back.
+        This protects descriptors and memory against clients that never finish a message or never come back.
         """
         self._enforce_quota()
         now = monotonic()
--- a/ochreflow/http/closing_connection.py
+++ b/ochreflow/http/closing_connection.py
@@ -17,7 +17,7 @@
 from .response_format import CLIENT_DISCONNECTED_RESPONSE
 from .socket_progress import peer_disconnected, unacknowledged
 
-DRAINING_CLOSE_TIMEOUT_S = 2.0  # for which a client may receive nothing more of its last responses
+DRAINING_CLOSE_TIMEOUT_S = 2.0  # time for which a client may receive nothing more of its last responses
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
         self.end_delimits = False  # whether only the end of the connection delimits the latest response
         self.write_paused = False  # whether the client leaves responses unread
         self.draining_timer: asyncio.TimerHandle | None = None  # runs while a draining close is in progress
-        self.unacknowledged_at_check = 0  # bytes, when the draining close was last checked
+        self.unacknowledged_at_check = 0  # bytes unacknowledged when the draining close was last checked
 
     @property
     def draining(self) -> bool:
@@ -64,8 +64,8 @@
     def _close_after_disconnect(self) -> None:
         """Close after the client has shut down its sending.
 
-        The response keeps a client that still reads from sending a request again that may run: it would take
-        a close without a response as proof that the request was not read.
+        The response keeps a client that still reads from sending a request again that may run: the client
+        would take a close without a response as proof that the request was not read.
         """
         if self.current is not None and self.streamed is None:
             self._write(CLIENT_DISCONNECTED_RESPONSE)
@@ -84,10 +84,10 @@
     def _start_draining_close(self) -> None:
         """Shut down sending, and close when the client does.
 
-        Protects the last responses: closing with input unread resets the connection. The rest of a message
-        that was answered before its end is read and discarded, since its client might otherwise never start
-        to read. Whatever else a client sends is left unread: it was never accepted, so the client can send it
-        again.
+        This protects the last responses: closing with input unread resets the connection. The rest of a
+        message that was answered before its end is read and discarded, since its client might otherwise never
+        start to read. Anything else that a client sends is left unread: it was never accepted, so the client
+        can send it again.
         """
         if self.transport is None or self.transport.is_closing() or self.draining_timer is not None:
             return
@@ -113,8 +113,8 @@
 
     def _check_draining_close(self) -> None:
         assert self.transport is not None
-        # A slow client may go on reading. One that receives nothing of what waits to be written has a time
-        # limit of its own, `ClientTimeouts.slow_reader_s`.
+        # A slow client may go on reading. A client that receives none of the bytes still to be written has a
+        # time limit of its own, `ClientTimeouts.slow_reader_s`.
         if self.write_paused or 0 < unacknowledged(self.transport) < self.unacknowledged_at_check:
             self._schedule_draining_check()
         else:
@@ -125,8 +125,8 @@
         if self.end_delimits:
             self._reset()
         else:
-            # The framing shows the truncation. A reset would discard the responses before it and its own
-            # beginning, and a client that has read nothing of a response sends its request again.
+            # The framing shows the truncation. A reset would also discard earlier responses and the beginning
+            # of this one, and a client that has read nothing of a response sends its request again.
             self._start_draining_close()
 
     def _write(self, data: bytes) -> None:
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -1,7 +1,7 @@
 """A client connection: passes its requests to the core one at a time, and writes one response to each.
 
-It consists of three classes, each derived from the one before: `RequestReader` reads and queues requests,
-`ClosingConnection` closes the connection, and `ClientConnection` serves the queue.
+The connection consists of three classes, each derived from the one before: `RequestReader` reads and queues
+requests, `ClosingConnection` closes the connection, and `ClientConnection` serves the queue.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
         """Whether the client's host has received everything that was written.
 
         Until then a close may lose data: a close that crosses bytes from the client resets the connection,
-        and the system discards what it has not sent yet.
+        and the kernel discards what it has not sent yet.
         """
         if self.closed or self.transport is None or not self.has_sent_request:
             return True
@@ -69,7 +69,7 @@
 
     @property
     def closable(self) -> bool:
-        """Whether it can be closed at once: no message has begun, and the client has all responses."""
+        """Whether closing loses nothing: no message has begun, and the client has all responses."""
         return self.no_message_begun and self.delivered
 
     @property
@@ -164,7 +164,7 @@
         try:
             while self.queue and self.current is None and not self.write_paused and not self.closed:
                 if isinstance(self.queue[0], HttpRequest) and self.close_if_disconnected():
-                    break  # the end of the stream may be unread, behind what has just been read
+                    break  # the end of the stream was unread, behind the data that has just been read
                 item = self.queue.popleft()
                 if isinstance(item, HttpRequest):
                     self.current = item
--- a/ochreflow/http/discovery_transport.py
+++ b/ochreflow/http/discovery_transport.py
@@ -12,12 +12,13 @@
 from .response import Response
 from .upstream import Upstreams
 
-CONNECT_TIMEOUT_S = 2.0  # as for a response; `policy/endpoint_set.py` relies on this maximum
+# As long as discovery may take for a response; `policy/endpoint_set.py` relies on this maximum.
+CONNECT_TIMEOUT_S = 2.0
 IDLE_TIMEOUT_S = 30.0
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 MAX_DESCRIPTORS = 1024
 MAX_MEMORY_BYTES = 192 * MB
-SERVICE_ID = 0  # of the only target
+SERVICE_ID = 0  # number of the only target
 
 
 class HttpDiscoveryTransport:
--- a/ochreflow/http/exchange.py
+++ b/ochreflow/http/exchange.py
@@ -1,7 +1,7 @@
 """One request to one server, from its start to its end.
 
 An exchange is written at most once and never retried. The decision module decides about retries, so the
-status of an exchange must be exact: a request cannot have run if the system never accepted its last byte;
+status of an exchange must be exact: a request cannot have run if the kernel never accepted its last byte;
 any other request may have run.
 """
 
@@ -40,7 +40,7 @@
 
     @property
     def unwritten(self) -> bool:
-        """Whether the system has not accepted the request's last byte, so that it cannot have run."""
+        """Whether the kernel has not accepted the last byte of the request, so that it cannot have run."""
         ...
 
     @property
@@ -49,7 +49,7 @@
         ...
 
     def discard_unsent(self) -> None:
-        """Make the system discard unsent bytes when the connection is closed."""
+        """Make the kernel discard unsent bytes when the connection is closed."""
         ...
 
     def pause_response(self, *, paused: bool) -> None:
@@ -100,33 +100,33 @@
         self.head: Callable[[], bytes] | None = head
         self.done: Done | None = done
         self.response_limit = response_limit  # bytes of a response's body that are buffered
-        self.written = written  # called once, when the system has accepted the last byte
+        self.written = written  # called once, when the kernel has accepted the request's last byte
         self.body = body  # sent after the head, and may be incomplete
         self.relay = relay  # gets a response too long to be buffered; None: every response is buffered
         self.write_timeout_s = write_timeout_s  # called just before the first byte is written
-        self.idempotent = idempotent  # whether its method is
-        self.generation = 0  # of its target, at the start
-        self.rejected = False  # it must not be sent any more, and its end is scheduled
+        self.idempotent = idempotent  # whether the request's method is idempotent
+        self.generation = 0  # generation of the target when the exchange was started
+        self.rejected = False  # whether it must not be sent any more, and its end is scheduled
         self.write_timer: asyncio.TimerHandle | None = None  # fires when the request must be acknowledged
         self.paused = False  # whether the relay accepts no more data at present
         self.connection: ServerConnection | None = None  # set when the first byte is written
-        self.opening: asyncio.Task[None] | None = None  # the task that is opening a connection for it
+        self.opening: asyncio.Task[None] | None = None  # opens a connection for the exchange
         self.timer: asyncio.TimerHandle | None = None
         self.loop: asyncio.AbstractEventLoop | None = None  # set by `Upstreams.start`
 
     @property
     def ended(self) -> bool:
-        """Whether its result has been reported."""
+        """Whether the exchange has ended and its result has been reported."""
         return self.done is None
 
     @property
     def begun(self) -> bool:
-        """Whether the system has accepted its first byte."""
+        """Whether the kernel has accepted the first byte of the request."""
         return self.connection is not None
 
     @property
     def may_run(self) -> bool:
-        """Whether the system has accepted its last byte."""
+        """Whether the kernel has accepted the last byte of the request."""
         return self.connection is not None and not self.connection.unwritten
 
     def end(self, status: Status, response: Response | None = None) -> None:
@@ -181,7 +181,8 @@
             self.opening.cancel()
         connection = self.connection
         if (connection is None or connection.unwritten) and status is not Status.NOT_SENT:
-            status = Status.CONNECT_FAILED  # the system never accepted its last byte: it cannot have run
+            # The kernel never accepted the last byte, so the request cannot have run.
+            status = Status.CONNECT_FAILED
         if connection is not None:
             connection.exchange = None
             connection.close()
--- a/ochreflow/http/management.py
+++ b/ochreflow/http/management.py
@@ -1,7 +1,7 @@
 """The management interface: one small HTTP/1.1 request per connection, passed on to `Operations`.
 
-It holds no state of the sidecar. It has limits of its own, so that callers that send nothing can block
-neither the next caller nor any client.
+The interface holds no state of the sidecar. Its limits are its own, so that callers that send nothing can
+block neither the next caller nor any client.
 """
 
 from __future__ import annotations
--- a/ochreflow/http/request_parser.py
+++ b/ochreflow/http/request_parser.py
@@ -30,7 +30,7 @@
         """Respond to the client with `code` and `text`."""
         super().__init__(text)
         self.code = code
-        self.class_index = class_index  # None if unknown; then it is not counted as a request
+        self.class_index = class_index  # None if unknown; the request is not counted then
         self.keep_alive = True
 
 
--- a/ochreflow/http/request_reader.py
+++ b/ochreflow/http/request_reader.py
@@ -26,9 +26,10 @@
 MAX_BODY_BYTES = 40 * 1024 * 1024  # messages reach 32 MB
 MAX_HEADERS_BYTES = 32 * 1024
 MAX_FRAMING_FACTOR = 8  # bytes on the socket per byte of body, with the smallest chunks
-MAX_PIPELINED_REQUESTS = 16  # queued before reading is paused
+MAX_PIPELINED_REQUESTS = 16  # number of queued requests at which reading is paused
 READY_TARGET = b"/-/ready"
-# If one of these is repeated, in the same or another form, sidecar and server may use different values.
+# If one of these headers is repeated, in the same or another form, sidecar and server may use different
+# values.
 SINGLE_VALUE_HEADERS = frozenset(
     (
         b"host",
@@ -47,7 +48,7 @@
     """Whether a connection is still read. States only change in this order."""
 
     OPEN = auto()
-    CLOSING_AFTER_MESSAGE = auto()  # the response is written; it closes after the rest of the request
+    CLOSING_AFTER_MESSAGE = auto()  # the response is written; the close follows the rest of the request
     ENDED = auto()  # nothing more is parsed: the framing is lost, or the connection is closing
 
 
@@ -71,7 +72,7 @@
     frontend_binding: FrontendBinding
     clients: Clients
     request_parser: RequestParser
-    disconnect_monitor: DisconnectMonitor  # of connections whose reading is paused
+    disconnect_monitor: DisconnectMonitor  # watches connections whose reading is paused
 
 
 class RequestReader(asyncio.Protocol, Client):
@@ -92,7 +93,7 @@
         self.paused = False  # whether reading is paused
         self.paused_recently = False  # whether it was paused since the last `recent_body_bytes`
         self.head_completed = False  # whether a head was completed since the last `Clients.reclassify`
-        self.body_size_at_sweep = 0  # bytes, at the last `recent_body_bytes`
+        self.body_size_at_sweep = 0  # bytes of the body at the last `recent_body_bytes`
         self.has_sent_request = False  # whether it has ever sent a complete message
         self.reserved_bytes = 0  # memory reserved for the heads of its requests
         self._start_message()
@@ -201,7 +202,7 @@
         elif not self.body.add(data):
             self._reject(503, "too much is held")
         elif self.uploading is None and len(self.body.buffered) > MAX_BUFFERED_BYTES:
-            self._enqueue_message()  # too long to be buffered: it is streamed
+            self._enqueue_message()  # the body is too long to be buffered, so it is streamed
 
     def on_message_complete(self) -> None:
         """Queue the request, or end its body if the request is queued or served already."""
--- a/ochreflow/http/response.py
+++ b/ochreflow/http/response.py
@@ -16,7 +16,7 @@
 from ..core.limits import Memory
 from ..policy.interface import Status
 
-MAX_HEADERS_BYTES = 32 * 1024  # of a response's head and the framing of its body
+MAX_HEADERS_BYTES = 32 * 1024  # limit for a response's head and the framing of its body
 MAX_RELAYED_BODY_BYTES = 40 * 1024 * 1024  # messages reach 32 MB
 MAX_FRAMING_FACTOR = 8  # bytes on the socket per byte of body, with the smallest chunks
 OK = 200
@@ -206,7 +206,7 @@
         elif self._length:
             self.invalid = not self._length.isdigit() or int(self._length) > max_body_bytes
         elif code == OK or (code in REJECTION_CODES and self._states_not_run):
-            self._until_end = True  # only a complete response can be forwarded, or proves anything
+            self._until_end = True  # only a complete response can be forwarded or prove a status
         else:
             self._complete()  # the head is sufficient; only the end of the connection would end the body
 
@@ -228,7 +228,7 @@
             return
         code = self._parser.get_status_code()
         if code < MIN_FINAL_CODE:
-            # The final response follows. `_size` is kept, or interim responses would have no limit.
+            # The final response follows. `_size` is kept, otherwise interim responses would have no limit.
             self._start_message()
             return
         if self.invalid:
--- a/ochreflow/http/socket_progress.py
+++ b/ochreflow/http/socket_progress.py
@@ -1,6 +1,6 @@
 """Detects peers that have disconnected, and peers that have stopped reading.
 
-The system reports both: `TIOCOUTQ` and `FIONREAD` return the bytes in its buffers, and `POLLRDHUP` shows that
+The kernel reports both: `TIOCOUTQ` and `FIONREAD` return the bytes in its buffers, and `POLLRDHUP` shows that
 the peer has shut down sending, even behind bytes that have not been read.
 """
 
@@ -14,9 +14,9 @@
 from fcntl import ioctl
 
 IOCTL_BUFFER = bytes(4)  # the buffer for the integer that `ioctl` returns
-# Between two polls of the connections that are not read. The protocol allows no attempt to begin more than
-# 0.1 s after its client has disconnected. Two polls take half of that, which leaves the other half for an
-# iteration of the loop.
+# Time between two polls of the connections that are not read. The protocol allows no attempt to begin more
+# than 0.1 s after its client has disconnected. Two polls take half of that, which leaves the other half for
+# an iteration of the loop.
 DISCONNECT_POLL_INTERVAL_S = 0.1 / 4
 
 
@@ -26,13 +26,13 @@
 
 
 def unacknowledged(transport: asyncio.Transport) -> int:
-    """Return the bytes that the peer's host has not acknowledged, in the buffers of transport and system."""
+    """Return the bytes that the peer's host has not acknowledged, in the buffers of transport and kernel."""
     fd = transport.get_extra_info("socket").fileno()
     return transport.get_write_buffer_size() + queued_by_system(fd)
 
 
 def unread_bytes(transport: asyncio.Transport) -> int:
-    """Return the bytes in the receive buffer of the system."""
+    """Return the number of bytes in the kernel's receive buffer."""
     fd = transport.get_extra_info("socket").fileno()
     return int.from_bytes(ioctl(fd, termios.FIONREAD, IOCTL_BUFFER), sys.byteorder) if fd >= 0 else 0
 
@@ -66,7 +66,7 @@
         """Call `callback` when the peer has disconnected, and at each later poll until `remove`.
 
         The first call comes at most `DISCONNECT_POLL_INTERVAL_S` and an iteration of the loop after the
-        system can report the disconnect. The transport must be removed before its socket is closed, at the
+        kernel can report the disconnect. The transport must be removed before its socket is closed, at the
         latest in `connection_lost`.
         """
         fd = transport.get_extra_info("socket").fileno()
--- a/ochreflow/http/socket_stream.py
+++ b/ochreflow/http/socket_stream.py
@@ -1,8 +1,8 @@
-"""A connected socket that knows exactly which bytes the system has accepted, and that closes immediately.
+"""A connected socket that knows exactly which bytes the kernel has accepted, and that closes immediately.
 
-A transport of the event loop offers neither. It sends buffered bytes on its own, and reports that later, by a
-callback. Its `abort` only schedules the close, and it goes on sending until the loop's next iteration: a
-half-written request that was given up could still be completed at its server.
+A transport of the event loop offers neither. The transport sends buffered bytes on its own, and reports that
+later, by a callback. Its `abort` only schedules the close, and sending goes on until the loop's next
+iteration: a half-written request that was given up could still be completed at its server.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from .socket_progress import queued_by_system
 
 READ_SIZE_BYTES = 64 * 1024  # per `recv`
-MAX_READS_PER_CALLBACK = 16  # then other connections are served
+MAX_READS_PER_CALLBACK = 16  # after these reads, other connections are served first
 
 
 class StreamOwner(Protocol):
@@ -34,11 +34,11 @@
         ...
 
     def pause_writing(self) -> None:
-        """Pause writing: the system has not accepted all written bytes."""
+        """Pause writing: the kernel has not accepted all written bytes."""
         ...
 
     def resume_writing(self) -> None:
-        """Resume writing: the system has accepted all written bytes."""
+        """Resume writing: the kernel has accepted all written bytes."""
         ...
 
 
@@ -54,7 +54,7 @@
         self.loop = loop
         self.sock = sock
         self.owner: StreamOwner | None = owner  # None after `close`, to break the reference cycle
-        self.unsent = bytearray()  # written, and not accepted by the system
+        self.unsent = bytearray()  # written by the owner, but not accepted by the kernel yet
         self.closed = False
         self.failed = False  # a write has failed; `connection_broken` is scheduled
         self.reading = False
@@ -70,7 +70,7 @@
         self.loop.add_reader(self.sock, self._on_readable)
 
     def pause_reading(self) -> None:
-        """Stop reading; received data stays in the buffer of the system."""
+        """Stop reading; received data stays in the kernel's receive buffer."""
         if self.reading:
             self.reading = False
             self.loop.remove_reader(self.sock)
@@ -96,10 +96,10 @@
             owner.connection_broken()
             return False
         if not data and self.failed:
-            owner.connection_broken()  # the failed write consumed the error: not an orderly end
+            owner.connection_broken()  # the failed write consumed the error, so this is no orderly end
             return False
         if not data:
-            self.pause_reading()  # or the loop would report the end again in each iteration
+            self.pause_reading()  # otherwise the loop would report the end again in each iteration
             owner.eof_received()
             return False
         try:
@@ -124,7 +124,7 @@
     def begin(self, message: bytes) -> bool:
         """Write the beginning of a message; return False if the connection is dead and nothing was sent.
 
-        Bytes that the system does not accept stay in `unsent`. The owner's `pause_writing` is not called for
+        Bytes that the kernel does not accept stay in `unsent`. The owner's `pause_writing` is not called for
         them, only `resume_writing`.
         """
         try:
@@ -137,7 +137,7 @@
         return True
 
     def write(self, data: bytes) -> None:
-        """Continue a message; bytes that the system does not accept yet stay in `unsent`."""
+        """Continue a message; bytes that the kernel does not accept yet stay in `unsent`."""
         sent = 0
         if not self.unsent and not self.closed and not self.failed:
             try:
@@ -193,7 +193,7 @@
     # Closing
 
     def discard_on_close(self) -> None:
-        """Make the system discard its send buffer when this stream is closed, instead of sending it."""
+        """Make the kernel discard its send buffer when this stream is closed, instead of sending it."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
     def close(self) -> None:
--- a/ochreflow/http/upstream.py
+++ b/ochreflow/http/upstream.py
@@ -24,8 +24,8 @@
 class SendResult(Enum):
     """The result of sending an exchange on a connection."""
 
-    STARTED = auto()  # its first byte has been written
-    REJECTED = auto()  # it must not be sent any more; the connection stays usable
+    STARTED = auto()  # the first byte of the exchange has been written
+    REJECTED = auto()  # the exchange must not be sent any more; the connection stays usable
     DEAD = auto()  # the connection is dead, and nothing of the exchange was sent
 
 
@@ -78,8 +78,8 @@
     def start(self, server: int, exchange: Exchange, timeout: float | None) -> None:
         """Send an exchange; its result is reported later, never from within this call.
 
-        Without a `timeout`, in seconds, it waits until `set_timeout` or `give_up` is called: its body is
-        incomplete.
+        Without a `timeout`, in seconds, the exchange waits until `set_timeout` or `give_up` is called, since
+        its body is incomplete.
         """
         target = self.targets.get(server)
         if target is None or not target.accepts_requests:
@@ -142,7 +142,7 @@
         def on_settled() -> None:
             target.settling -= 1
             self.release(connection)
-            if exchange in target.opening:  # it was not sent on this connection
+            if exchange in target.opening:  # the exchange was not sent on this connection
                 del target.opening[exchange]
                 if not exchange.ended and not exchange.rejected:
                     self._find_connection(target, exchange)
@@ -179,7 +179,7 @@
             return
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-        except OSError:  # out of descriptors in spite of the count: make room for the retry, due soon
+        except OSError:  # out of descriptors in spite of the count: make room for the retry that follows soon
             if not self.close_oldest():
                 self.descriptors.evict_idle_connection()
             self.loop.call_soon(exchange.end, Status.NOT_SENT)
@@ -189,7 +189,7 @@
         self.connections.add(connection)
         self.descriptors.in_use += 1
         target.opening[exchange] = None
-        # Must not be cancelled before its first step: it would not run at all, and leak the connection.
+        # A task cancelled before its first step would not run at all, and leak the connection.
         self.loop.create_task(self._connect(target, exchange, connection))
 
     async def _connect(self, target: Target, exchange: Exchange, connection: Connection) -> None:
--- a/ochreflow/http/upstream_connection.py
+++ b/ochreflow/http/upstream_connection.py
@@ -52,7 +52,7 @@
         self.accepts_requests = True
         self.idle: list[Connection] = []  # by `idle_since`, the most recently used last
         self.opening: dict[Exchange, None] = {}  # exchanges that wait for a connection, in order of arrival
-        self.settling = 0  # the number of these that wait for an idle connection to settle
+        self.settling = 0  # number of exchanges in `opening` that wait for an idle connection to settle
 
 
 class Connection:
@@ -84,7 +84,7 @@
 
     @property
     def unwritten(self) -> bool:
-        """Whether the system has not accepted the last byte of the request, so that it cannot have run.
+        """Whether the kernel has not accepted the last byte of the request, so that it cannot have run.
 
         The value is final once the connection is closed.
         """
@@ -96,7 +96,7 @@
         return not self.unwritten and self.stream.unacknowledged() == 0
 
     def discard_unsent(self) -> None:
-        """Make the system discard its send buffer when this connection is closed, instead of sending it."""
+        """Make the kernel discard its send buffer when this connection is closed, instead of sending it."""
         self.stream.discard_on_close()
 
     def pause_writing(self) -> None:
@@ -110,7 +110,7 @@
             )
 
     def resume_writing(self) -> None:
-        """Resume the streamed body, or report that the request is written: all bytes are accepted."""
+        """Resume the streamed body, or report the request as written: the kernel has accepted all bytes."""
         self._stop_write_stall()
         if self.uploading is not None:
             self.uploading.set_blocked(blocked=False)
--- a/ochreflow/http/upstream_transport.py
+++ b/ochreflow/http/upstream_transport.py
@@ -28,7 +28,7 @@
     def start(
         self, server: int, request: IncomingRequest, timeout: float | None, observer: AttemptObserver
     ) -> UpstreamAttempt:
-        """Start an attempt; `timeout` is in seconds, None if its observer sets or ends it later."""
+        """Start an attempt; `timeout` is in seconds, None if it is set once the body is complete."""
         assert isinstance(request, HttpRequest)
         request_lines = self._format_request_lines(request)
         body: Body | None = request.body
