--- a/ochreflow/simulator_adapter/codes.py
+++ b/ochreflow/simulator_adapter/codes.py
@@ -27,9 +27,8 @@
     SNAPSHOT_ROWS = 26  # a numbered list of servers, shared by all instances
 
 
-HOST_EVENTS = frozenset(
-    (EventCode.NEW_INSTANCE, EventCode.STOP, EventCode.SNAPSHOT_ROWS)
-)  # handled by the host, not passed to a balancer
+# Events that the host handles itself and does not pass to a balancer.
+HOST_EVENTS = frozenset((EventCode.NEW_INSTANCE, EventCode.STOP, EventCode.SNAPSHOT_ROWS))
 
 
 class ActionCode(IntEnum):
--- a/ochreflow/simulator_adapter/events.py
+++ b/ochreflow/simulator_adapter/events.py
@@ -28,7 +28,7 @@
 SNAPSHOT_ROWS = struct.Struct("<xIII")  # buffer; lines: offset, number of entries
 LIST_ENTRY = struct.Struct("<IHBHBfQ")  # server, site, type, group, phase, size, last-start-ns
 
-# Read once, not for each record; see the head of `codes`.
+# Each member is read once, not for each record; see the docstring of `codes`.
 COST_VALID = int(InboundOption.COST_VALID)
 CLIENT_RETRY = int(InboundOption.CLIENT_RETRY)
 WRITE = int(InboundOption.WRITE)
