--- a/ochreflow/lab/fault/chance.py
+++ b/ochreflow/lab/fault/chance.py
@@ -10,9 +10,8 @@
 
 from .script import Fault, Spread
 
-PARETO_SHAPE = (
-    1.5  # of a heavy-tailed delay: mean 2 * delay_ms, median 0.59 * delay_ms, rarely tens of times that
-)
+# Shape of heavy-tailed delays: mean 2 * delay_ms, median 0.59 * delay_ms, rarely tens of times that.
+PARETO_SHAPE = 1.5
 MS_PER_S = 1000
 DIGITS = b"0123456789"
 BYTE_VALUES = 256
--- a/ochreflow/lab/fault/datagrams.py
+++ b/ochreflow/lab/fault/datagrams.py
@@ -33,7 +33,7 @@
         self.faults = list(faults)
 
     def feed(self, side: Side, data: bytes) -> list[DelayedDatagram]:
-        """Return the datagrams to forward when one arrives. A reordered one waits for the next."""
+        """Return the datagrams to forward when one arrives. A reordered datagram waits for the next one."""
         number = self.counts[side]
         self.counts[side] += 1
         copies, delay, reorder = 1, 0.0, False
--- a/ochreflow/lab/fault/script.py
+++ b/ochreflow/lab/fault/script.py
@@ -66,24 +66,24 @@
     after: int = 0  # bytes
     share: float = 1.0  # part of the connections or datagrams affected, from 0 to 1
     max_count: int = 0  # only the first `max_count` connections, or datagrams from `message` on; 0: no limit
-    delay_ms: float = 0.0  # of a delay; uniform and heavy-tailed delays start at 0
+    delay_ms: float = 0.0  # length of a delay; uniform and heavy-tailed delays start at 0
     spread: Spread = Spread.FIXED
-    per_second: int = 0  # bytes per second, of a rate
+    per_second: int = 0  # bytes per second, for a rate
     count: int = 1  # bytes to garble
 
     def __post_init__(self) -> None:
         """Check the values; msgspec turns the ValueError of an invalid one into a ValidationError."""
         if not 0.0 <= self.share <= 1.0:
-            message = "share is a part: from 0 to 1"
+            message = "share must be from 0 to 1"
             raise ValueError(message)
         if min(self.message, self.after, self.delay_ms, self.max_count) < 0 or self.count < 1:
-            message = "message, after, most and ms are 0 or more, count 1 or more"
+            message = "message, after, most and ms must be 0 or more, and count 1 or more"
             raise ValueError(message)
         if self.kind is FaultKind.RATE and self.per_second < 1:
-            message = "a rate needs per_second, in bytes"
+            message = "rate requires per_second, in bytes per second, of 1 or more"
             raise ValueError(message)
         if self.kind is FaultKind.DELAY and not self.delay_ms:
-            message = "a delay needs ms"
+            message = "delay requires ms, in milliseconds, above 0"
             raise ValueError(message)
 
 
@@ -112,7 +112,7 @@
 def read_faults(entries: object, source: str, allowed: tuple[FaultKind, ...]) -> list[Fault]:
     """Convert a list of entries to faults; raise ScriptError that names every invalid entry."""
     if not isinstance(entries, list):
-        message = f"{source}: fault: wanted a list of tables"
+        message = f"{source}: fault must be a list of tables"
         raise ScriptError(message)
     faults: list[Fault] = []
     errors: list[str] = []
@@ -131,10 +131,10 @@
     fault = msgspec.convert(entry, Fault)
     if fault.kind not in allowed:
         allowed_values = ", ".join(kind.value for kind in allowed)
-        message = f"{fault.kind.value} is not to be had here: {allowed_values}"
+        message = f"the fault {fault.kind.value} is not possible on this proxy; possible: {allowed_values}"
         raise msgspec.ValidationError(message)
     if allowed is STREAM_FAULTS and fault.after and fault.place in (Place.START, Place.END):
-        message = "start and end have no bytes: after is 0 there"
+        message = "after must be 0 if place is start or end, which have no bytes"
         raise msgspec.ValidationError(message)
     return fault
 
--- a/ochreflow/lab/fault/stream.py
+++ b/ochreflow/lab/fault/stream.py
@@ -64,7 +64,8 @@
     framer: Framer = field(default_factory=Framer)
     message: int = -1  # number of the current message
     place: Place = Place.START
-    offsets: dict[Place, int] = field(default_factory=lambda: defaultdict(int))  # bytes, in this message
+    # Bytes of each place seen so far in the current message.
+    offsets: dict[Place, int] = field(default_factory=lambda: defaultdict(int))
     bytes_per_second: int = 0  # 0: unlimited
     garble_remaining: int = 0  # bytes still to be garbled
     garble_rng: random.Random | None = None  # draws the replacement bytes
--- a/ochreflow/lab/fault/stream_proxy.py
+++ b/ochreflow/lab/fault/stream_proxy.py
@@ -12,8 +12,8 @@
 from .stream import Action, Close, Forward, HalfClose, StreamMachine, Wait
 
 Address = tuple[str, int]
-MAX_BUFFERED_BYTES = 256 * 1024  # queued in one direction before reading from its sender pauses
-RESUME_BELOW_BYTES = 64 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024  # bytes queued in one direction above which reading from its sender pauses
+RESUME_BELOW_BYTES = 64 * 1024  # bytes queued below which reading resumes
 
 
 class ProxiedConnection:
