--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -3,7 +3,8 @@
     python benchmarks/addresses.py [--addresses 10000000]
 
 Each address connects once and disconnects; every tenth completes a request. Prints one JSON object: resident
-memory of the process in KiB at the start, after a tenth and after all connections; microseconds for each.
+memory of the process in KiB at the start, after a tenth and after all connections, and the time for each
+connection in microseconds.
 """
 
 from __future__ import annotations
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -3,7 +3,7 @@
     python benchmarks/flood.py [--sockets 2000]
 
 Runs a steady load from one address, served by a fake node, while sockets from 250 other loopback addresses
-connect and send nothing or half a request head; a closed one connects again. Prints one JSON object: the
+connect and send nothing or half a request head; a closed socket connects again. Prints one JSON object: the
 share of requests within the target time and the p99, without a flood, and with one with admission off and on.
 """
 
@@ -36,7 +36,7 @@
 
 
 class Flood:
-    """Sockets to one port; each connects again after it was closed."""
+    """Sockets to one port; each of them connects again after being closed."""
 
     def __init__(self, port: int, sockets: int) -> None:
         """Prepare a flood of `sockets` sockets to `port`; nothing connects before `run`."""
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -2,8 +2,8 @@
 
     python benchmarks/overhead.py [--before REVISION] [--rounds N] [--seconds S]
 
-All are measured in turn within one run on the same cores, one core for each sidecar; only the ratios are
-meaningful. Prints one JSON object: the ratio of requests per second to those without a sidecar (median of
+All three are measured in turn within one run on the same cores, one core for each sidecar; only the ratios
+are meaningful. Prints one JSON object: the ratio of requests per second to those without a sidecar (median of
 the rounds), the latency added at p50 and p99 with one request at a time, and the idle resident memory.
 """
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -40,8 +40,8 @@
 from ochreflow.lab.event_log import EventLog
 from ochreflow.lab.fake_directory import FakeDirectory
 
-TARGETS_S = (10.0, 6.0)  # 90 % of the starts are to be ready within the first, on a short day the second
-MAX_START_S = 60.0  # after which a start counts as failed
+TARGETS_S = (10.0, 6.0)  # time limits for 90 % of the starts: normally, and on a short day
+MAX_START_S = 60.0  # time after which a start counts as failed
 SHARES = "1 1/2 1/5 1/10 1/20 1/32"
 SHARE_WITHOUT_DIRECTORY = Fraction(1, 10)  # the share that is also measured with the directory down
 READY = b"GET /-/ready HTTP/1.1\r\nHost: sidecar\r\n\r\n"
@@ -198,7 +198,7 @@
         self.throttle(slice_start, self.times()[0] - cpu_before_s)
 
     def throttle(self, start_time: float, cpu_s: float) -> None:
-        """Keep it stopped until `cpu_s` seconds of CPU time are its share of the time since `start_time`."""
+        """Keep the process stopped until `cpu_s` seconds of CPU time are its share since `start_time`."""
         if (remaining := start_time + cpu_s / self.share - perf_counter()) > 0.0:
             self.monitor(remaining)
 
@@ -227,7 +227,7 @@
         if discovery is not None:
             result.first_list_cpu_s = throttled.times()[0] - cpu_s
     end = perf_counter() + MAX_START_S
-    while discovery is not None and discovery.has_watch:  # else the next start would count this watch
+    while discovery is not None and discovery.has_watch:  # otherwise the next start would count this watch
         if perf_counter() > end:
             message = "the directory still holds the watch of a process that has exited"
             raise SystemExit(message)
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -30,7 +30,7 @@
 from ochreflow.lab.client_connection import ClientConnection
 
 CLIENTS = 4
-SINGLE_PROCESS_LOAD_S = 1.0  # of load while only the first process runs, and later only the second
+SINGLE_PROCESS_LOAD_S = 1.0  # duration of the load on the first process alone, and later on the second alone
 LOG_TIMEOUT_S = 10
 EXIT_TIMEOUT_S = 10
 LOG_POLL_INTERVAL_S = 0.01
--- a/benchmarks/worse_builds.py
+++ b/benchmarks/worse_builds.py
@@ -3,8 +3,8 @@
     python benchmarks/worse_builds.py [--seeds 8] [--jobs 8] [--into FOLDER]
 
 Each build has one line of the policy package changed. Prints one JSON object: the mean worth by build and
-scenario, and the difference from the unchanged build with its confidence interval. With --into it only
-creates the builds.
+scenario, and the difference from the unchanged build with its confidence interval. With --into the
+builds are only created.
 """
 
 from __future__ import annotations
