--- a/ochreflow/simulation/slow_start_run.py
+++ b/ochreflow/simulation/slow_start_run.py
@@ -1,4 +1,4 @@
-"""Simulation of cold servers and many sidecars: the load of all sidecars must not exceed a server's capacity.
+"""Simulation of cold servers and many sidecars: their total load against what a cold server can handle.
 
 It runs the decision module alone, in simulated time. A share of the servers is replaced by cold ones at one
 time, and each sidecar is notified some time later. `docs/design/pace.md` has definitions and figures.
