--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -47,8 +47,8 @@
 def test_a_sidecar_with_low_traffic_samples_few_servers_and_a_busy_one_samples_all():
     """With all servers sampled, each got two requests a minute, too few to detect a slow or hung one."""
     entries = [endpoint(n) for n in range(40)]
-    quiet, now = make(entries=entries)
-    assert len(set(trickle(quiet, now, range(60), lambda server: 40 * MS)[1])) <= 4
+    low_traffic, now = make(entries=entries)
+    assert len(set(trickle(low_traffic, now, range(60), lambda server: 40 * MS)[1])) <= 4
     busy, now = make(entries=entries)
     assert len(serve_requests(busy, now, range(1500), 10 * MS)[1]) == 40
 
@@ -68,7 +68,7 @@
     assert len(used) > 30
 
 
-def test_a_request_is_sent_outside_the_subset_when_none_of_it_is_eligible():
+def test_a_request_is_sent_outside_the_subset_if_no_server_in_the_subset_is_eligible():
     """A retry with a key must stay in the cell of its first server, which may be alone in the subset."""
     entries = [endpoint(n, cell=n // 2) for n in range(40)]
     retried = []
@@ -81,7 +81,7 @@
     assert len(retried) == 20 and {abs(step) for step in retried} == {1}  # its neighbour, of the same cell
 
 
-def test_an_overloaded_zone_and_a_slow_kind_get_fewer_requests_within_tens_of_answers():
+def test_an_overloaded_zone_and_a_slow_kind_get_fewer_requests_within_forty_answers():
     """A zone with 61% of the traffic and 31% of the capacity was overloaded within two seconds of a run."""
     for name in ("zone", "kind"):
         entries = [
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -119,7 +119,7 @@
     assert generator.balancer.latency.baseline[0] < 3 * before
 
 
-def test_the_limit_does_not_jump_after_it_was_cut(generator):
+def test_the_limit_does_not_jump_after_a_reduction(generator):
     """Incident i545f60: the limit grew tenfold within a second, and returning clients filled it at once."""
     generator.run(5, 100, fast)
     generator.run(5, 100, late)
@@ -160,13 +160,13 @@
     duration_ns = QueueingServers(generator, 40 * MS)
     generator.run(10, 75, duration_ns)
     generator.run(1, 375, duration_ns)
-    waits = []
-    generator.run(4, 375, lambda server: waits.append(duration_ns(server)) or waits[-1])
-    late = [wait for wait in waits if wait > 500 * MS]
-    assert len(waits) > 500 and len(late) < 0.1 * len(waits)
+    latencies_ns = []
+    generator.run(4, 375, lambda server: latencies_ns.append(duration_ns(server)) or latencies_ns[-1])
+    late = [latency_ns for latency_ns in latencies_ns if latency_ns > 500 * MS]
+    assert len(latencies_ns) > 500 and len(late) < 0.1 * len(latencies_ns)
 
 
-def test_one_update_goes_part_of_the_way_and_few_requests_in_flight_leave_the_limit():
+def test_an_update_moves_the_limit_a_fifth_of_the_way_to_its_target_unless_few_requests_are_in_flight():
     balancer, now = make_balancer()
     balancer.limiter.limit, balancer.limiter.updated_at, balancer.limiter.first_update_at = (
         100.0,
@@ -257,7 +257,7 @@
     assert cheap > 1.5 * dear > 0
 
 
-def test_classes_are_shed_alike_when_the_goal_weighs_the_worst_served_class():
+def test_classes_of_unequal_weight_are_shed_at_similar_rates_if_the_goal_includes_the_worst_class():
     """Scenario rough-1 of Kitplan: the lookups, of low weight for their work, were by far the worst class."""
     cheap, dear = rejections_by_class(goal_worst_class=0.3)
     assert 0 < cheap < 1.3 * dear
@@ -277,8 +277,8 @@
     assert rejected.count(0) > 0
 
 
-def test_retry_after_ends_within_the_objective_unless_that_has_passed():
-    """With a later one the client's next attempt must be late, as much of the traffic was in i8cc3a0."""
+def test_retry_after_ends_within_the_objective_unless_the_objective_has_passed():
+    """With a later one, the client's next attempt is always late, as much of the traffic was in i8cc3a0."""
     generator = LoadGenerator(
         *make_balancer(servers=6, effect=Effect.NON_IDEMPOTENT, max_retry_after_ns=10 * SECOND)
     )
@@ -286,9 +286,9 @@
     generator.run(5, 100, fast, **aged)
     log = generator.run(6, 100, lambda server: (40 + 25 * generator.balancer.endpoints.inflight) * MS, **aged)
     rejected = [a for _, a in log if isinstance(a, Reject)]
-    waits = {kind: [a.retry_after_ns for a in rejected if a.id % 2 == kind] for kind in (0, 1)}
-    assert min(waits[1]) > 0 and max(waits[1]) < 500 * MS / 2
-    assert min(waits[0]) > 500 * MS / 2
+    retry_afters_ns = {kind: [a.retry_after_ns for a in rejected if a.id % 2 == kind] for kind in (0, 1)}
+    assert min(retry_afters_ns[1]) > 0 and max(retry_afters_ns[1]) < 500 * MS / 2
+    assert min(retry_afters_ns[0]) > 500 * MS / 2
 
 
 def test_a_tenant_over_its_quota_is_rejected_first_and_only_in_overload():
@@ -308,7 +308,7 @@
     assert rejected_count[True] / request_count[True] > rejected_count[False] / request_count[False]
 
 
-def test_rates_are_published_and_recorded_and_truncated_ones_ignored():
+def test_tenant_rates_are_published_and_recorded_and_truncated_messages_are_ignored():
     tenants = [Tenant("a", 0.5, 10.0), Tenant("b", 0.5, 10.0)]
     config = settings(effect=Effect.NON_IDEMPOTENT, tenants=tenants, can_gossip=True, fleet_size=2, index=0)
     balancer = Balancer(config, 1)
@@ -325,7 +325,7 @@
     assert balancer.tenant_quotas.over_quota[1] == 0.0
 
 
-def test_a_surge_is_admitted_only_as_far_as_answers_justify():
+def test_a_surge_is_admitted_if_answered_in_time_and_limited_while_no_answer_arrives():
     """Incident ibe9fc7: a ceiling of four times the recent requests in flight grew with the surge.
 
     It rose until all servers were overloaded.
@@ -340,7 +340,7 @@
 
 
 @pytest.mark.parametrize("effect", list(Effect))
-def test_an_ejected_server_is_half_open_to_any_class_where_none_is_idempotent(effect):
+def test_an_ejected_server_gets_one_half_open_request_of_any_class_if_no_class_is_idempotent(effect):
     """Incident ifc0f20: no class of the site was idempotent, so servers that recovered stayed ejected."""
     balancer, now = make_balancer(servers=6, effect=effect)
     ejected = balancer.endpoints.servers[100]
@@ -358,7 +358,7 @@
     assert tried[0] - START > SECOND
 
 
-def test_only_an_idempotent_class_is_the_half_open_request_where_there_is_one():
+def test_the_half_open_request_is_of_an_idempotent_class_if_such_a_class_exists():
     classes = [
         RequestClass("safe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.IDEMPOTENT),
         RequestClass("unsafe", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.NON_IDEMPOTENT),
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -57,7 +57,7 @@
     assert server.slow_start_tokens == 0.0
 
 
-def test_a_start_ahead_of_the_sidecars_clock_does_not_fail_without_warm_up():
+def test_a_start_time_ahead_of_the_sidecars_clock_does_not_fail_without_warm_up():
     balancer, now = make_balancer(entries=[endpoint(1, started=START + 5 * SECOND)], warm_up_ns=0)
     assert send_one(balancer, now, 1).server == 1
 
@@ -142,7 +142,7 @@
     assert balancer.slow_start.baseline_load(balancer.endpoints.servers[2]) == pytest.approx(10.0, rel=0.05)
 
 
-def test_a_weak_kind_with_a_cell_of_its_own_is_not_reduced_twice():
+def test_the_baseline_load_of_a_weak_kind_in_its_own_cell_is_not_reduced_twice():
     """Its cell was compared with all local servers: beside a kind of 20 it got 0.4 instead of its own 2."""
     entries = [endpoint(number, cell=number // 3) for number in range(6)]
     for entry in entries:
@@ -153,7 +153,7 @@
     assert balancer.slow_start.baseline_load(server) == pytest.approx(2.0, rel=0.05)
 
 
-def test_a_cell_that_is_not_sampled_is_not_taken_for_one_with_low_load():
+def test_a_cell_that_is_not_sampled_does_not_count_as_lightly_loaded():
     """Where a sidecar samples few of many servers, the others have no load from it."""
     entries = [endpoint(number, cell=number % 4) for number in range(40)]
     balancer, now = make_with_traffic(entries, fleet_size=200)
@@ -229,7 +229,7 @@
     assert slow_start.allows(server, 0, consume=False)
 
 
-def test_a_kind_without_a_warm_server_has_the_load_of_all():
+def test_a_kind_without_a_warm_server_has_the_mean_load_of_all_warm_servers():
     balancer, now = make_with_traffic([endpoint(1), endpoint(2)])
     now = record_answers(balancer, now, {1: 10, 2: 20})
     other = endpoint(9, started=now)
@@ -289,13 +289,13 @@
     assert sum(one.of_capacity for one in results) > 0.4 * len(results), results
 
 
-def test_weak_servers_are_not_overloaded_where_the_list_tells_kinds_and_cells_apart():
+def test_weak_servers_are_not_overloaded_if_the_list_distinguishes_kinds_and_cells():
     results = [play(SlowStartCase(30, 10, REPLACED_SHARES["all"], unequal=True), seed) for seed in (1, 2, 3)]
     assert max(one.slack for one in results) < 1.0, results
     assert sum(one.of_slow_start_ramp for one in results) > 0.6 * len(results), results
 
 
-def test_windows_are_compared_with_what_the_ramp_allowed_in_them():
+def test_the_slack_of_the_worst_window_is_relative_to_the_budget_of_the_slow_start_ramp():
     assert slow_start_ramp_integral(12.0) == pytest.approx(12.0 * (0.15 + 1.0) / 2)
     assert slow_start_ramp_integral(16.0) - slow_start_ramp_integral(12.0) == pytest.approx(4.0)
     send_times_s = [number / 100 for number in range(1, 1100)]  # five times a warm server's 20 a second
@@ -306,7 +306,7 @@
     assert slack(31, 25.0) == pytest.approx(0.5)
 
 
-def test_the_command_prints_a_line_for_each_part_that_is_cold():
+def test_the_command_prints_a_line_for_each_share_of_replaced_servers():
     done = command("lab", "pace", "5/10", "--seeds", "1")
     assert done.returncode == 0, done.stderr
     lines = done.stdout.splitlines()
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -34,7 +34,7 @@
     assert not namespace["balancer"].pending
 
 
-def test_the_policy_stays_within_its_limits_and_names_the_interface_first():
+def test_policy_modules_are_listed_documented_and_short_and_the_balancer_names_the_interface():
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     texts = {Path(name).name: (ROOT / name).read_text() for name in listed}
     too_long = {
@@ -140,7 +140,7 @@
     assert _operations(2000) <= 1.5 * _operations(100)
 
 
-def test_a_fault_leaves_the_actions_of_its_own_event_and_none_of_an_earlier_one(monkeypatch):
+def test_after_an_exception_only_the_actions_of_the_failed_event_are_returned(monkeypatch):
     balancer, now = make_balancer(effect=Effect.NON_IDEMPOTENT)
     sent = balancer.handle(now, request(1, now))
     assert any(isinstance(action, Send) for action in sent)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -131,7 +131,7 @@
     assert balancer.pending[1].retry_scheduled and balancer.retry_policy.tokens == 1.0 - cost
 
 
-def test_at_most_one_request_in_ten_tries_an_ejected_server_however_many_are_due():
+def test_at_most_one_request_in_ten_goes_to_an_ejected_server_even_if_many_are_half_open():
     balancer, now = make_balancer(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     for server in list(balancer.endpoints.servers.values())[:30]:
         balancer.outlier_detector.eject(server)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -130,7 +130,7 @@
     return sent_there[2:], actions, now
 
 
-def test_no_hedged_request_where_forbidden_but_the_first_is_cancelled_at_an_ejected_server():
+def test_without_hedging_an_attempt_at_an_ejected_server_is_cancelled_before_its_retry():
     balancer, now = make_balancer(effect=Effect.IDEMPOTENT, hedging=False)
     waiting, actions, now = lose_server(balancer, now, 100)
     assert {a.id for a in actions_of_type(actions, Cancel)} == set(waiting)
@@ -140,7 +140,7 @@
     assert [a for _, a in done if isinstance(a, Send) and a.id == waiting[0]]
 
 
-def test_attempts_at_an_ejected_server_are_retried_beside_it_where_allowed():
+def test_with_hedging_an_attempt_at_an_ejected_server_is_retried_and_not_cancelled():
     balancer, now = make_balancer(effect=Effect.IDEMPOTENT, hedging=True)
     waiting, actions, now = lose_server(balancer, now, 100)
     done = fire_timers(balancer, now, actions, now + SECOND)
@@ -194,7 +194,7 @@
     assert run(5, answers=False) < 25  # of 250: silence counts before any attempt times out
 
 
-def test_a_fast_error_does_not_look_like_a_fast_server():
+def test_a_server_with_fast_errors_gets_fewer_requests_than_any_other():
     entries = [endpoint(n) for n in range(1, 7)]
     balancer, now = make_balancer(entries=entries, effect=Effect.NON_IDEMPOTENT)
     chosen = dict.fromkeys(range(1, 7), 0)
@@ -213,20 +213,20 @@
 def test_a_warming_server_gets_less_than_its_fair_share_until_it_answers():
     warm = [endpoint(n) for n in range(1, 5)]
     balancer, now = make_balancer(entries=warm, effect=Effect.NON_IDEMPOTENT)
-    cold_sends = 0
+    warming_sends = 0
     for ident in range(600):
         now += 10 * MS
         if ident == 300:
             balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(9, started=now)]))
         for action in actions_of_type(balancer.handle(now, request(ident, now)), Send):
             if action.server == 9:
-                cold_sends += 1
+                warming_sends += 1
             else:
                 balancer.handle(now + 50 * MS, Outcome(ident, 0, action.server, Status.OK, 50 * MS, True))
-    assert cold_sends <= 300 / 5
+    assert warming_sends <= 300 / 5
 
 
-def test_warming_servers_are_tried_by_a_sidecar_that_sends_little_at_a_time():
+def test_warming_servers_are_tried_by_a_sidecar_with_one_request_in_flight_at_a_time():
     """Guards against new servers that stay unused (incident i8cc3a0).
 
     A sidecar with one request in flight at a time never sent to the servers that were added.
@@ -287,17 +287,17 @@
     """
     first, retried = [], []
     for seed in range(40):
-        wanted = settings(polling_required=True, polling_interval_ns=10 * SECOND, fleet_size=40)
-        balancer, now = Balancer(wanted, seed), START
+        config = settings(polling_required=True, polling_interval_ns=10 * SECOND, fleet_size=40)
+        balancer, now = Balancer(config, seed), START
         armed = balancer.handle(now, Membership(ListKind.CACHED, 1, [endpoint(1)]))
         polled = [when for when, a in fire_timers(balancer, now, armed, now + 10 * SECOND)]
         failed = balancer.handle(polled[0], Membership(ListKind.FAILED, 0, []))
         polled += [when for when, a in fire_timers(balancer, polled[0], failed, polled[0] + 10 * SECOND)]
         first.append(polled[0] - START)
         retried.append(polled[1] - polled[0])
-    for waits in (first, retried):
-        assert max(sum(at <= wait < at + SECOND for wait in waits) for at in waits) <= 25
-        assert max(waits) < 6 * SECOND
+    for delays_ns in (first, retried):
+        assert max(sum(at <= delay_ns < at + SECOND for delay_ns in delays_ns) for at in delays_ns) <= 25
+        assert max(delays_ns) < 6 * SECOND
 
 
 def test_events_of_unknown_requests_servers_and_timers_cause_no_decision():
