--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -43,7 +43,7 @@
         admission.request_completed(now, key)
 
 
-def test_an_address_has_its_limits_and_reputation_raises_them_until_it_decays():
+def test_the_limits_of_an_address_rise_with_its_reputation_and_fall_when_the_reputation_decays():
     admission = make_admission(capacity=1000)
     decisions = [admission.admit(0.0, n, "10.0.0.1") for n in range(5)]
     assert decisions == [None] * 4 + [RejectionReason.ADDRESS_CONNECTIONS]
@@ -198,7 +198,7 @@
     ("address", "prefix"),
     [("10.1.2.3", "10.1.2.0/24"), ("2001:db8:1::9", "2001:db8:1::/48"), ("", ""), ("odd", "odd")],
 )
-def test_prefix_of_an_address(address, prefix):
+def test_an_address_is_reduced_to_its_network_prefix_and_other_text_is_unchanged(address, prefix):
     assert prefix_of(address) == prefix
 
 
@@ -281,7 +281,7 @@
     run(play())
 
 
-def test_an_address_is_known_from_the_minimum_reputation_on():
+def test_an_address_is_known_once_it_has_the_minimum_reputation():
     admission = make_admission()
     admission.admit(0.0, 1, "10.0.0.1")
     earn_reputation(admission, 0.0, 1, int(MIN_KNOWN_REPUTATION) - 1)
--- a/tests/test_client_left_attempts.py
+++ b/tests/test_client_left_attempts.py
@@ -56,14 +56,14 @@
             if body == "none":
                 client.sendall(http_request("order", "gone"))
             else:
-                whole = http_request("order", "gone", "3000m", bytes(2 * MAX_BUFFERED_BYTES))
-                client.sendall(whole[: -MAX_BUFFERED_BYTES // 2])
+                message = http_request("order", "gone", "3000m", bytes(2 * MAX_BUFFERED_BYTES))
+                client.sendall(message[: -MAX_BUFFERED_BYTES // 2])
             server_connection = await server.accept()
             await wait_until(lambda: sidecar.engine.requests.pending)
             connection = sidecar_connection(sidecar, client)
             if body == "half":
                 await wait_until(lambda: connection.paused)
-                client.sendall(whole[-MAX_BUFFERED_BYTES // 2 :])
+                client.sendall(message[-MAX_BUFFERED_BYTES // 2 :])
             delayed_loop.before_use = lambda: disconnect_while_loop_blocked(sidecar, client, how)
             delayed_loop.connect_allowed.set()
             await wait_until_idle(sidecar)
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -244,12 +244,12 @@
         """
         first, second = self.remaining_server, self.draining_server
         once = not (first.duplicates or second.duplicates or first.arrivals.keys() & second.arrivals.keys())
-        lost = [
+        failed_ids = [
             request_id
             for request_id in first.arrivals.keys() | second.arrivals.keys()
             if requests.codes[request_id] != 200
         ]
-        return once and set(lost) <= {max(requests.codes)}
+        return once and set(failed_ids) <= {max(requests.codes)}
 
     async def restart_discovery_with_drain(self, *processes):
         """Restart discovery with the drain in its list, and wait until all processes have logged the drain.
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -359,9 +359,9 @@
 
 def requests_per_second(request_times, begin, end):
     """Return the requests a second between two times, as the mean and in the worst second."""
-    within = sorted(at for at in request_times if begin <= at < end)
-    worst = max((sum(at <= other < at + 1.0 for other in within) for at in within), default=0)
-    return len(within) / (end - begin), worst
+    times_in_range = sorted(at for at in request_times if begin <= at < end)
+    worst = max((sum(at <= other < at + 1.0 for other in times_in_range) for at in times_in_range), default=0)
+    return len(times_in_range) / (end - begin), worst
 
 
 def load(fleet, behaviour, grace, processing_s=1 / 9, outage_s=20.0):
@@ -419,10 +419,11 @@
 @pytest.mark.parametrize("grace", GRACES_S)
 @pytest.mark.parametrize("fleet", FLEETS)
 def test_every_sidecar_is_notified_in_time_after_two_stalls_in_a_row(fleet, grace):
-    left = long_poll_timeouts(int(grace * NS_PER_S)).resync_stall_s  # for the answer to the last request
-    assert left >= (NOTIFIED_AFTER_S - MIN_STALL_TIMEOUT_S) / 2
-    for in_a_row, answer in ((1, NOTIFIED_AFTER_S), (2, left)):
-        late_s = stalls(fleet, grace, in_a_row, sidecars=40, answer=min(answer, left))
+    # The time left for the answer to the last request:
+    time_left_s = long_poll_timeouts(int(grace * NS_PER_S)).resync_stall_s
+    assert time_left_s >= (NOTIFIED_AFTER_S - MIN_STALL_TIMEOUT_S) / 2
+    for in_a_row, answer in ((1, NOTIFIED_AFTER_S), (2, time_left_s)):
+        late_s = stalls(fleet, grace, in_a_row, sidecars=40, answer=min(answer, time_left_s))
         assert late_s <= NOTIFIED_AFTER_S + grace + SLACK_S
 
 
@@ -449,12 +450,12 @@
 
 
 def test_sidecars_spread_their_requests_after_a_switch_of_the_address():
-    for fleet, most in ((30, 25), (200, 80)):
+    for fleet, max_requests_per_s in ((30, 25), (200, 80)):
         assert (
             requests_per_second(switched_at_once(fleet, 0.5).second.complete_list_request_times, 30.0, 40.0)[
                 1
             ]
-            <= most
+            <= max_requests_per_s
         )
     assert (
         switched_at_once(30, 0.5, processing_s=1 / 9).latest_after(30.0, 7) <= 15.0
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -142,7 +142,7 @@
     assert dispositions(simulation, request) == [Disposition.ABORTED]
 
 
-def test_a_request_whose_body_fails_before_anything_was_written_is_rejected_for_the_body():
+def test_a_request_whose_body_fails_before_anything_was_written_is_rejected_with_reason_invalid_body():
     simulation = EngineSimulation()
     request = simulation.submit(complete=False)
     simulation.engine.requests.body_failed(request, Disposition.DECLINED, (503, b"too much is held\n"))
@@ -198,8 +198,8 @@
     assert dispositions(simulation, request) == [Disposition.ABORTED]
 
 
-def test_a_second_request_with_the_id_of_a_pending_one_is_not_invited_to_retry_while_draining():
-    """It was rejected as draining, which invites a retry although the first request may still run."""
+def test_a_request_with_the_id_of_a_pending_one_fails_as_a_duplicate_while_draining():
+    """It was rejected as draining, so clients retried it although the first request may still run."""
     simulation = EngineSimulation()
     request = simulation.submit()
     simulation.attempt(request).connect()
--- a/tests/test_fault.py
+++ b/tests/test_fault.py
@@ -190,8 +190,8 @@
             "POST", "/faults", b'[{"do": "cut", "place": "nowhere"}, {"do": "drop"}]'
         )
         assert rejected.code == 400 and rejected.body.count(b"/faults: fault[") == 2
-        cut = [{"do": "cut", "side": "request", "place": "body", "after": 4, "message": 1}]
-        assert (await send_control("POST", "/faults", json.dumps(cut).encode())).code == 200
+        cut_fault = [{"do": "cut", "side": "request", "place": "body", "after": 4, "message": 1}]
+        assert (await send_control("POST", "/faults", json.dumps(cut_fault).encode())).code == 200
         writer.write(REQUEST[30:])
         assert await reader.read() == b""
         transcript = json.loads((await send_control("GET", "/transcript")).body)
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.REMOVED])
-def test_no_attempt_begins_at_a_server_that_the_balancer_knows_to_drain(tmp_path, state):
+def test_no_attempt_begins_at_a_server_that_is_draining_or_removed_in_the_balancer(tmp_path, state):
     """This holds even if the transport has not been updated yet: only the balancer decides."""
 
     async def play():
@@ -486,7 +486,7 @@
     run(play())
 
 
-def test_a_request_with_an_incomplete_body_announces_the_whole_timeout(tmp_path):
+def test_a_request_with_an_incomplete_body_announces_the_full_timeout(tmp_path):
     """The client's timeout runs from its last byte, however long connecting to the server took."""
 
     async def play():
@@ -496,8 +496,8 @@
             harness.block_connects()
             body = b"x" * (256 * 1024)
             data = http_request("order", body=body)
-            cut = len(data) - 1000
-            async with open_client(sidecar, data[:cut]) as (reader, writer):
+            split_at = len(data) - 1000
+            async with open_client(sidecar, data[:split_at]) as (reader, writer):
                 await harness.connect_blocked()
                 harness.advance_clock(900 * MS)
                 harness.loop.connect_allowed.set()
@@ -506,7 +506,7 @@
                         one.upstream_attempt.begun for one in harness.engine.attempts.in_flight.values()
                     )
                 )
-                writer.write(data[cut:])
+                writer.write(data[split_at:])
                 assert (await read_message(reader)).code == 200
                 assert announced_timeout_ms(server.received[0]) == 3000 and server.received[0].body == body
 
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -240,7 +240,7 @@
     run(play())
 
 
-def test_an_exception_while_a_late_answer_is_applied_leaves_a_watch_or_a_failure():
+def test_after_an_exception_while_a_late_answer_is_applied_a_watch_runs_or_a_failure_is_reported():
     """The balancer already has the update and relies on a watch: without either it would never poll again."""
 
     async def play():
@@ -371,7 +371,9 @@
     run(play())
 
 
-def test_a_pushing_agent_is_watched_again_after_a_failure_without_the_balancer(tmp_path, monkeypatch):
+def test_a_failed_watch_of_a_pushing_agent_is_repeated_without_a_request_of_the_balancer(
+    tmp_path, monkeypatch
+):
     monkeypatch.setattr(timeouts, "MAX_RETRY_DELAY_S", 0.01)
 
     async def play():
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -39,7 +39,7 @@
     reset(writer)
 
 
-async def close_within_body(message, reader, writer):
+async def close_inside_body(message, reader, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
     await writer.drain()
     writer.close()
@@ -121,7 +121,7 @@
             {"lookup": {2}, "hold": {2}, "order": {1}},
         ),
         (
-            close_within_body,
+            close_inside_body,
             {"lookup": {200}, "hold": {200}, "order": {502}},
             {"lookup": {2}, "hold": {2}, "order": {1}},
         ),
@@ -184,7 +184,7 @@
             got = await read_message(reader)
             assert got.code == code
             assert 0.3 < loop.time() - start < 0.65
-            await wait_until(lambda: fake.ended_connections == 1, "the given-up connection is closed")
+            await wait_until(lambda: fake.ended_connections == 1, "the connection of the attempt is closed")
             writer.write(http_request("lookup", "cd", "1m"))  # no further response to the first
             assert (await read_message(reader)).code == 503
             writer.close()
@@ -193,7 +193,7 @@
     run(play())
 
 
-def test_the_deadline_watchdog_answers_if_the_module_raises(tmp_path):
+def test_the_deadline_watchdog_answers_one_request_and_others_succeed_if_the_balancer_raises(tmp_path):
     """An exception in one request must not affect other requests or the process."""
 
     async def play():
@@ -204,14 +204,16 @@
             def failing(now, event):
                 if isinstance(event, api.Request) and event.class_index == 2:
                     sidecar.engine.balancer.context.actions = []
-                    raise ZeroDivisionError("of the module")
+                    raise ZeroDivisionError("injected fault of the balancer")
                 return handle(now, event)
 
             sidecar.engine.balancer.handle = failing
-            lost = asyncio.create_task(send_request(sidecar.port, http_request("order", "ab", "500m")))
+            failing_request = asyncio.create_task(
+                send_request(sidecar.port, http_request("order", "ab", "500m"))
+            )
             for number in range(3):
                 assert (await send_request(sidecar.port, http_request("lookup", f"id{number}"))).code == 200
-            assert (await lost).code == 503
+            assert (await failing_request).code == 503
             assert not sidecar.engine.requests.pending
 
     run(play())
@@ -226,7 +228,7 @@
             def failing_on_outcome(now, event):
                 if isinstance(event, api.Outcome | api.Timer):
                     sidecar.engine.balancer.context.actions = []
-                    raise ZeroDivisionError("of the module")
+                    raise ZeroDivisionError("injected fault of the balancer")
                 return handle(now, event)
 
             sidecar.engine.balancer.handle = failing_on_outcome
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -498,7 +498,7 @@
         await end
         (connection,) = pool.connections
         reference = weakref.ref(connection)
-        exchange_gone = exchange.done is None and exchange.timer is None
+        exchange_released = exchange.done is None and exchange.timer is None
         pool.close()
         del connection, exchange
         gc.disable()
@@ -506,7 +506,7 @@
             await wait_until(lambda: reference() is None)
         finally:
             gc.enable()
-        assert exchange_gone
+        assert exchange_released
 
     run(play())
 
--- a/tests/test_tool_exceptions.py
+++ b/tests/test_tool_exceptions.py
@@ -10,8 +10,8 @@
 
 def suppressions():
     """Yield place and text of each suppression in all source files but this one."""
-    for folder in ("ochreflow", "tests", "benchmarks"):
-        for path in sorted((ROOT / folder).rglob("*.py")):
+    for directory in ("ochreflow", "tests", "benchmarks"):
+        for path in sorted((ROOT / directory).rglob("*.py")):
             if path == Path(__file__):
                 continue
             for number, line in enumerate(path.read_text().splitlines(), 1):
--- a/tests/test_unwritten.py
+++ b/tests/test_unwritten.py
@@ -285,8 +285,8 @@
         last = body_over_buffers()
         first = b"y" * (128 * 1024)
         if framing == "length":
-            whole = http_request("order", body=first + last)
-            parts = whole[: -len(last)], whole[-len(last) :]
+            message = http_request("order", body=first + last)
+            parts = message[: -len(last)], message[-len(last) :]
         else:
             head = b"POST /order/part HTTP/1.1\r\nX-Request-Id: 1\r\nX-Deadline: 3000m\r\n"
             head += b"Transfer-Encoding: chunked\r\n\r\n"
