--- a/ochreflow/policy/interface.py
+++ b/ochreflow/policy/interface.py
@@ -155,7 +155,7 @@
     is_retry: bool = False
     is_write: bool = False
     uploading: bool = False  # its body is still arriving; `BodyUploaded` will set a new deadline
-    waited_ns: int = 0  # from its arrival to this event, queued behind other requests of its client
+    waited_ns: int = 0  # time since its arrival, spent queued behind other requests of its client
 
 
 @dataclass(slots=True)
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -18,7 +18,9 @@
 
 OVERDUE_DEVIATIONS = 4.0  # mean deviations above the class mean
 MIN_OVERDUE_CLASS_MEANS = 2.0
-MAX_OVERDUE_SHARE = 0.5  # of the remaining time: a retry needs as much time as the first attempt had
+# Share of the remaining time after which an attempt is overdue at the latest: a retry needs as much time as
+# the first attempt had.
+MAX_OVERDUE_SHARE = 0.5
 
 MAX_CONSECUTIVE_FAILURES = 2.0  # failures without an answer in between after which a server is ejected
 OVERDUE_FAILURE_WEIGHT = 0.5  # failures that an overdue attempt counts as: four of them eject a server
