--- a/ochreflow/core/attempt_manager.py
+++ b/ochreflow/core/attempt_manager.py
@@ -82,7 +82,7 @@
         self.pending = pending
         self.number = pending.attempts
         self.server = server
-        self.sent_ns = sent_ns  # when it was started; after an upload, when its last byte was written
+        self.sent_ns = sent_ns  # start of the attempt; after an upload, when its last byte was written
         self.timeout_ns = timeout_ns  # from its start; 0: the remaining time of its request
         self.response_started_ns = 0  # when its response began to be streamed to the client
         self.upstream_attempt: UpstreamAttempt | None = None  # None: still being started, or failed to start
@@ -91,7 +91,7 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether its end has been reported."""
+        """Whether the end of the attempt has been reported."""
         return self.manager.in_flight.get((self.pending.id, self.number)) is not self
 
     @property
--- a/ochreflow/core/limits.py
+++ b/ochreflow/core/limits.py
@@ -14,8 +14,8 @@
 class Descriptors:
     """The limit of open sockets, to clients and to servers together."""
 
-    # For the event loop, listening sockets, discovery, gossip and the management interface, which together
-    # take 30 descriptors, and for bursts of clients.
+    # Descriptors for the event loop, listening sockets, discovery, gossip and the management interface, which
+    # together take 30, and for bursts of clients.
     RESERVE = 50
     MIN_LIMIT = 8
 
--- a/ochreflow/core/request_ids.py
+++ b/ochreflow/core/request_ids.py
@@ -33,5 +33,5 @@
         return True
 
     def release(self, request_id: Hashable) -> None:
-        """Note that the request of this id has ended: the id may be reused after `RETENTION_S`."""
+        """Record that the request of this id has ended: the id may be reused after `RETENTION_S`."""
         self.ended.append((monotonic(), request_id))
--- a/ochreflow/core/request_manager.py
+++ b/ochreflow/core/request_manager.py
@@ -96,7 +96,7 @@
         )
 
     def body_ended(self, request: IncomingRequest) -> None:
-        """Note that the last byte of an accepted request has been received: its timeout starts now."""
+        """Record that the last byte of an accepted request has been received, which starts its timeout."""
         pending = self.pending.get(request.pending_id)
         if pending is None:
             return
