--- a/ochreflow/http/management.py
+++ b/ochreflow/http/management.py
@@ -19,7 +19,7 @@
 MAX_CONNECTIONS = 8  # at a time; `Descriptors.RESERVE` has room for them
 MAX_REQUEST_BYTES = 8 * 1024
 READ_TIMEOUT_S = 0.9  # from connecting until the request is complete
-RESPONSE_READ_TIMEOUT_S = 2.0  # for the caller to receive the response
+RESPONSE_READ_TIMEOUT_S = 2.0  # time for the caller to receive the response
 REASONS = {
     200: "OK",
     400: "Bad Request",
--- a/ochreflow/http/request_reader.py
+++ b/ochreflow/http/request_reader.py
@@ -108,7 +108,7 @@
         self.message_size = 0  # bytes received of this message
         self.headers_bytes = 0
         self.message_reserved_bytes = 0  # memory reserved for its headers
-        self.discarding = False  # its response is written: the rest is read and discarded
+        self.discarding = False  # the response is written: the rest of the message is discarded
 
     @property
     def in_body(self) -> bool:
--- a/ochreflow/http/upstream.py
+++ b/ochreflow/http/upstream.py
@@ -18,7 +18,7 @@
 from .exchange import Exchange
 from .upstream_connection import Connection, Target
 
-IDLE_TIMEOUT_SHARE = 0.7  # of the time after which a server may close an idle connection
+IDLE_TIMEOUT_SHARE = 0.7  # share of the time after which a server may close an idle connection
 
 
 class SendResult(Enum):
@@ -160,7 +160,7 @@
         current = (
             target.accepts_requests and exchange.generation == connection.generation == target.generation
         )
-        current = current and not exchange.rejected  # its scheduled result states that it never ran
+        current = current and not exchange.rejected  # the scheduled result states that it never ran
         timeout_s = (
             exchange.write_timeout_s() if exchange.write_timeout_s is not None and current else math.inf
         )
