--- a/ochreflow/simulator_adapter/frames.py
+++ b/ochreflow/simulator_adapter/frames.py
@@ -12,7 +12,7 @@
 
 from .errors import RecordCountError, ShortFrameError, TailRangeError, TruncatedInputError
 
-LENGTH = struct.Struct("<I")  # of an event frame: number of bytes after this field
+LENGTH = struct.Struct("<I")  # number of bytes of an event frame after this field
 BATCH_HEADER = struct.Struct("<QI")  # clock in nanoseconds, number of records
 REPLY_HEADER = struct.Struct("<II")  # number of records, number of bytes after this header
 EVENT_SIZE_BYTES = 48
