--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -240,7 +240,7 @@
 def rejections_by_class(**more):
     classes = [
         RequestClass("cheap", 500 * MS, 2 * SECOND, 1.0, 0.2, Effect.NON_IDEMPOTENT),
-        RequestClass("dear", 500 * MS, 2 * SECOND, 9.0, 0.2, Effect.NON_IDEMPOTENT),
+        RequestClass("expensive", 500 * MS, 2 * SECOND, 9.0, 0.2, Effect.NON_IDEMPOTENT),
     ]
     generator = LoadGenerator(*make_balancer(servers=6, classes=classes, **more))
     class_by_parity = {"class_index": lambda n: n % 2}
@@ -253,14 +253,14 @@
 
 
 def test_a_class_of_low_weight_is_shed_before_one_of_high_weight():
-    cheap, dear = rejections_by_class()
-    assert cheap > 1.5 * dear > 0
+    cheap, expensive = rejections_by_class()
+    assert cheap > 1.5 * expensive > 0
 
 
 def test_classes_of_unequal_weight_are_shed_at_similar_rates_if_the_goal_includes_the_worst_class():
     """Scenario rough-1 of Kitplan: the lookups, of low weight for their work, were by far the worst class."""
-    cheap, dear = rejections_by_class(goal_worst_class=0.3)
-    assert 0 < cheap < 1.3 * dear
+    cheap, expensive = rejections_by_class(goal_worst_class=0.3)
+    assert 0 < cheap < 1.3 * expensive
 
 
 @pytest.mark.parametrize("remaining_ns, marked", [(900 * MS, True), (600 * MS, True), (600 * MS, False)])
