--- a/tests/test_duplicate_judge.py
+++ b/tests/test_duplicate_judge.py
@@ -177,9 +177,9 @@
 
 
 def test_a_concurrent_copy_is_a_violation_only_without_hedging():
-    both = (copy(1.0), copy(1.2, 1, 2), AttemptEnded(1.4, 0))
-    assert violation_kinds(IDEMPOTENT, *both, hedging=False) == [ViolationKind.CONCURRENT_COPY]
-    assert violation_kinds(IDEMPOTENT, *both, hedging=True) == []
+    events = (copy(1.0), copy(1.2, 1, 2), AttemptEnded(1.4, 0))
+    assert violation_kinds(IDEMPOTENT, *events, hedging=False) == [ViolationKind.CONCURRENT_COPY]
+    assert violation_kinds(IDEMPOTENT, *events, hedging=True) == []
 
 
 def test_a_second_copy_after_the_end_of_the_first_is_not_concurrent():
@@ -192,8 +192,8 @@
 
 
 def test_an_unread_copy_is_not_concurrent_with_one_read_earlier():
-    waited = copy(1.2, 1, 2, not_before=0.5)
-    assert violation_kinds(IDEMPOTENT, copy(1.0), waited, AttemptEnded(1.4, 0), hedging=False) == []
+    unread = copy(1.2, 1, 2, not_before=0.5)
+    assert violation_kinds(IDEMPOTENT, copy(1.0), unread, AttemptEnded(1.4, 0), hedging=False) == []
 
 
 # The judge: final responses and closes
