--- a/ochreflow/app/config.py
+++ b/ochreflow/app/config.py
@@ -16,7 +16,7 @@
 from ..policy.interface import Settings
 from ..policy.settings import Transport, nested_settings, nested_transport
 
-MAX_SOCKETS = 1024  # also the default
+MAX_SOCKETS = 1024  # upper bound of `limits.sockets`, and its default
 DEFAULT_MEMORY_MB = 192
 
 
--- a/ochreflow/app/hot_restart.py
+++ b/ochreflow/app/hot_restart.py
@@ -21,7 +21,7 @@
 
 SOCKET_PREFIX = "sidecar-"
 SOCKET_SUFFIX = ".sock"
-MAX_PATH_BYTES = 100  # that the address of a Unix socket has room for
+MAX_PATH_BYTES = 100  # a longer path might not fit into the address of a Unix socket
 GREETING_TIMEOUT_S = 0.25  # a process starts without the greetings that arrive later
 SHARE_INTERVAL_S = 0.1  # between checks whether the own usage has changed
 
@@ -42,12 +42,12 @@
         self.directory = Path(directory)
         self.usage = usage
         self.own_inheritance = own_inheritance
-        self.known_clients: list[object] = []  # snapshots of the other processes, as of the start
+        self.known_clients: list[object] = []  # snapshots received from the other processes at the start
         self.pid = pid or os.getpid()
         self.path = self.directory / f"{SOCKET_PREFIX}{self.pid}{SOCKET_SUFFIX}"
         self.server: asyncio.Server | None = None
         self.links: dict[Link, None] = {}
-        self.last_shared_usage: tuple[int, ...] = ()  # what the others were last notified of
+        self.last_shared_usage: tuple[int, ...] = ()  # usage last sent to the other processes
         self.timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> object:
--- a/ochreflow/app/hot_restart_form.py
+++ b/ochreflow/app/hot_restart_form.py
@@ -36,7 +36,7 @@
     """The state that a running process hands over to a new one."""
 
     endpoint_list: object  # in discovery's format; None if there is none yet
-    known_clients: object  # snapshot of connection admission; None if that is off, or from old versions
+    known_clients: object  # snapshot of admission; None if that is off or the sender is an old version
 
 
 def format_greeting(pid: int, inheritance: Inheritance, usage: tuple[int, ...]) -> bytes:
--- a/ochreflow/app/inherited.py
+++ b/ochreflow/app/inherited.py
@@ -41,9 +41,9 @@
 
 
 def inherited_endpoint_list(data: object, ids: EndpointIds) -> EndpointUpdate | None:
-    """Return the endpoint list of another process, None if it has none or if the list is invalid.
+    """Return the endpoint list of another process; None if there is none or if it is invalid.
 
-    It is more recent than that of the configuration.
+    The list of a running process is more recent than that of the configuration.
     """
     if data is None:
         return None
--- a/ochreflow/app/operator.py
+++ b/ochreflow/app/operator.py
@@ -1,7 +1,7 @@
 """The operator's file, `deploy/ochreflow.toml`: its tables, their keys, defaults and bounds.
 
-`operator_reader` reads and validates it, `operator_schema` generates its JSON Schema. Only a process that is
-started with such a file imports these modules.
+`operator_reader` reads and validates the file, `operator_schema` generates its JSON Schema. Only a process
+that is started with such a file imports these modules.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
     format: Literal["plain", "console", "json"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    per_second: Annotated[int, Bounds(1, 100_000)] = MAX_LINES_PER_SECOND  # lines of each event
+    per_second: Annotated[int, Bounds(1, 100_000)] = MAX_LINES_PER_SECOND  # log lines of each event
 
 
 class OperatorsTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/ochreflow/app/operator_hints.py
+++ b/ochreflow/app/operator_hints.py
@@ -31,7 +31,7 @@
 
 
 def annotation(hint: Any, kind: type[Kind]) -> Kind | None:
-    """Return the annotation of this class, or None."""
+    """Return the annotation that is an instance of `kind`, or None."""
     return next((item for item in getattr(hint, "__metadata__", ()) if isinstance(item, kind)), None)
 
 
--- a/ochreflow/app/operator_reader.py
+++ b/ochreflow/app/operator_reader.py
@@ -13,7 +13,7 @@
 from .operator_hints import Bounds, annotation, plain_type, union_members, unit_of
 from .units import Unit
 
-MIN_SIMILARITY = 0.6  # from 0 to 1, for a key to be suggested in place of an unknown one
+MIN_SIMILARITY = 0.6  # from 0 to 1; a less similar key is not suggested in place of an unknown one
 
 
 class OperatorFileError(OchreflowError):
--- a/ochreflow/app/process.py
+++ b/ochreflow/app/process.py
@@ -30,7 +30,7 @@
     from .hot_restart_form import Inheritance
 
 BACKLOG = 512  # connections that may wait to be accepted
-GC_THRESHOLDS = (20_000, 20, 50)
+GC_THRESHOLDS = (20_000, 20, 50)  # net allocations, then collections of generation 0 and of generation 1
 
 
 class Process:
@@ -162,9 +162,9 @@
 
 def main(operator_file: str | None = None) -> int:
     """Run until SIGTERM or SIGINT and return the exit code. `operator_file` is a path, or None."""
-    # For the event loop's reports of uncaught exceptions.
+    # The event loop reports uncaught exceptions through `logging`.
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
-    # SIGHUP would by default end the process at its start and end, while the event loop does not handle it.
+    # SIGHUP ends a process by default, so it is ignored whenever the event loop does not handle it.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = os.environ.get("GW_CONFIG")
     try:
--- a/ochreflow/app/reload.py
+++ b/ochreflow/app/reload.py
@@ -18,7 +18,7 @@
 
 
 class Reloader:
-    """Applies new configurations one at a time, and owns the task for that."""
+    """Applies new configurations one at a time, and owns the task that applies them."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self.options = options
         self.path = path
         self.task: asyncio.Task[None] | None = None
-        self.reload_requested = False  # once more, while a reload was in progress
+        self.reload_requested = False  # a request arrived while a reload was in progress
 
     def request_reload(self) -> None:
         """Read the configuration again, now or after the reload that is in progress."""
--- a/ochreflow/app/sidecar.py
+++ b/ochreflow/app/sidecar.py
@@ -21,7 +21,7 @@
 from ..membership.timeouts import long_poll_timeouts
 from .config import Config
 
-CONNECT_TIMEOUT_S = 1.0  # if the settings contain none
+CONNECT_TIMEOUT_S = 1.0  # used if the settings contain no connect timeout
 
 
 def system_limit() -> int | None:
--- a/ochreflow/app/units.py
+++ b/ochreflow/app/units.py
@@ -14,7 +14,7 @@
 
 
 class Seconds(float):
-    """A time in seconds; the file has it with its unit."""
+    """A time in seconds; the operator's file gives it with a unit."""
 
     pattern = f"^{TIME.pattern}$"
     expected = 'a time with its unit, such as "250ms", "2.5s" or "1m"'
@@ -28,12 +28,12 @@
         return cls(float(match[1]) * SECONDS_BY_UNIT[match[2]])
 
     def __str__(self) -> str:
-        """Return the notation of the file."""
+        """Return the value in the notation of the operator's file."""
         return f"{self * 1000:g}ms" if self < 1 else f"{float(self):g}s"
 
 
 class Size(int):
-    """A number of bytes; the file has it with its unit."""
+    """A number of bytes; the operator's file gives it with a unit."""
 
     pattern = f"^{SIZE.pattern}$"
     expected = 'a size with its unit, such as "64KiB" or "32MiB"'
@@ -47,12 +47,12 @@
         return cls(float(match[1]) * BYTES_BY_UNIT[match[2]])
 
     def __str__(self) -> str:
-        """Return the notation of the file."""
+        """Return the value in the notation of the operator's file."""
         return f"{int(self) / BYTES_BY_UNIT['MiB']:g}MiB"
 
 
 class HostPort(tuple[str, int]):
-    """A numeric IPv4 address and a port; the system chooses one for port 0."""
+    """A numeric IPv4 address and a port; for port 0 the operating system chooses one."""
 
     pattern = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
     expected = 'an address and a port, such as "127.0.0.1:9100"'
@@ -65,7 +65,7 @@
         return cls(split_address(raw, min_port=0))
 
     def __str__(self) -> str:
-        """Return the notation of the file."""
+        """Return the value in the notation of the operator's file."""
         return f"{self[0]}:{self[1]}"
 
 
