--- a/ochreflow/admission/addresses.py
+++ b/ochreflow/admission/addresses.py
@@ -19,9 +19,9 @@
     open_connections: int = 0
     # Connections whose current message is incomplete, oldest first:
     incomplete: dict[Key, None] = field(default_factory=dict)
-    reputation: float = 0.0  # as of `reputation_at`
-    reputation_at: float = 0.0
-    rejected: int = 0
+    reputation: float = 0.0  # completed requests, decayed until `reputation_at`
+    reputation_at: float = 0.0  # seconds
+    rejected: int = 0  # connections
 
 
 @dataclass(frozen=True, slots=True)
--- a/ochreflow/admission/connection_admission.py
+++ b/ochreflow/admission/connection_admission.py
@@ -1,9 +1,9 @@
 """Admission of client connections: limits by address and prefix, which depend on the address's reputation.
 
 Many clients behind one address look the same at connect time as one client that opens many connections; their
-behaviour tells them apart. An address earns reputation with each completed request, and reputation decays. It
-raises the address's limits, and from `MIN_KNOWN_REPUTATION` on the address is known: a share of the capacity
-is reserved for known addresses, and connections of unknown ones are evicted first.
+behaviour tells them apart. An address earns reputation with each completed request, and reputation decays.
+Reputation raises the address's limits, and from `MIN_KNOWN_REPUTATION` on the address is known: a share of
+the capacity is reserved for known addresses, and connections of unknown ones are evicted first.
 
 Times are seconds of the caller's monotonic clock; the caller chooses the keys of connections.
 """
@@ -27,7 +27,7 @@
 from .limits import Limits, RejectionReason
 
 MIN_KNOWN_REPUTATION = 5.0  # recently completed requests that make an address known
-REPUTATION_PER_MULTIPLE = 20.0  # that adds 1 to the multiplier of an address's limits
+REPUTATION_PER_MULTIPLE = 20.0  # reputation that adds 1 to the multiplier of an address's limits
 MAX_LIMIT_MULTIPLIER = 16.0
 EVICTION_SAMPLE_SIZE = 8  # longest absent addresses, of which the one with the least reputation is evicted
 MAX_STATUS_ROWS = 50
@@ -44,7 +44,7 @@
         """Start without connections or addresses."""
         self.limits = limits
         self.capacity = capacity
-        self.addresses: dict[str, AddressRecord[Key]] = {}  # with at least one connection
+        self.addresses: dict[str, AddressRecord[Key]] = {}  # addresses with at least one connection
         # Addresses without a connection, the longest absent first:
         self.absent: OrderedDict[str, AddressRecord[Key]] = OrderedDict()
         self.prefixes: dict[str, dict[str, AddressRecord[Key]]] = {}  # `addresses` by their prefix
--- a/ochreflow/admission/count_min_sketch.py
+++ b/ochreflow/admission/count_min_sketch.py
@@ -1,7 +1,7 @@
 """Estimates how often each name arrived recently, for any number of names, in fixed memory.
 
-It is a count-min sketch (Cormode and Muthukrishnan, 2005) over two time windows: its estimates are never too
-low, and too high only if many other names arrived.
+The estimator is a count-min sketch (Cormode and Muthukrishnan, 2005) over two time windows: its estimates are
+never too low, and too high only if many other names arrived.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 ROWS = 4
 CELLS_PER_ROW = 2048
 CELL_BYTES = 4
-HASH_BYTES = 2  # of the digest, for each row
+HASH_BYTES = 2  # bytes of the digest that select the cell in a row
 
 
 class CountMinSketch:
