--- a/ochreflow/cli/lab.py
+++ b/ochreflow/cli/lab.py
@@ -168,12 +168,12 @@
 
 
 @lab.command(epilog=example("ochreflow lab fault --to 127.0.0.1:7070 --script faults.toml --seed 7"))
-@click.option("--to", "target", metavar="ADDRESS", required=True, help="Where traffic is forwarded to.")
+@click.option("--to", "target", metavar="ADDRESS", required=True, help="Address that receives the traffic.")
 @click.option("--listen", metavar="ADDRESS", default="127.0.0.1:0", show_default=True)
 @click.option("--script", metavar="FILE", help="TOML file of [[fault]] tables.")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
-    "--control", metavar="ADDRESS", help="Listen there for POST /faults, POST /cut and GET /transcript."
+    "--control", metavar="ADDRESS", help="Address that serves POST /faults, POST /cut and GET /transcript."
 )
 @click.option("--udp", is_flag=True, help="Forward datagrams instead of connections.")
 def fault(target: str, listen: str, script: str | None, seed: int, control: str | None, *, udp: bool) -> int:
--- a/ochreflow/cli/main.py
+++ b/ochreflow/cli/main.py
@@ -1,4 +1,4 @@
-"""The `ochreflow` command. Each command imports what it needs when it is called."""
+"""The `ochreflow` command. Each command imports its modules when it is called."""
 
 from __future__ import annotations
 
