--- a/ochreflow/simulation/clock.py
+++ b/ochreflow/simulation/clock.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 NS_PER_S = 1_000_000_000
-START_NS = 1_700_000_000 * NS_PER_S  # Unix time, as for the start times of nodes
+START_NS = 1_700_000_000 * NS_PER_S  # Unix time, like the start times of nodes
 
 
 class Clock:
--- a/ochreflow/simulation/limit_scenarios.py
+++ b/ochreflow/simulation/limit_scenarios.py
@@ -49,7 +49,7 @@
     ]
 
 
-LIMIT_SCENARIOS: dict[str, tuple[Scenario, float]] = {  # with the end of the fault, as a share of the run
+LIMIT_SCENARIOS: dict[str, tuple[Scenario, float]] = {  # scenario, end of its fault as a share of the run
     "steady": (_scenario("half of the fleet's capacity, without a fault"), 0.0),
     "cold start": (_scenario("all nodes are cold at the start", fleet={"cold": True}), 0.3),
     "step": (
--- a/ochreflow/simulation/limit_trace.py
+++ b/ochreflow/simulation/limit_trace.py
@@ -17,7 +17,7 @@
 MIN_SHED_SHARE = 0.05  # of requests without an attempt, above which a step counts as shedding
 RECOVERY_WINDOW_S = 5.0  # after the fault's end, in which `shed_after` is measured
 MAX_PLOTTED_LIMIT = 1000.0  # of one sidecar; an unbounded limit is plotted as this
-NEVER_S = 1e9
+NEVER_S = 1e9  # latency of a request that was not served
 
 
 @dataclass(slots=True)
@@ -28,9 +28,9 @@
     inflight: list[float] = field(default_factory=list)
     pressure: list[float] = field(default_factory=list)  # of the first sidecar
     offered: list[int] = field(default_factory=list)  # logical requests, by the time they were sent
-    admitted: list[int] = field(default_factory=list)  # ... of these, accepted by a node in any attempt
-    in_time: list[int] = field(default_factory=list)  # ... answered within the objective
-    oracle: list[int] = field(default_factory=list)  # ... that could have been answered within it
+    admitted: list[int] = field(default_factory=list)  # of `offered`: accepted by a node in any attempt
+    in_time: list[int] = field(default_factory=list)  # of `offered`: answered within the objective
+    oracle: list[int] = field(default_factory=list)  # of `offered`: answerable within the objective
 
 
 @dataclass(slots=True)
@@ -40,7 +40,7 @@
     offered: int
     in_time: int
     oracle: int
-    needless: int  # requests without an attempt beyond those that the oracle sheds, by step
+    needless: int  # requests shed in excess of those that the oracle sheds, added up over the steps
     late: int  # admitted but not answered in time
     recovery_s: float  # from the fault's end to the end of the last shedding step
     shed_after: float  # share of requests without an attempt in RECOVERY_WINDOW_S after the fault
--- a/ochreflow/simulation/policy_loader.py
+++ b/ochreflow/simulation/policy_loader.py
@@ -25,7 +25,7 @@
 
 
 class PolicyNotFoundError(OchreflowError, FileNotFoundError):
-    """A directory has no decision module."""
+    """Raised for a directory that has no decision module."""
 
 
 @dataclass(slots=True)
@@ -40,7 +40,7 @@
 def load_policy(build_dir: Path | None) -> PolicyModules:
     """Load `build_dir`/ochreflow/policy, or this package's own without `build_dir`.
 
-    Raise `PolicyNotFoundError` if there is none.
+    Raise `PolicyNotFoundError` if `build_dir` has no decision module.
     """
     package = "ochreflow"
     if build_dir is not None:
--- a/ochreflow/simulation/simulated_sidecar.py
+++ b/ochreflow/simulation/simulated_sidecar.py
@@ -1,7 +1,7 @@
 """Sidecar in simulated time: the decision module, and the minimum that its actions require.
 
-It gives the same guarantees as the core's engine: an attempt ends `ATTEMPT_MARGIN_NS` before its request's
-deadline, and a request without a final response gets one `WATCHDOG_MARGIN_NS` before it.
+The sidecar gives the same guarantees as the core's engine: an attempt ends `ATTEMPT_MARGIN_NS` before its
+request's deadline, and a request without a final response gets one `WATCHDOG_MARGIN_NS` before its deadline.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
     server: int
     sent_ns: int
     node: SimulatedNode | None = None
-    number: int = 0  # of its request at the node
+    number: int = 0  # of the request at the node
 
 
 class SimulatedSidecar:
@@ -237,7 +237,7 @@
         elif kind is api.Cancel:
             self._end_attempt(action.id, action.attempt, api.Status.CANCELLED)
         elif kind is api.SetTimer:
-            delay_ns = -(-action.after_ns // NS_PER_MS) * NS_PER_MS  # rounded up, as by the engine
+            delay_ns = -(-action.after_ns // NS_PER_MS) * NS_PER_MS  # rounded up to whole ms, as in the core
             self.clock.call_at(self.clock.now_ns + delay_ns, self.post, api.Timer(action.token))
         elif kind is api.Watch:
             self.endpoints.watch(self)
--- a/ochreflow/simulation/simulation.py
+++ b/ochreflow/simulation/simulation.py
@@ -123,7 +123,7 @@
         self._attempt(request, number, 0, self.clock.now_ns)
 
     def _attempt(self, request: ScheduledRequest, number: int, attempt: int, first_sent_ns: int) -> None:
-        """Send a client's attempt to sidecar `number`; `first_sent_ns` is the time of its first attempt."""
+        """Send a client's attempt to sidecar `number`; `first_sent_ns` is the time of the first one."""
         remaining_s = request.request_class.deadline_s - (self.clock.now_ns - first_sent_ns) / NS_PER_S
         sidecar = self.sidecars[number]
         if attempt and remaining_s < MIN_REMAINING_S:
--- a/ochreflow/simulation/slow_start_metrics.py
+++ b/ochreflow/simulation/slow_start_metrics.py
@@ -9,8 +9,8 @@
 CAPACITY_PER_S = 20.0  # requests per second of a warm server, as the mean of the fleet
 START_CAPACITY = 0.15  # share of its warm capacity that a server has at its start
 WARM_UP_S = 12.0
-OVERLOAD_FACTOR = 2.5  # a cold server collapses if it is sent this multiple of what its ramp allows ...
-OVERLOAD_WINDOW_S = 3.0  # ... over this window
+OVERLOAD_FACTOR = 2.5  # multiple of the requests that its ramp allows, at which a cold server collapses
+OVERLOAD_WINDOW_S = 3.0  # time over which these requests are counted
 NO_SENDS_SLACK = -1.0  # slack of a server that was sent no request while cold
 
 
@@ -23,7 +23,7 @@
     budget: float  # N of that window
     slack_present: float  # as `slack`, with N = factor x capacity x ramp at the window's end x window length
     of_capacity: float  # responses of the cold servers in the measured period / capacity of warm ones
-    of_slow_start_ramp: float  # ... / capacity that their ramp allowed
+    of_slow_start_ramp: float  # the same responses / capacity that their ramp allowed
     served: float  # share of the requests of that period that was answered within the objective
 
 
--- a/ochreflow/simulation/slow_start_report.py
+++ b/ochreflow/simulation/slow_start_report.py
@@ -24,7 +24,7 @@
     """The runs of a report."""
 
     fleets: list[str]  # "sidecars/servers", such as "5/10"; empty: all of FLEETS
-    seeds: int  # each case is run with seeds 1 to this
+    seeds: int  # each case is run with the seeds from 1 to this number
     processes: int  # number of parallel runs
     build_dir: Path | None = None  # directory of another build
     slow_while_warming_up: bool = False
--- a/ochreflow/simulation/slow_start_run.py
+++ b/ochreflow/simulation/slow_start_run.py
@@ -1,6 +1,6 @@
 """Simulation of cold servers and many sidecars: their total load against what a cold server can handle.
 
-It runs the decision module alone, in simulated time. A share of the servers is replaced by cold ones at one
+The simulation runs the decision module alone. A share of the servers is replaced by cold ones at the same
 time, and each sidecar is notified some time later. `docs/design/pace.md` has definitions and figures.
 """
 
@@ -30,7 +30,7 @@
 LOAD = 0.65  # offered load, as a share of the fleet's capacity
 OBJECTIVE_S = 0.5
 DEADLINE_S = 2.0
-ATTEMPT_MARGIN_S = 0.015  # before the request's deadline, when an attempt times out
+ATTEMPT_MARGIN_S = 0.015  # an attempt times out this long before its request's deadline
 REJECTION_S = 0.001  # duration of a rejection or a failed connect
 MAX_ATTEMPTS = 3
 BASELINE_S = 6.0  # in which the sidecars observe the warm fleet
