--- a/ochreflow/lab/arrivals.py
+++ b/ochreflow/lab/arrivals.py
@@ -11,7 +11,8 @@
 from .node_model import WORK_LOG_STDDEV, draw_work_factor
 
 KEY_ZIPF_EXPONENT = 0.9  # a few keys are far more popular than the others
-MAX_ABANDON_FACTOR = 3.0  # in means of the class's work; many clients disconnect during processing
+# Longest time until a client disconnects, in means of its class's work; many disconnect during processing:
+MAX_ABANDON_FACTOR = 3.0
 COST_HINT_LOG_STDDEV = 0.35  # standard deviation of the logarithm of a cost hint's error factor
 MIN_ABANDON_S = 0.001
 REQUEST_ID_BITS = 64
--- a/ochreflow/lab/builds.py
+++ b/ochreflow/lab/builds.py
@@ -20,7 +20,7 @@
 
 
 class BuildError(OchreflowError):
-    """A build can't be made; the message gives the reason in one line."""
+    """Raised if a build can't be made; the message gives the reason in one line."""
 
 
 def make_build(build: str, target_dir: Path) -> Path:
--- a/ochreflow/lab/control.py
+++ b/ochreflow/lab/control.py
@@ -14,7 +14,7 @@
 
 
 class ControlError(OchreflowError, RuntimeError):
-    """A fake server rejected a control order."""
+    """Raised if a fake server rejects a control order."""
 
 
 async def send_order(address: str, order: dict[str, Any]) -> None:
--- a/ochreflow/lab/differences.py
+++ b/ochreflow/lab/differences.py
@@ -27,10 +27,10 @@
     scenario: str
     measure: str
     pairs: int
-    before: float
-    after: float
-    low: float
-    high: float
+    before: float  # mean of build A
+    after: float  # mean of build B
+    low: float  # lower bound of the confidence interval
+    high: float  # upper bound of the confidence interval
     more_is_better: bool = True
 
     @property
--- a/ochreflow/lab/directory_behaviour.py
+++ b/ochreflow/lab/directory_behaviour.py
@@ -26,4 +26,4 @@
     queue_capacity: Count = 32  # calls that may wait; further ones get a 503
     reset_share: Share = 0.0  # share of calls that end in a connection reset
     notify_delay_s: NonNegative = 0.0  # delay before watchers are notified of a change
-    retained_changes: Count = 0  # a watch from an older index gets the complete list; 0: all are retained
+    retained_changes: Count = 0  # changes to keep; a watch from an older index gets the complete list; 0: all
--- a/ochreflow/lab/event_log.py
+++ b/ochreflow/lab/event_log.py
@@ -71,7 +71,7 @@
 
 
 class EventLogError(OchreflowError, ValueError):
-    """A line of an event log, other than a truncated last one, is not valid JSON."""
+    """Raised if a line of an event log, other than a truncated last one, is not valid JSON."""
 
 
 class EventLog:
--- a/ochreflow/lab/fake_directory.py
+++ b/ochreflow/lab/fake_directory.py
@@ -129,7 +129,7 @@
 
     def _watch(self, request: HttpRequest, after: int, wait_ms: int) -> None:
         too_old = 0 < self.behaviour.retained_changes < self.index - after
-        if after > self.index or too_old:  # from before a restart, or no longer retained
+        if after > self.index or too_old:  # index from before a restart, or changes no longer retained
             self._answer_complete(request)
             return
         wait_s = min(wait_ms, MAX_WATCH_MS) / MS_PER_S
--- a/ochreflow/lab/fake_node.py
+++ b/ochreflow/lab/fake_node.py
@@ -1,6 +1,6 @@
 """A fake node behind a socket: the model (`node_model.py`) with a clock, timers and an event log.
 
-It records every request that it accepts, runs, drops as a duplicate or rejects.
+The node records every request that it accepts, runs, drops as a duplicate or rejects.
 """
 
 from __future__ import annotations
--- a/ochreflow/lab/judge.py
+++ b/ochreflow/lab/judge.py
@@ -14,7 +14,7 @@
 
 NS_PER_S = 1_000_000_000
 SOCKET_SLACK_S = 0.05  # added to each time limit, for delays of real sockets
-DRAIN_GRACE_S = 2.5  # after which a draining or removed node must get no new request
+DRAIN_GRACE_S = 2.5  # a node must get no new request this long after it is reported draining or removed
 RULES = {
     "one final answer": "each request got exactly one response before its client gave up",
     "no repeat beyond the class": "no request ran twice whose class forbids it",
--- a/ochreflow/lab/node_messages.py
+++ b/ochreflow/lab/node_messages.py
@@ -53,7 +53,7 @@
     malformation: Malformation | None = None
 
 
-FAULT_KEYS = frozenset({"swallow", "fail", "slow", "spoil", "form"})  # of a control order
+FAULT_KEYS = frozenset({"swallow", "fail", "slow", "spoil", "form"})  # keys of control orders
 
 
 @dataclass(slots=True)
--- a/ochreflow/lab/node_model.py
+++ b/ochreflow/lab/node_model.py
@@ -35,7 +35,7 @@
 
 
 class UnknownFaultError(OchreflowError, ValueError):
-    """A control order names an unknown fault or malformation."""
+    """Raised if a control order names an unknown fault or malformation."""
 
 
 class DeduplicationGroup:
@@ -85,7 +85,7 @@
         self.running: dict[int, RunningRequest] = {}
         self.queue: deque[tuple[int, NodeRequest]] = deque()
         self.key_used_at: OrderedDict[str, float] = OrderedDict()
-        self.offered_work: deque[tuple[float, float]] = deque()  # while cold: arrival time, seconds
+        self.offered_work: deque[tuple[float, float]] = deque()  # while cold: arrival time, work in s
         self.actions: list[NodeAction] = []
 
     # Events
@@ -122,7 +122,7 @@
         return self._start_queued()
 
     def control(self, now: float, order: dict[str, Any]) -> list[NodeAction]:
-        """Set faults and draining; raise UnknownFaultError, with no change, for an unknown word."""
+        """Set faults and draining; raise UnknownFaultError, with no change, for an unknown fault."""
         self._advance_to(now)
         order = dict(order)
         draining = bool(order.pop("draining", self.draining))
--- a/ochreflow/lab/platform_config.py
+++ b/ochreflow/lab/platform_config.py
@@ -1,6 +1,6 @@
 """The platform's configuration of a sidecar and the directory's entries, in the platform's vocabulary.
 
-The lab's own terms are translated here.
+This module translates the lab's own terms.
 """
 
 from __future__ import annotations
--- a/ochreflow/lab/process_environment.py
+++ b/ochreflow/lab/process_environment.py
@@ -32,7 +32,7 @@
 
 
 class StartError(OchreflowError, RuntimeError):
-    """A process did not start; its log holds the reason."""
+    """Raised if a process does not start; its log holds the reason."""
 
 
 class ProcessEnvironment:
--- a/ochreflow/lab/run_result.py
+++ b/ochreflow/lab/run_result.py
@@ -8,7 +8,7 @@
 from .judge import Report
 from .series import Series
 
-MAX_SEND_DELAY_S = 0.25  # beyond it the clients were the bottleneck
+MAX_SEND_DELAY_S = 0.25  # with a longer delay, the clients were the bottleneck
 
 
 class RunOutcome(IntEnum):
@@ -27,7 +27,7 @@
     max_send_delay_s: float  # longest delay of a client's send behind its schedule
     crashes: list[str] = field(default_factory=list)  # processes that exited unexpectedly
     series: Series | None = None
-    digest: str = ""  # of all event logs, if the same seed gives the same bytes
+    digest: str = ""  # hash of all event logs, if the same seed gives the same bytes
 
     @property
     def void(self) -> bool:
--- a/ochreflow/lab/runs.py
+++ b/ochreflow/lab/runs.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunPlan:
-    """The runs to do."""
+    """The runs of one command."""
 
     scenario_names: list[str]
     seed_count: int  # each scenario runs with the seeds 1 to seed_count
--- a/ochreflow/lab/scenario.py
+++ b/ochreflow/lab/scenario.py
@@ -194,7 +194,7 @@
         "sidecar_count": "sidecars",
     },
 ):
-    """A scenario."""
+    """The content of a scenario file."""
 
     description: str
     request_classes: dict[str, RequestClassSpec]
@@ -214,7 +214,7 @@
 
 
 class ScenarioError(OchreflowError):
-    """A scenario is invalid or can't be read; the message gives the reason in one line."""
+    """Raised if a scenario is invalid or can't be read; the message gives the reason in one line."""
 
 
 def read_scenario(name: str) -> Scenario:
@@ -234,7 +234,7 @@
 
 
 def _check_steps(scenario: Scenario, path: str) -> None:
-    """Check that the steps only name nodes that exist at that time; the schema can't express it."""
+    """Check that each step names only nodes that exist at its time, which the schema can't express."""
     known_nodes = set(range(1, scenario.fleet.node_count + 1))
     for number, step in enumerate(sorted(scenario.steps, key=lambda step: step.at)):
         if step.action is StepAction.REPLACE and len(step.replacements) != len(step.nodes):
--- a/ochreflow/lab/series.py
+++ b/ochreflow/lab/series.py
@@ -34,7 +34,7 @@
     latency_s: dict[str, list[float]] = field(default_factory=dict)  # of served requests, by percentile
     in_node: dict[str, list[int]] = field(default_factory=dict)  # requests by node, at the end of each step
     ejections: list[tuple[float, str]] = field(default_factory=list)  # time in seconds, and the ejected node
-    faults: list[tuple[float, str]] = field(default_factory=list)  # time in seconds, and the steps
+    faults: list[tuple[float, str]] = field(default_factory=list)  # time in seconds, and the steps as text
 
 
 def build_series(run: RunEvents, duration_s: float) -> Series:
--- a/ochreflow/lab/socket_reset.py
+++ b/ochreflow/lab/socket_reset.py
@@ -6,7 +6,7 @@
 import socket
 import struct
 
-LINGER_ZERO = struct.pack("ii", 1, 0)
+LINGER_ZERO = struct.pack("ii", 1, 0)  # `struct linger`: on, with a timeout of 0 s
 
 
 def reset_when_closed(sock: socket.socket) -> None:
