--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -75,7 +75,7 @@
 
 @dataclass(eq=False)
 class DiscoveryRequest:
-    """A request to discovery, until its one end."""
+    """A pending request to discovery, which ends at most once."""
 
     on_answer: object
     target: str
@@ -99,8 +99,9 @@
 class SimulatedDiscovery:
     """A discovery server; `behaviour` determines what it does with a new request.
 
-    With `processing_s` it processes its requests one at a time, each in so many seconds. A request that would
-    wait longer than MAX_ANSWER_S gets a 503 then, but is processed as well. Open polls cost nothing more.
+    If `processing_s` is above 0, it processes one request at a time, each for `processing_s` seconds. A
+    request that would wait longer than MAX_ANSWER_S gets a 503 at that time, but is processed as well. Polls
+    that stay open take no further processing time.
     """
 
     loop: SimulatedLoop
@@ -285,7 +286,7 @@
 def stalls(fleet, grace, in_a_row, sidecars=200, answer=0.02):
     """Let `in_a_row` consecutive polls of each sidecar stall.
 
-    Return how many seconds after the end of the first one's wait the last sidecar is notified.
+    Return how many seconds after the wait of the first stalled poll the last sidecar is notified.
     """
     simulation = SimulatedFleet(fleet, grace, sidecars, answer=answer)
     simulation.loop.run(30.0)
@@ -304,8 +305,8 @@
 def dropped_requests(fleet, grace, outage_s, sidecars=200, answer=0.02):
     """Let open polls stall, and drop requests for `outage_s`.
 
-    Return how many seconds after its limit the last sidecar is notified. A change made at the end counts as
-    notified NOTIFIED_IN_S later, or NOTIFIED_AFTER_S after the wait of a poll that is still open.
+    Return the maximum time in seconds by which a sidecar is notified after its limit. A change made at the
+    end counts as notified NOTIFIED_IN_S later, or NOTIFIED_AFTER_S after the wait of a poll that is open.
     """
     simulation = SimulatedFleet(fleet, grace, sidecars, answer=answer)
     simulation.loop.run(30.0)
@@ -329,7 +330,7 @@
 def switched_while_down(behaviour, fleet, grace, outage_s, sidecars=200, answer=MAX_ANSWER_S):
     """Switch all sidecars to an address that is up only after `outage_s`.
 
-    Return how many seconds after that the last sidecar is notified.
+    Return how many seconds after the address is up the last sidecar is notified.
     """
     simulation = SimulatedFleet(fleet, grace, sidecars, answer=answer)
     simulation.second.behaviour, simulation.second.index = behaviour, 7
@@ -401,7 +402,7 @@
 @pytest.mark.parametrize("fleet", FLEETS)
 @pytest.mark.parametrize("behaviour", BEHAVIOURS)
 def test_after_an_outage_every_sidecar_is_notified_in_time(behaviour, fleet, grace):
-    """Also if an answer takes as long as it may, and the last request failed as late as possible."""
+    """This holds even if each answer takes MAX_ANSWER_S and the last request failed as late as possible."""
     for outage_s in OUTAGES_S:
         assert outage(behaviour, fleet, grace, outage_s, sidecars=40) <= NOTIFIED_IN_S + grace + SLACK_S
 
@@ -442,7 +443,7 @@
 
 
 def test_a_discovery_that_drops_requests_for_complete_lists_is_not_polled_too_often():
-    """All sidecars polled it every 2 s at the same time: 200 requests at once, 98 a second on average."""
+    """Guards against simultaneous polls of all sidecars every 2 s: 200 at once, 98 a second on average."""
     mean, worst = requests_per_second(
         switched_at_once(200, 0.5, serves_complete_lists=False).second.request_times, 30.0, 90.0
     )
@@ -475,7 +476,7 @@
 
 
 def test_repeated_switches_while_discovery_is_down_do_not_increase_the_poll_rate():
-    """Each switch used to start another retry timer, which kept running until the end of the outage."""
+    """Guards against a further retry timer for each switch, which runs until the end of the outage."""
 
     def request_rate(turns):
         simulation = SimulatedFleet(6, 0.5)
@@ -492,7 +493,7 @@
 
 
 def test_the_poll_rate_in_a_long_outage_is_close_to_the_minimum():
-    """A mean wait of 0.55 of the span needed a third more requests, and notified no sidecar earlier."""
+    """A mean wait of 0.55 of the maximum needed a third more requests, and notified no sidecar earlier."""
     simulation = SimulatedFleet(200, 0.5)
     simulation.loop.run(30.0)
     simulation.first.behaviour = "503"
@@ -506,7 +507,7 @@
 def test_a_late_answer_to_a_failed_watch_leaves_the_sidecar_watching(late_s):
     """The resync after a stalled poll fails, then the stalled poll is answered.
 
-    The balancer then relied on a watch although none was running.
+    Guards against a balancer that then relies on a watch although none is running.
     """
 
     simulation = SimulatedFleet(200, 0.5, 1)
@@ -530,7 +531,7 @@
 
 
 def test_polling_continues_in_an_outage_of_hours():
-    """The retry delay was computed as two to the power of the failures, which overflowed at the 1024th."""
+    """Guards against an overflow at the 1024th failure if the delay is 2 to the power of the failures."""
     balancer, now = Balancer(settings(polling_required=True), 1), START
     for _ in range(1500):
         actions = balancer.handle(now, Membership(ListKind.FAILED, 0, []))
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -127,7 +127,8 @@
         (poll_timeouts.wait_ms / 1000, poll_timeouts.poll_stall_s),
         (0.0, poll_timeouts.complete_list_stall_s),
     ):
-        notified_s = max(wait + NOTIFIED_AFTER_S, 6.0)  # after the poll, if it stalls from its start
+        # Seconds after the poll was sent, if it stalls from then on.
+        notified_s = max(wait + NOTIFIED_AFTER_S, 6.0)
         assert wait + stall + NOTIFIED_AFTER_S <= notified_s + grace_ns / 1e9 + SLACK_S
     answer = poll_timeouts.resync_stall_s  # the same time is left for an answer if the resync stalls as well
     assert (
@@ -209,7 +210,7 @@
 
 @pytest.mark.parametrize("late", [False, True], ids=["asked-again", "answered-late"])
 def test_a_stalled_complete_list_counts_as_failed_and_is_requested_again(late):
-    """The balancer decides when, as after any failure; until then a late answer is applied."""
+    """The balancer decides when, as after any failure. A late answer to the first request is applied."""
 
     async def play():
         async def handler(message, reader, writer):
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -226,9 +226,9 @@
     run(play())
 
 
-@pytest.mark.parametrize("ahead", [False, True])
-def test_a_client_that_still_reads_a_response_is_not_evicted(tmp_path, ahead):
-    """The client has begun its next message; before that, a complete one may be queued until it reads."""
+@pytest.mark.parametrize("queued", [False, True])
+def test_a_client_that_still_reads_a_response_is_not_evicted(tmp_path, queued):
+    """The client has sent a part of its next request; with `queued`, a complete one is queued before it."""
 
     async def play():
         async def act(got, reader, writer):
@@ -251,7 +251,7 @@
                 writer.write(http_request("order", f"{sent}"))
                 sent += 1
                 await wait_until(lambda sent=sent: len(server.received) == sent and client.current is None)
-            if ahead:
+            if queued:
                 writer.write(http_request("order", f"{sent}"))
                 sent += 1
                 await wait_until(lambda: client.queue)
@@ -261,7 +261,7 @@
             for _ in range(sent):
                 assert len((await read_message(reader)).body) == 60 * 1024
             await wait_until(lambda: not client.serving)
-            assert sidecar.engine.descriptors.evict_idle_connection()  # only an unfinished message is left
+            assert sidecar.engine.descriptors.evict_idle_connection()  # only an incomplete request remains
             writer.close()
 
     run(play())
@@ -336,13 +336,13 @@
 def test_the_quota_of_clients_and_the_memory_follow_the_configuration():
     for sockets in (256, 384, 1024):
         descriptors = Descriptors(sockets)
-        assert descriptors.max_clients > sockets / 3  # the most that clients need for requests
+        assert descriptors.max_clients > sockets / 3  # a third: the most that clients need for requests
         assert descriptors.limit - descriptors.max_clients > sockets / 3
     assert Memory(32 * MB).max_bytes <= 4 * MB and Memory(192 * MB).max_bytes == Memory.MAX_BYTES
 
 
 def test_silent_clients_are_evicted_first_and_leave_descriptors_for_attempts(tmp_path):
-    """Silent clients could take every descriptor, and pooled connections were closed for them."""
+    """Guards against silent clients that use all descriptors and cause pooled connections to be closed."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
@@ -368,7 +368,7 @@
 
 
 def test_a_slow_client_is_not_evicted_for_a_flood_of_unfinished_or_silent_clients(tmp_path, monkeypatch):
-    """Slow clients that had connected first were taken for part of the flood and evicted."""
+    """Guards against evicting slow clients that connected before a flood as if they were part of it."""
     monkeypatch.setattr(clients, "STALE_AFTER_S", 0.05)
 
     async def play():
@@ -406,7 +406,7 @@
             accepted_reader, accepted_writer = await asyncio.open_connection(HOST, sidecar.port)
             accepted_writer.write(http_request("order", "held") + b"POST /order HTTP/1.1\r\nX-Half: ")
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
-            assert await reader.read() == b""  # it sent nothing
+            assert await reader.read() == b""  # a client that sent nothing gets no response
             writer.close()
             for half in (
                 b"G",
@@ -414,7 +414,7 @@
                 http_request("order", "b", "900m", b"body")[:-1],
             ):
                 assert (await send_request(sidecar.port, half)).code == 408
-            release_response.set()  # the accepted request is answered all the same
+            release_response.set()  # the complete request is still answered
             assert (await read_message(accepted_reader)).code == 200
             assert (await read_message(accepted_reader)).code == 408
             accepted_writer.close()
@@ -461,7 +461,7 @@
 
 
 def test_a_request_id_that_is_open_or_recent_is_rejected(tmp_path):
-    """A second copy must not be sent, and the first request must not be affected by it."""
+    """The second request must not be sent to a server, and must not affect the first one."""
 
     async def play():
         async def act(message, reader, writer):
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -85,7 +85,7 @@
 
 
 def test_connections_to_servers_are_reused(tmp_path):
-    """Read too late, the parser's keep-alive flag is always False, so that no connection is reused."""
+    """If the parser's keep-alive flag is read too late, it is always False, and no connection is reused."""
 
     async def play():
         fake = await FakePeer(answer_ok).start()
@@ -104,7 +104,7 @@
         # Proven not to have run: a request of any class may be retried.
         (respond_with(http_response(503, b"", NOT_RUN)), {200}, {2}),
         (respond_with(http_response(504, b"", NOT_RUN)), {200}, {2}),
-        # A plain error may have had its effect: 503, which invites a retry, only if a retry is harmless.
+        # A request that ends with 500 may have run: 503, which invites a retry, only if a retry is harmless.
         (respond_with(http_response(500)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
         (respond_with(http_response(503)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
         (respond_with(http_response(504)), {"lookup": {503}, "hold": {502}, "order": {502}}, {1}),
@@ -263,7 +263,7 @@
             writer.write(http_request("order", "ab"))
             await wait_until(lambda: fake.received)
             writer.close()
-            await wait_until(lambda: fake.ended_connections == 1, "its attempt is cancelled")
+            await wait_until(lambda: fake.ended_connections == 1, "the attempt is cancelled")
             engine = sidecar.engine
             await wait_until(
                 lambda: (
@@ -274,7 +274,7 @@
             )
             assert not sidecar.http.clients.connections
             (server,) = engine.balancer.endpoints.servers.values()
-            assert not server.in_flight  # the end of the attempt was reported too
+            assert not server.in_flight  # the end of the attempt was reported to the balancer too
 
     run(play())
 
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -76,7 +76,7 @@
         assert await loop.sock_recv(first, 4096) == PAYLOAD
         await loop.sock_sendall(first, http_response())
         assert (await end)[0] is Status.OK
-        first.close()  # the end has arrived; the loop has not read it yet
+        first.close()  # the EOF is in the socket; the loop has not read it yet
         _, end = start(pool)
         second, _ = await loop.sock_accept(server)
         assert await loop.sock_recv(second, 4096) == PAYLOAD
@@ -133,9 +133,9 @@
         ends = [start(pool)[1] for _ in range(3)]
         for end in ends:
             assert (await end)[0] is Status.OK
-        # an exchange may have used another's connection; its own is still being opened
+        # an exchange may have used the connection of another one while its own is still being opened
         await wait_until(lambda: len(pool.targets[1].idle) == 3)
-        for connection in pool.targets[1].idle:  # all of them are settled
+        for connection in pool.targets[1].idle:  # the settling time of all of them is over
             connection.answered_at -= upstream_connection.SETTLING_TIME_S
         latest = pool.targets[1].idle[-1]
         _, end = start(pool)
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("reason", ["drain", "gone", "time-out"])
 def test_a_request_that_waits_for_a_connection_is_not_sent_to_a_draining_server(reason):
-    """The first byte of such a request would be sent after its server has begun to drain."""
+    """Otherwise the first byte of the request would be sent after its server has begun to drain."""
 
     async def play():
         server, fill = full_listener()
@@ -180,7 +180,7 @@
             sock.close()
         server.setblocking(False)
         with pytest.raises(BlockingIOError):
-            while True:  # only the fillers have connected, and they sent nothing
+            while True:  # only the sockets that fill the backlog have connected; no request was sent
                 got, _ = server.accept()
                 got.setblocking(True)
                 assert got.recv(4096) == b""
@@ -252,7 +252,7 @@
 
 @pytest.mark.parametrize("reason", ["given up", "drain"])
 def test_an_exchange_that_ends_as_soon_as_it_is_started_leaves_no_connection(reason):
-    """One iteration of the loop may bring a request, and then an update that its server drains."""
+    """One loop iteration may read a request, and then a list update that sets its server to draining."""
 
     async def play():
         server = listener()
@@ -268,7 +268,7 @@
         assert not pool.connections and not pool.targets[1].opening
         server.setblocking(False)
         with pytest.raises(BlockingIOError):
-            server.accept()  # it did not connect
+            server.accept()  # the exchange has opened no connection
         server.close()
         pool.close()
 
@@ -276,7 +276,7 @@
 
 
 def test_an_exchange_ends_if_the_pool_is_closed_as_its_connection_is_established():
-    """After SIGHUP names another discovery, a request to the old one would stay connected."""
+    """Guards against a request to the old discovery that stays open after SIGHUP switched to another one."""
 
     async def play():
         class ClosingLoop:
@@ -332,7 +332,7 @@
             raise OSError(errno.EMFILE, "Too many open files")
 
         monkeypatch.setattr(upstream.socket, "socket", exhausted)
-        assert await start(pool)[1] == (Status.NOT_SENT, None)  # no failure of the server
+        assert await start(pool)[1] == (Status.NOT_SENT, None)  # does not count as a failure of the server
         monkeypatch.setattr(upstream.socket, "socket", real)
         assert (await start(pool)[1])[0] is Status.OK
         pool.close()
@@ -379,7 +379,7 @@
         b"HTTP/1.1 200 OK\r\n" + b"X-Pad: y\r\n" * 4000,
         b"HTTP/1.1 103 Early Hints\r\n\r\n" * 8000,
         b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n" + OK,
-        b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nhello",  # less than it says, and nothing more
+        b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nhello",  # fewer bytes than the length, then none
         b"HTTP/1.1 200 OK\r\nContent-Le",
     ],
     ids=lambda data: repr(data[:50]),
@@ -465,7 +465,7 @@
         assert (await first)[0] is Status.OK and (await second)[0] is Status.OK
         assert {got.connection for got in fake.received} == {1}
         pool.loop.proceed.set()
-        await wait_until(lambda: len(pool.targets[1].idle) == 2)  # the new one becomes idle
+        await wait_until(lambda: len(pool.targets[1].idle) == 2)  # the new connection becomes idle
         assert not pool.targets[1].opening
         pool.loop = real
         pool.close()
