--- a/tests/test_answered_at_the_end.py
+++ b/tests/test_answered_at_the_end.py
@@ -32,7 +32,7 @@
 from ochreflow.http.request_reader import ReadState
 
 CLIENTS = 6
-FORWARD_TIME_S = 0.3  # in which a request would certainly reach a server on this machine
+FORWARD_TIME_S = 0.3  # more than a request takes to reach a server on this machine
 
 
 def request_ids(fake):
@@ -58,7 +58,7 @@
 
 
 def test_a_connection_established_after_the_close_forwards_nothing(tmp_path):
-    """It was accepted before the close, and the event loop creates its transport afterwards."""
+    """The system accepts the connection before the close; the event loop creates its transport later."""
 
     async def play():
         server = Server()
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("end", ["answer all", "close"])
 def test_a_request_answered_at_shutdown_is_not_sent_to_another_server(tmp_path, end):
-    """Its attempt waits for a connection: given up, it has not run, so that a retry would be possible."""
+    """Shutdown gives up an attempt that waits for a connection; it has not run, so it could be retried."""
 
     async def play():
         fakes = {name: await FakePeer(answer_ok).start() for name in ("s1", "s2")}
@@ -137,7 +137,7 @@
 
 
 class ResendingClient:
-    """A client that resends a request whose connection closed before the response, as it may."""
+    """A client that resends a request if the connection is closed before the response."""
 
     def __init__(self, port, name):
         self.port = port
@@ -218,7 +218,7 @@
 
 @pytest.mark.parametrize("end", ["open", "left", "answered"])
 def test_a_request_resent_on_another_connection_does_not_run_again(tmp_path, end):
-    """Its id is recognized while the first one is open, after its client has left, and after its response."""
+    """The id is recognized while the first copy is open, after its client's disconnect and its response."""
 
     async def play():
         server = Server()
@@ -321,7 +321,7 @@
 
 @pytest.mark.parametrize("reason", ["time", "malformed", "memory"])
 def test_a_truncated_body_is_rejected_and_never_completed_at_the_server(tmp_path, reason):
-    """Part of it has been forwarded when it stalls or becomes malformed. A lack of memory does no harm."""
+    """Part of it was forwarded before the body stalls or is malformed. A lack of memory has no effect."""
 
     async def play():
         server = Server()
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -1,7 +1,7 @@
 """A client's disconnect is detected by its connection even if the event loop does not read the EOF.
 
-The loop is busy, or the EOF is behind unread bytes or behind a whole request in the backlog. The check at the
-first byte of an attempt is tested in `test_client_left_attempts`.
+The loop is busy, or the EOF is behind unread bytes or behind a complete request in the backlog. The check at
+the first byte of an attempt is tested in `test_client_left_attempts`.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
 pytestmark = pytest.mark.xdist_group("real-time")
 
 STREAMED_BYTES = 2 * MAX_BUFFERED_BYTES  # bytes of a body that is streamed to its server
-# more than is read while a request is pending
+# more bytes than the sidecar reads while a request is pending
 PIPELINED = b"".join(http_request("order", f"more{n}") for n in range(400))
 
 
@@ -228,7 +228,7 @@
 
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_a_streamed_body_is_not_completed_after_a_disconnect(tmp_path, how):
-    """Its last part and the EOF arrive in one loop iteration; an incomplete request can't run."""
+    """The last part of the body and the EOF arrive in one iteration; an incomplete request can't run."""
 
     async def play():
         server = Server()
@@ -324,7 +324,7 @@
 
 
 def test_a_slow_reader_that_requests_connection_close_is_disconnected(tmp_path, monkeypatch):
-    """Its connection would close after the answer has been written, which never completes."""
+    """Otherwise its connection closes only after the response has been written, which never completes."""
     # Only the slow-reader timeout closes it.
     monkeypatch.setattr(closing_connection, "DRAINING_CLOSE_TIMEOUT_S", 1000.0)
 
--- a/tests/test_client_left_attempts.py
+++ b/tests/test_client_left_attempts.py
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize("first", ["answer", "end"])
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_an_attempt_is_not_written_to_a_connection_that_becomes_free_after_a_disconnect(tmp_path, how, first):
-    """It waits for its connect, and takes the connection whose answer arrives in this loop iteration."""
+    """An attempt that waits for its connect may take a connection whose answer arrives in this iteration."""
 
     async def play():
         server = Server()
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_a_delayed_retry_is_not_written_after_a_disconnect(tmp_path, how):
-    """Its timer fires in the first iteration after the loop was blocked, before any socket is read."""
+    """The retry timer fires in the first iteration after the loop was blocked, before any socket is read."""
 
     async def play():
         server = Server()
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -124,7 +124,8 @@
         ):
             await harness.connect_blocked()
             harness.engine.balancer.retry_policy.tokens = 10.0  # so that the retry budget is not the reason
-            harness.advance_clock(1995 * MS)  # the window is 2 s, of which the last tick of 5 ms is not used
+            # The deduplication window is 2 s, of which the last tick of 5 ms is not used.
+            harness.advance_clock(1995 * MS)
             harness.loop.connect_allowed.set()
             async with asyncio.timeout(FAST_ANSWER_TIMEOUT_S):
                 response = await read_message(
@@ -385,8 +386,8 @@
 
 
 @pytest.mark.parametrize("size, status", [(8 * MB, Status.NOT_SENT), (32 * 1024, Status.CANCELLED)])
-def test_a_request_that_is_not_received_when_its_window_ends_is_never_received(size, status):
-    """It is in the sidecar's buffer or the socket's, and would arrive as soon as the server reads again."""
+def test_a_request_that_is_not_received_before_its_write_timeout_is_never_received(size, status):
+    """Its rest is in a buffer of the sidecar or the socket, and would arrive once the server reads again."""
 
     async def play():
         loop = asyncio.get_running_loop()
@@ -415,7 +416,7 @@
     run(play())
 
 
-def test_a_request_that_is_received_when_its_window_ends_is_still_answered():
+def test_a_request_that_is_received_before_its_write_timeout_is_still_answered():
     async def play():
         loop = asyncio.get_running_loop()
         pool, server = await pool_and_server()
@@ -450,7 +451,7 @@
 
 @pytest.mark.parametrize("further", [False, True], ids=["first", "further"])
 def test_a_request_announces_the_time_left_when_its_connection_is_established(tmp_path, further):
-    """Not the time left at the decision: with slow connects, a quarter of the requests announced too much."""
+    """The time left at the decision is too long: with slow connects, it was so for a quarter of requests."""
 
     async def play():
         harnesses = []
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -83,7 +83,7 @@
 
 
 def send_after_check(monkeypatch, sock, data):
-    """Make bytes arrive right after the check that none wait to be read."""
+    """Make bytes arrive right after the check whether the socket has unread bytes."""
     unread_bytes = connection.unread_bytes
 
     def check(transport):
@@ -311,7 +311,7 @@
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 1000000", b"Transfer-Encoding: chunked"])
 def test_a_truncated_response_does_not_lose_the_response_before_it(tmp_path, framing):
-    """Nor is its own beginning lost: a client that has read nothing of a response sends its request again."""
+    """Its beginning must arrive too: a client that has read nothing of a response sends its request again."""
 
     async def play():
         async def truncate(got, reader, writer):
@@ -342,7 +342,7 @@
 
 
 def test_a_request_queued_behind_a_truncated_response_is_not_forwarded(tmp_path):
-    """It could not be answered, not even after a slow client has read all of the truncated response."""
+    """The queued request could not be answered, even after a slow client has read the truncated response."""
 
     async def play():
         async def answer_in_part(got, reader, writer):
@@ -352,7 +352,7 @@
                 )
             await reader.read()
 
-        # Several, so that a server for the second request is left.
+        # Several servers, so that one would be eligible for the second request.
         fakes = [await FakePeer(answer_in_part).start() for _ in range(4)]
         async with sidecar_before(tmp_path, *fakes) as sidecar:
             client = connect_with_small_buffer(sidecar.port)
@@ -380,7 +380,7 @@
 
 
 def test_a_client_that_does_not_close_after_its_last_response_is_disconnected(tmp_path, monkeypatch):
-    """The time-out of the draining close is not restarted if the client's host has received everything."""
+    """The timeout of the draining close is not restarted after the client's host has received all bytes."""
     monkeypatch.setattr(closing_connection, "DRAINING_CLOSE_TIMEOUT_S", 0.3)
 
     async def play():
@@ -426,7 +426,7 @@
 
 
 def test_requests_queued_behind_the_last_response_are_released(tmp_path):
-    """The memory reserved for requests that are not served any more would leak."""
+    """Guards against a leak of the memory that is reserved for queued requests, which are never served."""
 
     async def play():
         server = Server()
--- a/tests/test_second_response.py
+++ b/tests/test_second_response.py
@@ -149,7 +149,7 @@
         await setup.read(server)
         assert monotonic() - answered >= 0.05
         server.sendall(REJECTION)
-        assert (await end)[0] is Status.REJECTED  # after the settling time it is a proof
+        assert (await end)[0] is Status.REJECTED  # after the settling time, a rejection is a proof
         assert len(setup.pool.connections) == 1
         setup.close()
 
@@ -314,7 +314,7 @@
 
 
 def test_a_connection_with_an_unread_second_response_is_not_reused():
-    """It has arrived, and the loop has not read it yet, when the next request is about to be written."""
+    """The second response is in the socket and not read yet when the next request is about to be written."""
 
     async def play():
         setup = PoolWithServer()
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -218,7 +218,7 @@
             if draining == "the sidecar":
                 assert await reader.read() == b""  # then the connection is closed
             else:
-                assert not sidecar.upstreams.connections  # no further request may be sent to it
+                assert not sidecar.upstreams.connections  # the draining server may get no further request
             assert sidecar.engine.stats.results[2] == [1, 0, 0]
             writer.close()
 
@@ -467,7 +467,7 @@
 def test_a_request_that_waits_for_a_connection_is_not_sent_after_its_client_disconnects(
     tmp_path, monkeypatch
 ):
-    """Its body is discarded with the client, so that a server would get a request without its body."""
+    """The body is discarded when the client disconnects, so a server would get a request without a body."""
     connect = upstream.Upstreams._connect
 
     async def delayed(*args):
--- a/tests/test_unwritten.py
+++ b/tests/test_unwritten.py
@@ -32,7 +32,7 @@
 SEND_BUFFER = 32 * 1024
 RECEIVE_BUFFER = 8 * 1024
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-REST_BYTES = 2_000  # bytes more than both buffers hold: the rest stays in the loop
+REST_BYTES = 2_000  # by which a body exceeds both buffers; these bytes stay in the event loop
 
 
 class SmallSendBufferLoop:
@@ -202,7 +202,7 @@
 
 
 def body_over_buffers():
-    """Return a body that exceeds both buffers, but is small enough for the sidecar to hold it whole."""
+    """Return a body that exceeds both buffers, but is small enough for the sidecar to buffer completely."""
     size = buffer_capacity() + REST_BYTES
     assert size < 64 * 1024
     return b"x" * size
@@ -261,7 +261,7 @@
 
 @pytest.mark.parametrize("give_up", GIVE_UPS.values(), ids=GIVE_UPS)
 def test_a_partly_written_attempt_is_never_completed_after_it_is_given_up(tmp_path, give_up):
-    """Its socket is writable again by then, and the loop has not polled it yet."""
+    """The socket is writable again when the attempt is given up, but the loop has not polled it yet."""
 
     async def play():
         harness = SidecarHarness(tmp_path)
@@ -278,7 +278,7 @@
 @pytest.mark.parametrize("framing", ["length", "chunked"])
 @pytest.mark.parametrize("end", ENDS.values(), ids=ENDS)
 def test_a_streamed_body_is_never_completed_after_its_attempt_has_ended(tmp_path, end, framing):
-    """It can't be sent again, but the client got 503, which says that the request has not run."""
+    """The body can't be sent again, but the client gets 503, which says that the request has not run."""
 
     async def play():
         harness = SidecarHarness(tmp_path, servers=1)
@@ -304,7 +304,7 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_the_balancer_gets_the_true_status_of_a_partly_written_request_after_a_disconnect(tmp_path, how):
-    """The rest may be written before the loop reports the EOF, but not after the end as unwritten."""
+    """The rest may be written before the loop reports the EOF, but not after it is reported as unwritten."""
 
     async def play():
         harness = SidecarHarness(tmp_path)
