--- a/tests/test_accept_throttle.py
+++ b/tests/test_accept_throttle.py
@@ -88,7 +88,7 @@
 
 
 def test_an_idle_connection_is_evicted_before_one_that_waits_for_its_response(tmp_path):
-    async def play():
+    async def scenario():
         async def act(got, reader, writer):
             await release.wait()
             await answer_ok(got, reader, writer)
@@ -111,11 +111,11 @@
             assert (await read_message(reader)).code == 200
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_an_attempt_gets_a_descriptor_although_silent_clients_use_all(tmp_path):
-    async def play():
+    async def scenario():
         node = await FakePeer(answer_ok).start()
         data = config(endpoint_update(1, entry("a", node.address)))
         async with Sidecar(tmp_path / "c", data) as sidecar:
@@ -135,7 +135,7 @@
             for _, open_writer in [*silent_connections, (None, writer)]:
                 open_writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def bound_socket(host):
@@ -182,7 +182,7 @@
 def test_without_descriptors_the_process_keeps_responding_and_shuts_down_gracefully(tmp_path):
     """Guards kept connections against a flood that uses up the system's limit, also during a drain."""
 
-    async def play():
+    async def scenario():
         async with process_with_admission(tmp_path) as process:
             reader, writer = await asyncio.open_connection(HOST, process.port)
             for number in range(int(MIN_KNOWN_REPUTATION) + 1):
@@ -205,13 +205,13 @@
             writer.close()
             assert await process.process.wait() == 0
 
-    run(play())
+    run(scenario())
 
 
 def test_new_clients_are_accepted_once_descriptors_are_free_again(tmp_path):
     """Guards the first new client, behind a flood of clients in the backlog that have already left."""
 
-    async def play():
+    async def scenario():
         async with process_with_admission(tmp_path) as process:
             leave_few_descriptors(process)
             loop = asyncio.get_running_loop()
@@ -223,7 +223,7 @@
                 sock.close()
             assert (await send_request(process.port, http_request("order", "d"))).code == 200
 
-    run(play())
+    run(scenario())
 
 
 DISCONNECTED = 20  # clients that left while they were in the backlog
@@ -234,7 +234,7 @@
 def test_clients_that_disconnected_in_the_backlog_take_no_capacity(tmp_path, how):
     """All connect before the next loop iteration, which then finds them in the backlog in this order."""
 
-    async def play():
+    async def scenario():
         node = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("a", node.address)))) as sidecar:
             clients = sidecar.http.clients
@@ -255,7 +255,7 @@
             for client in disconnected:
                 client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_snapshot_is_restored_and_malformed_ones_are_ignored():
@@ -290,7 +290,7 @@
 
 
 def test_a_new_process_inherits_the_known_clients(tmp_path):
-    async def play():
+    async def scenario():
         node = await FakePeer(answer_ok).start()
         (tmp_path / "o.toml").write_text(ADMISSION_ON)
         shared_dir = tmp_path / "shared"
@@ -311,4 +311,4 @@
                     )
                     assert "known addresses: 1\n" in status.stdout, status.stdout + status.stderr
 
-    run(play())
+    run(scenario())
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -212,7 +212,7 @@
 
 @pytest.mark.xdist_group("processes")
 def test_a_flood_of_silent_connections_leaves_known_clients_their_capacity(tmp_path):
-    async def play():
+    async def scenario():
         node = await FakePeer(answer_ok).start()
         data = config(endpoint_update(1, entry("a", node.address)))
         data["limits"]["sockets"] = 200
@@ -241,12 +241,12 @@
             for sock in flood:
                 sock.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.xdist_group("processes")
 def test_operators_can_enable_and_show_admission_and_reload_its_limits(tmp_path):
-    async def play():
+    async def scenario():
         file = tmp_path / "o.toml"
         file.write_text('[operators]\nlisten = "127.0.0.1:0"\n[admission]\non = true\nopen = 3\n')
         node = await FakePeer(answer_ok).start()
@@ -278,7 +278,7 @@
             )
             assert output.returncode == 1 and "admission is off" in output.stderr
 
-    run(play())
+    run(scenario())
 
 
 def test_an_address_is_known_once_it_has_the_minimum_reputation():
--- a/tests/test_answered_at_the_end.py
+++ b/tests/test_answered_at_the_end.py
@@ -42,7 +42,7 @@
 def test_a_request_read_after_shutdown_has_begun_is_rejected(tmp_path):
     """Shutdown has begun, and the process has not closed its sockets yet."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -54,13 +54,13 @@
             assert request_ids(fake) == ["warm"]
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_connection_established_after_the_close_forwards_nothing(tmp_path):
     """The system accepts the connection before the close; the event loop creates its transport later."""
 
-    async def play():
+    async def scenario():
         server = Server()
         loop = asyncio.get_running_loop()
         sidecar = Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", server.address))))
@@ -79,12 +79,12 @@
         server.close()
         await wait_until(lambda: client_connection.closed)
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("end", ["sidecar", "engine"])
 def test_a_request_that_may_have_run_is_answered_before_its_connection_closes(tmp_path, end):
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -97,14 +97,14 @@
             assert server.read_all().count(b"X-Request-Id") == 1
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("end", ["answer all", "close"])
 def test_a_request_answered_at_shutdown_is_not_sent_to_another_server(tmp_path, end):
     """Shutdown gives up an attempt that waits for a connection; it has not run, so it could be retried."""
 
-    async def play():
+    async def scenario():
         fakes = {name: await FakePeer(answer_ok).start() for name in ("s1", "s2")}
         harness = SidecarHarness(tmp_path, [entry(name, fake.address) for name, fake in fakes.items()])
         async with harness.sidecar as sidecar:
@@ -133,7 +133,7 @@
             ]
             harness.loop.connect_allowed.set()
 
-    run(play())
+    run(scenario())
 
 
 class ResendingClient:
@@ -173,7 +173,7 @@
 def test_requests_run_once_while_processes_replace_each_other_on_the_same_socket(tmp_path):
     """Three processes run one after another, and the clients use their connections until they are closed."""
 
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             await asyncio.sleep(0.002)
             writer.write(http_response(200, message.body))
@@ -213,14 +213,14 @@
         # Every resent request was answered in the end, and none of them had run before.
         assert all(request_id in answered for client in clients for request_id in client.resent)
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("end", ["open", "left", "answered"])
 def test_a_request_resent_on_another_connection_does_not_run_again(tmp_path, end):
     """The id is recognized while the first copy is open, after its client's disconnect and its response."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -240,7 +240,7 @@
             client.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 def changed_effects(data):
@@ -254,7 +254,7 @@
 def test_a_reload_does_not_change_the_effect_of_a_class(tmp_path):
     """An unsafe class stays unsafe, both for open requests and for later ones."""
 
-    async def play():
+    async def scenario():
         async def reset_unless(got, reader, writer):
             if got.headers["x-request-id"] == "open":
                 opened.set()
@@ -280,7 +280,7 @@
         assert sorted(request_ids(fakes[0]) + request_ids(fakes[1])).count("open") == 1
         assert sorted(request_ids(fakes[0]) + request_ids(fakes[1])).count("later") == 1
 
-    run(play())
+    run(scenario())
 
 
 # Errors after a request that was forwarded
@@ -290,7 +290,7 @@
 def test_an_invalid_message_after_a_request_does_not_lose_the_response_to_the_request(tmp_path, behind):
     """The message that follows is malformed, or is not completed in time."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -316,14 +316,14 @@
             assert server.read_all().count(b"X-Request-Id") == 2
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("reason", ["time", "malformed", "memory"])
 def test_a_truncated_body_is_rejected_and_never_completed_at_the_server(tmp_path, reason):
     """Part of it was forwarded before the body stalls or is malformed. A lack of memory has no effect."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -369,4 +369,4 @@
             assert server.read_all().count(b"X-Request-Id") == 1
         server.close()
 
-    run(play())
+    run(scenario())
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -76,7 +76,7 @@
 def test_is_disconnected_detects_a_disconnect_without_a_loop_iteration(tmp_path, eof_position, how):
     """The EOF is in the socket, and the loop has not reported it yet."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -101,7 +101,7 @@
             client.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("last_check", ["look", "sweep"])
@@ -116,7 +116,7 @@
     machine does not change the result.
     """
 
-    async def play():
+    async def scenario():
         server = Server()
         loop = asyncio.get_running_loop()
 
@@ -155,7 +155,7 @@
             assert server_connection.received.count(b"X-Request-Id") == 1
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("first", ["answer", "end"])
@@ -163,7 +163,7 @@
 def test_a_queued_request_is_not_sent_after_a_disconnect(tmp_path, how, first):
     """The answer to the previous request and the EOF arrive in one loop iteration, in either order."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -184,7 +184,7 @@
             client.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("accepts", ["loop", "own"])
@@ -192,7 +192,7 @@
 def test_a_request_is_not_sent_if_its_client_disconnects_while_the_loop_is_blocked(tmp_path, how, accepts):
     """The request and the EOF are in the backlog; an idle connection to the server exists."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -223,14 +223,14 @@
             client.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_a_streamed_body_is_not_completed_after_a_disconnect(tmp_path, how):
     """The last part of the body and the EOF arrive in one iteration; an incomplete request can't run."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -257,13 +257,13 @@
             client.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_the_disconnect_monitor_has_no_timer_unless_a_client_is_paused(tmp_path, monkeypatch):
     """Frequent polling must cost nothing while all clients are read, and one system call otherwise."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -282,11 +282,11 @@
             assert not monitor.fds and not monitor.callbacks and not monitor.poller.poll(0)
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_disconnect_callback_may_remove_other_monitored_transports():
-    async def play():
+    async def scenario():
         loop = asyncio.get_running_loop()
         monitor, notified = DisconnectMonitor(loop), []
         server = Server()
@@ -320,7 +320,7 @@
             transport.abort()
         server.listening.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_slow_reader_that_requests_connection_close_is_disconnected(tmp_path, monkeypatch):
@@ -328,7 +328,7 @@
     # Only the slow-reader timeout closes it.
     monkeypatch.setattr(closing_connection, "DRAINING_CLOSE_TIMEOUT_S", 1000.0)
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -353,4 +353,4 @@
             client.close()
         server.close()
 
-    run(play())
+    run(scenario())
--- a/tests/test_client_left_attempts.py
+++ b/tests/test_client_left_attempts.py
@@ -46,7 +46,7 @@
 def test_an_attempt_is_not_written_if_its_client_disconnects_during_a_slow_connect(tmp_path, how, body):
     """With half a body, reading is paused until it can be written, so the EOF is behind the rest of it."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -72,7 +72,7 @@
             client.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("first", ["answer", "end"])
@@ -80,7 +80,7 @@
 def test_an_attempt_is_not_written_to_a_connection_that_becomes_free_after_a_disconnect(tmp_path, how, first):
     """An attempt that waits for its connect may take a connection whose answer arrives in this iteration."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -105,14 +105,14 @@
             client.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_a_delayed_retry_is_not_written_after_a_disconnect(tmp_path, how):
     """The retry timer fires in the first iteration after the loop was blocked, before any socket is read."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -135,14 +135,14 @@
             client.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_an_attempt_is_not_written_if_its_client_disconnects_during_the_decision(tmp_path, how):
     """The client was connected when its request was accepted; the decision took long."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
@@ -165,4 +165,4 @@
             client.close()
         server.close()
 
-    run(play())
+    run(scenario())
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -372,7 +372,7 @@
 ):
     """Guards against clients that use all descriptors if the system's limit is below the configured one."""
 
-    async def play():
+    async def run_scenario_steps():
         (tmp_path / "o.toml").write_text(file)
         scenario = await DrainScenario().start()
         process = Process(tmp_path / "c", scenario.sidecar_config(configured), descriptors=system)
@@ -394,11 +394,11 @@
             assert peak.maximum < MIN_SOCKETS
             assert scenario.each_request_ran_once_and_was_answered(requests)
 
-    run(play())
+    run(run_scenario_steps())
 
 
 def test_discovery_recovery_is_noticed_by_two_processes_of_one_sidecar(tmp_path):
-    async def play():
+    async def run_scenario_steps():
         scenario = await DrainScenario().start()
         shared_dir = tmp_path / "shared"
         shared_dir.mkdir()
@@ -435,13 +435,13 @@
                     await requests.stop()
             assert scenario.each_request_ran_once_and_was_answered(requests)
 
-    run(play())
+    run(run_scenario_steps())
 
 
 def test_clients_that_connect_in_one_loop_iteration_stay_within_their_share(tmp_path):
     """The process is stopped until all clients, a management call and a request wait at its sockets."""
 
-    async def play():
+    async def run_scenario_steps():
         scenario = await DrainScenario().start()
         async with Process(
             tmp_path / "c", scenario.sidecar_config(MIN_SOCKETS), descriptors=MIN_SOCKETS
@@ -483,7 +483,7 @@
             for client in idle_clients:
                 client.close()
 
-    run(play())
+    run(run_scenario_steps())
 
 
 class OccupiedProcess(Process):
@@ -502,7 +502,7 @@
     In the second case accept() fails because no descriptor is free.
     """
 
-    async def play():
+    async def run_scenario_steps():
         (tmp_path / "o.toml").write_text(LONG_TIMEOUTS)
         scenario = await DrainScenario().start()
         # With occupied descriptors, the process allows clients more descriptors than there are.
@@ -548,7 +548,7 @@
             await requests.wait_for_responses(20)
             await requests.stop()
 
-    run(play())
+    run(run_scenario_steps())
 
 
 def test_a_lowered_limit_evicts_idle_clients_and_leaves_room_for_operators_and_requests(tmp_path):
@@ -557,7 +557,7 @@
     All other connections were then closed at accept. A connection that waits for its response is not evicted.
     """
 
-    async def play():
+    async def run_scenario_steps():
         (tmp_path / "o.toml").write_text(LONG_TIMEOUTS)
         scenario = await DrainScenario().start()
         process = Process(tmp_path / "c", scenario.sidecar_config(MIN_SOCKETS), descriptors=MIN_SOCKETS)
@@ -600,7 +600,7 @@
                 assert peak.maximum < LOWERED_LIMIT
                 assert (await pending).code == 200
 
-    run(play())
+    run(run_scenario_steps())
 
 
 class SilentConnection:
@@ -701,7 +701,7 @@
 def test_discovery_recovery_is_noticed_while_attempts_use_the_remaining_descriptors(tmp_path):
     """Guards against calls to discovery without descriptors while attempts use all that the count allows."""
 
-    async def play():
+    async def scenario():
         async def wait_for_release(got, reader, writer):
             await release.wait()
             await answer_ok(got, reader, writer)
@@ -745,4 +745,4 @@
             release.set()
             assert {(await response).code for response in responses} == {200}
 
-    run(play())
+    run(scenario())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -43,7 +43,7 @@
 def test_queued_requests_are_not_sent_after_an_unread_disconnect(tmp_path, how):
     """The client's connection is paused since its pipeline is full: its EOF is behind unread bytes."""
 
-    async def play():
+    async def scenario():
         async def answer_when_allowed(message, reader, writer):
             await answer_allowed.wait()
             writer.write(http_response(200, b"late"))
@@ -66,14 +66,14 @@
         assert [request.headers["x-request-id"] for request in fake.received] == ["id0", "other"]
         writer.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", ["close", "half-close"])
 def test_a_request_is_not_sent_if_its_client_disconnected_before_accept(tmp_path, how):
     """The whole request and the client's EOF are in the backlog of the listening socket."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             # An idle connection to the server exists, so an accepted request is written at once.
@@ -97,13 +97,13 @@
         assert [request.headers["x-request-id"] for request in fake.received] == ["first", "other"]
         writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_partly_written_request_is_truncated_on_disconnect_even_if_cancelling_is_disabled(
     tmp_path,
 ):
-    async def play():
+    async def scenario():
         server = await DualProtocolServer(lambda name: "ok").start()
         data = config(endpoint_update(1, entry("s1", server.address)))
         data["settings"]["ceilings"]["cancel"] = False
@@ -128,7 +128,7 @@
             (upstream_attempt,) = next(iter(upstream_attempts.values()))
             assert upstream_attempt.observer is None and upstream_attempt.transport.is_closing()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_request_after_the_final_answers_at_shutdown_is_answered(tmp_path, monkeypatch):
@@ -139,7 +139,7 @@
     monkeypatch.setattr(lifecycle, "ANSWER_BEFORE_KILL_S", 4.6)  # 0.1 s after SIGTERM, for deadlines of 4 s
     monkeypatch.setattr(lifecycle, "MAX_DEADLINE_S", 4.0)
 
-    async def play():
+    async def scenario():
         async def hang(message, reader, writer):
             await reader.read()
 
@@ -159,11 +159,11 @@
             idle_client[1].close()
         assert len(fake.received) == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_an_answer_written_in_the_last_loop_iteration_reaches_the_client(tmp_path):
-    async def play():
+    async def scenario():
         async def hang(message, reader, writer):
             await reader.read()
 
@@ -175,4 +175,4 @@
             sidecar.close()
             assert (await pending).code in (502, 504)
 
-    run(play())
+    run(scenario())
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -116,7 +116,7 @@
 
 
 def test_a_retry_is_not_sent_if_its_window_ends_while_it_connects(tmp_path):
-    async def play():
+    async def scenario():
         harness, servers = await start_blocked_retry(tmp_path, [])
         async with (
             harness.sidecar as sidecar,
@@ -137,11 +137,11 @@
             # The connection is still usable, so it is kept.
             assert sum(len(target.idle) for target in sidecar.upstreams.targets.values()) == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_a_retry_is_sent_late_in_its_window(tmp_path):
-    async def play():
+    async def scenario():
         harness, servers = await start_blocked_retry(tmp_path, [])
         async with harness.sidecar as sidecar, open_client(sidecar, http_request("hold")) as (reader, _):
             await harness.connect_blocked()
@@ -152,11 +152,11 @@
             assert (await read_message(reader)).code == 200
             assert sum(len(server.received) for server in servers) == 2
 
-    run(play())
+    run(scenario())
 
 
 def test_a_retry_is_not_sent_to_a_server_that_moved_to_another_group(tmp_path):
-    async def play():
+    async def scenario():
         harness, servers = await start_blocked_retry(tmp_path, [])
         async with harness.sidecar as sidecar, open_client(sidecar, http_request("hold")) as (reader, _):
             await harness.connect_blocked()
@@ -172,14 +172,14 @@
             # Both attempts may have been sent to the same server, none to the other one.
             assert sorted(bool(server.received) for server in servers) == [False, True]
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("state", [State.DRAINING, State.REMOVED])
 def test_no_attempt_begins_at_a_server_that_is_draining_or_removed_in_the_balancer(tmp_path, state):
     """This holds even if the transport has not been updated yet: only the balancer decides."""
 
-    async def play():
+    async def scenario():
         server = await FakePeer(answer_ok).start()
         harness = SidecarHarness(tmp_path, [entry("s0", server.address)])
         async with harness.sidecar as sidecar:
@@ -192,11 +192,11 @@
                     assert (await read_message(reader)).code == 503
                 assert not server.received
 
-    run(play())
+    run(scenario())
 
 
 def test_no_attempt_begins_after_the_deadline_even_if_the_timer_has_not_fired(tmp_path):
-    async def play():
+    async def scenario():
         server = await FakePeer(answer_ok).start()
         harness = SidecarHarness(tmp_path, [entry("s0", server.address)])
         async with harness.sidecar as sidecar:
@@ -209,12 +209,12 @@
                     assert (await read_message(reader)).code == 503
                 assert not server.received
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", ["close", "half-close", "reset"])
 def test_no_attempt_begins_after_a_disconnect_that_the_loop_has_not_read_yet(tmp_path, how):
-    async def play():
+    async def scenario():
         server = await FakePeer(answer_ok).start()
         harness = SidecarHarness(tmp_path, [entry("s0", server.address)])
         async with harness.sidecar as sidecar:
@@ -243,13 +243,13 @@
             assert not server.received
             sock.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_no_attempt_begins_at_a_server_that_restarted_since_it_was_chosen(tmp_path):
     """The choice and the slow-start tokens were for the previous start, so the balancer chooses again."""
 
-    async def play():
+    async def scenario():
         server = await FakePeer(answer_ok).start()
         harness = SidecarHarness(tmp_path, [entry("s0", server.address)])
         async with harness.sidecar as sidecar:
@@ -271,11 +271,11 @@
                 assert (await read_message(reader)).code == 200
             assert ends == [Status.NOT_SENT, Status.OK] and len(server.received) == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_slow_start_tokens_of_an_attempt_that_did_not_begin_are_refunded(tmp_path):
-    async def play():
+    async def scenario():
         server = await FakePeer(answer_ok).start()
         warm = await FakePeer(answer_ok).start()
         harness = SidecarHarness(tmp_path, [entry("s0", server.address), entry("s1", warm.address)])
@@ -294,13 +294,13 @@
                 assert (await read_message(reader)).code == 200
             assert refunded == [(chosen, 2)]
 
-    run(play())
+    run(scenario())
 
 
 def test_an_exception_of_the_balancer_at_a_first_byte_loses_no_answer_and_no_connection(tmp_path):
     """The connection of a complete answer is offered to a waiting attempt, for which the balancer raises."""
 
-    async def play():
+    async def scenario():
         async def answer_when_allowed(request, reader, writer):
             await answer_allowed.wait()
             writer.write(http_response(200, b"whole"))
@@ -328,7 +328,7 @@
             assert len(server.received) == 1
             assert len(sidecar.upstreams.targets[harness.names.server("s0")].idle) == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_an_attempt_that_was_refused_does_not_begin_on_the_next_free_connection(tmp_path):
@@ -338,7 +338,7 @@
     connection nevertheless, the server would run the same order twice.
     """
 
-    async def play():
+    async def scenario():
         async def answer_when_allowed(request, reader, writer):
             await answer_allowed.wait()
             writer.write(http_response(200, b"whole"))
@@ -370,7 +370,7 @@
                 await read_message(third)
             assert [request.headers["x-request-id"] for request in server.received].count("third") <= 1
 
-    run(play())
+    run(scenario())
 
 
 async def pool_and_server():
@@ -389,7 +389,7 @@
 def test_a_request_that_is_not_received_before_its_write_timeout_is_never_received(size, status):
     """Its rest is in a buffer of the sidecar or the socket, and would arrive once the server reads again."""
 
-    async def play():
+    async def scenario():
         loop = asyncio.get_running_loop()
         pool, server = await pool_and_server()
         end = loop.create_future()
@@ -413,11 +413,11 @@
         server.close()
         pool.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_request_that_is_received_before_its_write_timeout_is_still_answered():
-    async def play():
+    async def scenario():
         loop = asyncio.get_running_loop()
         pool, server = await pool_and_server()
         end = loop.create_future()
@@ -441,7 +441,7 @@
         server.close()
         pool.close()
 
-    run(play())
+    run(scenario())
 
 
 def announced_timeout_ms(request):
@@ -453,7 +453,7 @@
 def test_a_request_announces_the_time_left_when_its_connection_is_established(tmp_path, further):
     """The time left at the decision is too long: with slow connects, it was so for a quarter of requests."""
 
-    async def play():
+    async def scenario():
         harnesses = []
         servers = [
             await FakePeer(block_connects_and_reset(harnesses) if further else answer_ok).start()
@@ -484,13 +484,13 @@
             assert 0 < announced_timeout_ms(last) <= 600
             assert all(600 < announced_timeout_ms(request) < 1500 for request in before)
 
-    run(play())
+    run(scenario())
 
 
 def test_a_request_with_an_incomplete_body_announces_the_full_timeout(tmp_path):
     """The client's timeout runs from its last byte, however long connecting to the server took."""
 
-    async def play():
+    async def scenario():
         server = await FakePeer(answer_ok).start()
         harness = SidecarHarness(tmp_path, [entry("s0", server.address)])
         async with harness.sidecar as sidecar:
@@ -511,4 +511,4 @@
                 assert (await read_message(reader)).code == 200
                 assert announced_timeout_ms(server.received[0]) == 3000 and server.received[0].body == body
 
-    run(play())
+    run(scenario())
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -53,7 +53,7 @@
 
 
 def test_a_new_process_inherits_the_endpoint_list_and_shares_the_limits(tmp_path):
-    async def play():
+    async def scenario():
         async with process(tmp_path, 1, {"index": 5}) as (old, inherited):
             assert inherited is None and old.usage.descriptors.limit == 334
             old.usage.descriptors.in_use = old.usage.descriptors.connected = 100
@@ -76,13 +76,13 @@
             assert old.usage.descriptors.limit == 334 and old.usage.descriptors.others_in_use == 0
         assert not list(tmp_path.iterdir())
 
-    run(play())
+    run(scenario())
 
 
 def test_stale_socket_files_and_invalid_greetings_are_ignored(tmp_path):
     """Guards against a start that fails on a killed process's socket, another file or an invalid greeting."""
 
-    async def play():
+    async def scenario():
         dead = socket.socket(socket.AF_UNIX)
         dead.bind(str(tmp_path / "sidecar-7.sock"))
         dead.close()
@@ -100,11 +100,11 @@
             assert hot_restart.processes == 0 and not (tmp_path / "sidecar-7.sock").exists()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_process_starts_although_a_peer_sends_no_greeting(tmp_path):
-    async def play():
+    async def scenario():
         silent = socket.socket(socket.AF_UNIX)
         silent.bind(str(tmp_path / "sidecar-9.sock"))
         silent.listen()
@@ -112,7 +112,7 @@
             assert inherited is None and hot_restart.processes == 0
         silent.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_an_endpoint_list_is_unchanged_by_parsing_and_formatting():
@@ -128,7 +128,7 @@
 def test_a_new_process_prefers_the_inherited_list_to_its_configuration(tmp_path):
     """Guards against a request to a server that has left and is still named in the configuration."""
 
-    async def play():
+    async def scenario():
         present = await FakePeer(answer_ok).start()
         departed = await FakePeer(answer_ok).start()
         listening = socket.create_server((HOST, 0))
@@ -159,7 +159,7 @@
         assert not departed.received and len(present.received) == 55
         listening.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.fixture
@@ -169,7 +169,7 @@
 
 
 def test_a_greeting_of_an_earlier_version_is_accepted(tmp_path, recorded):
-    async def play():
+    async def scenario():
         async def greet(reader, writer):
             writer.write(recorded)
             await reader.read()
@@ -194,7 +194,7 @@
             assert (descriptors.others_in_use, descriptors.others_connected) == (2, 1)
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_greeting_is_byte_for_byte_that_of_an_earlier_version(recorded):
--- a/tests/test_http_forms.py
+++ b/tests/test_http_forms.py
@@ -86,7 +86,7 @@
 def test_each_form_gets_the_standard_response_and_is_forwarded_only_if_valid(tmp_path, name):
     data, code, forwarded_body = FORMS[name]
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -101,14 +101,14 @@
             forwarded = [got for got in fake.received if got.headers["x-request-id"] == "ab"]
             assert [got.body for got in forwarded] == ([] if forwarded_body is None else [forwarded_body])
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
     "name", ["1.0 in chunks, kept alive", "length and chunks", "chunk longer than its size"]
 )
 def test_data_after_a_message_with_ambiguous_framing_is_not_read(tmp_path, name):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -119,4 +119,4 @@
             assert not fake.received
             writer.close()
 
-    run(play())
+    run(scenario())
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -40,7 +40,7 @@
     """Run steps against a fake node, and return the events that it recorded."""
     path = tmp_path / "node.jsonl"
 
-    async def play():
+    async def scenario():
         loop = asyncio.get_running_loop()
         node = FakeNode(
             NodeProfile("n", mean_work_s={"assign": 0.01, "exposure": 0.01}, **profile),
@@ -52,7 +52,7 @@
         await steps(node, server.sockets[0].getsockname()[1])
         node.event_log.close()
 
-    run(play())
+    run(scenario())
     return list(read_events(path))
 
 
@@ -123,7 +123,7 @@
 def test_an_ended_node_of_a_group_records_nothing_more_and_the_others_keep_serving(tmp_path, moment):
     """Guards against events after the log is closed, from work, queued requests or connections."""
 
-    async def play():
+    async def scenario():
         loop = asyncio.get_running_loop()
         uncaught = []
         loop.set_exception_handler(lambda _, context: uncaught.append(context))
@@ -160,7 +160,7 @@
         assert uncaught == []
         assert (tmp_path / "n.jsonl").read_bytes() == before
 
-    run(play())
+    run(scenario())
     assert count_kinds(read_events(tmp_path / "m.jsonl")) == {"taken": 1, "began": 1, "ran": 1}
 
 
@@ -185,7 +185,7 @@
     def entry(name, status="SERVING"):
         return {"name": name, "address": f"{HOST}:1", "status": status}
 
-    async def play():
+    async def scenario():
         loop = asyncio.get_running_loop()
         directory = FakeDirectory(EventLog(tmp_path / "d.jsonl"), loop)
         server = await loop.create_server(directory.service.connection, HOST, 0)
@@ -214,7 +214,7 @@
         assert [one["name"] for one in (await get())["endpoints"]] == ["a"]
         writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def at(seconds, what, **fields):
@@ -360,7 +360,7 @@
 
 
 def test_clients_record_a_second_response_and_the_judge_reports_it(tmp_path):
-    async def play():
+    async def scenario():
         async def respond_twice_to_the_third(message, reader, writer):
             request_id = message.headers["x-request-id"]
             writer.write(http_response(503) + (http_response(503) if len(fake.received) == 3 else b""))
@@ -375,7 +375,7 @@
         event_log.close()
         return request_ids
 
-    request_ids = run(play())
+    request_ids = run(scenario())
     report = judge(RunEvents([list(read_events(tmp_path / "clients"))], {"n": []}), ["assign"])
     assert len(request_ids) > 3
     assert [finding.text.split(":")[0] for finding in report.findings] == [f"request {request_ids[2]}"]
@@ -407,7 +407,7 @@
 
 
 def test_a_directory_limits_its_rate_delays_notifications_and_forgets_changes(tmp_path):
-    async def play():
+    async def scenario():
         loop = asyncio.get_running_loop()
         directory = FakeDirectory(EventLog(tmp_path / "d.jsonl"), loop)
         server = await loop.create_server(directory.service.connection, HOST, 0)
@@ -434,7 +434,7 @@
         assert directory.watches  # the notification is still delayed
         assert json.loads((await watch).body)["endpoints"][0]["status"] == "DRAINING"
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("form", ["extra", "interim", "cut", "garbled", "stalled"])
@@ -482,7 +482,7 @@
 
 
 def test_clients_disconnect_are_slow_and_retry_after_a_rejection(tmp_path):
-    async def play():
+    async def scenario():
         async def reject_two_attempts(message, reader, writer):
             first = message.headers["x-request-id"].split("-")[0]
             attempts.setdefault(first, []).append(message)
@@ -505,7 +505,7 @@
         event_log.close()
         return attempts, load
 
-    attempts, load = run(play())
+    attempts, load = run(scenario())
     assert len(attempts) > 10 and all(len(messages) == 3 for messages in attempts.values())
     assert load.outcomes["served"] == len(attempts) and load.outcomes["refused"] == 2 * len(attempts)
     for messages in attempts.values():
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -78,7 +78,7 @@
 
 
 def test_statistics_match_the_responses_to_clients_and_the_requests_at_servers(tmp_path):
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             request_id = message.headers["x-request-id"]
             if request_id == "held":
@@ -109,11 +109,11 @@
             assert (await pending).code == 200
             assert (await read_statistics(port))["app.outstanding"] == 0
 
-    run(play())
+    run(scenario())
 
 
 def test_an_ejected_server_is_counted(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(never_answer).start()
         entries = [entry(f"s{n}", fake.address) for n in range(3)]
         async with (
@@ -127,7 +127,7 @@
             statistics = await read_statistics(port)
             assert statistics["app.ejected"] == 1 and statistics["app.discovered"] == 3
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -145,7 +145,7 @@
     ],
 )
 def test_each_call_gets_one_response_and_its_connection_is_closed(tmp_path, data, code):
-    async def play():
+    async def scenario():
         async with (
             Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar,
             management_interface(sidecar) as port,
@@ -157,13 +157,13 @@
             assert await reader.read() == b""
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_the_oldest_silent_connection_is_closed_for_a_new_one(tmp_path, monkeypatch):
     monkeypatch.setattr(management, "READ_TIMEOUT_S", 30.0)
 
-    async def play():
+    async def scenario():
         async with (
             Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar,
             management_interface(sidecar) as port,
@@ -175,13 +175,13 @@
             for _, writer in callers:
                 writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_an_incomplete_call_times_out(tmp_path, monkeypatch):
     monkeypatch.setattr(management, "READ_TIMEOUT_S", 0.05)
 
-    async def play():
+    async def scenario():
         async with (
             Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar,
             management_interface(sidecar) as port,
@@ -191,13 +191,13 @@
             assert await reader.read() == b""
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_drain_closes_all_connections_and_can_be_undone(tmp_path, monkeypatch):
     monkeypatch.setattr(lifecycle, "IDLE_CLOSE_DELAY_S", 0.2)
 
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             if message.headers["x-request-id"] == "held":
                 await release.wait()
@@ -237,11 +237,11 @@
             for writer in (idle_writer, partial_writer):
                 writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_shutdown_cannot_be_undone(tmp_path):
-    async def play():
+    async def scenario():
         async with (
             Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar,
             management_interface(sidecar) as port,
@@ -251,13 +251,13 @@
                 assert (await send_request(port, call("POST", path))).code == 503
             assert (await send_request(port, call("GET", "/healthcheck"))).code == 503
 
-    run(play())
+    run(scenario())
 
 
 def test_a_connection_with_an_unread_request_is_not_closed_as_idle(tmp_path):
     """Guards against closing a connection as idle while a request waits in its receive buffer."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -272,4 +272,4 @@
             assert (await read_message(reader)).code == 200
             writer.close()
 
-    run(play())
+    run(scenario())
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -100,7 +100,7 @@
     ids=["503", "bad-json", "deep-json", "bad-entry", "bad-list", "cut-off", "reset"],
 )
 def test_a_failed_poll_is_passed_on_as_a_failure_and_the_next_watch_succeeds(failure):
-    async def play():
+    async def scenario():
         async def handler(message, reader, writer):
             await (
                 failure if len(fake.received) == 1 else answer_with(listing(41, entry("s1", f"{HOST}:7")))
@@ -117,7 +117,7 @@
         assert updates[1].version == 41 and updates[1].complete
         client.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("grace_ns", [0, 50_000_000, 500_000_000, 2_500_000_000, 25_000_000_000])
@@ -146,7 +146,7 @@
 def test_a_stalled_poll_is_followed_by_another_before_it_times_out():
     """The fake discovery never answers the first poll; the next request is sent while that one is open."""
 
-    async def play():
+    async def scenario():
         async def handler(message, reader, writer):
             if len(fake.received) == 1:
                 await reader.read()
@@ -167,14 +167,14 @@
         assert "after=41&" in fake.received[2].start_line
         client.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("late_first", [True, False], ids=["late-before-new", "new-before-late"])
 def test_the_late_answer_to_a_stalled_poll_is_applied(late_first):
     """The fake discovery answers both polls, in either order; no change is lost or reverted."""
 
-    async def play():
+    async def scenario():
         async def handler(message, reader, writer):
             number = len(fake.received)
             if number == 1:
@@ -205,14 +205,14 @@
         assert "after=42&" in fake.received[2].start_line
         client.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("late", [False, True], ids=["asked-again", "answered-late"])
 def test_a_stalled_complete_list_counts_as_failed_and_is_requested_again(late):
     """The balancer decides when, as after any failure. A late answer to the first request is applied."""
 
-    async def play():
+    async def scenario():
         async def handler(message, reader, writer):
             if len(fake.received) == 1:
                 await answer_allowed.wait()
@@ -238,13 +238,13 @@
         await wait_until(lambda: "after=3&" in fake.received[-1].start_line)
         client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_after_an_exception_while_a_late_answer_is_applied_a_watch_runs_or_a_failure_is_reported():
     """The balancer already has the update and relies on a watch: without either it would never poll again."""
 
-    async def play():
+    async def scenario():
         async def handler(message, reader, writer):
             if len(fake.received) == 1:
                 await answer_allowed.wait()
@@ -280,13 +280,13 @@
         assert len(updates) == 2 or updates[2:] == [None]
         client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_stalled_resync_is_followed_by_another_request_at_once():
     """The poll and its resync are never answered: a third request is sent without the balancer."""
 
-    async def play():
+    async def scenario():
         async def handler(message, reader, writer):
             if len(fake.received) != 3:
                 await reader.read()
@@ -306,11 +306,11 @@
         assert "after=40&" in targets[0] and "after=41&" in targets[3]
         client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_an_outage_and_its_end_are_logged_once(monkeypatch):
-    async def play():
+    async def scenario():
         async def handler(message, reader, writer):
             writer.write(http_response(503, b"") if len(fake.received) < 4 else listing(41))
 
@@ -324,7 +324,7 @@
 
     logged = []
     monkeypatch.setattr(log, "sink", lambda level, event, fields: logged.append((level, event, fields)))
-    run(play())
+    run(scenario())
     assert logged == [
         ("warning", "discovery_failed", {"reason": "answer 503"}),
         ("info", "discovery_recovered", {}),
@@ -332,7 +332,7 @@
 
 
 def test_a_watch_polls_again_from_the_latest_version():
-    async def play():
+    async def scenario():
         async def handler(message, reader, writer):
             poll_times.append(asyncio.get_running_loop().time())
             if len(fake.received) < 4:
@@ -356,11 +356,11 @@
         assert not any(update.complete for update in updates)
         client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_fetch_requests_the_complete_list():
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_with(listing(7))).start()
         updates = []
         client = discovery_client(fake, 0, updates)
@@ -369,7 +369,7 @@
         assert updates[0].complete and fake.received[0].start_line == "GET /api/targets HTTP/1.1"
         client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_failed_watch_of_a_pushing_agent_is_repeated_without_a_request_of_the_balancer(
@@ -377,7 +377,7 @@
 ):
     monkeypatch.setattr(timeouts, "MAX_RETRY_DELAY_S", 0.01)
 
-    async def play():
+    async def scenario():
         async def handler(message, reader, writer):
             if len(fake.received) == 1:
                 reset(writer)
@@ -392,11 +392,11 @@
             await wait_until(lambda: sidecar.discovery.version == 41)
         assert len(fake.received) >= 2
 
-    run(play())
+    run(scenario())
 
 
 def test_a_drain_by_discovery_stops_new_attempts_and_completes_pending_requests(tmp_path):
-    async def play():
+    async def scenario():
         async def serve_discovery(message, reader, writer):
             if "after=1&" in message.start_line:
                 await answer_allowed.wait()
@@ -427,11 +427,11 @@
             assert (await pending).body == b"old"
         assert len(old.received) == 1 and len(new.received) == 5
 
-    run(play())
+    run(scenario())
 
 
 def test_a_server_removed_from_the_list_is_forgotten(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             assert (await send_request(sidecar.port, http_request("lookup", "ab"))).code == 200
@@ -444,7 +444,7 @@
             assert len(sidecar.upstreams.targets) == 1 and len(sidecar.endpoint_ids.servers) <= 2
             assert (await send_request(sidecar.port, http_request("lookup", "cd"))).code == 200
 
-    run(play())
+    run(scenario())
 
 
 def test_an_unknown_status_is_parsed_as_draining_and_an_unknown_zone_gets_a_number():
@@ -468,7 +468,7 @@
 def test_an_older_answer_does_not_replace_a_newer_list():
     """A poll and a fetch are open at the same time, and the earlier one is answered last."""
 
-    async def play():
+    async def scenario():
         async def handler(message, reader, writer):
             if "after" in message.start_line and len(fake.received) == 1:
                 await answer_allowed.wait()
@@ -495,11 +495,11 @@
         assert "after=43&" in fake.received[2].start_line
         client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_decreased_index_leads_to_a_complete_list():
-    async def play():
+    async def scenario():
         async def handler(message, reader, writer):
             writer.write(listing(3, entry("s1", f"{HOST}:7"), snapshot="after" not in message.start_line))
 
@@ -513,7 +513,7 @@
         assert updates[0] is None and updates[1].complete and client.version == 3
         client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_an_invalid_list_adds_no_names_and_the_number_of_zones_is_limited():
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -68,7 +68,7 @@
     ],
 )
 def test_invalid_input_is_rejected_and_disturbs_no_other_connection(tmp_path, data, code):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -84,11 +84,11 @@
                 and not sidecar.engine.descriptors.in_use - fake.connections
             )
 
-    run(play())
+    run(scenario())
 
 
 def test_requests_sent_byte_by_byte_or_pipelined_are_answered_in_order(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -108,11 +108,11 @@
             writer.close()
         assert len(fake.received) == 41
 
-    run(play())
+    run(scenario())
 
 
 def test_chunked_and_maximum_size_bodies_are_forwarded_completely(tmp_path):
-    async def play():
+    async def scenario():
         async def echo(message, reader, writer):
             writer.write(http_response(200, message.body))
 
@@ -131,25 +131,25 @@
             writer.close()
         assert fake.received[1].body == body and "transfer-encoding" not in fake.received[0].headers
 
-    run(play())
+    run(scenario())
 
 
 def test_requests_in_absolute_form_and_of_http_1_0_are_served(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             assert (await send_request(sidecar.port, raw(b"GET http://origin.svc/lookup/x?y=1"))).code == 200
             got = await send_request(sidecar.port, b"GET /lookup HTTP/1.0\r\nX-Request-Id: cd\r\n\r\n")
             assert got.code == 200 and got.headers["connection"] == "close"
 
-    run(play())
+    run(scenario())
 
 
 def test_a_client_that_does_not_read_is_disconnected_and_its_responses_are_bounded(tmp_path, monkeypatch):
     """Responses that a client does not read must not accumulate in memory."""
     monkeypatch.setattr(clients, "SLOW_READER_TIMEOUT_S", 0.2)
 
-    async def play():
+    async def scenario():
         async def big(message, reader, writer):
             writer.write(http_response(200, b"x" * 60_000))
 
@@ -165,11 +165,11 @@
             writer.transport.abort()
             assert (await send_request(sidecar.port, http_request("lookup", "other"))).code == 200
 
-    run(play())
+    run(scenario())
 
 
 def test_the_deadline_of_a_request_is_capped_at_that_of_its_class(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             assert (
@@ -177,14 +177,14 @@
             ).code == 200
         assert int(fake.received[0].headers["x-deadline"].removesuffix("m")) <= 4000
 
-    run(play())
+    run(scenario())
 
 
 def test_the_memory_of_all_bodies_together_is_bounded(tmp_path, monkeypatch):
     monkeypatch.setattr(Memory, "MIN_BYTES", 3000)
     monkeypatch.setattr(Memory, "MAX_BYTES", 3000)
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             assert (
@@ -196,11 +196,11 @@
             await wait_until(lambda: not sidecar.http.clients.connections)
             assert sidecar.engine.memory.reserved_bytes == 0
 
-    run(play())
+    run(scenario())
 
 
 def test_open_requests_over_the_limit_are_rejected(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         data = config(endpoint_update(1, entry("s1", fake.address)))
         data["settings"]["ceilings"]["max-open"] = 0
@@ -208,11 +208,11 @@
             assert (await send_request(sidecar.port, http_request("order", "ab"))).code == 503
         assert not fake.received
 
-    run(play())
+    run(scenario())
 
 
 def test_idle_clients_are_evicted_at_the_descriptor_limit(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         data = config(endpoint_update(1, entry("s1", fake.address)), limits={"sockets": 80})
         async with Sidecar(tmp_path / "c", data) as sidecar:
@@ -223,14 +223,14 @@
             for _, writer in idle:
                 writer.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("queued", [False, True])
 def test_a_client_that_still_reads_a_response_is_not_evicted(tmp_path, queued):
     """The client has sent a part of its next request; with `queued`, a complete one is queued before it."""
 
-    async def play():
+    async def scenario():
         async def act(got, reader, writer):
             writer.write(http_response(200, bytes(60 * 1024)))
 
@@ -264,14 +264,14 @@
             assert sidecar.engine.descriptors.evict_idle_connection()  # only an incomplete request remains
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_terminating_does_not_truncate_a_response_that_is_being_read(tmp_path, monkeypatch):
     """Closing the idle clients must not lose responses that are still being sent."""
     monkeypatch.setattr(clients, "SLOW_READER_TIMEOUT_S", 60.0)
 
-    async def play():
+    async def scenario():
         async def big(message, reader, writer):
             writer.write(http_response(200, b"x" * 60_000))
 
@@ -303,11 +303,11 @@
             assert sent == 0
             sock.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_only_datagrams_of_known_peers_are_accepted():
-    async def play():
+    async def scenario():
         loop = asyncio.get_running_loop()
         received = []
 
@@ -330,7 +330,7 @@
         for peer in (known, unknown, own):
             peer.transport.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_the_quota_of_clients_and_the_memory_follow_the_configuration():
@@ -344,7 +344,7 @@
 def test_silent_clients_are_evicted_first_and_leave_descriptors_for_attempts(tmp_path):
     """Guards against silent clients that use all descriptors and cause pooled connections to be closed."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         data = config(endpoint_update(1, entry("s1", fake.address)), limits={"sockets": 80})
         async with Sidecar(tmp_path / "c", data) as sidecar:
@@ -364,14 +364,14 @@
             for _, writer in normal_clients:
                 writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_slow_client_is_not_evicted_for_a_flood_of_unfinished_or_silent_clients(tmp_path, monkeypatch):
     """Guards against evicting slow clients that connected before a flood as if they were part of it."""
     monkeypatch.setattr(clients, "STALE_AFTER_S", 0.05)
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         data = config(endpoint_update(1, entry("s1", fake.address)), limits={"sockets": 80})
         async with Sidecar(tmp_path / "c", data) as sidecar:
@@ -388,14 +388,14 @@
             for _, other in [*flood, (reader, writer)]:
                 other.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_clients_that_never_finish_a_message_get_408_and_are_closed(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "HEAD_TIMEOUT_S", 0.3)
     monkeypatch.setattr(clients, "IDLE_TIMEOUT_S", 60.0)
 
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             await release_response.wait()
             writer.write(http_response(200, b"served"))
@@ -421,13 +421,13 @@
             await wait_until(lambda: not sidecar.http.clients.connections)
             assert not sidecar.engine.memory.reserved_bytes and len(fake.received) == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_an_idle_client_is_closed_after_the_idle_timeout(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "IDLE_TIMEOUT_S", 0.2)
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -438,13 +438,13 @@
             await wait_until(lambda: not sidecar.http.clients.connections)
             assert not sidecar.http.clients.idle and not sidecar.http.clients.incomplete
 
-    run(play())
+    run(scenario())
 
 
 def test_an_oversized_body_is_rejected_at_its_head_and_read_to_its_end(tmp_path):
     """Closing with input unread would reset the connection before the client reads the response."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -457,13 +457,13 @@
             writer.close()
             assert not fake.received and not sidecar.engine.memory.reserved_bytes
 
-    run(play())
+    run(scenario())
 
 
 def test_a_request_id_that_is_open_or_recent_is_rejected(tmp_path):
     """The second request must not be sent to a server, and must not affect the first one."""
 
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             await release_response.wait()
             writer.write(http_response(200, b"served " + message.body))
@@ -485,13 +485,13 @@
             ).code == 409
             assert len(fake.received) == 1 and not sidecar.engine.memory.reserved_bytes
 
-    run(play())
+    run(scenario())
 
 
 def test_the_number_of_retained_request_ids_is_bounded(tmp_path, monkeypatch):
     monkeypatch.setattr(request_ids, "MAX_RETAINED_IDS", 100)
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -505,4 +505,4 @@
             )
             assert not sidecar.engine.requests.pending and not sidecar.engine.attempts.in_flight
 
-    run(play())
+    run(scenario())
--- a/tests/test_net_requests.py
+++ b/tests/test_net_requests.py
@@ -61,7 +61,7 @@
 
 
 def test_a_request_is_forwarded_unchanged_and_its_response_is_returned(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(
             respond_with(http_response(200, b"held", "X-Load: rps=7,cpu=0.5", "Content-Type: text/x"))
         ).start()
@@ -81,20 +81,20 @@
         (outcome,) = [event for event in events if isinstance(event, api.Outcome)]
         assert outcome.report == (7.0, 0.5) and outcome.final and outcome.status is api.Status.OK
 
-    run(play())
+    run(scenario())
 
 
 def test_connections_to_servers_are_reused(tmp_path):
     """If the parser's keep-alive flag is read too late, it is always False, and no connection is reused."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             for number in range(5):
                 assert (await send_request(sidecar.port, http_request("order", f"id{number}"))).code == 200
         assert len(fake.received) == 5 and fake.connections == 1
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("class_name", ["lookup", "hold", "order"])
@@ -145,7 +145,7 @@
     ],
 )
 def test_each_outcome_gets_its_status_code_and_number_of_copies(tmp_path, class_name, act, codes, copies):
-    async def play():
+    async def scenario():
         fake = await FakePeer(first_then_ok(act)).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             got = await send_request(sidecar.port, http_request(class_name, "ab"))
@@ -154,12 +154,12 @@
         if got.code == 200:
             assert got.body == b"served "
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("class_name", ["lookup", "hold", "order"])
 def test_a_refused_connection_is_answered_with_503_since_nothing_ran(tmp_path, class_name):
-    async def play():
+    async def scenario():
         down = await FakePeer(answer_ok).start()
         down.server.close()
         await down.server.wait_closed()
@@ -167,12 +167,12 @@
             got = await send_request(sidecar.port, http_request(class_name, "ab", "900m"))
         assert got.code == 503  # a retry is harmless
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(("class_name", "code"), [("lookup", 503), ("hold", 502), ("order", 502)])
 def test_a_silent_server_causes_one_response_within_the_deadline_and_one_copy(tmp_path, class_name, code):
-    async def play():
+    async def scenario():
         fake = await FakePeer(never_answer).start()
         data = config(two_servers(fake))
         data["settings"]["ceilings"]["send-cap"] = 1
@@ -190,13 +190,13 @@
             writer.close()
         assert len(fake.received) == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_the_deadline_watchdog_answers_one_request_and_others_succeed_if_the_balancer_raises(tmp_path):
     """An exception in one request must not affect other requests or the process."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             handle = sidecar.engine.balancer.handle
@@ -216,11 +216,11 @@
             assert (await failing_request).code == 503
             assert not sidecar.engine.requests.pending
 
-    run(play())
+    run(scenario())
 
 
 def test_the_deadline_watchdog_fails_a_request_that_may_have_run(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(never_answer).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             handle = sidecar.engine.balancer.handle
@@ -234,11 +234,11 @@
             sidecar.engine.balancer.handle = failing_on_outcome
             assert (await send_request(sidecar.port, http_request("order", "ab", "500m"))).code == 504
 
-    run(play())
+    run(scenario())
 
 
 def test_an_attempt_that_raises_at_its_start_is_rejected_and_leaves_no_state(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
 
@@ -252,11 +252,11 @@
             del sidecar.upstream_transport._format_request_lines
             assert (await send_request(sidecar.port, http_request("order", "cd"))).code == 200
 
-    run(play())
+    run(scenario())
 
 
 def test_a_client_disconnect_cancels_its_attempt(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(never_answer).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -276,21 +276,21 @@
             (server,) = engine.balancer.endpoints.servers.values()
             assert not server.in_flight  # the end of the attempt was reported to the balancer too
 
-    run(play())
+    run(scenario())
 
 
 def test_a_rejection_is_immediate_and_has_a_retry_after_header(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(respond_with(http_response(500))).start()
         async with Sidecar(tmp_path / "c", config(two_servers(fake))) as sidecar:
             got = await send_request(sidecar.port, http_request("lookup", "ab"))
         assert got.code == 503 and 0.0 < float(got.headers["retry-after"]) <= 2.0
 
-    run(play())
+    run(scenario())
 
 
 def test_a_load_report_is_parsed_by_field_names_and_only_if_complete(tmp_path):
-    async def play():
+    async def scenario():
         async with Sidecar(tmp_path / "c", config(endpoint_update(1))) as sidecar:
             read = sidecar.upstream_transport.load_report_parser.parse
             assert read(b"cpu=0.25, rps=3") == (3.0, 0.25)
@@ -312,11 +312,11 @@
             for broken in (b"", b"rps=3", b"=,=", b"\xff=1", b"rps=1,rps=2,cpu=0.5", b"," * 9000):
                 assert read(broken) == ()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_probe_requests_the_load_and_reports_its_outcome(tmp_path):
-    async def play():
+    async def scenario():
         act = first_then_ok(respond_with(http_response(200, b"rps=7,cpu=0.5")))
 
         async def acting(message, reader, writer):
@@ -339,11 +339,11 @@
             await wait_until(lambda: len(events) > 1)
             assert events[1].status is api.Status.CONNECT_FAILED and events[1].report == ()
 
-    run(play())
+    run(scenario())
 
 
 def test_since_ms_is_converted_to_the_engine_clock_and_zero_stays_zero(tmp_path):
-    async def play():
+    async def scenario():
         since = int(time.time() * 1000) - 2000
         known = endpoint_update(1, entry("s1", f"{HOST}:9"), entry("s2", f"{HOST}:10", since_ms=since))
         async with Sidecar(tmp_path / "c", config(known)) as sidecar:
@@ -351,4 +351,4 @@
             assert started[0] == 0
             assert 1000 * MS < sidecar.engine.clock.now() - started[1] < 60_000 * MS
 
-    run(play())
+    run(scenario())
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -66,7 +66,7 @@
 def test_an_idle_connection_that_the_server_closed_is_replaced_before_anything_is_written():
     """A server may close an idle connection just as a request is to be sent on it."""
 
-    async def play():
+    async def scenario():
         server = listener()
         server.setblocking(False)
         loop = asyncio.get_running_loop()
@@ -86,12 +86,12 @@
         second.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("stray", [b"", b"HTTP/1.1 408 Too late\r\nContent-Length: 0\r\n\r\n"])
 def test_an_idle_connection_is_closed_at_once_on_end_of_stream_or_stray_bytes(stray):
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             writer.write(http_response())
             await proceed.wait()
@@ -110,11 +110,11 @@
         await wait_until(lambda: not pool.connections)
         assert not pool.targets[1].idle and not pool.descriptors.in_use
 
-    run(play())
+    run(scenario())
 
 
 def test_a_response_followed_by_more_data_is_complete_but_its_connection_is_not_reused():
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             writer.write(http_response() + http_response(200, b"of whom?"))
 
@@ -123,11 +123,11 @@
         status, response = await start(pool)[1]
         assert (status, response.body) == (Status.OK, b"ok") and not pool.connections
 
-    run(play())
+    run(scenario())
 
 
 def test_the_most_recently_used_connection_is_used_first_and_old_ones_are_closed():
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         pool = make_pool((HOST, fake.port), idle=60.0)
         ends = [start(pool)[1] for _ in range(3)]
@@ -146,11 +146,11 @@
         assert len(pool.targets[1].idle) == 2 and latest in pool.targets[1].idle
         pool.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_connect_that_hangs_times_out_as_connect_failed():
-    async def play():
+    async def scenario():
         server, fill = full_listener()
         pool = make_pool(server.getsockname(), connect_timeout=0.1)
         assert await start(pool)[1] == (Status.CONNECT_FAILED, None)
@@ -158,14 +158,14 @@
         for sock in (server, *fill):
             sock.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("reason", ["drain", "gone", "time-out"])
 def test_a_request_that_waits_for_a_connection_is_not_sent_to_a_draining_server(reason):
     """Otherwise the first byte of the request would be sent after its server has begun to drain."""
 
-    async def play():
+    async def scenario():
         server, fill = full_listener()
         pool = make_pool(server.getsockname(), connect_timeout=WAIT_TIMEOUT_S)
         exchange, end = start(pool)
@@ -187,11 +187,11 @@
                 got.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_restart_or_drain_closes_idle_connections_and_keeps_those_in_use():
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             await proceed.wait()
             writer.write(http_response())
@@ -214,11 +214,11 @@
         assert (await start(pool)[1])[0] is Status.CONNECT_FAILED
         assert len(fake.received) == 2
 
-    run(play())
+    run(scenario())
 
 
 def test_a_reset_before_the_last_byte_is_written_ends_as_connect_failed():
-    async def play():
+    async def scenario():
         server = listener()
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         server.setblocking(False)
@@ -235,11 +235,11 @@
         assert await end == (Status.CONNECT_FAILED, None)
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_timeout_closes_the_connection_and_reports_that_the_request_may_have_run():
-    async def play():
+    async def scenario():
         fake = await FakePeer(never_answer).start()
         pool = make_pool((HOST, fake.port))
         _, end = start(pool, timeout=0.1)
@@ -247,14 +247,14 @@
         await wait_until(lambda: fake.ended_connections == 1)
         assert not pool.connections
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("reason", ["given up", "drain"])
 def test_an_exchange_that_ends_as_soon_as_it_is_started_leaves_no_connection(reason):
     """One loop iteration may read a request, and then a list update that sets its server to draining."""
 
-    async def play():
+    async def scenario():
         server = listener()
         pool = make_pool(server.getsockname())
         exchange, end = start(pool)
@@ -272,13 +272,13 @@
         server.close()
         pool.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_an_exchange_ends_if_the_pool_is_closed_as_its_connection_is_established():
     """Guards against a request to the old discovery that stays open after SIGHUP switched to another one."""
 
-    async def play():
+    async def scenario():
         class ClosingLoop:
             """The event loop, which closes the pool as soon as a connect has succeeded."""
 
@@ -304,11 +304,11 @@
         peer.close()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_an_endless_response_ends_as_reset():
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 999999999\r\n\r\n")
             while not writer.is_closing():
@@ -319,11 +319,11 @@
         pool = make_pool((HOST, fake.port))
         assert await start(pool)[1] == (Status.RESET, None)
 
-    run(play())
+    run(scenario())
 
 
 def test_a_lack_of_descriptors_fails_one_request_and_not_the_process(monkeypatch):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         pool = make_pool((HOST, fake.port))
         real = socket.socket
@@ -337,11 +337,11 @@
         assert (await start(pool)[1])[0] is Status.OK
         pool.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_the_longest_idle_connection_is_closed_at_the_descriptor_limit():
-    async def play():
+    async def scenario():
         fake, other = await FakePeer(answer_ok).start(), await FakePeer(never_answer).start()
         pool = make_pool((HOST, fake.port), limit=Descriptors.RESERVE + 8)
         pool.update(2, (HOST, other.port), 0, State.READY)
@@ -358,7 +358,7 @@
         for end in waiting:
             end.cancel()
 
-    run(play())
+    run(scenario())
 
 
 OK = http_response(200, b"second")
@@ -388,7 +388,7 @@
     """Otherwise the request would wait until its deadline on a connection that stays open."""
     monkeypatch.setattr(upstream_connection, "RESPONSE_STALL_TIMEOUT_S", 0.2)
 
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             if fake.connections > 1:
                 writer.write(OK)
@@ -408,11 +408,11 @@
         assert not pool.memory.reserved_bytes and len(pool.connections) == 1
         pool.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_interim_responses_are_skipped():
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             writer.write(
                 b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK
@@ -427,11 +427,11 @@
         assert fake.connections == 1
         pool.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_response_over_the_memory_limit_ends_as_reset():
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             writer.write(http_response(200, b"x" * 5000))
 
@@ -444,11 +444,11 @@
         assert pool.memory.reserved_bytes == 0
         pool.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_an_exchange_that_waits_for_a_connection_uses_one_that_becomes_free():
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             if len(fake.received) == 1:
                 await proceed.wait()
@@ -470,7 +470,7 @@
         pool.loop = real
         pool.close()
 
-    run(play())
+    run(scenario())
 
 
 class DelayedConnects:
@@ -491,7 +491,7 @@
 def test_ended_exchanges_and_connections_are_freed_without_the_garbage_collector():
     """Reference cycles are freed only by the garbage collector, so that memory would grow until it runs."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         pool = make_pool((HOST, fake.port))
         exchange, end = start(pool)
@@ -508,13 +508,13 @@
             gc.enable()
         assert exchange_released
 
-    run(play())
+    run(scenario())
 
 
 def test_a_connection_that_fails_to_connect_is_freed_without_the_garbage_collector():
     """While a server is down, each attempt fails to connect, and memory would grow."""
 
-    async def play():
+    async def scenario():
         server = listener()
         pool = make_pool(server.getsockname())
         server.close()
@@ -530,4 +530,4 @@
             gc.enable()
         pool.close()
 
-    run(play())
+    run(scenario())
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -145,7 +145,7 @@
 
 
 def test_the_command_drains_undrains_and_prints_statistics(tmp_path):
-    async def play():
+    async def scenario():
         async with ConfiguredProcess(
             tmp_path / "c", config(endpoint_update(1)), f'[operators]\nlisten = "{HOST}:0"'
         ) as sidecar:
@@ -156,11 +156,11 @@
             done = await asyncio.to_thread(command, "stats", address)
             assert "app.fronts.http.succeeded=0\n" in done.stdout
 
-    run(play())
+    run(scenario())
 
 
 def test_a_reload_is_applied_completely_or_not_at_all(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(never_answer).start()
         data = config(endpoint_update(1, entry("s1", fake.address)))
         start = f'[operators]\nlisten = "{HOST}:0"\n'
@@ -204,11 +204,11 @@
     async def answer_200(message, reader, writer):
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
-    run(play())
+    run(scenario())
 
 
 def test_json_logs_have_one_event_per_line_with_its_fields(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(never_answer).start()
         data = config(endpoint_update(1, entry("s1", fake.address)))
         text = '[log]\nformat = "json"\nlevel = "debug"\n'
@@ -226,7 +226,7 @@
         assert events["attempt"]["server"] == 1 and events["attempt"]["attempt"] == 0
         assert isinstance(events["listening"]["port"], int) and "timestamp" in events["listening"]
 
-    run(play())
+    run(scenario())
 
 
 def test_run_with_an_invalid_file_prints_one_line_and_returns_1(tmp_path):
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -115,7 +115,7 @@
 
 
 def test_a_graceful_shutdown_answers_pending_and_late_requests(tmp_path):
-    async def play():
+    async def scenario():
         async def act(message, reader, writer):
             if message.headers["x-request-id"] == "held":
                 await release.wait()
@@ -152,13 +152,13 @@
             for writer in (idle_writer, kept_writer, pending_writer):
                 writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_graceful_shutdown_ends_before_the_platform_kills_the_process(tmp_path):
     """Guards against a request without a response, because its deadline is after the platform's kill."""
 
-    async def play():
+    async def scenario():
         async def never_answer(message, reader, writer):
             await reader.read()
 
@@ -173,11 +173,11 @@
             assert await sidecar.process.wait() == 0
             assert loop.time() - start < 3.7
 
-    run(play())
+    run(scenario())
 
 
 def test_the_process_survives_running_out_of_descriptors(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         data = config(endpoint_update(1, entry("s1", fake.address)))
         async with Process(tmp_path / "c", data) as sidecar:
@@ -200,7 +200,7 @@
                 await asyncio.sleep(0.02)
             assert sidecar.process.returncode is None
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -236,7 +236,7 @@
 
 
 def test_the_sidecar_is_ready_while_discovery_is_down(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)), f"{HOST}:9")
@@ -244,7 +244,7 @@
             assert (await send_request(sidecar.port, READY)).code == 200
             assert (await send_request(sidecar.port, http_request("order", "ab"))).code == 200
 
-    run(play())
+    run(scenario())
 
 
 class UnresponsiveDiscovery:
@@ -341,7 +341,7 @@
 def test_readiness_does_not_depend_on_discovery(tmp_path, kind):
     """Guards against a start that waits for discovery: the configuration's list is enough to serve."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with kind() as discovery:
             data = config(endpoint_update(1, entry("s1", fake.address)), discovery.address)
@@ -354,7 +354,7 @@
                 sidecar.process.send_signal(signal.SIGTERM)
                 assert await sidecar.process.wait() == 0
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("linked", [False, True])
@@ -472,7 +472,7 @@
     Invalid files are ignored. The call to the old discovery is closed, and the new one sends a whole list.
     """
 
-    async def play():
+    async def scenario():
         async def poll_old(message, reader, writer):
             await reader.read()  # a long poll that stays open
             old_poll_closed.set()
@@ -516,13 +516,13 @@
                 log.count(b"configuration is unchanged") in (0, 1) and log.count(b"discovery is now at") == 1
             )
 
-    run(play())
+    run(scenario())
 
 
 def test_the_listening_socket_is_inherited_and_outlives_its_processes(tmp_path):
     """Two processes share the platform's socket: when the old one ends, no connection is refused."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         listening = socket.create_server((HOST, 0))
         port = listening.getsockname()[1]
@@ -546,7 +546,7 @@
                 assert (await waiting).code == 200
         listening.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("text", ["x", "99", "0"])
@@ -567,7 +567,7 @@
 
 
 def test_the_management_interface_has_its_own_address(tmp_path):
-    async def play():
+    async def scenario():
         data = config(endpoint_update(1), management=f"{HOST}:0")
         async with Process(tmp_path / "c", data) as sidecar:
             assert (
@@ -580,4 +580,4 @@
                 ).body.splitlines()
             )
 
-    run(play())
+    run(scenario())
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("path", CLOSES)
 def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_read(tmp_path, monkeypatch, path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
             client = connect(sidecar.port)
@@ -134,7 +134,7 @@
             assert request_ids(fake) == ["first", "crossing"]
             client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_connection_that_is_closed_after_it_was_polled_as_readable_is_not_read(tmp_path, monkeypatch):
@@ -151,7 +151,7 @@
 
     monkeypatch.setattr(ClientConnection, "data_received", close_others)
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
             socks = [connect(sidecar.port) for _ in range(2)]
@@ -163,14 +163,14 @@
             for sock in socks:
                 sock.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("closing", ["accepted", "parsed"])
 def test_requests_read_together_with_a_close_are_not_forwarded(tmp_path, closing):
     """The connection is closed while several requests that arrived at once are parsed or accepted."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
             assert (await send_request(sidecar.port, http_request("order", "warm"))).code == 200
@@ -207,11 +207,11 @@
             assert request_ids(fake) == ["warm", "other"]
             client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_connection_that_is_not_admitted_is_not_read(tmp_path, monkeypatch):
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
             monkeypatch.setattr(sidecar.http.clients, "admit", lambda client, host: False)
@@ -221,7 +221,7 @@
             assert data == b"" and not fake.received
             client.close()
 
-    run(play())
+    run(scenario())
 
 
 # Responses that the client has not read yet
@@ -247,7 +247,7 @@
 def test_a_close_that_crosses_a_request_loses_no_response(tmp_path, monkeypatch, path):
     """A close with unread bytes resets the connection and discards what the client has not received."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(respond_long).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
             client = connect_with_small_buffer(sidecar.port)
@@ -258,11 +258,11 @@
             assert data.endswith(LONG_BODY)
             client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_evicting_a_client_with_a_half_written_request_loses_no_response(tmp_path):
-    async def play():
+    async def scenario():
         fake = await FakePeer(respond_long).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
             client = connect_with_small_buffer(sidecar.port)
@@ -277,14 +277,14 @@
             assert data.endswith(LONG_BODY)
             client.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("reason", ["asked", "leaving"])
 def test_a_last_response_reaches_a_client_that_has_sent_more(tmp_path, reason):
     """The connection is closed after the response, with bytes unread."""
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(respond_long).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
             sidecar.engine.lifecycle.announcing_close = reason == "leaving"
@@ -306,14 +306,14 @@
             client.close()
             await wait_until(lambda: not sidecar.http.clients.connections)
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 1000000", b"Transfer-Encoding: chunked"])
 def test_a_truncated_response_does_not_lose_the_response_before_it(tmp_path, framing):
     """Its beginning must arrive too: a client that has read nothing of a response sends its request again."""
 
-    async def play():
+    async def scenario():
         async def truncate(got, reader, writer):
             if got.headers["x-request-id"] == "first":
                 writer.write(http_response(200, LONG_BODY))
@@ -338,13 +338,13 @@
             client.close()
             await wait_until(lambda: not sidecar.http.clients.connections)
 
-    run(play())
+    run(scenario())
 
 
 def test_a_request_queued_behind_a_truncated_response_is_not_forwarded(tmp_path):
     """The queued request could not be answered, even after a slow client has read the truncated response."""
 
-    async def play():
+    async def scenario():
         async def answer_in_part(got, reader, writer):
             if got.headers["x-request-id"] == "first":
                 writer.write(
@@ -376,14 +376,14 @@
             assert [request_id for fake in fakes for request_id in request_ids(fake)] == ["first"]
             assert sidecar.engine.memory.reserved_bytes == 0
 
-    run(play())
+    run(scenario())
 
 
 def test_a_client_that_does_not_close_after_its_last_response_is_disconnected(tmp_path, monkeypatch):
     """The timeout of the draining close is not restarted after the client's host has received all bytes."""
     monkeypatch.setattr(closing_connection, "DRAINING_CLOSE_TIMEOUT_S", 0.3)
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with sidecar_before(tmp_path, fake) as sidecar:
             client = connect(sidecar.port)
@@ -402,11 +402,11 @@
             assert not sidecar.http.clients.connections
             client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_slow_client_gets_a_reset_if_a_response_without_a_length_is_truncated(tmp_path):
-    async def play():
+    async def scenario():
         async def endless(got, reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + bytes(8 << 20))
             await reader.read()
@@ -422,13 +422,13 @@
             assert was_reset
             client.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_requests_queued_behind_the_last_response_are_released(tmp_path):
     """Guards against a leak of the memory that is reserved for queued requests, which are never served."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with sidecar_before(tmp_path, server) as sidecar:
             client = connect(sidecar.port)
@@ -447,7 +447,7 @@
             assert b"id" not in server.read_all()
         server.close()
 
-    run(play())
+    run(scenario())
 
 
 # Clients that have shut down sending
@@ -457,7 +457,7 @@
 def test_a_half_closed_client_gets_502_for_a_request_that_was_forwarded(tmp_path, detection):
     """A half-close looks like a disconnect. After a close without a response, the client would retry."""
 
-    async def play():
+    async def scenario():
         server = Server()
         async with sidecar_before(tmp_path, server) as sidecar:
             client = connect(sidecar.port)
@@ -484,4 +484,4 @@
             client.close()
         server.close()
 
-    run(play())
+    run(scenario())
--- a/tests/test_response_proof.py
+++ b/tests/test_response_proof.py
@@ -210,7 +210,7 @@
 def test_a_rejection_while_part_of_the_request_is_in_flight_is_no_proof():
     """Bytes in the send buffer reach the server after the connection is closed, and the request runs."""
 
-    async def play():
+    async def scenario():
         request = LargeRequest(LARGE)
         exchange, end, server = await request.write()
         while exchange.connection is None:
@@ -223,13 +223,13 @@
         assert await request.read(server) == request.payload
         request.listener.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_request_rejected_before_its_last_byte_was_accepted_is_never_completed():
     """The rejection closes the connection and the rest is never sent, which is the proof."""
 
-    async def play():
+    async def scenario():
         request = LargeRequest(64 * LARGE)
         exchange, end, server = await request.write()
         while exchange.connection is None:
@@ -241,4 +241,4 @@
         assert len(await request.read(server)) < len(request.payload)
         request.listener.close()
 
-    run(play())
+    run(scenario())
--- a/tests/test_second_response.py
+++ b/tests/test_second_response.py
@@ -123,7 +123,7 @@
 ):
     settling_time(LONG_SETTLING_TIME_S)
 
-    async def play():
+    async def scenario():
         setup = PoolWithServer()
         server = await setup.answered_connection()
         _, end = setup.start(idempotent=False)
@@ -135,13 +135,13 @@
         await setup.check_nothing_was_written(server)
         setup.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_an_unsafe_request_reuses_the_connection_after_the_settling_time(settling_time):
     settling_time(0.05)
 
-    async def play():
+    async def scenario():
         setup = PoolWithServer()
         server = await setup.answered_connection()
         answered = setup.idle[0].answered_at
@@ -153,13 +153,13 @@
         assert len(setup.pool.connections) == 1
         setup.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_safe_request_does_not_wait_for_the_settling_time(settling_time):
     settling_time(ENDLESS_SETTLING_TIME_S)
 
-    async def play():
+    async def scenario():
         setup = PoolWithServer()
         server = await setup.answered_connection()
         _, end = setup.start(idempotent=True)
@@ -168,13 +168,13 @@
         assert await end == SERVED
         setup.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_an_unsafe_request_does_not_wait_on_a_new_connection(settling_time):
     settling_time(ENDLESS_SETTLING_TIME_S)
 
-    async def play():
+    async def scenario():
         setup = PoolWithServer()
         _, end = setup.start(idempotent=False)
         server = await setup.accept()
@@ -183,13 +183,13 @@
         assert (await end)[0] is Status.REJECTED
         setup.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_request_prefers_a_settled_connection(settling_time):
     settling_time(ENDLESS_SETTLING_TIME_S)
 
-    async def play():
+    async def scenario():
         setup = PoolWithServer()
         servers = await setup.answered_connections(2)
         setup.idle[0].answered_at -= ENDLESS_SETTLING_TIME_S
@@ -201,14 +201,14 @@
             setup.idle[-1].answered_at -= ENDLESS_SETTLING_TIME_S
         setup.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_one_request_waits_for_a_connection_to_settle_and_others_open_new_ones(settling_time):
     """Otherwise a few connections would limit the throughput to one request each per settling time."""
     settling_time(LONG_SETTLING_TIME_S)
 
-    async def play():
+    async def scenario():
         setup = PoolWithServer()
         first, *_ = await setup.answered_connections(3)
         ends = [setup.start(idempotent=False)[1] for _ in range(3)]
@@ -220,7 +220,7 @@
         assert len(setup.pool.connections) == 5
         setup.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("end_mode", ["given up", "drain"])
@@ -229,7 +229,7 @@
 ):
     settling_time(LONG_SETTLING_TIME_S)
 
-    async def play():
+    async def scenario():
         setup = PoolWithServer()
         server = await setup.answered_connection()
         exchange, end = setup.start(idempotent=False)
@@ -248,7 +248,7 @@
         setup.close()
         await setup.check_nothing_was_written(server)
 
-    run(play())
+    run(scenario())
 
 
 class DelayedConnects:
@@ -281,7 +281,7 @@
 def test_an_unsafe_request_that_waits_for_a_connection_does_not_get_a_late_second_response(settling_time):
     settling_time(LONG_SETTLING_TIME_S)
 
-    async def play():
+    async def scenario():
         setup = PoolWithServer()
         server, end = await wait_for_connection_as_another_is_answered(setup)
         server.sendall(REJECTION)
@@ -294,13 +294,13 @@
         await setup.check_nothing_was_written(server)
         setup.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_an_unsafe_request_that_waits_for_a_connection_uses_one_that_has_settled(settling_time):
     settling_time(0.05)
 
-    async def play():
+    async def scenario():
         setup = PoolWithServer()
         server, end = await wait_for_connection_as_another_is_answered(setup)
         await setup.read(server)
@@ -310,13 +310,13 @@
         await wait_until(lambda: not setup.pool.targets[1].opening)
         setup.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_connection_with_an_unread_second_response_is_not_reused():
     """The second response is in the socket and not read yet when the next request is about to be written."""
 
-    async def play():
+    async def scenario():
         setup = PoolWithServer()
         server = await setup.answered_connection()
         server.sendall(REJECTION)
@@ -328,25 +328,25 @@
         await setup.check_nothing_was_written(server)
         setup.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_second_response_on_an_idle_connection_closes_it():
-    async def play():
+    async def scenario():
         setup = PoolWithServer()
         server = await setup.answered_connection()
         server.sendall(REJECTION)
         await wait_until(lambda: not setup.pool.connections)
         setup.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_late_rejection_followed_by_the_real_response_is_no_proof(settling_time):
     """This holds without any settling time."""
     settling_time(0.0)
 
-    async def play():
+    async def scenario():
         setup = PoolWithServer()
         server = await setup.answered_connection()
         _, end = setup.start(idempotent=False)
@@ -356,7 +356,7 @@
         assert not setup.pool.connections
         setup.close()
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("class_name", ["hold", "order"])
@@ -364,7 +364,7 @@
     """In a complete sidecar, the second request arrives between the two responses to the first."""
     settling_time(LONG_SETTLING_TIME_S)
 
-    async def play():
+    async def scenario():
         send_rejection = asyncio.Event()
 
         async def act(got, reader, writer):
@@ -384,4 +384,4 @@
         copies = [got for got in server.received if got.headers["x-request-id"] == "second"]
         assert len(copies) == 1
 
-    run(play())
+    run(scenario())
--- a/tests/test_socket_stream.py
+++ b/tests/test_socket_stream.py
@@ -75,7 +75,7 @@
 
 
 def test_bytes_that_are_unsent_at_the_close_never_reach_the_peer():
-    async def play():
+    async def scenario():
         with connected() as (stream, owner, peer):
             assert stream.begin(bytes(LARGE))
             received = drain(peer)  # the socket is writable now, which the loop has not noticed
@@ -87,11 +87,11 @@
             assert received == LARGE - unsent
             assert owner.events == []
 
-    run(play())
+    run(scenario())
 
 
 def test_all_bytes_arrive_and_the_owner_is_notified_when_none_is_unsent():
-    async def play():
+    async def scenario():
         with connected() as (stream, owner, peer):
             assert stream.begin(b"a" * 100)
             stream.write(bytes(LARGE))
@@ -103,11 +103,11 @@
             await wait_until(lambda: stream.unacknowledged() == 0 or drain(peer))
             assert owner.events == ["pause", "resume"]
 
-    run(play())
+    run(scenario())
 
 
 def test_data_that_arrived_before_a_reset_is_delivered_before_the_reset_is_reported():
-    async def play():
+    async def scenario():
         with connected() as (_, owner, peer):
             peer.sendall(b"whole")
             reset(peer)
@@ -115,13 +115,13 @@
             assert bytes(owner.received) == b"whole"
             assert owner.events[0] == "broken"
 
-    run(play())
+    run(scenario())
 
 
 def test_an_end_of_stream_after_a_failed_write_is_reported_as_broken():
     """The failed write consumes the error of the socket, and the next read then looks like an orderly end."""
 
-    async def play():
+    async def scenario():
         with connected() as (stream, owner, peer):
             reset(peer)
             stream.write(b"more")
@@ -129,12 +129,12 @@
             await wait_until(lambda: "broken" in owner.events)
             assert "end" not in owner.events
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("end", ["closed", "failed"])
 def test_data_written_to_a_closed_or_failed_stream_counts_as_unsent(end):
-    async def play():
+    async def scenario():
         with connected() as (stream, _, peer):
             if end == "closed":
                 stream.close()
@@ -145,11 +145,11 @@
             assert bytes(stream.unsent).endswith(b"second")
             assert stream.unacknowledged() >= len(b"second")
 
-    run(play())
+    run(scenario())
 
 
 def test_an_exception_of_the_owner_ends_the_connection():
-    async def play():
+    async def scenario():
         with connected() as (_, owner, peer):
 
             def fail(data):
@@ -161,4 +161,4 @@
             peer.sendall(b"x")
             await wait_until(lambda: owner.events == ["broken"] and reported)
 
-    run(play())
+    run(scenario())
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -100,7 +100,7 @@
 
 
 def test_long_bodies_are_streamed_with_a_length_or_in_chunks(tmp_path):
-    async def play():
+    async def scenario():
         server = await Server(respond_ok).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             data = PIECE * 48  # 3 MB
@@ -121,13 +121,13 @@
             assert sidecar.engine.stats.forwards == 3
             await wait_until(lambda: sidecar.engine.memory.reserved_bytes == 0)
 
-    run(play())
+    run(scenario())
 
 
 def test_a_streamed_body_is_not_buffered_beyond_its_limit(tmp_path):
     """A server that does not read pauses the client, so that the body does not accumulate in the sidecar."""
 
-    async def play():
+    async def scenario():
         listening = socket.create_server((HOST, 0))
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16 * 1024)
         data = config(endpoint_update(1, entry("s1", f"{HOST}:{listening.getsockname()[1]}")))
@@ -153,11 +153,11 @@
             writer.close()
         listening.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_the_first_bytes_of_a_long_response_are_forwarded_at_once(tmp_path):
-    async def play():
+    async def scenario():
         async def slowly(reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % BIG + PIECE)
             await proceed.wait()
@@ -187,14 +187,14 @@
             await wait_until(lambda: not sidecar.engine.requests.pending)
             assert sidecar.engine.memory.reserved_bytes == 0
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("draining", ["the sidecar", "its server"])
 def test_a_response_that_is_streamed_when_a_drain_begins_is_completed(tmp_path, monkeypatch, draining):
     monkeypatch.setattr(lifecycle, "IDLE_CLOSE_DELAY_S", 0.0)
 
-    async def play():
+    async def scenario():
         async def act(reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * len(PIECE)) + PIECE)
             await proceed.wait()
@@ -222,11 +222,11 @@
             assert sidecar.engine.stats.results[2] == [1, 0, 0]
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_response_in_small_chunks_is_forwarded_completely(tmp_path):
-    async def play():
+    async def scenario():
         async def chunks(reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             for n in range(50):
@@ -253,11 +253,11 @@
             assert got.endswith(b"\r\n\r\n" + expected_body) and b"chunked" not in got
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_response_delimited_by_the_end_of_the_connection_is_complete(tmp_path):
-    async def play():
+    async def scenario():
         async def short(reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + PIECE)
             await writer.drain()
@@ -276,11 +276,11 @@
                     assert await reader.readexactly(len(PIECE) * 2) == PIECE * 2
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_rejection_without_a_length_is_recognized(tmp_path):
-    async def play():
+    async def scenario():
         async def full(reader, writer):
             writer.write(b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\n\r\nfull")
             writer.close()
@@ -290,14 +290,14 @@
             assert (await send_request(sidecar.port, http_request("order", "ab", "500m"))).code == 503
             assert sidecar.engine.stats.results[2] == [0, 1, 0]
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
     "framing", [b"X-None: x", b"Content-Length: %d" % BIG, b"Transfer-Encoding: chunked"]
 )
 def test_a_client_sees_that_a_response_is_truncated(tmp_path, framing):
-    async def play():
+    async def scenario():
         async def broken(reader, writer):
             data = b"%x\r\n%s\r\n" % (len(PIECE), PIECE) if b"chunked" in framing else PIECE
             writer.write(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n" + data)
@@ -317,13 +317,13 @@
             await wait_until(lambda: not sidecar.engine.requests.pending)
             assert sidecar.engine.stats.results[2] == [0, 0, 1]
 
-    run(play())
+    run(scenario())
 
 
 def test_a_client_that_does_not_read_pauses_its_server_and_is_disconnected(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "SLOW_READER_TIMEOUT_S", 0.3)
 
-    async def play():
+    async def scenario():
         async def endless(reader, writer):
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * MB) + bytes(32 * MB))
             await writer.drain()
@@ -346,13 +346,13 @@
             sock.close()
             await wait_until(lambda: not sidecar.engine.requests.pending)
 
-    run(play())
+    run(scenario())
 
 
 def test_an_upload_whose_server_closes_early_is_reported_as_connect_failed_and_not_retried(tmp_path):
     """The request cannot have run, and its body is no longer buffered for a retry."""
 
-    async def play():
+    async def scenario():
         async def close_early(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
             reading.set()
@@ -384,11 +384,11 @@
             assert outcome.status is api.Status.CONNECT_FAILED
             assert sidecar.engine.stats.forwards == 0 and sidecar.engine.memory.reserved_bytes == 0
 
-    run(play())
+    run(scenario())
 
 
 def test_an_upload_is_sent_to_another_server_if_the_first_refuses_the_connection(tmp_path):
-    async def play():
+    async def scenario():
         free = socket.create_server((HOST, 0))
         nobody = f"{HOST}:{free.getsockname()[1]}"
         free.close()
@@ -403,13 +403,13 @@
                 assert got.code == 200
             assert [len(body) for body in server.bodies] == [200_000] * 4
 
-    run(play())
+    run(scenario())
 
 
 def test_an_upload_that_stalls_gets_408_and_its_attempt_is_cancelled(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "HEAD_TIMEOUT_S", 0.3)
 
-    async def play():
+    async def scenario():
         server = await Server(respond_ok).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             request = http_request("order", "ab", "3000m", bytes(BIG))
@@ -418,11 +418,11 @@
             await wait_until(lambda: not sidecar.engine.requests.pending)
             assert not server.bodies and sidecar.engine.stats.results[2] == [0, 0, 1]
 
-    run(play())
+    run(scenario())
 
 
 def test_a_malformed_chunk_of_a_streamed_body_gets_400_and_the_request_never_runs(tmp_path):
-    async def play():
+    async def scenario():
         server = await Server(respond_ok).start()
         async with sidecar_before(tmp_path, server) as sidecar:
             good = b"%x\r\n%s\r\n" % (len(PIECE), PIECE)
@@ -435,14 +435,14 @@
             await wait_until(lambda: server.broken)
             assert not server.bodies and sidecar.engine.stats.forwards == 0
 
-    run(play())
+    run(scenario())
 
 
 def test_a_slow_body_is_accepted_and_pipelined_bodies_keep_their_order(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "HEAD_TIMEOUT_S", 0.3)
     monkeypatch.setattr(clients, "MIN_BODY_BYTES_PER_S", 1000)
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -461,7 +461,7 @@
             assert [len(got.body) for got in fake.received] == [4000, 300_000, 300_000]
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_request_that_waits_for_a_connection_is_not_sent_after_its_client_disconnects(
@@ -479,7 +479,7 @@
     monkeypatch.setattr(upstream.Upstreams, "_connect", delayed)
     proceed, waiting = asyncio.Event(), asyncio.Event()
 
-    async def play():
+    async def scenario():
         fake = await FakePeer(answer_ok).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             _, writer = await asyncio.open_connection(HOST, sidecar.port)
@@ -495,7 +495,7 @@
             assert [got.headers["x-request-id"] for got in fake.received] == ["stays"]
             assert sidecar.engine.stats.forwards == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_a_body_is_buffered_up_to_its_limit_and_then_streamed():
--- a/tests/test_unwritten.py
+++ b/tests/test_unwritten.py
@@ -242,14 +242,14 @@
 
 @pytest.mark.parametrize("end", ENDS.values(), ids=ENDS)
 def test_a_partly_written_attempt_is_never_completed_after_its_end(tmp_path, end):
-    async def play():
+    async def scenario():
         harness = SidecarHarness(tmp_path)
         body = body_over_buffers()
         async with harness, open_client(harness, http_request("order", body=body)) as (reader, _):
             server, attempt = await harness.partly_written()
             await end_in_one_poll(harness, reader, server, attempt, end)
 
-    run(play())
+    run(scenario())
 
 
 GIVE_UPS = {
@@ -263,7 +263,7 @@
 def test_a_partly_written_attempt_is_never_completed_after_it_is_given_up(tmp_path, give_up):
     """The socket is writable again when the attempt is given up, but the loop has not polled it yet."""
 
-    async def play():
+    async def scenario():
         harness = SidecarHarness(tmp_path)
         body = body_over_buffers()
         async with harness, open_client(harness, http_request("order", body=body)) as (reader, _):
@@ -272,7 +272,7 @@
                 harness, reader, server, attempt, lambda _: give_up(attempt.upstream_attempt)
             )
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked"])
@@ -280,7 +280,7 @@
 def test_a_streamed_body_is_never_completed_after_its_attempt_has_ended(tmp_path, end, framing):
     """The body can't be sent again, but the client gets 503, which says that the request has not run."""
 
-    async def play():
+    async def scenario():
         harness = SidecarHarness(tmp_path, servers=1)
         last = body_over_buffers()
         first = b"y" * (128 * 1024)
@@ -299,14 +299,14 @@
             assert not attempt.upstream_attempt.may_run  # the rest waits until the socket is writable
             await end_in_one_poll(harness, reader, server, attempt, end)
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_the_balancer_gets_the_true_status_of_a_partly_written_request_after_a_disconnect(tmp_path, how):
     """The rest may be written before the loop reports the EOF, but not after it is reported as unwritten."""
 
-    async def play():
+    async def scenario():
         harness = SidecarHarness(tmp_path)
         body = body_over_buffers()
         statuses = harness.watch_statuses()
@@ -323,14 +323,14 @@
             await asyncio.sleep(0)
             assert statuses == [Status.CANCELLED if harness.complete_copies() else Status.CONNECT_FAILED]
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("waited", [False, True], ids=["at once", "after waiting for room"])
 def test_a_completely_written_request_may_have_run_if_its_server_resets_at_once(tmp_path, waited):
     """The last byte is in the socket's buffer, and the reset is the next event of the loop."""
 
-    async def play():
+    async def scenario():
         harness = SidecarHarness(tmp_path)
         body = body_over_buffers() if waited else b"x" * 1000
         async with harness, open_client(harness, http_request("order", body=body)) as (reader, _):
@@ -350,11 +350,11 @@
             assert await harness.final_status(reader, server) == 502
             assert harness.complete_copies() == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_a_partly_written_request_is_not_completed_when_the_sidecar_closes(tmp_path):
-    async def play():
+    async def scenario():
         harness = SidecarHarness(tmp_path)
         body = body_over_buffers()
         async with harness, open_client(harness, http_request("order", body=body)):
@@ -364,4 +364,4 @@
             await asyncio.sleep(0.01)  # some iterations of the loop
             assert harness.complete_copies() == 0
 
-    run(play())
+    run(scenario())
