--- a/tests/test_answered_at_the_end.py
+++ b/tests/test_answered_at_the_end.py
@@ -89,9 +89,9 @@
         async with Sidecar(
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
         ) as sidecar:
-            response_task = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
+            response_task = asyncio.create_task(send_request(sidecar.port, http_request("order", "pending")))
             server_connection = await server.accept()
-            await server_connection.wait_for(b"held")
+            await server_connection.wait_for(b"pending")
             (sidecar if end == "sidecar" else sidecar.engine).close()
             assert (await response_task).code in (502, 504)
             assert server.read_all().count(b"X-Request-Id") == 1
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -52,9 +52,9 @@
     Return the client's socket and the server's connection.
     """
     client = connect(sidecar.port)
-    client.sendall(http_request("order", "held") + sent)
+    client.sendall(http_request("order", "pending") + sent)
     server_connection = await server.accept()
-    await server_connection.wait_for(b"held")
+    await server_connection.wait_for(b"pending")
     return client, server_connection
 
 
@@ -169,7 +169,7 @@
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
         ) as sidecar:
             client, server_connection = await connect_with_pending_request(
-                sidecar, server, http_request("order", "gone")
+                sidecar, server, http_request("order", "disconnected")
             )
             await wait_until(lambda: sidecar_connection(sidecar, client).queue)
             if first == "answer":
@@ -180,7 +180,7 @@
             await wait_until(
                 lambda: not sidecar.http.clients.connections and not sidecar.engine.attempts.in_flight
             )
-            assert b"gone" not in server.read_all()
+            assert b"disconnected" not in server.read_all()
             client.close()
         server.close()
 
@@ -212,14 +212,14 @@
             await wait_until(lambda: not sidecar.http.clients.connections)
 
             client = connect(port)
-            client.sendall(http_request("order", "gone"))
+            client.sendall(http_request("order", "disconnected"))
             disconnect(client, how)
             time.sleep(LOOP_BLOCK_S)
             second_answer = asyncio.create_task(send_request(port, http_request("order", "other")))
             await server_connection.wait_for(b"other")  # accepted after the first client
             server_connection.answer()
             assert (await second_answer).code == 200
-            assert b"gone" not in server.read_all()
+            assert b"disconnected" not in server.read_all()
             client.close()
         server.close()
 
@@ -342,9 +342,9 @@
             connection.transport.get_extra_info("socket").setsockopt(
                 socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
             )
-            client.sendall(http_request("order", "held", "3000m", b"", "Connection: close"))
+            client.sendall(http_request("order", "pending", "3000m", b"", "Connection: close"))
             server_connection = await server.accept()
-            await server_connection.wait_for(b"held")
+            await server_connection.wait_for(b"pending")
             server_connection.sock.setblocking(True)
             server_connection.sock.sendall(http_response(200, bytes(MAX_BUFFERED_BYTES // 2)))
             await wait_until(lambda: connection.draining)
--- a/tests/test_client_left_attempts.py
+++ b/tests/test_client_left_attempts.py
@@ -54,9 +54,9 @@
             delayed_loop = sidecar.upstreams.loop = DelayedConnectLoop(asyncio.get_running_loop())
             client = connect(sidecar.port)
             if body == "none":
-                client.sendall(http_request("order", "gone"))
+                client.sendall(http_request("order", "disconnected"))
             else:
-                message = http_request("order", "gone", "3000m", bytes(2 * MAX_BUFFERED_BYTES))
+                message = http_request("order", "disconnected", "3000m", bytes(2 * MAX_BUFFERED_BYTES))
                 client.sendall(message[: -MAX_BUFFERED_BYTES // 2])
             server_connection = await server.accept()
             await wait_until(lambda: sidecar.engine.requests.pending)
@@ -90,7 +90,7 @@
             await server_connection.wait_for(b"first")
             delayed_loop = sidecar.upstreams.loop = DelayedConnectLoop(asyncio.get_running_loop())
             client = connect(sidecar.port)
-            client.sendall(http_request("order", "gone"))
+            client.sendall(http_request("order", "disconnected"))
             await wait_until(lambda: any(target.opening for target in sidecar.upstreams.targets.values()))
             if first == "answer":
                 server_connection.answer()
@@ -101,7 +101,7 @@
             await wait_until_idle(sidecar)
             delayed_loop.connect_allowed.set()
             await wait_until(lambda: not any(target.opening for target in sidecar.upstreams.targets.values()))
-            assert b"gone" not in server.read_all()
+            assert b"disconnected" not in server.read_all()
             client.close()
         server.close()
 
@@ -118,9 +118,9 @@
             tmp_path / "c", config(endpoint_update(1, entry("s1", server.address)))
         ) as sidecar:
             client = connect(sidecar.port)
-            client.sendall(http_request("lookup", "gone"))
+            client.sendall(http_request("lookup", "disconnected"))
             server_connection = await server.accept()
-            await server_connection.wait_for(b"gone")
+            await server_connection.wait_for(b"disconnected")
             timers = []
             sidecar.engine.actions.set_timer = timers.append
             server_connection.answer(503, "X-Not-Run: 1")
@@ -131,7 +131,7 @@
             for timer in timers:
                 sidecar.engine.dispatcher.dispatch(api.Timer(timer.token))
             await wait_until_idle(sidecar)
-            assert server.read_all().count(b"gone") == 1
+            assert server.read_all().count(b"disconnected") == 1
             client.close()
         server.close()
 
@@ -158,10 +158,10 @@
                 return handle(now, event)
 
             sidecar.engine.balancer.handle = disconnect_and_handle
-            client.sendall(http_request("order", "gone"))
+            client.sendall(http_request("order", "disconnected"))
             await wait_until(lambda: client.fileno() < 0 or sidecar.engine.requests.next_id > 2)
             await wait_until_idle(sidecar)
-            assert b"gone" not in server.read_all()
+            assert b"disconnected" not in server.read_all()
             client.close()
         server.close()
 
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -55,12 +55,12 @@
     def call_soon(self, callback, *args):
         return self.call_later(0.0, callback, *args)
 
-    def run(self, until):
-        while self.due and self.due[0][0] <= until:
+    def run(self, end):
+        while self.due and self.due[0][0] <= end:
             self.now, _, handle = heapq.heappop(self.due)
             if not handle.cancelled:
                 handle.callback(*handle.args)
-        self.now = until
+        self.now = end
 
 
 @dataclass(eq=False)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("how", ["close", "half-close"])
 def test_a_request_is_not_sent_if_its_client_disconnected_before_accept(tmp_path, how):
-    """The whole request and the client's EOF are in the backlog of the listening socket."""
+    """The complete request and the client's EOF are in the backlog of the listening socket."""
 
     async def scenario():
         fake = await FakePeer(answer_ok).start()
@@ -81,7 +81,7 @@
             with socket.create_server((HOST, 0)) as listener:
                 port = listener.getsockname()[1]
                 _, writer = await asyncio.open_connection(HOST, port)
-                writer.write(http_request("order", "gone"))
+                writer.write(http_request("order", "disconnected"))
                 await writer.drain()
                 await disconnect(writer, how)
                 connections = []
@@ -146,7 +146,7 @@
         fake = await FakePeer(hang).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             idle_client = await asyncio.open_connection(HOST, sidecar.port)
-            pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
+            pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "pending")))
             await wait_until(lambda: fake.received)
             await wait_until(lambda: len(sidecar.http.clients.connections) == 2)
             sidecar.engine.lifecycle.terminate()
@@ -169,7 +169,7 @@
 
         fake = await FakePeer(hang).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
-            pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
+            pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "pending")))
             await wait_until(lambda: fake.received)
             sidecar.engine.lifecycle.answer_pending()  # its bytes are flushed at the end of this iteration
             sidecar.close()
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -303,7 +303,7 @@
     async def scenario():
         async def answer_when_allowed(request, reader, writer):
             await answer_allowed.wait()
-            writer.write(http_response(200, b"whole"))
+            writer.write(http_response(200, b"complete"))
 
         answer_allowed = asyncio.Event()
         server = await FakePeer(answer_when_allowed).start()
@@ -323,7 +323,7 @@
                 harness.engine.balancer.write_by = fail
                 answer_allowed.set()
                 async with asyncio.timeout(WAIT_TIMEOUT_S):
-                    assert (await read_message(first)).body == b"whole"
+                    assert (await read_message(first)).body == b"complete"
                     assert (await read_message(second)).code == 503
             assert len(server.received) == 1
             assert len(sidecar.upstreams.targets[harness.names.server("s0")].idle) == 1
@@ -341,7 +341,7 @@
     async def scenario():
         async def answer_when_allowed(request, reader, writer):
             await answer_allowed.wait()
-            writer.write(http_response(200, b"whole"))
+            writer.write(http_response(200, b"complete"))
 
         answer_allowed = asyncio.Event()
         server = await FakePeer(answer_when_allowed).start()
@@ -365,8 +365,8 @@
             harness.engine.balancer.write_by = fail_once
             answer_allowed.set()
             async with asyncio.timeout(WAIT_TIMEOUT_S):
-                assert (await read_message(first)).body == b"whole"
-                assert (await read_message(second)).body == b"whole"
+                assert (await read_message(first)).body == b"complete"
+                assert (await read_message(second)).body == b"complete"
                 await read_message(third)
             assert [request.headers["x-request-id"] for request in server.received].count("third") <= 1
 
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -257,17 +257,17 @@
     monkeypatch.setattr(lifecycle, "IDLE_CLOSE_DELAY_S", 0.0)
 
     async def steps(sidecar, fake):
-        pending = await SentRequest(frontend, sidecar.ports).send("order", "held")
+        pending = await SentRequest(frontend, sidecar.ports).send("order", "pending")
         await wait_until(lambda: fake.received)
         sidecar.engine.drain()
         await wait_until(lambda: sidecar.engine.lifecycle.closing_idle_connections)
         assert await sidecar.request(frontend, "order", "ab") == "refused"
-        assert fake.received == ["held"]
+        assert fake.received == ["pending"]
         sidecar.engine.undrain()
         assert await sidecar.request(frontend, "order", "cd") == "served"
         pending.writer.close()
 
-    play(tmp_path, lambda name: "silent" if name == "held" else "ok", steps)
+    play(tmp_path, lambda name: "silent" if name == "pending" else "ok", steps)
 
 
 def test_a_frontend_may_close_its_connection_while_it_responds(tmp_path, frontend, monkeypatch):
@@ -295,7 +295,7 @@
 def test_requests_over_the_limit_are_refused_as_overloaded(tmp_path, frontend):
     async def steps(sidecar, fake):
         sidecar.engine.requests.max_open = 1
-        pending = await SentRequest(frontend, sidecar.ports).send("order", "held")
+        pending = await SentRequest(frontend, sidecar.ports).send("order", "pending")
         await wait_until(lambda: fake.received)
         reasons = []
         finish = sidecar.engine.requests.finish
@@ -307,4 +307,4 @@
         assert reasons == [Reason.OVERLOADED]
         pending.writer.close()
 
-    play(tmp_path, lambda name: "silent" if name == "held" else "ok", steps)
+    play(tmp_path, lambda name: "silent" if name == "pending" else "ok", steps)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -81,7 +81,7 @@
     async def scenario():
         async def act(message, reader, writer):
             request_id = message.headers["x-request-id"]
-            if request_id == "held":
+            if request_id == "pending":
                 await release.wait()
             if request_id == "full":
                 writer.write(http_response(503, b"", "X-Not-Run: 1"))
@@ -96,8 +96,8 @@
             assert (await send_request(sidecar.port, http_request("order", "good"))).code == 409
             assert (await send_request(sidecar.port, http_request("order", "bad"))).code == 502
             assert (await send_request(sidecar.port, http_request("hold", "full", "300m"))).code == 503
-            pending = asyncio.create_task(send_request(sidecar.port, http_request("lookup", "held")))
-            await wait_until(lambda: any(got.headers["x-request-id"] == "held" for got in fake.received))
+            pending = asyncio.create_task(send_request(sidecar.port, http_request("lookup", "pending")))
+            await wait_until(lambda: any(got.headers["x-request-id"] == "pending" for got in fake.received))
             statistics = await read_statistics(port)
             assert statistics["app.results.order.succeeded"] == 1
             assert statistics["app.results.order.aborted"] == 2
@@ -199,7 +199,7 @@
 
     async def scenario():
         async def act(message, reader, writer):
-            if message.headers["x-request-id"] == "held":
+            if message.headers["x-request-id"] == "pending":
                 await release.wait()
             writer.write(http_response(200, b"served"))
 
@@ -211,7 +211,7 @@
             partial_reader, partial_writer = await asyncio.open_connection(HOST, sidecar.port)
             idle_writer.write(http_request("order", "first"))
             assert "connection" not in (await read_message(idle_reader)).headers
-            pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "held")))
+            pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "pending")))
             request = http_request("order", "half", "3000m", b"body")
             partial_writer.write(request[:30])
             await wait_until(
--- a/tests/test_net_front.py
+++ b/tests/test_net_front.py
@@ -404,7 +404,7 @@
         fake = await FakePeer(act).start()
         async with Sidecar(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
             accepted_reader, accepted_writer = await asyncio.open_connection(HOST, sidecar.port)
-            accepted_writer.write(http_request("order", "held") + b"POST /order HTTP/1.1\r\nX-Half: ")
+            accepted_writer.write(http_request("order", "pending") + b"POST /order HTTP/1.1\r\nX-Half: ")
             reader, writer = await asyncio.open_connection(HOST, sidecar.port)
             assert await reader.read() == b""  # a client that sent nothing gets no response
             writer.close()
--- a/tests/test_node_model.py
+++ b/tests/test_node_model.py
@@ -26,10 +26,10 @@
     return [action.kind for action in actions if isinstance(action, RecordEvent)]
 
 
-def answer_times(node, until=100.0):
-    """Advance the node up to `until`; return the time at which each request was answered, by number."""
+def answer_times(node, end=100.0):
+    """Advance the node up to `end`; return the time at which each request was answered, by number."""
     times = {}
-    while (due := node.next_event_at()) is not None and due <= until:
+    while (due := node.next_event_at()) is not None and due <= end:
         for action in node.advance(due):
             if isinstance(action, Reply):
                 times[action.number] = round(due, 3)
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -461,9 +461,9 @@
         server = Server()
         async with sidecar_before(tmp_path, server) as sidecar:
             client = connect(sidecar.port)
-            client.sendall(http_request("order", "held"))
+            client.sendall(http_request("order", "pending"))
             server_connection = await server.accept()
-            await server_connection.wait_for(b"held")
+            await server_connection.wait_for(b"pending")
             client_connection = sidecar_connection(sidecar, client)
             if detection == "behind unread bytes":
                 client.sendall(
