--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -47,7 +47,7 @@
 
 
 def quotes(page):
-    """Return the quotes of a page that contain a space, as the texts of the log do."""
+    """Return the texts between backquotes that contain a space, as log texts do and event names do not."""
     text = " ".join(page.read_text().split())
     return [quote for quote in re.findall(r"`([^`]+)`", text) if " " in quote]
 
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -199,7 +199,7 @@
 
 
 def test_a_request_with_the_id_of_a_pending_one_fails_as_a_duplicate_while_draining():
-    """It was rejected as draining, so clients retried it although the first request may still run."""
+    """Guards against a rejection as draining, after which clients retry while the first request may run."""
     simulation = EngineSimulation()
     request = simulation.submit()
     simulation.attempt(request).connect()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -147,7 +147,7 @@
             for n in range(5):
                 assert (await send_request(port, http_request("order", f"id{n}"))).code == 200
             async with Process(tmp_path / "c", outdated_config, **shared) as newest:
-                assert len(os.listdir(shared_dir)) == 2  # that of the killed process is removed
+                assert len(os.listdir(shared_dir)) == 2  # the socket file of the killed process is removed
                 new.process.send_signal(signal.SIGTERM)
                 for n in range(50):
                     assert (await send_request(port, http_request("order", f"more{n}"))).code == 200
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -37,7 +37,7 @@
 
 
 def run_with_node(tmp_path, steps, **profile):
-    """Run steps against a fake node, and return the events that it recorded."""
+    """Call `steps` with a running fake node and its port; return the events that the node recorded."""
     path = tmp_path / "node.jsonl"
 
     async def scenario():
@@ -237,7 +237,7 @@
     ]
 
 
-VALID_EVENTS = {
+VALID_EVENTS = {  # the recorded events of a run that breaks no rule, by participant
     "clients": [sent("a"), answered("a"), sent("z", 9.0), answered("z", 9.5, "refused", "")],
     "n": node_ran("a"),
     "m": [],
@@ -261,7 +261,7 @@
         "no repeat beyond the class",
         "request b was accepted 2 times: n at 1200000000, m at 1300000000",
     ),
-    "drain not kept": (
+    "request after the drain grace": (
         {
             "clients": [sent("b", 9.0), answered("b", 9.5)],
             "n": node_ran("b", 9.2),
@@ -270,7 +270,7 @@
         "drains kept",
         "n got request b 3.200 s after the directory reported its end",
     ),
-    "drain told again": (
+    "drain reported twice": (
         {
             "clients": [sent("b", 9.0), answered("b", 9.5)],
             "n": node_ran("b", 9.2),
@@ -279,7 +279,7 @@
         "drains kept",
         "3.200 s after",
     ),
-    "gone, by a whole list without it": (
+    "removed by a complete list without it": (
         {
             "clients": [sent("b", 9.0), answered("b", 9.5)],
             "n": node_ran("b", 9.2),
@@ -298,17 +298,17 @@
         "within its means",
         "sidecar-1 used memory_mb 300 with a limit of 192 at 3000000000",
     ),
-    "pushed over": (
+    "cold node overloaded": (
         {"m": [at(5.0, "fell", offered=9.0, bearable=2.0)]},
         "no cold node pushed over",
         "m collapsed: 9.00 s of work came, 2.00 s bearable",
     ),
-    "another's answer": (
+    "answer to another request": (
         {"clients": [sent("b"), answered("b", 1.5, "served", "n:a")]},
         "true answers",
         "request b was served 'n:a'",
     ),
-    "made up": (
+    "answer that no node sent": (
         {"clients": [sent("b"), answered("b", 1.5, "served", "n:b")]},
         "true answers",
         "which no node made",
@@ -319,7 +319,7 @@
         "clients": [sent("b"), answered("b")],
         "n": [*node_ran("b"), at(1.4, "dropped", id="b", cls="assign")],
     },
-    "within the grace": {
+    "request within the drain grace": {
         "clients": [sent("b", 8.0), answered("b", 8.4)],
         "n": node_ran("b", 8.2),
         "directory": [at(6.0, "told", entries={"n": "DRAINING"})],
@@ -329,8 +329,8 @@
         "n": node_ran("b", 9.2),
         "directory": [at(t, "told", entries={"n": s}) for t, s in ((6.0, "DRAINING"), (8.0, "SERVING"))],
     },
-    "a client that left": {"clients": [sent("b"), answered("b", 1.1, "left", "")], "n": node_ran("b")},
-    "an execution of what may run again": {
+    "client disconnect": {"clients": [sent("b"), answered("b", 1.1, "left", "")], "n": node_ran("b")},
+    "two executions of an idempotent request": {
         "clients": [sent("b", 1.0, "lookup"), answered("b", class_name="lookup")],
         "n": [*node_ran("b", 1.2, "lookup"), *node_ran("b", 1.3, "lookup")],
     },
@@ -422,7 +422,8 @@
         codes = sorted(response.code for response in await asyncio.gather(*(get() for _ in range(5))))
         assert codes == [200, 200, 200, 503, 503]
         assert not json.loads((await get("?after=4&wait_ms=9")).body)["snapshot"]
-        assert json.loads((await get("?after=1&wait_ms=9")).body)["snapshot"]  # no longer kept
+        # A complete list, since the changes after version 1 are no longer kept.
+        assert json.loads((await get("?after=1&wait_ms=9")).body)["snapshot"]
         await send_request(port, control_order(manners={"resets": 1.0}))
         with pytest.raises((OSError, EOFError, AssertionError)):
             await get()
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -45,7 +45,7 @@
 
 
 def test_a_sidecar_with_low_traffic_samples_few_servers_and_a_busy_one_samples_all():
-    """With all servers sampled, each got two requests a minute, too few to detect a slow or hung one."""
+    """If all are sampled, each gets two requests a minute, too few to detect a slow or hung server."""
     entries = [endpoint(n) for n in range(40)]
     low_traffic, now = make(entries=entries)
     assert len(set(trickle(low_traffic, now, range(60), lambda server: 40 * MS)[1])) <= 4
@@ -54,7 +54,7 @@
 
 
 def test_all_servers_are_sampled_where_they_outnumber_sidecars_even_with_low_traffic():
-    """One of four sidecars restarted before it took half of the traffic, and sampled only a small subset."""
+    """One of four sidecars sampled only a small subset after a restart, and then got half of the traffic."""
     balancer, now = make_any(entries=[endpoint(n) for n in range(40)], fleet_size=4)
     assert len(set(trickle(balancer, now, range(60), lambda server: 40 * MS)[1])) > 20
 
@@ -117,7 +117,7 @@
 
 
 def test_restarted_servers_are_used_once_listed_but_not_by_all_sidecars_at_once():
-    """A third of a fleet came back from a crash and stayed idle for 14 s, until it had earned tokens."""
+    """A third of a fleet restarted after a crash and stayed idle for 14 s, until it had earned tokens."""
     warm = [endpoint(n) for n in range(1, 9)]
     restarted_at = START + 5 * SECOND
     first = []
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -278,7 +278,7 @@
 
 
 def test_retry_after_ends_within_the_objective_unless_the_objective_has_passed():
-    """With a later one, the client's next attempt is always late, as much of the traffic was in i8cc3a0."""
+    """A later Retry-After makes the client's next attempt late, as much of the traffic was in i8cc3a0."""
     generator = LoadGenerator(
         *make_balancer(servers=6, effect=Effect.NON_IDEMPOTENT, max_retry_after_ns=10 * SECOND)
     )
@@ -475,7 +475,7 @@
 
 
 def test_a_sidecar_that_takes_over_the_traffic_of_many_raises_its_limit_while_nothing_queues():
-    """38 of 40 sidecars were gone: for seconds the rest admitted a tenth of what the servers could serve."""
+    """After the loss of 38 of 40 sidecars, the rest admitted a tenth of the servers' capacity for seconds."""
     generator = LoadGenerator(*make_balancer(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40))
     generator.run(5, 7, fast)
     generator.run(1, 700, fast)
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -93,7 +93,7 @@
 def test_a_request_that_reached_no_server_is_retried_regardless_of_the_budget():
     """Guards against rejections by sidecars that start with an outdated list (scenario herd+vast).
 
-    They rejected a third of their requests, each after one failed connect to a server that was gone.
+    They rejected a third of their requests, each after one failed connect to a server that no longer existed.
     """
     balancer, now = make_balancer(servers=60, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     served = 0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -251,7 +251,7 @@
 
 
 def test_the_only_other_eligible_server_is_always_found():
-    """The scan of a list skipped one server if the first step was not to the next one."""
+    """Guards against a scan that skips a server if its first step is not to the next server in the list."""
     for seed in range(60):
         entries = [endpoint(100 + n, cell=n // 2) for n in range(6)]  # two to a cell
         balancer, now = make_balancer(
@@ -335,7 +335,7 @@
 
 
 def test_overload_for_ns_of_0_does_not_fail():
-    """With a setting of 0 each answer raised an error in the decision module, and its estimates were lost."""
+    """Guards against a setting of 0 that makes each answer raise an exception and loses the estimates."""
     balancer, now = make_balancer(overload_for_ns=0)
     now, _ = serve_requests(balancer, now, range(20), 50 * MS)
     assert 5.0 < balancer.latency.answer_rate < 40.0
