--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -19,7 +19,7 @@
 
 TESTS = Path(__file__).parent
 MIN_WAIT_S = 0.001  # shortest wait of a selector; bytes that the kernel holds arrive sooner
-STALL_TIMEOUT_S = 60.0  # without a timer or a byte for so long, the run is stalled
+STALL_TIMEOUT_S = 60.0  # a run without a timer or a byte for this time is stalled
 RUN_TIMEOUT_S = 300.0  # real time for one scenario, which takes some 3 s on an idle machine
 
 
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Idle clients use their whole share of descriptors while discovery is down.
+"""Idle clients use their full share of descriptors while discovery is down.
 
 Guards against a sidecar that then has no descriptors for its own needs: discovery, operators and attempts.
 The processes run without connection admission, which is off by default.
@@ -41,7 +41,7 @@
 pytestmark = pytest.mark.xdist_group("real-time")
 
 MIN_SOCKETS = 256  # descriptors of the smallest supported configuration
-UNOCCUPIED = 71  # descriptors left to a process whose others are occupied: half a share and its own
+UNOCCUPIED = 71  # descriptors that an `OccupiedProcess` can use: half of the clients' share and its own needs
 LOWERED_LIMIT = 100  # descriptors; set while clients use their share of MIN_SOCKETS
 IDLE_CLIENT_COUNT = 300  # more than MIN_SOCKETS
 RECONNECT_DELAY_S = 0.5  # of an idle client whose connection was closed
@@ -49,7 +49,7 @@
 TIMER_SLACK_S = 0.05  # added to each time limit on real sockets
 DISCOVERY_RECOVERY_S = 6.0  # from the restart of discovery until it has sent its list
 MANAGEMENT_TIMEOUT_S = 1.0
-MAX_IDLE_CPU_SHARE = 0.02  # of a core, beyond that without clients; a busy loop uses a whole core
+MAX_IDLE_CPU_SHARE = 0.02  # of a core, beyond that without clients; a busy loop uses all of it
 CPU_SAMPLE_S = 2.0  # time over which processor use is measured
 PEAK_INTERVAL_S = 0.01  # between samples of the number of descriptors
 HEALTHCHECK = b"GET /healthcheck HTTP/1.1\r\n\r\n"
@@ -78,7 +78,7 @@
 
 @dataclass
 class IdleClients:
-    """Idle clients that have sent nothing, an incomplete request or a whole one.
+    """Idle clients that have sent nothing, an incomplete request or a complete one.
 
     With `reconnects`, a client whose connection is closed connects again.
     """
@@ -127,7 +127,7 @@
 
 
 class Discovery:
-    """Discovery that sends whole lists, after a change in a long poll, and can be stopped and restarted."""
+    """Discovery that sends complete lists, after a change in a long poll, and can be stopped and started."""
 
     def __init__(self, endpoint_list):
         self.endpoint_list = endpoint_list
@@ -301,7 +301,7 @@
 def free_descriptors(process, limit):
     """Return the numbers of the descriptors that the process may still open, which the system's limit bounds.
 
-    The count of open descriptors doesn't tell: older ones may lie beyond a limit that was lowered since.
+    It does not follow from the number of open ones: some may lie beyond a limit that was lowered later.
     """
     return set(range(limit)) - open_descriptors(process)
 
@@ -476,7 +476,7 @@
                     assert (await read_message(reader)).code == 200
                 writer.close()
             share = Descriptors(MIN_SOCKETS).max_clients
-            await wait_until(lambda: peak > before + share // 2)  # it may not have sampled yet
+            await wait_until(lambda: peak > before + share // 2)  # the sampler may not have run yet
             sampling_ended.set()
             sampler.join()
             assert peak < before + share + 20
@@ -487,7 +487,7 @@
 
 
 class OccupiedProcess(Process):
-    """A process whose descriptors from `UNOCCUPIED` on are occupied from its start, unknown to it."""
+    """A process whose descriptors from `UNOCCUPIED` on are occupied at its start, which it does not count."""
 
     def _limit(self):
         super()._limit()
@@ -554,7 +554,7 @@
 def test_a_lowered_limit_evicts_idle_clients_and_leaves_room_for_operators_and_requests(tmp_path):
     """Guards against clients that keep their share of the old limit and so use all of the new, lower one.
 
-    All other connections were then closed at accept. A connection that waits for its response is not evicted.
+    All other connections would be closed at accept. A connection that waits for its response is not evicted.
     """
 
     async def run_scenario_steps():
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -35,7 +35,7 @@
 
 
 def slowdowns(run, name):
-    """Return each request's slowdown against a node of its own, by its start in s from the first event."""
+    """Return each request's run time divided by its cost, by its start in seconds after the first event."""
     began = {event["id"]: event for event in run[name] if event["what"] == "began"}
     first = min(min(event["at"] for event in events) for events in run.values() if events)
     found = {}
@@ -127,7 +127,7 @@
 
 
 def test_on_sockets_each_failure_occurs_and_breaks_no_rule(tmp_path):
-    """Run the whole program on loopback sockets, in simulated time (`simulated.py`): no run is void."""
+    """Run the complete program on loopback sockets, in simulated time (`simulated.py`): no run is void."""
 
     def judged(name):
         run_dir = tmp_path / name
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -63,7 +63,7 @@
 
 
 def test_answers_earn_no_tokens_once_the_load_of_warm_servers_is_known():
-    """Each answer earned tokens for 1.5 requests: thirty sidecars together overloaded one server."""
+    """With tokens for 1.5 requests for each answer, thirty sidecars together overloaded one server."""
     balancer, now = make_balancer(entries=[endpoint(1), endpoint(2)], fleet_size=30)
     now, _ = serve_requests(balancer, now, range(100), 50 * MS)
     server = restart_server(balancer, now)
@@ -91,7 +91,7 @@
 
 
 def test_the_load_of_warm_servers_is_kept_while_none_is_warm():
-    """The load was that of all servers and fell with their answers: a replaced fleet stayed unused."""
+    """A load estimate from all servers fell with their answers, so that a replaced fleet stayed unused."""
     balancer, now = make_with_traffic([endpoint(1), endpoint(2)], warm_up_ns=60 * SECOND)
     now = record_answers(balancer, now, {1: 10, 2: 10})
     balancer.handle(now, Membership(ListKind.DELTA, 2, [endpoint(n, started=now) for n in (1, 2)]))
@@ -129,7 +129,7 @@
 
 
 def test_a_cell_without_a_warm_server_keeps_its_load_while_others_take_over_its_traffic():
-    """The more the last warm server carried, the less the cold ones got: 3.2 instead of 10."""
+    """Guards against a load of cold servers that falls as the last warm server serves more: 3.2, not 10."""
     entries = [endpoint(number, cell=int(number > 1)) for number in range(1, 6)]
     for entry in entries:
         entry.kind = entry.cell
@@ -143,7 +143,7 @@
 
 
 def test_the_baseline_load_of_a_weak_kind_in_its_own_cell_is_not_reduced_twice():
-    """Its cell was compared with all local servers: beside a kind of 20 it got 0.4 instead of its own 2."""
+    """Compared with all local servers, a kind with a load of 2 got 0.4 beside a kind with a load of 20."""
     entries = [endpoint(number, cell=number // 3) for number in range(6)]
     for entry in entries:
         entry.kind = entry.cell
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -82,7 +82,7 @@
         return self
 
     async def _read(self):
-        """Read and return the whole log, and note the ports that it reports."""
+        """Read and return the complete log, and note the ports that it reports."""
         async for line in self.process.stderr:
             for name, text in (("management_port", rb"management interface is at"), ("port", rb"listens at")):
                 if match := re.search(text + rb" 127\.0\.0\.1:(\d+)", line):
@@ -117,7 +117,7 @@
 def test_a_graceful_shutdown_answers_pending_and_late_requests(tmp_path):
     async def scenario():
         async def act(message, reader, writer):
-            if message.headers["x-request-id"] == "held":
+            if message.headers["x-request-id"] == "pending":
                 await release.wait()
             writer.write(http_response(200, b"served"))
 
@@ -129,7 +129,7 @@
             idle_reader, idle_writer = await asyncio.open_connection(HOST, sidecar.port)
             kept_reader, kept_writer = await asyncio.open_connection(HOST, sidecar.port)
             pending_reader, pending_writer = await asyncio.open_connection(HOST, sidecar.port)
-            pending_writer.write(http_request("order", "held"))
+            pending_writer.write(http_request("order", "pending"))
             await wait_until(lambda: fake.received)
             sidecar.process.send_signal(signal.SIGTERM)
             await sidecar.wait_for_log(b"terminating")  # else a request may be read before the signal
@@ -138,7 +138,8 @@
             assert got.code == 200
             kept_writer.write(http_request("order", "kept"))
             got = await read_message(kept_reader)
-            assert got.code == 200 and "connection" not in got.headers  # there may be no other process yet
+            # No close is announced, since there may be no other process yet to which the client can connect.
+            assert got.code == 200 and "connection" not in got.headers
             assert await kept_reader.read() == b""
             assert await idle_reader.read() == b""  # closed once no new connections are accepted
             with pytest.raises(OSError):
@@ -164,7 +165,9 @@
 
         fake = await FakePeer(never_answer).start()
         async with Process(tmp_path / "c", config(endpoint_update(1, entry("s1", fake.address)))) as sidecar:
-            pending = asyncio.create_task(send_request(sidecar.port, http_request("order", "held", "30000m")))
+            pending = asyncio.create_task(
+                send_request(sidecar.port, http_request("order", "pending", "30000m"))
+            )
             await wait_until(lambda: fake.received)
             loop = asyncio.get_running_loop()
             start = loop.time()
@@ -469,7 +472,7 @@
 def test_a_reload_switches_to_the_new_discovery_and_keeps_serving(tmp_path):
     """Guards against SIGHUP ending the process.
 
-    Invalid files are ignored. The call to the old discovery is closed, and the new one sends a whole list.
+    Invalid files are ignored. The call to the old discovery is closed, and the new one sends a complete list.
     """
 
     async def scenario():
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize(("sidecars", "cores"), [(1, 2), (4, 2), (16, 4)])
 def test_a_fleet_that_starts_cold_answers_from_the_beginning(sidecars, cores):
-    """Without a response slow start allowed no sends, so that none came until the warm-up time was over."""
+    """Guards against a slow start that allows no sends without a response, until the warm-up time is over."""
     result = simulate(cold_start(sidecars, cores, 65.0 * cores), 1)
     assert result.outcome == 0
     durations = [time for logical in result.report.logical_requests.values() for time in logical.values()]
