--- a/ochreflow/core/attempt_manager.py
+++ b/ochreflow/core/attempt_manager.py
@@ -83,7 +83,7 @@
         self.number = pending.attempts
         self.server = server
         self.sent_ns = sent_ns  # start of the attempt; after an upload, when its last byte was written
-        self.timeout_ns = timeout_ns  # from its start; 0: the remaining time of its request
+        self.timeout_ns = timeout_ns  # time limit from its start; 0: the remaining time of its request
         self.response_started_ns = 0  # when its response began to be streamed to the client
         self.upstream_attempt: UpstreamAttempt | None = None  # None: still being started, or failed to start
         self.first_byte_permitted = False  # its first byte may have been written
--- a/ochreflow/core/fault_log.py
+++ b/ochreflow/core/fault_log.py
@@ -7,7 +7,7 @@
 
 from .log import log
 
-MIN_INTERVAL_S = 1.0  # between two logged exceptions
+MIN_INTERVAL_S = 1.0  # least time between two logged exceptions
 
 
 class FaultLog:
--- a/ochreflow/core/lifecycle.py
+++ b/ochreflow/core/lifecycle.py
@@ -13,7 +13,7 @@
 ACCEPT_AFTER_SIGTERM_S = 0.5  # new connections may still arrive for this time after SIGTERM
 # Delay from the start of a drain, during which responses tell clients to reconnect elsewhere.
 IDLE_CLOSE_DELAY_S = 1.0
-IDLE_CLOSE_INTERVAL_S = 0.1  # between two rounds of closing idle connections
+IDLE_CLOSE_INTERVAL_S = 0.1  # time between two rounds of closing idle connections
 # After SIGTERM, the platform waits for the longest deadline plus at least this time before it kills the
 # process.
 KILL_AFTER_DEADLINE_S = 0.7
--- a/ochreflow/core/limits.py
+++ b/ochreflow/core/limits.py
@@ -23,13 +23,13 @@
         """Allow `limit` descriptors in total, including the reserve."""
         self.total = limit
         self.in_use = 0
-        self.connected = 0  # the client connections among those in use
+        self.connected = 0  # number of client connections among the descriptors in use
         self.other_processes = 0  # number of other processes of this sidecar
         self.others_in_use = 0
         self.others_connected = 0
         # Each callback closes one idle connection and returns True, or returns False if there is none.
         self.evictors: list[Callable[[], bool]] = []
-        self.system_limit: Callable[[], int | None] = lambda: None  # of the operating system; None: no limit
+        self.system_limit: Callable[[], int | None] = lambda: None  # the operating system's; None: no limit
 
     def evict_idle_connection(self) -> bool:
         """Close one idle connection, never one with an open request; return False if there is none."""
@@ -108,7 +108,7 @@
     """The usage of one process, which it sends to the other processes as a list of these three numbers."""
 
     descriptors: int
-    connected: int  # the client connections among the descriptors
+    connected: int  # number of client connections among the descriptors in use
     reserved_bytes: int  # memory reserved for messages
 
 
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -11,7 +11,7 @@
 from ..core.limits import Descriptors
 from ..core.log import log
 
-HEAD_TIMEOUT_S = 2.6  # from connecting, or from a message's first byte, until the message's head is complete
+HEAD_TIMEOUT_S = 2.6  # time from connecting, or from a message's first byte, until its head is complete
 MIN_BODY_BYTES_PER_S = 32_000  # averaged over one `HEAD_TIMEOUT_S` at a time; clients may send 64 kB a second
 IDLE_TIMEOUT_S = 2.0  # time for which a connection without an open request is kept
 SLOW_READER_TIMEOUT_S = 5.0  # time for which a client may read nothing of a response
--- a/ochreflow/http/exchange.py
+++ b/ochreflow/http/exchange.py
@@ -40,7 +40,7 @@
 
     @property
     def unwritten(self) -> bool:
-        """Whether the kernel has not accepted the last byte of the request, so that it cannot have run."""
+        """Whether part of the request is yet to be passed to the kernel; the request cannot have run then."""
         ...
 
     @property
@@ -170,7 +170,7 @@
         if connection is None or connection.arrived:
             return
         connection.discard_unsent()
-        # Bytes in the send buffer may have arrived all the same, with their acknowledgement in flight.
+        # Bytes still in the send buffer may have arrived already, with their acknowledgement in flight.
         self.give_up(Status.NOT_SENT if connection.unwritten else Status.CANCELLED)
 
     def give_up(self, status: Status) -> None:
--- a/ochreflow/http/management.py
+++ b/ochreflow/http/management.py
@@ -16,9 +16,9 @@
 from ..core.ports import Address
 
 BACKLOG = 512
-MAX_CONNECTIONS = 8  # at a time; `Descriptors.RESERVE` has room for them
+MAX_CONNECTIONS = 8  # most connections open at a time; `Descriptors.RESERVE` has room for them
 MAX_REQUEST_BYTES = 8 * 1024
-READ_TIMEOUT_S = 0.9  # from connecting until the request is complete
+READ_TIMEOUT_S = 0.9  # time from connecting until the request is complete
 RESPONSE_READ_TIMEOUT_S = 2.0  # time for the caller to receive the response
 REASONS = {
     200: "OK",
--- a/ochreflow/http/request_parser.py
+++ b/ochreflow/http/request_parser.py
@@ -18,7 +18,7 @@
 
 DEADLINE_PATTERN = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])")
 DEADLINE_UNITS_NS = {b"m": 1_000_000, b"u": 1_000}
-COST_PATTERN = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")  # in microseconds
+COST_PATTERN = re.compile(rb"\d{1,12}(?:\.\d{1,9})?")  # a cost in microseconds
 COST_UNIT_NS = 1000
 KEY_DIGEST_BYTES = 8
 
--- a/ochreflow/http/request_reader.py
+++ b/ochreflow/http/request_reader.py
@@ -23,7 +23,7 @@
 from .response_format import disposition_of
 from .socket_progress import DisconnectMonitor
 
-MAX_BODY_BYTES = 40 * 1024 * 1024  # messages reach 32 MB
+MAX_BODY_BYTES = 40 * 1024 * 1024  # the longest requests have 32 MB
 MAX_HEADERS_BYTES = 32 * 1024
 MAX_FRAMING_FACTOR = 8  # bytes on the socket per byte of body, with the smallest chunks
 MAX_PIPELINED_REQUESTS = 16  # number of queued requests at which reading is paused
--- a/ochreflow/http/response.py
+++ b/ochreflow/http/response.py
@@ -17,7 +17,7 @@
 from ..policy.interface import Status
 
 MAX_HEADERS_BYTES = 32 * 1024  # limit for a response's head and the framing of its body
-MAX_RELAYED_BODY_BYTES = 40 * 1024 * 1024  # messages reach 32 MB
+MAX_RELAYED_BODY_BYTES = 40 * 1024 * 1024  # the longest responses have 32 MB
 MAX_FRAMING_FACTOR = 8  # bytes on the socket per byte of body, with the smallest chunks
 OK = 200
 MIN_FINAL_CODE = 200  # lower codes are interim responses
--- a/ochreflow/http/socket_progress.py
+++ b/ochreflow/http/socket_progress.py
@@ -48,10 +48,10 @@
 
 
 class DisconnectMonitor:
-    """Reports peers that disconnect while reading from them is paused, so that the loop does not report it.
+    """Reports peers that disconnect while reading is paused, when the event loop does not report disconnects.
 
     One system call polls all connections, at a cost of a tenth of a microsecond for each, and only while
-    there are any. The monitor owns its timer, which `close` stops.
+    connections are watched. The monitor owns its timer, which `close` stops.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
--- a/ochreflow/http/socket_stream.py
+++ b/ochreflow/http/socket_stream.py
@@ -14,7 +14,7 @@
 
 from .socket_progress import queued_by_system
 
-READ_SIZE_BYTES = 64 * 1024  # per `recv`
+READ_SIZE_BYTES = 64 * 1024  # most bytes that one call of `recv` returns
 MAX_READS_PER_CALLBACK = 16  # after these reads, other connections are served first
 
 
--- a/ochreflow/http/upstream.py
+++ b/ochreflow/http/upstream.py
@@ -92,11 +92,15 @@
         self._find_connection(target, exchange)
 
     def _find_connection(self, target: Target, exchange: Exchange) -> None:
-        """Send an exchange on an idle connection, now or once it has settled, or on a new one."""
+        """Send an exchange on an idle connection or on a new one.
+
+        A connection is settled 50 ms after its last response: until then, late bytes of a second response
+        could arrive. An exchange that is not idempotent needs a settled connection or a new one.
+        """
         while target.idle:
             connection = self._take_idle(target)
             if not self._may_carry(connection, exchange):
-                # One exchange waits for a connection to settle; for further ones, new connections are opened.
+                # One exchange waits until a connection is settled; further ones get new connections.
                 if target.settling and not self.descriptors.full:
                     self._return_idle(connection)
                     break
@@ -134,7 +138,7 @@
         return exchange.idempotent or connection.settled
 
     def _send_when_settled(self, connection: Connection, exchange: Exchange) -> None:
-        """Send an exchange once a connection has settled; a second response before then closes it."""
+        """Send an exchange once a connection is settled; a late second response closes that connection."""
         target = connection.target
         target.opening[exchange] = None
         target.settling += 1
@@ -248,7 +252,7 @@
             self.loop.call_later(connection.settles_in(), self._reuse_settled, connection)
 
     def _reuse_settled(self, connection: Connection) -> None:
-        """Use a connection that has settled for a waiting exchange, if the connection is still idle."""
+        """Use a connection, settled by now, for a waiting exchange if the connection is still idle."""
         target = connection.target
         if connection in target.idle and target.opening:
             target.idle.remove(connection)
--- a/ochreflow/http/upstream_connection.py
+++ b/ochreflow/http/upstream_connection.py
@@ -21,8 +21,9 @@
 # shorter than that of a relayed response or of a request that a server reads slowly.
 RESPONSE_STALL_TIMEOUT_S = 1.0
 RELAY_STALL_TIMEOUT_S = 2.5
-# Time after a response within which a second response to the same request may arrive. No setting states how
-# late it can be; the protocol extends each time limit on sockets by this slack.
+# Time after a response within which a second response to the same request may arrive; the connection is
+# settled when it is over. No setting states how late a second response can be; the protocol extends each time
+# limit on sockets by this slack.
 SETTLING_TIME_S = 0.05
 
 
@@ -50,9 +51,9 @@
         self.since_ms = since_ms
         self.generation = 0  # incremented by a restart or move; earlier connections are not reused
         self.accepts_requests = True
-        self.idle: list[Connection] = []  # by `idle_since`, the most recently used last
+        self.idle: list[Connection] = []  # sorted by `idle_since`, the most recently used last
         self.opening: dict[Exchange, None] = {}  # exchanges that wait for a connection, in order of arrival
-        self.settling = 0  # number of exchanges in `opening` that wait for an idle connection to settle
+        self.settling = 0  # number of exchanges in `opening` that wait until an idle connection is settled
 
 
 class Connection:
@@ -84,7 +85,7 @@
 
     @property
     def unwritten(self) -> bool:
-        """Whether the kernel has not accepted the last byte of the request, so that it cannot have run.
+        """Whether part of the request is yet to be passed to the kernel; the request cannot have run then.
 
         The value is final once the connection is closed.
         """
@@ -273,7 +274,7 @@
         return self.settles_in() == 0.0
 
     def settles_in(self) -> float:
-        """Return the seconds until the connection is settled."""
+        """Return the seconds until no second response to the last request can arrive any more."""
         return max(self.answered_at + SETTLING_TIME_S - monotonic(), 0.0)
 
     def _release_response(self) -> None:
--- a/ochreflow/membership/stall_timer.py
+++ b/ochreflow/membership/stall_timer.py
@@ -15,7 +15,7 @@
         self.handle: asyncio.TimerHandle | None = None
 
     def start(self, delay_s: float, on_stall: Callable[[], None]) -> None:
-        """Call `on_stall` after `delay_s` seconds, unless the timer is stopped before."""
+        """Call `on_stall` after `delay_s` seconds, unless the timer is stopped earlier."""
         self.handle = self.loop.call_later(delay_s, on_stall)
 
     def stop(self) -> None:
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -16,17 +16,18 @@
 # Target latency as a share of the objective: if the mean is half the objective, about one answer in eight is
 # late.
 TARGET_OBJECTIVE_SHARE = 0.45
-TARGET_BASELINES = 1.4  # least target latency in baselines, for objectives not much longer than the baseline
+# Least target latency as a multiple of the baseline, for objectives not much longer than the baseline.
+TARGET_BASELINES = 1.4
 REJECTION_PRESSURE = 2.0  # sample that a rejection counts as: short queues fill before latency shows it
 MAX_SAMPLE_PRESSURE = 4.0  # sample that one attempt counts as at most
-PRESSURE_HALF_LIFE = 0.12  # least half-life of samples, in shortest deadlines
-# Answers that the half-life lasts for at least: the noise of fewer would cause needless rejections.
+PRESSURE_HALF_LIFE = 0.12  # least half-life of samples, as a multiple of the shortest deadline
+# Least half-life of samples, in answers: the noise of fewer would cause needless rejections.
 MIN_PRESSURE_SAMPLES = 10
 PRIOR_PRESSURE = 0.7  # pressure without samples; below 1, so that the limit grows slowly
 PRIOR_PRESSURE_SAMPLES = 2.0  # weight of the prior, in samples
 # Greatest target latency as a share of the objective: a baseline learned in a collapse must not raise it.
 MAX_TARGET_OBJECTIVE_SHARE = 0.6
-UPDATE_INTERVAL = 0.1  # shortest deadlines between updates of the limit
+UPDATE_INTERVAL = 0.1  # time between updates of the limit, as a multiple of the shortest deadline
 UPDATE_STEP = 0.2  # share of the way to the target in one update, whose few answers are noisy
 MIN_GRADIENT = 0.5  # least factor on the limit: late answers reflect the concurrency of some time ago
 # Pressure below which requests do not queue: a limit that rejects requests there grows in proportion.
@@ -53,8 +54,9 @@
 # The remaining value of a client's retry.
 # Step of the estimated client timeout towards a first attempt with a shorter one; longer ones count at once.
 CLIENT_TIMEOUT_SMOOTHING = 0.01
-CERTAIN_BASELINES = 1.5  # remaining time, in baselines, with which an answer is in time
-HOPELESS_BASELINES = 0.5  # remaining time, in baselines, with which an answer is almost never in time
+# Remaining time, as a multiple of the baseline, with which an answer is in time, or almost never in time.
+CERTAIN_BASELINES = 1.5
+HOPELESS_BASELINES = 0.5
 
 
 def _likelihood(remaining_ns: float, baseline: float) -> float:
@@ -195,8 +197,9 @@
         if not (overloaded or limiting or self.endpoints.low_traffic):
             # Few requests in flight and no overload: nothing shows whether the limit is too high or too low.
             return limit
-        # The limit settles where the gradient and the headroom, which all sidecars share, cancel out. By the
-        # headroom alone, a sidecar that took over the traffic of many raised its limit by 0.4 a second.
+        # The limit is stable where the gradient's reduction equals the headroom, which all sidecars share.
+        # With the headroom alone, a sidecar that took over the traffic of many raised its limit by only 0.4
+        # a second, which is too slow; hence `max_gradient` exceeds 1 at low pressure.
         recovering = self.endpoints.low_traffic and not overloaded
         headroom = limit if recovering else math.sqrt(limit / self.context.settings.fleet_size)
         max_gradient = min(max(PROBING_PRESSURE / self.pressure, 1.0), MAX_GRADIENT)
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -15,25 +15,26 @@
 
 # Weight of a new sample of one server; requests differ far more in work than servers in speed.
 SMOOTHING = 0.08
-# Half-life of an estimate's distance to the mean, in mean gaps between answers of one server.
+# Half-life of an estimate's distance to the mean, as a multiple of the mean gap between a server's answers.
 ESTIMATE_HALF_LIFE_GAPS = 20.0
-# Half-life of an estimate, in shortest deadlines, as a sign of the queue that other sidecars cause.
+# Half-life of an estimate as a sign of the queue that other sidecars cause, as a multiple of the shortest
+# deadline.
 STALE_HALF_LIFE = 4.0
 # Exponent of the ratio of two servers' speeds in the odds of the faster one, while their estimates are stale.
 STALE_ODDS_EXPONENT = 2.0
 # Step of a group's weight bias for each class mean by which an answer differs: ten answers reverse the bias.
 BIAS_STEP = 0.2
 BIAS_DECAY = 0.01  # share of the bias lost with each answer, which bounds its random walk
-MAX_BIAS_EXCESS = 3.0  # class means that one late answer counts at most
+MAX_BIAS_EXCESS = 3.0  # most that one late answer counts, as a multiple of the class mean
 # Keeps weights between e^-3 and e^3: without any traffic a group's recovery would go unnoticed.
 MAX_BIAS = 3.0
-# Objectives of latency, in a group's bias, for each unit of `Settings.price_cross_zone`; it applies even when
-# zones are equally fast.
+# Latency that a group's bias adds for each unit of `Settings.price_cross_zone`, as a multiple of the
+# objective; it applies even when zones are equally fast.
 BIAS_CROSS_ZONE_WEIGHT = 3.0
-# Half-life of a load report in shortest deadlines, and the age up to which it is used.
+# Half-life of a load report, and the age up to which it is used, as a multiple of the shortest deadline.
 LOAD_REPORT_HALF_LIFE = 0.5
 GROUP_SMOOTHING = 0.1  # weight of a new sample in a group's means; the first answers count equally
-CROSS_ZONE_WEIGHT = 4.0  # objectives of delay for each unit of `Settings.price_cross_zone`
+CROSS_ZONE_WEIGHT = 4.0  # delay per unit of `Settings.price_cross_zone`, as a multiple of the objective
 PAIR = 2  # servers that are compared
 
 
@@ -55,7 +56,8 @@
         columns = context.settings.report_columns
         load_columns = [columns.index(name) for name in ("inflight", "queue") if name in columns]
         self.load_column = load_columns[0] if load_columns else None
-        self.cross_zone_penalty = context.settings.price_cross_zone * CROSS_ZONE_WEIGHT  # in objectives
+        # Delay added for a server in another zone, as a multiple of the objective.
+        self.cross_zone_penalty = context.settings.price_cross_zone * CROSS_ZONE_WEIGHT
 
     def expected_delay(self, server: Server, class_index: int) -> float:
         """Return the expected delay in ns: (in flight + 1) x smoothed latency.
@@ -97,7 +99,10 @@
         return delay
 
     def estimated_relative_latency(self, server: Server) -> float:
-        """Return a server's latency in class means: smoothed, decayed towards the mean, raised by silence."""
+        """Return a server's latency as a multiple of the class mean.
+
+        The smoothed latency decays towards the mean and is raised while the server is silent.
+        """
         half_life_ns = (
             ESTIMATE_HALF_LIFE_GAPS
             * max(self.endpoints.ready_count, 1)
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -9,10 +9,10 @@
 from .state_records import POLL, SECOND, Context, ScheduledTimer, Server
 
 MIN_SUBSET_SIZE = 2  # local servers, and remote ones: power of two choices needs two
-# A subset holds as many servers as the sidecar has requests in this many shortest deadlines, so that each
-# server gets about one request in that time.
+# A subset holds as many servers as the sidecar has requests in this time, as a multiple of the shortest
+# deadline: each server gets about one request in that time.
 SUBSET_DEADLINES = 1.0
-REQUEST_RATE_DEADLINES = 5.0  # shortest deadlines over which the request rate is averaged
+REQUEST_RATE_DEADLINES = 5.0  # averaging time of the request rate, as a multiple of the shortest deadline
 
 # Spans over which the sidecars spread their polls, as shares of the polling interval.
 MIN_POLL_SPREAD = 0.05  # least span of the first poll
--- a/ochreflow/policy/latency.py
+++ b/ochreflow/policy/latency.py
@@ -9,7 +9,8 @@
 CLASS_SMOOTHING = 0.03
 UNKNOWN_LATENCY_SHARE = 0.25  # share of the objective that is the class mean before the first answer
 BASELINE_AVERAGED_SAMPLES = 30  # first answers of a class, which its baseline averages with equal weights
-# Time constant of the baseline after those samples, in shortest deadlines: longer than an outage lasts.
+# Time constant of the baseline after those samples, as a multiple of the shortest deadline: longer than an
+# outage lasts.
 BASELINE_DEADLINES = 25.0
 # Factor on the baseline's step under pressure; above 0, so that the baseline can recover from a wrong start.
 BASELINE_DRIFT_UNDER_PRESSURE = 0.1
--- a/ochreflow/policy/outcome_recorder.py
+++ b/ochreflow/policy/outcome_recorder.py
@@ -16,12 +16,12 @@
 from .slow_start import SlowStart
 from .state_records import SECOND, UNWRITTEN, Context, Server
 
-# Samples of relative latency, in class means.
+# Samples of relative latency, as multiples of the class mean.
 MIN_FAILURE_SAMPLE = 4.0  # least sample for a failure: fast errors must not make a server look fast
 # Least sample for a rejection: a full server is alive, but should get less for a while.
 REJECTION_SAMPLE = 3.0
 MAX_SAMPLE = 10.0  # one request in the long tail must not rule out a server
-STALE_SAMPLE_HALF_LIFE = 3.0  # shortest deadlines after which an old estimate has half its weight
+STALE_SAMPLE_HALF_LIFE = 3.0  # half-life of an estimate's weight, as a multiple of the shortest deadline
 SUCCESS_RATE_SMOOTHING = 0.1  # weight of one answer in the success rate of its server
 
 
@@ -120,7 +120,7 @@
             latency.raise_class_mean(class_index, event.duration_ns)
 
     def record_sample(self, server: Server, relative_latency: float) -> None:
-        """Add a sample, in class means, to the relative latency of a server and of its group.
+        """Add a sample, a multiple of the class mean, to the relative latency of a server and of its group.
 
         With low traffic, a sample outweighs an estimate that is old.
         """
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -14,9 +14,11 @@
 from .safety_rules import SafetyRules
 from .state_records import AttemptKey, Context, RequestState, Server
 
-READMITTED_RELATIVE_LATENCY = 3.0  # class means; limit of a server's estimate when it is readmitted
+# Upper limit of a server's estimated latency when it is readmitted, as a multiple of the class mean.
+READMITTED_RELATIVE_LATENCY = 3.0
 
-OVERDUE_DEVIATIONS = 4.0  # mean deviations above the class mean
+# Distance from the class mean at which an attempt is overdue, as a multiple of the mean deviation.
+OVERDUE_DEVIATIONS = 4.0
 MIN_OVERDUE_CLASS_MEANS = 2.0
 # Share of the remaining time after which an attempt is overdue at the latest: a retry needs as much time as
 # the first attempt had.
@@ -26,9 +28,9 @@
 OVERDUE_FAILURE_WEIGHT = 0.5  # failures that an overdue attempt counts as: four of them eject a server
 # Requests of this sidecar for each half-open one, however many ejected servers are due.
 HALF_OPEN_REQUEST_INTERVAL = 10
-BASE_EJECTION_DEADLINES = 1.0  # shortest deadlines until the first half-open request
+BASE_EJECTION_DEADLINES = 1.0  # wait for the first half-open request, as a multiple of the shortest deadline
 EJECTION_GROWTH = 2.0  # factor on the wait for each further half-open request
-MAX_EJECTION_FACTOR = 8.0  # limit of the wait, in first waits
+MAX_EJECTION_FACTOR = 8.0  # upper limit of the wait, as a multiple of the first wait
 EJECTION_JITTER = 0.3  # share of the wait, plus or minus: sidecars must not try a server at the same time
 # Limit, for failures, on the ejected share of the ready servers; if more fail, this sidecar may be at fault.
 MAX_EJECTED_SHARE = 0.7
--- a/ochreflow/policy/retry_policy.py
+++ b/ochreflow/policy/retry_policy.py
@@ -13,11 +13,12 @@
 BASE_BACKOFF_SHARE = 0.02  # a small part of the objective, which is a third of the deadline
 MAX_BACKOFF_SHARE = 0.25  # leaves later retries time to run
 MAX_BACKOFF_EXPONENT = 6
-# Class means that must remain after the backoff; an answer within less time is very unlikely.
+# Time that must remain after the backoff, as a multiple of the class mean; an answer within less time is very
+# unlikely.
 MIN_USEFUL_CLASS_MEANS = 0.25
 RETRIES_PER_REQUEST = 0.1  # tokens earned per first attempt; bounds amplification when every attempt fails
 REJECTION_RETRY_COST = 0.25  # tokens; a rejection costs a full server little work
-RETRY_RESERVE_S = 10.0  # seconds of traffic whose tokens may be saved for a sudden loss of servers
+RETRY_RESERVE_S = 10.0  # tokens saved for a sudden loss of servers, in seconds of traffic that earns them
 
 
 class RetryPolicy:
--- a/ochreflow/policy/slow_start.py
+++ b/ochreflow/policy/slow_start.py
@@ -12,15 +12,15 @@
 from .latency import LatencyEstimates
 from .state_records import SECOND, Context, Server
 
-# Refill rate, before the ramp is applied, as a share of the load that overloads a server; the baseline load
-# is taken for the server's capacity.
+# Refill rate of the token bucket, before the ramp is applied, as a share of the load that overloads a server.
+# That load is `Settings.overload_factor` times the baseline load, which stands for the server's capacity.
 OVERLOAD_SHARE = 0.75
 TOKENS_PER_ANSWER = 1.5  # requests earned by each answer, while the load of warm servers is unknown
 # Least refill rate of all sidecars together, times the ramp, as a share of the work of one core.
 UNKNOWN_LOAD_CORE_SHARE = 0.5
 # Time between updates of the loads, as a share of the warm-up or the shortest deadline, whichever is longer.
 LOAD_UPDATE_INTERVAL = 0.03
-BURST_S = 0.25  # seconds of the refill rate that the bucket holds
+BURST_S = 0.25  # size of the token bucket, in seconds of refill
 MIN_WARM_SHARE = 0.01  # least share of a server's capacity, for settings that start at less
 
 # Identifies a group of servers: whether they are remote, and the number of their kind or cell. A plain tuple
@@ -36,9 +36,9 @@
         """Start without known loads."""
         self.context, self.latency, self.endpoints = context, latency, endpoints
         # Mean load of a warm server from this sidecar alone, in requests of mean work a second.
-        self.zone_loads: dict[bool, float] = {}  # of all local servers (False) and all remote ones (True)
+        self.zone_loads: dict[bool, float] = {}  # one for all local servers (False), one for remote (True)
         self.kind_loads: dict[GroupKey, float] = {}
-        self.cell_loads: dict[GroupKey, float] = {}  # as a share of the loads of its servers' kinds
+        self.cell_loads: dict[GroupKey, float] = {}  # load of a cell as a share of its kinds' loads
         self.loads_updated_at = 0
 
     def record_answer(self, server: Server, class_index: int) -> None:
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -115,12 +115,12 @@
         self.started = entry.started_ns
         self.start_learned_at = now  # when this sidecar learned of that start
         # Until its first answer a server counts as average, even while it warms up: slow start protects it.
-        self.relative_latency = 1.0  # smoothed latency, in class means
+        self.relative_latency = 1.0  # smoothed latency, as a multiple of the class mean
         self.samples = self.last_heard_at = self.last_alive_at = 0
         self.success_rate = 1.0  # smoothed share of its answers that are not errors
         self.answering = True  # whether the attempt that ended last was answered, even by an error
         self.load, self.load_reported_at = 0.0, 0  # requests in progress as last reported, and when
-        # Smoothed latency for each request in progress, in class means; 0: unknown.
+        # Smoothed latency for each request in progress, as a multiple of the class mean; 0: unknown.
         self.latency_per_request = 0.0
         self.consecutive_failures, self.half_open_waits, self.half_open_at = 0.0, 0, 0
         self.ejected = self.half_open_in_flight = False
@@ -133,7 +133,7 @@
 
     def __init__(self) -> None:
         """Start at the mean of all servers."""
-        self.relative_latency = 1.0  # smoothed latency, in class means
+        self.relative_latency = 1.0  # smoothed latency, as a multiple of the class mean
         self.samples = self.reports = 0
         self.load = 0.0  # smoothed mean of the reported loads
         self.latency_per_request = 1.0
--- a/ochreflow/policy/tenant_quota.py
+++ b/ochreflow/policy/tenant_quota.py
@@ -8,12 +8,13 @@
 from .interface import GossipReceived, PublishGossip
 from .state_records import SECOND, Context
 
-QUOTA_UPDATE_INTERVAL = 0.5  # shortest deadlines between updates: bursts build up within seconds
+# Time between updates, as a multiple of the shortest deadline: bursts build up within seconds.
+QUOTA_UPDATE_INTERVAL = 0.5
 REQUEST_RATE_SMOOTHING = 0.5  # weight of the rate since the last update
 # While the rates of some peers are unknown, a tenant is over quota if it uses more of its quota than this
 # multiple of the median tenant's use.
 QUOTA_TOLERANCE = 1.3
-PEER_RATE_LIFETIME = 6.0  # update intervals after which the rates that a peer published expire
+PEER_RATE_LIFETIME = 6.0  # age at which a peer's rates expire, as a multiple of the update interval
 RATE_STEPS_PER_S = 64  # the gossip message carries rates in units of 1/64 request a second
 
 
