--- a/ochreflow/core/ports.py
+++ b/ochreflow/core/ports.py
@@ -57,8 +57,8 @@
     """A request as read by its frontend, whose subclass adds the fields that its upstream transport needs."""
 
     request_id: Hashable  # chosen by the client; unique within the frontend while the request is open
-    class_index: int  # into `Settings.classes`
-    tenant: int  # into `Settings.tenants`
+    class_index: int  # index into `Settings.classes`
+    tenant: int  # index into `Settings.tenants`
     key: int  # hash of the key that the client gave; 0: none
     timeout_ns: int  # how long the client waits, counted from the last byte of the request
     deadline_ns: int  # on the engine's clock; while the body arrives, as if its last byte had just arrived
@@ -139,7 +139,7 @@
 
     @property
     def may_run(self) -> bool:
-        """Whether the last byte has been written, so that the server may run the request."""
+        """Whether the last byte has been written; from then on the server may run the request."""
         ...
 
     def set_timeout(self, seconds: float) -> None:
--- a/ochreflow/http/clients.py
+++ b/ochreflow/http/clients.py
@@ -64,7 +64,7 @@
 
     @property
     def host(self) -> str:
-        """The address of its client; empty if unknown."""
+        """The address of the connection's client; empty if unknown."""
         ...
 
     def recent_body_bytes(self) -> int | None:
--- a/ochreflow/http/connection.py
+++ b/ochreflow/http/connection.py
@@ -74,7 +74,7 @@
 
     @property
     def host(self) -> str:
-        """The address of its client; empty if unknown."""
+        """The address of the connection's client; empty if unknown."""
         peer = self.transport.get_extra_info("peername") if self.transport is not None else None
         return str(peer[0]) if isinstance(peer, tuple) else ""
 
--- a/ochreflow/http/discovery_transport.py
+++ b/ochreflow/http/discovery_transport.py
@@ -12,7 +12,7 @@
 from .response import Response
 from .upstream import Upstreams
 
-# As long as discovery may take for a response; `policy/endpoint_set.py` relies on this maximum.
+# The longest time that discovery may take for a response; `policy/endpoint_set.py` relies on this maximum.
 CONNECT_TIMEOUT_S = 2.0
 IDLE_TIMEOUT_S = 30.0
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
--- a/ochreflow/http/upstream_connection.py
+++ b/ochreflow/http/upstream_connection.py
@@ -34,7 +34,7 @@
     memory: Memory
 
     def release(self, connection: Connection) -> None:
-        """Return a connection to the pool, which can be used for another exchange."""
+        """Return a connection to the pool, so that another exchange can use it."""
         ...
 
     def remove(self, connection: Connection) -> None:
--- a/ochreflow/membership/timeouts.py
+++ b/ochreflow/membership/timeouts.py
@@ -25,7 +25,8 @@
 NOTIFIED_AFTER_S = 2.0
 # Share of the drain grace after which a poll counts as stalled; the rest is reserved for a slow answer.
 STALL_GRACE_SHARE = 0.5
-# Lower limit of that time if the grace is very short: the tolerance that the protocol allows for every limit.
+# Lower limit of the time after which a poll counts as stalled, if the grace is very short: the tolerance that
+# the protocol allows for every limit.
 MIN_STALL_TIMEOUT_S = 0.05
 # Share of the time left after a stalled poll in which the resync has to be answered; the rest is reserved for
 # the answer to one more request.
--- a/ochreflow/policy/balancer.py
+++ b/ochreflow/policy/balancer.py
@@ -320,7 +320,7 @@
         elif not silent:
             # Record the latency so far: the limiter must not wait for the answer.
             self.limiter.record_latency(server, request.class_index, self.context.now - sent_at)
-        else:  # with less weight than a failure: one long request must not eject its server
+        else:  # less weight than a failure has: one long request must not eject its server
             server.answering = False
             self.outlier_detector.record_failure(server, OVERDUE_FAILURE_WEIGHT, MAX_EJECTED_SHARE_ON_SILENCE)
         if server.ejected:
--- a/ochreflow/policy/concurrency_limiter.py
+++ b/ochreflow/policy/concurrency_limiter.py
@@ -19,7 +19,7 @@
 # Least target latency as a multiple of the baseline, for objectives not much longer than the baseline.
 TARGET_BASELINES = 1.4
 REJECTION_PRESSURE = 2.0  # sample that a rejection counts as: short queues fill before latency shows it
-MAX_SAMPLE_PRESSURE = 4.0  # sample that one attempt counts as at most
+MAX_SAMPLE_PRESSURE = 4.0  # greatest sample that one attempt counts as
 PRESSURE_HALF_LIFE = 0.12  # least half-life of samples, as a multiple of the shortest deadline
 # Least half-life of samples, in answers: the noise of fewer would cause needless rejections.
 MIN_PRESSURE_SAMPLES = 10
@@ -33,12 +33,14 @@
 # Pressure below which requests do not queue: a limit that rejects requests there grows in proportion.
 PROBING_PRESSURE = 0.5
 MAX_GRADIENT = 4.0  # greatest factor on the limit: other sidecars may be raising their limits too
-# Ceiling in the first shortest deadline, a multiple of the peak in flight plus the ready servers.
+# Ceiling of the limit during the first shortest deadline, as a multiple of the sum of the peak number of
+# requests in flight and the number of ready servers.
 UNTESTED_HEADROOM = 4.0
-# Factor, in the ceiling after that, on the requests that recent answers keep in flight at the target latency.
+# Ceiling of the limit after that time, as a multiple of the requests that recent answers keep in flight at
+# the target latency; the two allowances below are added.
 SURGE_FACTOR = 2.0
-SURGE_ALLOWANCE = 4.0  # requests added to that ceiling, for sidecars that rarely send
-# Requests added to that ceiling for each ready server, divided among all sidecars.
+SURGE_ALLOWANCE = 4.0  # requests added to the ceiling, for sidecars that rarely send
+# Requests added to the ceiling for each ready server, divided among all sidecars.
 IDLE_SERVER_ALLOWANCE = 2.0
 # Least limit, in requests for each ready server, divided among all sidecars: enough to notice a recovery.
 MIN_LIMIT_PER_SERVER = 0.5
--- a/ochreflow/policy/endpoint_picker.py
+++ b/ochreflow/policy/endpoint_picker.py
@@ -26,7 +26,8 @@
 BIAS_STEP = 0.2
 BIAS_DECAY = 0.01  # share of the bias lost with each answer, which bounds its random walk
 MAX_BIAS_EXCESS = 3.0  # most that one late answer counts, as a multiple of the class mean
-# Keeps weights between e^-3 and e^3: without any traffic a group's recovery would go unnoticed.
+# Limit of the bias, which keeps weights between e^-3 and e^3: without any traffic a group's recovery would go
+# unnoticed.
 MAX_BIAS = 3.0
 # Latency that a group's bias adds for each unit of `Settings.price_cross_zone`, as a multiple of the
 # objective; it applies even when zones are equally fast.
@@ -35,7 +36,7 @@
 LOAD_REPORT_HALF_LIFE = 0.5
 GROUP_SMOOTHING = 0.1  # weight of a new sample in a group's means; the first answers count equally
 CROSS_ZONE_WEIGHT = 4.0  # delay per unit of `Settings.price_cross_zone`, as a multiple of the objective
-PAIR = 2  # servers that are compared
+PAIR = 2  # number of servers that are compared
 
 
 class EndpointPicker:
--- a/ochreflow/policy/endpoint_set.py
+++ b/ochreflow/policy/endpoint_set.py
@@ -8,7 +8,7 @@
 from .interface import ListKind, Membership, State, Watch
 from .state_records import POLL, SECOND, Context, ScheduledTimer, Server
 
-MIN_SUBSET_SIZE = 2  # local servers, and remote ones: power of two choices needs two
+MIN_SUBSET_SIZE = 2  # least number of local servers, and of remote ones: power of two choices needs two
 # A subset holds as many servers as the sidecar has requests in this time, as a multiple of the shortest
 # deadline: each server gets about one request in that time.
 SUBSET_DEADLINES = 1.0
@@ -43,7 +43,7 @@
         self.outside_subset: list[Server] = []  # ready servers that are not sampled from
         self.low_traffic = True
         self.ready_count = self.subset_size = 0
-        # Healthy servers for each sampled one: local, remote.
+        # Number of healthy servers for each sampled one: local, remote.
         self.sampling_weight = [1.0, 1.0]
         self.request_rate = 0.0  # requests of this sidecar a second
         self.request_rate_at = self.first_request_at = 0
--- a/ochreflow/policy/outcome_recorder.py
+++ b/ochreflow/policy/outcome_recorder.py
@@ -20,7 +20,7 @@
 MIN_FAILURE_SAMPLE = 4.0  # least sample for a failure: fast errors must not make a server look fast
 # Least sample for a rejection: a full server is alive, but should get less for a while.
 REJECTION_SAMPLE = 3.0
-MAX_SAMPLE = 10.0  # one request in the long tail must not rule out a server
+MAX_SAMPLE = 10.0  # greatest sample: one request in the long tail must not rule out a server
 STALE_SAMPLE_HALF_LIFE = 3.0  # half-life of an estimate's weight, as a multiple of the shortest deadline
 SUCCESS_RATE_SMOOTHING = 0.1  # weight of one answer in the success rate of its server
 
--- a/ochreflow/policy/outlier_detection.py
+++ b/ochreflow/policy/outlier_detection.py
@@ -19,22 +19,22 @@
 
 # Distance from the class mean at which an attempt is overdue, as a multiple of the mean deviation.
 OVERDUE_DEVIATIONS = 4.0
-MIN_OVERDUE_CLASS_MEANS = 2.0
+MIN_OVERDUE_CLASS_MEANS = 2.0  # least time until an attempt is overdue, as a multiple of the class mean
 # Share of the remaining time after which an attempt is overdue at the latest: a retry needs as much time as
 # the first attempt had.
 MAX_OVERDUE_SHARE = 0.5
 
 MAX_CONSECUTIVE_FAILURES = 2.0  # failures without an answer in between after which a server is ejected
 OVERDUE_FAILURE_WEIGHT = 0.5  # failures that an overdue attempt counts as: four of them eject a server
-# Requests of this sidecar for each half-open one, however many ejected servers are due.
+# Number of this sidecar's requests for each half-open one, however many ejected servers are due.
 HALF_OPEN_REQUEST_INTERVAL = 10
 BASE_EJECTION_DEADLINES = 1.0  # wait for the first half-open request, as a multiple of the shortest deadline
 EJECTION_GROWTH = 2.0  # factor on the wait for each further half-open request
 MAX_EJECTION_FACTOR = 8.0  # upper limit of the wait, as a multiple of the first wait
 EJECTION_JITTER = 0.3  # share of the wait, plus or minus: sidecars must not try a server at the same time
-# Limit, for failures, on the ejected share of the ready servers; if more fail, this sidecar may be at fault.
+# Greatest ejected share of the ready servers after failures; if more fail, this sidecar may be at fault.
 MAX_EJECTED_SHARE = 0.7
-# The same limit for missing answers alone; if a third of the servers is silent, the cause is load.
+# Greatest ejected share if answers are only missing; if a third of the servers is silent, the cause is load.
 MAX_EJECTED_SHARE_ON_SILENCE = 0.34
 # Least success rate of an ejected server that is used in overload: with less, it does more harm than good.
 MIN_FALLBACK_SUCCESS_RATE = 0.5
--- a/ochreflow/policy/slow_start.py
+++ b/ochreflow/policy/slow_start.py
@@ -16,7 +16,7 @@
 # That load is `Settings.overload_factor` times the baseline load, which stands for the server's capacity.
 OVERLOAD_SHARE = 0.75
 TOKENS_PER_ANSWER = 1.5  # requests earned by each answer, while the load of warm servers is unknown
-# Least refill rate of all sidecars together, times the ramp, as a share of the work of one core.
+# Least refill rate of all sidecars together, before the ramp is applied, as a share of the work of one core.
 UNKNOWN_LOAD_CORE_SHARE = 0.5
 # Time between updates of the loads, as a share of the warm-up or the shortest deadline, whichever is longer.
 LOAD_UPDATE_INTERVAL = 0.03
--- a/ochreflow/policy/state_records.py
+++ b/ochreflow/policy/state_records.py
@@ -125,7 +125,7 @@
         self.consecutive_failures, self.half_open_waits, self.half_open_at = 0.0, 0, 0
         self.ejected = self.half_open_in_flight = False
         self.slow_start_tokens, self.tokens_updated_at = 0.0, 0
-        self.completed_work = 0.0  # answered since the last update of the loads, in requests of mean work
+        self.completed_work = 0.0  # work answered since the loads were updated, in requests of mean work
 
 
 class EndpointGroup:
