--- a/ochreflow/core/attempt_manager.py
+++ b/ochreflow/core/attempt_manager.py
@@ -318,7 +318,7 @@
             upstream_attempt = attempt.upstream_attempt
             if upstream_attempt is None:
                 continue
-            # A partly written request is truncated, so that it can't run.
+            # A partly written request is truncated, hence the server can't run it.
             if not upstream_attempt.may_run or pending.streaming is attempt:
                 self.give_up(attempt, Status.CANCELLED)
 
--- a/ochreflow/core/ports.py
+++ b/ochreflow/core/ports.py
@@ -61,7 +61,7 @@
     tenant: int  # index into `Settings.tenants`
     key: int  # hash of the key that the client gave; 0: none
     timeout_ns: int  # how long the client waits, counted from the last byte of the request
-    deadline_ns: int  # on the engine's clock; while the body arrives, as if its last byte had just arrived
+    deadline_ns: int  # instant on the engine's clock; while the body arrives, as if it had just ended
     cost_ns: int  # expected processing time; 0: unknown
     is_retry: bool
     is_write: bool
--- a/ochreflow/membership/discovery.py
+++ b/ochreflow/membership/discovery.py
@@ -59,7 +59,7 @@
         self.on_update = on_update
         self.pushed = pushed
         self.watching = False
-        self.resync_pending = False  # whether a poll has stalled, so that a complete list is requested
+        self.resync_pending = False  # whether a poll has stalled; a complete list is requested then
         # The answer to a poll of an earlier generation is still applied, but no poll follows it.
         self.watch_generation = 0
         self.stall_timer = StallTimer(loop)  # runs while the latest poll is unanswered
