--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -37,7 +37,7 @@
 HOST = "127.0.0.1"
 CONNECTIONS = 6  # saturates one core; below the policy's initial limit on open requests
 NODE_NAMES = 4  # names of the one node: the limit on open requests scales with the number of endpoints
-LATENCY_REQUESTS = 3000  # sent one at a time, to measure the latency added by the sidecar
+LATENCY_REQUESTS = 3000  # requests sent one at a time, to measure the latency added by the sidecar
 CORES = {"node": 0, "sidecar": 1, "load": 2}
 
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -133,9 +133,9 @@
 class Start:
     """The durations of one start, in seconds."""
 
-    ready_s: float  # from start to the first "ready"; infinite if not ready within MAX_START_S
+    ready_s: float  # time from the start to the first "ready"; infinite if not ready within MAX_START_S
     cpu_s: float  # CPU time until the first "ready"
-    core_wait_s: float  # runnable, but waiting for a core, until the first "ready"
+    core_wait_s: float  # time spent runnable, but waiting for a core, until the first "ready"
     first_list_cpu_s: float | None = None  # CPU time from the first "ready" until the first list
 
 
--- a/benchmarks/worse_builds.py
+++ b/benchmarks/worse_builds.py
@@ -24,7 +24,7 @@
 from ochreflow.simulation.simulation import simulate
 
 POLICY = Path("ochreflow/policy")
-BUILD_CHANGES = {  # by build name: the changed file, the original text and its replacement
+BUILD_CHANGES = {  # the changed file, the original text and its replacement, by build name
     "as it is": None,
     "no ejection": (
         "outlier_detection.py",
--- a/ochreflow/admission/accept_throttle.py
+++ b/ochreflow/admission/accept_throttle.py
@@ -14,7 +14,7 @@
 import errno
 
 DESCRIPTOR_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-MIN_ACCEPTS_PER_ITERATION = 4  # in the first loop iteration after a pause
+MIN_ACCEPTS_PER_ITERATION = 4  # accepts in the first loop iteration after a pause
 MAX_ACCEPTS_PER_ITERATION = 64  # bounds the time of a loop iteration
 MIN_PAUSE_S = 0.01  # about the interval at which responses free descriptors
 MAX_PAUSE_S = 0.32  # below the second after which a client's system retries its SYN
--- a/ochreflow/admission/addresses.py
+++ b/ochreflow/admission/addresses.py
@@ -20,8 +20,8 @@
     # Connections whose current message is incomplete, oldest first:
     incomplete: dict[Key, None] = field(default_factory=dict)
     reputation: float = 0.0  # completed requests, decayed until `reputation_at`
-    reputation_at: float = 0.0  # seconds
-    rejected: int = 0  # connections
+    reputation_at: float = 0.0  # time of the last decay, in seconds
+    rejected: int = 0  # rejected connections
 
 
 @dataclass(frozen=True, slots=True)
--- a/ochreflow/admission/limits.py
+++ b/ochreflow/admission/limits.py
@@ -10,12 +10,12 @@
 class Limits:
     """The limits of an address that has no reputation yet, and the share reserved for known addresses."""
 
-    max_open: int = 64  # connections
+    max_open: int = 64  # open connections
     max_incomplete: int = 16  # connections whose current or first message is not complete
-    max_new_per_s: float = 50.0  # connections
+    max_new_per_s: float = 50.0  # new connections per second
     prefix_multiplier: float = 4.0  # limits of a prefix (/24, /48), as a multiple of those of an address
-    reserved_share: float = 0.25  # of the capacity, for known addresses only
-    half_life_s: float = 60.0  # of reputation
+    reserved_share: float = 0.25  # share of the capacity that only known addresses may use
+    half_life_s: float = 60.0  # half-life of reputation
     max_absent: int = 4096  # addresses without a connection whose reputation is remembered
 
 
--- a/ochreflow/app/hot_restart.py
+++ b/ochreflow/app/hot_restart.py
@@ -23,7 +23,7 @@
 SOCKET_SUFFIX = ".sock"
 MAX_PATH_BYTES = 100  # a longer path might not fit into the address of a Unix socket
 GREETING_TIMEOUT_S = 0.25  # a process starts without the greetings that arrive later
-SHARE_INTERVAL_S = 0.1  # between checks whether the own usage has changed
+SHARE_INTERVAL_S = 0.1  # time between checks whether the usage of this process has changed
 
 
 class HotRestart:
--- a/ochreflow/app/hot_restart_link.py
+++ b/ochreflow/app/hot_restart_link.py
@@ -48,7 +48,7 @@
         self.owner = owner
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
-        self.pid: int | None = None  # of the other process; known once its greeting has arrived
+        self.pid: int | None = None  # pid of the other process; known once its greeting has arrived
         self.inheritance = Inheritance(None, None)
         self.usage = NO_USAGE
         self.greeted: asyncio.Future[None] = owner.loop.create_future()
--- a/ochreflow/cli/common.py
+++ b/ochreflow/cli/common.py
@@ -7,7 +7,7 @@
 EXIT_OK = 0
 EXIT_FAILURE = 1  # the command could not be carried out
 EXIT_USAGE_ERROR = 2  # an invalid option, argument or file
-EXIT_INTERRUPTED = 130  # by SIGINT, as a shell reports it
+EXIT_INTERRUPTED = 130  # the command was ended by SIGINT; shells report this code
 
 
 def example(text: str) -> str:
--- a/ochreflow/cli/lab.py
+++ b/ochreflow/cli/lab.py
@@ -36,7 +36,11 @@
 @click.option(
     "--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Number of runs in parallel."
 )
-@click.option("--seconds", type=click.FloatRange(2, 3600), help="Overrides the length of the scenario.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(2, 3600),
+    help="Length of each run in seconds; overrides the scenario's.",
+)
 @click.option("--rehearse", "simulated", is_flag=True, help="Simulate the decision module alone.")
 @click.option("--out", metavar="FILE", help="File to which a JSON line for each run is appended.")
 def lab_run(
@@ -77,7 +81,11 @@
 @click.option(
     "--jobs", type=click.IntRange(1, 64), default=1, show_default=True, help="Number of runs in parallel."
 )
-@click.option("--seconds", type=click.FloatRange(2, 3600), help="Overrides the length of the scenario.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(2, 3600),
+    help="Length of each run in seconds; overrides the scenario's.",
+)
 @click.option("--rehearse", "simulated", is_flag=True, help="Simulate the decision module alone.")
 @click.option("--out", metavar="FILE", help="File to which a JSON line for each run is appended.")
 @click.option("--html", metavar="FILE", help="File for a report with plots.")
@@ -153,7 +161,7 @@
 def lab_slow_start(
     fleets: tuple[str, ...], seeds: int, jobs: int, *, slow: bool, unequal: bool, program: Path | None
 ) -> int:
-    """Measure, in simulated time, the load that all sidecars send to a cold server against its capacity."""
+    """Compare, in simulated time, the load that all sidecars send to a cold server with its capacity."""
     from ..simulation.slow_start_report import FLEETS, SlowStartPlan, run
 
     fleet_names = [f"{sidecars}/{servers}" for sidecars, servers in FLEETS]
--- a/ochreflow/lab/arrivals.py
+++ b/ochreflow/lab/arrivals.py
@@ -35,31 +35,31 @@
     share: float
     idempotency: Idempotency
     deadline_s: float
-    mean_work_s: float = 0.0  # core time on a warm node
+    mean_work_s: float = 0.0  # mean core time of a request on a warm node
 
 
 @dataclass(slots=True)
 class ClientProfile:
     """The behaviour of clients, mostly as shares of requests."""
 
-    abandon_share: float = 0.0  # requests whose client may disconnect before the response
-    slow_share: float = 0.0  # requests written in pieces, with the response read late
-    large_body_share: float = 0.0  # requests with `large_body_bytes` added to their body
+    abandon_share: float = 0.0  # share of requests whose client may disconnect before the response
+    slow_share: float = 0.0  # share of requests written in pieces, with the response read late
+    large_body_share: float = 0.0  # share of requests with `large_body_bytes` added to their body
     large_body_bytes: int = 200_000
-    cost_hint_share: float = 0.0  # requests with a cost hint
+    cost_hint_share: float = 0.0  # share of requests with a cost hint
     work_log_stddev: float = WORK_LOG_STDDEV
-    max_attempts: int = 1  # of one logical request; a rejection says when the next may be sent
+    max_attempts: int = 1  # attempts of one logical request; a rejection says when the next may be sent
 
 
 @dataclass(slots=True)
 class ScheduledRequest:
     """One logical request that a client will send."""
 
-    due_s: float  # since the start of the run
+    due_s: float  # due time since the start of the run
     request_class: RequestClass
     request_id: str
     key: int
-    work_factor: float  # in means of its class's work
+    work_factor: float  # work as a multiple of the mean of the request's class
     cost_hint_s: float = 0.0  # the client's estimate of the work; 0: no hint
     abandon_after_s: float = 0.0  # time until its client disconnects; 0: never
     slow: bool = False
@@ -77,7 +77,7 @@
     request_classes: list[RequestClass]
     rate_per_s: float
     key_count: int
-    rate_factor: Callable[[float], float] = _constant_rate  # multiplies the rate, by seconds of the run
+    rate_factor: Callable[[float], float] = _constant_rate  # factor of the rate at a second of the run
     profile: ClientProfile = field(default_factory=ClientProfile)
 
 
--- a/ochreflow/lab/client_connection.py
+++ b/ochreflow/lab/client_connection.py
@@ -17,7 +17,7 @@
     ) -> None:
         """Create a connection that is not open yet."""
         self.on_extra_response = on_extra_response
-        self.request_id = ""  # of the latest request
+        self.request_id = ""  # id of the latest request
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.response: asyncio.Future[tuple[int, bytes]] | None = None
--- a/ochreflow/lab/duplicates/attempt_reader.py
+++ b/ochreflow/lab/duplicates/attempt_reader.py
@@ -9,7 +9,7 @@
 import httptools
 
 MAX_READ_BYTES = 16 * 1024
-SMALL_READ_BYTES = 1024  # per read where the unread rest is to stay in the sender's buffers
+SMALL_READ_BYTES = 1024  # bytes per read where the unread rest is to stay in the sender's buffers
 MAX_LOOP_LAG_S = 0.02  # longest time from the arrival of bytes until a waiting reader is resumed
 
 
@@ -25,8 +25,8 @@
         self.headers: dict[str, str] = {}
         self.head_complete = False
         self.complete = False
-        self.body_bytes = 0  # of the body, received so far
-        self.began_at = -1.0  # when its first byte was read; negative before
+        self.body_bytes = 0  # bytes of the body received so far
+        self.began_at = -1.0  # time at which the attempt's first byte was read; negative before
         self.last_empty_at = last_empty_at  # the socket was seen empty then: bytes read since arrived later
 
     async def read(self, max_bytes: int = MAX_READ_BYTES) -> bool:
--- a/ochreflow/lab/duplicates/classes.py
+++ b/ochreflow/lab/duplicates/classes.py
@@ -30,7 +30,7 @@
     effect: Effect
     deadline: float
     scope: Scope = Scope.ALL
-    window: float = 0.0  # since the first attempt, during which servers drop retries with its key
+    window: float = 0.0  # seconds after the first attempt in which servers drop retries with its key
 
     @property
     def rejectable(self) -> bool:
--- a/ochreflow/lab/duplicates/client.py
+++ b/ochreflow/lab/duplicates/client.py
@@ -16,8 +16,8 @@
 
 RESPONSE_GRACE_S = 0.8  # how long a client waits beyond the request's deadline
 CONNECT_TIMEOUT_S = 6.0  # a sidecar may take this long to stop and start again
-CONNECT_RETRY_DELAY_S = 0.05  # after a refused connection
-PIECE_DELAY_S = 0.005  # between the pieces of a request that is written slowly
+CONNECT_RETRY_DELAY_S = 0.05  # delay after a refused connection
+PIECE_DELAY_S = 0.005  # delay between the pieces of a request that is written slowly
 WAIT_EXPIRED = "waited long enough"  # recorded as the reason of a client whose time limit has expired
 
 
@@ -25,7 +25,7 @@
     """The result of a request on one connection, as its client sees it."""
 
     ANSWERED = auto()
-    CLOSED_UNANSWERED = auto()  # without a byte of a response; a reused connection may leave requests unread
+    CLOSED_UNANSWERED = auto()  # no byte of a response arrived; a reused connection may leave requests unread
     ABANDONED = auto()
 
 
--- a/ochreflow/lab/duplicates/client_connection.py
+++ b/ochreflow/lab/duplicates/client_connection.py
@@ -19,11 +19,11 @@
         self.number = number
         self.opened_at = opened_at
         self.transport: asyncio.Transport | None = None
-        self.used = False  # a complete response was received on it
-        self.status: asyncio.Future[int] | None = None  # of the request in flight
-        self.response_begun = False  # bytes of its response have arrived
+        self.used = False  # a complete response was received on this connection
+        self.status: asyncio.Future[int] | None = None  # status of the request in flight
+        self.response_begun = False  # whether bytes of the response have arrived
         self.closed = False
-        self.request_written = False  # of the request in flight
+        self.request_written = False  # whether the request in flight is written completely
         self.disconnected_by_client = False
         self.parser = httptools.HttpResponseParser(self)
 
--- a/ochreflow/lab/duplicates/drawing.py
+++ b/ochreflow/lab/duplicates/drawing.py
@@ -38,13 +38,13 @@
     100_000,
     300_000,
 )
-CHUNKED_SHARE = 0.2  # of the requests with a body
+CHUNKED_SHARE = 0.2  # share of the requests with a body that are sent chunked
 PIECES = (1, 1, 1, 3)
 DEADLINES_S = (0.4, 0.8, 1.5, 2.5)
 DEADLINE_FACTORS = (1.0, 1.0, 0.5)  # the deadline of a request relative to that of its class
 WINDOWS_S = (0.1, 0.15, 0.4, 1.0, 3.0)  # the shortest end before most retries arrive
-CLASS_WEIGHTS = (1, 6, 1, 2, 2)  # in the order of `_draw_classes`
-DISCONNECT_SHARE = 0.1  # of the clients disconnect
+CLASS_WEIGHTS = (1, 6, 1, 2, 2)  # weights in the order of `_draw_classes`
+DISCONNECT_SHARE = 0.1  # share of the clients that disconnect
 EARLY_DISCONNECT_S = 0.05  # about the duration of most requests
 
 MIN_SIDECARS, MAX_SIDECARS = 2, 5
@@ -53,13 +53,13 @@
 SERVERS_PER_CELL = 2
 RECEIVE_BUFFER_SIZES_BYTES = (0, 1024, 1024, 4096, 4096, 4096, 16_384)  # 0: the system's default
 SEGMENT_SIZES_BYTES = (536, 1460, 1460, 1460)  # small segments keep the sender's buffer small
-HEDGING_SHARE = 0.5  # of the runs allow hedged requests
+HEDGING_SHARE = 0.5  # share of the runs that allow hedged requests
 CONNECT_TIMEOUTS_S = (0.25, 0.25, 1.6)
 
 SERVER_STEPS_PER_SECOND = 1.5
 SERVER_STEP_LENGTHS_S = (0.05, 0.3, 0.8, 1.3)
 LAST_SERVER_STEP_BEFORE_END_S = 0.5
-RESTART_SHARE = 0.7  # of the sidecars get a signal
+RESTART_SHARE = 0.7  # share of the sidecars that get a signal
 FREEZE_LENGTHS_S = (0.005, 0.02, 0.1, 0.3)
 LAST_RESTART_BEFORE_END_S = 1.5  # the effects of a later restart would not be seen completely
 MIN_STEP_AT_S = 0.3
@@ -72,7 +72,7 @@
 SURGE_REQUESTS_PER_SECOND = 500.0
 PAIRS_PER_SECOND = 4.0
 LONG_RESPONSES_BYTES = (8_000, 20_000, 30_000)  # more than the receive buffer of a pair's client holds
-CLOSE_CONNECTION_SHARE = 0.5  # of the pairs request a close after the last response
+CLOSE_CONNECTION_SHARE = 0.5  # share of the pairs that request a close after the last response
 PAIR_DELAYS_S = (0.02, 0.2)  # lower and upper bound
 FIRST_BURST_AT_S = 0.2
 FIRST_FREEZE_AT_S = 0.1
--- a/ochreflow/lab/duplicates/events.py
+++ b/ochreflow/lab/duplicates/events.py
@@ -18,7 +18,7 @@
 
     sidecar: int
     class_name: str
-    size: int  # of the body
+    size: int  # bytes of the body
     connection: int
 
     def __str__(self) -> str:
--- a/ochreflow/lab/duplicates/judge.py
+++ b/ochreflow/lab/duplicates/judge.py
@@ -24,7 +24,7 @@
 )
 
 SLACK_S = 0.05  # added to each time limit of the protocol, since the search runs on sockets
-PROPAGATION_TIMEOUT_S = 2.0  # after which every sidecar knows that a server has moved to another group
+PROPAGATION_TIMEOUT_S = 2.0  # time after which every sidecar knows that a server has moved to another group
 REJECTION_CODES = (429, 503)  # responses that tell the client that it may retry
 
 
@@ -132,7 +132,7 @@
     violations = []
     for number, later in enumerate(copies):
         if ended.get(later.attempt, later.at) < later.at:
-            continue  # its server ended it before it was complete
+            continue  # the server ended the attempt before it was complete
         for copy in copies[:number]:
             # A server sees a close only after it has accepted the connection and read all earlier bytes.
             was_monitored = copy.at <= later.not_before
--- a/ochreflow/lab/duplicates/plan.py
+++ b/ochreflow/lab/duplicates/plan.py
@@ -28,15 +28,15 @@
 class ClientRequest:
     """One request of a client. Times in seconds."""
 
-    at: float  # since the start of the run
+    at: float  # seconds since the start of the run
     id: str
     sidecar: int
     request_class: RequestClass
-    size: int  # bytes of its body
+    size: int  # bytes of the request's body
     chunked: bool
     deadline: float
-    pieces: int  # in which the request is written
-    disconnects_after: float | None  # until the client disconnects
+    pieces: int  # number of pieces in which the request is written
+    disconnects_after: float | None  # seconds until the client disconnects
     disconnect_mode: DisconnectMode | None
     response_size: int = 0  # bytes of the body of a 200; 0: a few bytes
     closes_connection: bool = False  # the client sends `Connection: close`
@@ -119,7 +119,7 @@
     """Everything in a run except the drawn treatments of its attempts."""
 
     seed: int
-    seconds: float  # during which requests begin
+    seconds: float  # length of the period in which requests begin
     fault_groups: frozenset[FaultGroup]
     sidecars: int
     classes: tuple[RequestClass, ...]
--- a/ochreflow/lab/duplicates/report.py
+++ b/ochreflow/lab/duplicates/report.py
@@ -22,7 +22,7 @@
     broken_seeds: list[int] = field(default_factory=list)
     requests: int = 0
     copies: int = 0
-    responses: int = 0  # to non-idempotent requests
+    responses: int = 0  # responses to non-idempotent requests
     inconclusive: int = 0
     needless_failures: int = 0
 
--- a/ochreflow/lab/duplicates/result.py
+++ b/ochreflow/lab/duplicates/result.py
@@ -31,7 +31,7 @@
     crashed: list[str] = field(default_factory=list)
     requests: int = 0
     copies: int = 0
-    non_idempotent_responses: Counter[int] = field(default_factory=Counter)  # by status code
+    non_idempotent_responses: Counter[int] = field(default_factory=Counter)  # responses by status code
     needless_failures: int = 0  # inconclusive responses to non-idempotent requests that cannot have run
 
     @property
--- a/ochreflow/lab/duplicates/run_context.py
+++ b/ochreflow/lab/duplicates/run_context.py
@@ -37,5 +37,5 @@
     recorder: EventRecorder
     freeze: Freezer
     move: Mover
-    requests: dict[str, ClientRequest]  # by request id
+    requests: dict[str, ClientRequest]  # requests by their id
     attempts: AttemptCounter = field(default_factory=AttemptCounter)
--- a/ochreflow/lab/duplicates/treatment.py
+++ b/ochreflow/lab/duplicates/treatment.py
@@ -35,12 +35,12 @@
     ending: Ending
     early: bool = False  # the attempt ends before its last byte has arrived, if its body is large enough
     read_share: float = 0.0  # share of the body that is read before an early ending
-    delay: float = 0.0  # before the ending
+    delay: float = 0.0  # seconds before the ending
     freeze_for: float | None = None  # the sidecar is frozen at the ending and for this long after it
     drain_first: bool = False  # the system's buffers are emptied immediately before the ending
-    resume_reading_after: float = 0.0  # after the ending
-    second_response_after: float | None = None  # after the first response; None: no second response
-    second_ending: Ending | None = None  # of the second response; None: the same as the first
+    resume_reading_after: float = 0.0  # seconds after the ending
+    second_response_after: float | None = None  # seconds after the first response; None: no second response
+    second_ending: Ending | None = None  # ending of the second response; None: the same as the first
     group_offset: int | None = None  # the server first moves, see `ServerStep.group_offset`
 
 
@@ -82,12 +82,12 @@
         Ending.REJECT_WITH_500,
     )
 )
-EARLY_SHARE = 0.4  # of the attempts with a body that is long enough
+EARLY_SHARE = 0.4  # share of the attempts with a long enough body that end before it is complete
 MIN_EARLY_BODY_BYTES = 40_000  # a smaller body would leave the sender's buffers completely
-FREEZE_EARLY_SHARE = 0.6  # of the attempts that are ended before they are complete
-FREEZE_COMPLETE_SHARE = 0.1  # of the others
-DRAIN_FIRST_SHARE = 0.7  # of the attempts
-SECOND_RESPONSE_SHARE = 0.05  # of the responses are followed by a second one
+FREEZE_EARLY_SHARE = 0.6  # share of these attempts at whose end the sidecar is frozen
+FREEZE_COMPLETE_SHARE = 0.1  # the same share of the other attempts
+DRAIN_FIRST_SHARE = 0.7  # share of the attempts before whose end the system's buffers are emptied
+SECOND_RESPONSE_SHARE = 0.05  # share of the responses that are followed by a second one
 MOVED_ENDINGS = {  # weights; most leave open whether the attempt ran, so that a retry may follow
     Ending.RESET: 3,
     Ending.HALF_CLOSE: 2,
@@ -97,8 +97,8 @@
     Ending.SILENT: 1,
     Ending.SERVE: 1,
 }
-MOVED_SHARE = 0.25  # of the attempts whose idempotency keys are valid only in a zone or cell
-MOVED_DELAYS_S = (0.02, 0.05, 0.1)  # until the ending, while the sidecars are notified of the move
+MOVED_SHARE = 0.25  # share of moves among attempts with idempotency keys valid only in a zone or cell
+MOVED_DELAYS_S = (0.02, 0.05, 0.1)  # time until the ending, while the sidecars are notified of the move
 
 
 def draw_treatment(
--- a/ochreflow/lab/fake_node.py
+++ b/ochreflow/lab/fake_node.py
@@ -25,7 +25,7 @@
 
 NOT_RUN_HEADER = "X-Not-Run: 1"
 CONTROL_PATH = "/-/lab"
-WORK_HEADER = "x-lab-work"  # the work that the client drew for the request, in means of its class
+WORK_HEADER = "x-lab-work"  # the work that the client drew for the request, as a multiple of its class's mean
 
 
 class FakeNode:
@@ -44,7 +44,7 @@
         self.loop = loop
         self.model = NodeModel(profile, seed, monotonic(), dedup_group)
         self.pending: dict[int, HttpRequest] = {}
-        self.request_numbers: dict[ServerConnection, int] = {}  # of the pending request on each connection
+        self.request_numbers: dict[ServerConnection, int] = {}  # numbers of pending requests
         self.last_number = 0  # numbers identify requests to the model
         self.timer: asyncio.TimerHandle | None = None
         self.on_end_order: Callable[[], None] = lambda: None  # ends the node the way a killed process ends
--- a/ochreflow/lab/fault/datagram_proxy.py
+++ b/ochreflow/lab/fault/datagram_proxy.py
@@ -15,7 +15,7 @@
     """Protocol of the listening socket; owns it and the sockets to the target."""
 
     def __init__(self, machine: DatagramMachine, target: Address) -> None:
-        """Forward the datagrams that the machine returns to `target`."""
+        """Forward datagrams to `target`, with the faults that `machine` applies."""
         self.machine = machine
         self.target = target
         self.transport: asyncio.DatagramTransport | None = None
@@ -26,7 +26,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Pass a datagram from a sender through the machine to the target."""
+        """Apply the faults to a datagram from a sender, and send the resulting datagrams to the target."""
         sender = self.sender_sockets.get(addr)
         loop = asyncio.get_running_loop()
         if sender is None:
@@ -36,7 +36,7 @@
             loop.call_later(delayed.seconds, sender.send, delayed.data)
 
     def response_received(self, data: bytes, address: Address) -> None:
-        """Pass a datagram from the target through the machine to the sender at `address`."""
+        """Apply the faults to a datagram from the target, and send the result to the sender at `address`."""
         loop = asyncio.get_running_loop()
         for delayed in self.machine.feed(Side.RESPONSE, data):
             loop.call_later(delayed.seconds, self._send_to_sender, delayed.data, address)
--- a/ochreflow/lab/fault/script.py
+++ b/ochreflow/lab/fault/script.py
@@ -20,7 +20,7 @@
 
     @property
     def opposite(self) -> Side:
-        """The other direction."""
+        """The direction opposite to this one."""
         return Side.RESPONSE if self is Side.REQUEST else Side.REQUEST
 
 
@@ -63,7 +63,7 @@
     side: Side = Side.RESPONSE
     place: Place = Place.START
     message: int = 0
-    after: int = 0  # bytes
+    after: int = 0  # offset of the fault from the start of `place`, in bytes
     share: float = 1.0  # part of the connections or datagrams affected, from 0 to 1
     max_count: int = 0  # only the first `max_count` connections, or datagrams from `message` on; 0: no limit
     delay_ms: float = 0.0  # length of a delay; uniform and heavy-tailed delays start at 0
--- a/ochreflow/lab/fault/stream.py
+++ b/ochreflow/lab/fault/stream.py
@@ -71,7 +71,7 @@
     garble_rng: random.Random | None = None  # draws the replacement bytes
     swallowing: bool = False  # a black hole is in effect
     half_closed: bool = False  # the stream to its receiver has ended
-    actions: list[Action] = field(default_factory=list)  # not yet returned by `feed`
+    actions: list[Action] = field(default_factory=list)  # actions not yet returned by `feed`
 
     @property
     def output_stopped(self) -> bool:
--- a/ochreflow/lab/judge.py
+++ b/ochreflow/lab/judge.py
@@ -40,10 +40,10 @@
 
     findings: list[Finding] = field(default_factory=list)
     by_class: dict[str, Counter[str]] = field(default_factory=dict)  # numbers of requests and of outcomes
-    latency: dict[str, LatencyHistogram] = field(default_factory=dict)  # by class, of served requests
+    latency: dict[str, LatencyHistogram] = field(default_factory=dict)  # latency of served requests, by class
     # By class and by the request id of the first attempt: seconds until it was served; None: not served.
     logical_requests: dict[str, dict[str, float | None]] = field(default_factory=dict)
-    attempts: Counter[str] = field(default_factory=Counter)  # by class: requests that reached nodes
+    attempts: Counter[str] = field(default_factory=Counter)  # requests that reached nodes, by class
     by_node: dict[str, Counter[str]] = field(default_factory=dict)  # numbers of events
     peak_usage: dict[tuple[str, str], float] = field(default_factory=dict)  # by sidecar and resource
 
--- a/ochreflow/lab/load_generator.py
+++ b/ochreflow/lab/load_generator.py
@@ -18,9 +18,9 @@
 
 OUTCOME_OF_STATUS = {200: ClientOutcome.SERVED, 429: ClientOutcome.REJECTED, 503: ClientOutcome.REJECTED}
 RESPONSE_GRACE_S = 0.25  # wait beyond the deadline, to distinguish late responses from missing ones
-SLOW_CLIENT_PIECES = 4  # into which a slow client splits a request
-SLOW_CLIENT_DELAY_S = 0.03  # between the pieces, and before a slow client reads the response
-MIN_REMAINING_S = 0.02  # before the deadline; with less, no further attempt is sent
+SLOW_CLIENT_PIECES = 4  # pieces into which a slow client splits a request
+SLOW_CLIENT_DELAY_S = 0.03  # delay between the pieces, and before a slow client reads the response
+MIN_REMAINING_S = 0.02  # time before the deadline; with less left, no further attempt is sent
 US_PER_S = 1_000_000
 MS_PER_S = 1000
 
@@ -45,7 +45,7 @@
             ),
             0,
         )
-        self.sent = 0  # attempts
+        self.sent = 0  # number of attempts sent
         self.max_send_delay_s = 0.0  # longest delay from a request's due time to its sending
         self.pending: set[asyncio.Task[None]] = set()
 
--- a/ochreflow/lab/node_model.py
+++ b/ochreflow/lab/node_model.py
@@ -29,7 +29,7 @@
 
 NEGLIGIBLE_WORK_S = 1e-9  # a request with no more work than this is complete
 WORK_LOG_STDDEV = 0.6  # standard deviation of the logarithm of a request's work
-MAX_WORK_FACTOR = 12.0  # upper bound of a request's work, in means of its class
+MAX_WORK_FACTOR = 12.0  # upper bound of a request's work, as a multiple of the mean of its class
 WARM_UP_STEP_S = 0.05  # interval at which the speed of a cold node is recomputed
 NEVER_S = -1e9  # last use of a key that was never used
 
@@ -81,7 +81,7 @@
         """Start or restart the node; its cache and its requests are lost."""
         self.started_at = self.now = now
         self.collapsed = False
-        self.work_done_s = 0.0  # since the start
+        self.work_done_s = 0.0  # work done since the start
         self.running: dict[int, RunningRequest] = {}
         self.queue: deque[tuple[int, NodeRequest]] = deque()
         self.key_used_at: OrderedDict[str, float] = OrderedDict()
--- a/ochreflow/lab/platform_config.py
+++ b/ochreflow/lab/platform_config.py
@@ -18,7 +18,7 @@
     Idempotency.IDEMPOTENT_WITH_KEY: "token",
     Idempotency.NON_IDEMPOTENT: "side_effect",
 }
-RESOURCE_LIMITS = {"memory_mb": 192, "sockets": 1024}  # of one sidecar
+RESOURCE_LIMITS = {"memory_mb": 192, "sockets": 1024}  # limits of one sidecar
 ZONES = ["amman", "aqaba"]
 NODE_TYPE = "gen3"
 SIDECAR_SEED_OFFSET = 0xA11
--- a/ochreflow/lab/process_environment.py
+++ b/ochreflow/lab/process_environment.py
@@ -24,8 +24,8 @@
 from .scenario import Scenario, StepAction, node_profile
 from .sidecar_log import EjectionReader, resource_usage
 
-START_TIMEOUT_S = 20.0  # for a process to listen
-END_TIMEOUT_S = 10.0  # for a process to end
+START_TIMEOUT_S = 20.0  # time limit for a process to listen
+END_TIMEOUT_S = 10.0  # time limit for a process to end
 START_POLL_INTERVAL_S = 0.02
 LISTEN_BACKLOG = 512
 LISTENS_MESSAGE = " listens at "  # precedes the address in a sidecar's log
@@ -50,7 +50,7 @@
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.addresses: dict[str, str] = {}
         self.process_of: dict[str, str] = {}  # the process that runs each fake server, by server
-        self.initial_entries: list[dict[str, Any]] = []  # of the nodes that run from the start
+        self.initial_entries: list[dict[str, Any]] = []  # entries of the nodes that run from the start
         self.entries: dict[str, dict[str, Any]] = {}  # the directory's current entries, by name
         self.has_upgrades = any(step.action is StepAction.UPGRADE_SIDECAR for step in scenario.steps)
         self.listening_sockets: dict[int, socket.socket] = {}  # by sidecar; only in runs with upgrades
--- a/ochreflow/lab/run_report.py
+++ b/ochreflow/lab/run_report.py
@@ -12,7 +12,7 @@
 from .scenario_runner import ScenarioRunner
 
 BAR_WIDTH = 20
-MAX_FINDINGS = 3  # shown for each rule
+MAX_FINDINGS = 3  # findings shown for each rule
 MS_PER_S = 1000
 CLASS_HEAD = "class       asked  served  refused  failed    p50 ms   p99 ms  attempts/request"
 NODE_HEAD = "node        taken     ran  failed  turned away  repeats dropped"
--- a/ochreflow/lab/run_result.py
+++ b/ochreflow/lab/run_result.py
@@ -8,7 +8,7 @@
 from .judge import Report
 from .series import Series
 
-MAX_SEND_DELAY_S = 0.25  # with a longer delay, the clients were the bottleneck
+MAX_SEND_DELAY_S = 0.25  # if a request is delayed longer, the clients were the bottleneck
 
 
 class RunOutcome(IntEnum):
@@ -31,7 +31,7 @@
 
     @property
     def void(self) -> bool:
-        """Whether the clients fell behind, so that the run proves nothing about the sidecar."""
+        """Whether the clients fell behind, hence the run proves nothing about the sidecar."""
         return self.max_send_delay_s > MAX_SEND_DELAY_S
 
     @property
--- a/ochreflow/lab/runs.py
+++ b/ochreflow/lab/runs.py
@@ -28,7 +28,7 @@
     ClientOutcome.UNANSWERED,
     ClientOutcome.ABANDONED,
 )
-MAX_FINDINGS = 3  # printed for each run
+MAX_FINDINGS = 3  # findings printed for each run
 MS_PER_S = 1000
 EXIT_BROKEN, EXIT_VOID = 1, 3
 
@@ -41,7 +41,7 @@
 
     scenario_names: list[str]
     seed_count: int  # each scenario runs with the seeds 1 to seed_count
-    processes: int  # runs in parallel
+    processes: int  # number of runs in parallel
     duration_s: float | None = None  # overrides the duration of the scenarios
     out: str | None = None  # path of a file to which a JSON line is appended for each run
 
@@ -60,7 +60,7 @@
 class Job:
     """One run of a scenario."""
 
-    name: str  # of the scenario
+    name: str  # name of the scenario
     scenario: Scenario
     seed: int
     build: str = ""  # name of the build
--- a/ochreflow/lab/scenario.py
+++ b/ochreflow/lab/scenario.py
@@ -38,7 +38,7 @@
     """A request class."""
 
     share: Positive
-    mean_work_s: Positive  # on a core that is warmed up
+    mean_work_s: Positive  # mean work of a request, in seconds of a warm core
     idempotency: Idempotency
     objective_s: Positive = 2.0
     deadline_s: Positive = 6.0
@@ -116,7 +116,7 @@
 ):
     """The requests that clients send; `ClientProfile` explains the shares."""
 
-    rate_per_s: Positive = 120.0  # over all sidecars
+    rate_per_s: Positive = 120.0  # request rate over all sidecars
     key_count: PositiveCount = 800
     wave_amplitude: Share = 0.0  # relative amplitude of one cycle of the rate over the run
     bursts: tuple[Burst, ...] = ()
--- a/ochreflow/lab/series.py
+++ b/ochreflow/lab/series.py
@@ -31,7 +31,8 @@
     step_s: float = STEP_S
     requests: list[int] = field(default_factory=list)
     outcomes: dict[str, list[int]] = field(default_factory=dict)
-    latency_s: dict[str, list[float]] = field(default_factory=dict)  # of served requests, by percentile
+    # Latency of served requests, by percentile:
+    latency_s: dict[str, list[float]] = field(default_factory=dict)
     in_node: dict[str, list[int]] = field(default_factory=dict)  # requests by node, at the end of each step
     ejections: list[tuple[float, str]] = field(default_factory=list)  # time in seconds, and the ejected node
     faults: list[tuple[float, str]] = field(default_factory=list)  # time in seconds, and the steps as text
--- a/ochreflow/simulation/limit_trace.py
+++ b/ochreflow/simulation/limit_trace.py
@@ -1,4 +1,4 @@
-"""Trace of the module's concurrency limit in a scenario, compared with an oracle that knows the capacity."""
+"""Trace of the concurrency limit in a scenario, compared with an oracle that knows the capacity."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from .simulation import Simulation
 
 STEP_S = 0.5
-MIN_SHED_SHARE = 0.05  # of requests without an attempt, above which a step counts as shedding
-RECOVERY_WINDOW_S = 5.0  # after the fault's end, in which `shed_after` is measured
-MAX_PLOTTED_LIMIT = 1000.0  # of one sidecar; an unbounded limit is plotted as this
+MIN_SHED_SHARE = 0.05  # share of requests without an attempt, above which a step counts as shedding
+RECOVERY_WINDOW_S = 5.0  # time after the fault's end in which `shed_after` is measured
+MAX_PLOTTED_LIMIT = 1000.0  # limit of one sidecar; an unbounded limit is plotted as this value
 NEVER_S = 1e9  # latency of a request that was not served
 
 
@@ -26,11 +26,11 @@
 
     limit: list[float] = field(default_factory=list)
     inflight: list[float] = field(default_factory=list)
-    pressure: list[float] = field(default_factory=list)  # of the first sidecar
+    pressure: list[float] = field(default_factory=list)  # pressure at the first sidecar
     offered: list[int] = field(default_factory=list)  # logical requests, by the time they were sent
-    admitted: list[int] = field(default_factory=list)  # of `offered`: accepted by a node in any attempt
-    in_time: list[int] = field(default_factory=list)  # of `offered`: answered within the objective
-    oracle: list[int] = field(default_factory=list)  # of `offered`: answerable within the objective
+    admitted: list[int] = field(default_factory=list)  # those of `offered` accepted by a node in any attempt
+    in_time: list[int] = field(default_factory=list)  # those of `offered` answered within the objective
+    oracle: list[int] = field(default_factory=list)  # those of `offered` answerable within the objective
 
 
 @dataclass(slots=True)
@@ -41,8 +41,8 @@
     in_time: int
     oracle: int
     needless: int  # requests shed in excess of those that the oracle sheds, added up over the steps
-    late: int  # admitted but not answered in time
-    recovery_s: float  # from the fault's end to the end of the last shedding step
+    late: int  # requests admitted but not answered in time
+    recovery_s: float  # time from the fault's end to the end of the last shedding step
     shed_after: float  # share of requests without an attempt in RECOVERY_WINDOW_S after the fault
 
 
--- a/ochreflow/simulation/policy_loader.py
+++ b/ochreflow/simulation/policy_loader.py
@@ -11,7 +11,8 @@
 
 from ..errors import OchreflowError
 
-# Names that earlier builds have for those used here: owner (empty: the module itself), name, earlier name.
+# Names that differ in earlier builds: the class that has the name (empty: the interface module itself), the
+# current name and the earlier name.
 _EARLIER_NAMES = (
     ("Effect", "IDEMPOTENT", "SAFE"),
     ("Status", "REJECTED", "FULL"),
@@ -20,8 +21,8 @@
     ("", "Reject", "Refuse"),
     ("", "RequestCancelled", "Dropped"),
 )
-_EARLIER_FIELDS = {"warm_up_ns": "warm_within_ns"}  # of `Settings`
-_EARLIER_ATTRIBUTES = {"limiter": "limit", "endpoints": "fleet"}  # of `Balancer`
+_EARLIER_FIELDS = {"warm_up_ns": "warm_within_ns"}  # fields of `Settings`: current name, earlier name
+_EARLIER_ATTRIBUTES = {"limiter": "limit", "endpoints": "fleet"}  # attributes of `Balancer`: the same
 
 
 class PolicyNotFoundError(OchreflowError, FileNotFoundError):
--- a/ochreflow/simulation/simulated_node.py
+++ b/ochreflow/simulation/simulated_node.py
@@ -19,7 +19,7 @@
 from ..lab.node_model import DeduplicationGroup, NodeModel
 from .clock import Clock
 
-NETWORK_DELAY_S = 0.0002  # in each direction
+NETWORK_DELAY_S = 0.0002  # delay in each direction
 MIN_TIMER_S = 1e-9  # makes up for the clock's truncation to whole nanoseconds
 
 OnReply = Callable[[Reply | None], None]  # None: the connection was closed
--- a/ochreflow/simulation/simulated_sidecar.py
+++ b/ochreflow/simulation/simulated_sidecar.py
@@ -67,7 +67,7 @@
     server: int
     sent_ns: int
     node: SimulatedNode | None = None
-    number: int = 0  # of the request at the node
+    number: int = 0  # number of the request at the node
 
 
 class SimulatedSidecar:
@@ -98,7 +98,7 @@
         self.handling = False
 
     def post(self, event: Any) -> None:
-        """Let the module handle an event after all earlier ones, and perform its actions."""
+        """Let the decision module handle an event after all earlier ones, and perform its actions."""
         if not self.alive:
             return
         self.event_queue.append(event)
@@ -145,7 +145,7 @@
         return number
 
     def abandon(self, number: int) -> None:
-        """Handle the disconnection of a request's client."""
+        """Cancel a pending request whose client has disconnected."""
         if self.pending.pop(number, None) is not None:
             self.post(self.api.RequestCancelled(number))
 
@@ -223,7 +223,7 @@
         final = number not in self.pending
         self.post(self.api.Outcome(number, attempt_number, attempt.server, status, duration_ns, final))
 
-    # Actions of the module
+    # Actions of the decision module
 
     def _perform(self, action: Any) -> None:
         api = self.api
--- a/ochreflow/simulation/simulation.py
+++ b/ochreflow/simulation/simulation.py
@@ -36,8 +36,8 @@
 
 NS_PER_MS = 1_000_000
 SIDECAR_START_S = 0.5  # time that a sidecar takes to restart
-FINAL_MARGIN_S = 1.0  # simulated after the last deadline
-TICK_INTERVAL_S = 0.5  # of simulated time
+FINAL_MARGIN_S = 1.0  # time that is simulated after the last deadline
+TICK_INTERVAL_S = 0.5  # interval between ticks, in simulated time
 WARMING_UP_SEED_OFFSET = 100_000
 RESTART_SEED_STEP = 10_000
 DIGEST_BYTES = 16
@@ -47,8 +47,8 @@
 class LogicalRequest:
     """A request of a client, over all its attempts."""
 
-    work_s: float  # on a warm core
-    due_s: float  # since the start of the run
+    work_s: float  # work in seconds of a warm core
+    due_s: float  # due time since the start of the run
     class_name: str
 
 
@@ -68,8 +68,8 @@
         self.sidecars: dict[int, SimulatedSidecar] = {}
         self.client_logs: list[MemoryEventLog] = []
         self.sidecar_starts = 0
-        self.dedup_groups: dict[int, DeduplicationGroup] = {}  # of the initial nodes, by group
-        self.requests: dict[str, LogicalRequest] = {}  # by the request id of their first attempt
+        self.dedup_groups: dict[int, DeduplicationGroup] = {}  # groups of the initial nodes, by number
+        self.requests: dict[str, LogicalRequest] = {}  # requests by the id of their first attempt
 
     def event_log(self, name: str) -> MemoryEventLog:
         """Return the event log with this name; a restarted node continues its log."""
--- a/ochreflow/simulation/slow_start_metrics.py
+++ b/ochreflow/simulation/slow_start_metrics.py
@@ -18,8 +18,8 @@
 class SlowStartMetrics:
     """The result of one run."""
 
-    slack: float  # of the worst window of all cold servers: (sends - N) / (2 sqrt(N) + 2)
-    sends: int  # in that window
+    slack: float  # slack of the worst window of all cold servers: (sends - N) / (2 sqrt(N) + 2)
+    sends: int  # number of sends in that window
     budget: float  # N of that window
     slack_present: float  # as `slack`, with N = factor x capacity x ramp at the window's end x window length
     of_capacity: float  # responses of the cold servers in the measured period / capacity of warm ones
--- a/ochreflow/simulation/slow_start_run.py
+++ b/ochreflow/simulation/slow_start_run.py
@@ -33,13 +33,13 @@
 ATTEMPT_MARGIN_S = 0.015  # an attempt times out this long before its request's deadline
 REJECTION_S = 0.001  # duration of a rejection or a failed connect
 MAX_ATTEMPTS = 3
-BASELINE_S = 6.0  # in which the sidecars observe the warm fleet
-MEASURED_S = 16.0  # after the replacement, in which results are measured
-MAX_NOTIFY_DELAY_S = 2.0  # from the start of the cold servers to a sidecar's notification
-RELATIVE_CAPACITIES = (0.8, 1.6)  # by kind, if servers are unequal
+BASELINE_S = 6.0  # time in which the sidecars observe the warm fleet
+MEASURED_S = 16.0  # time after the replacement in which results are measured
+MAX_NOTIFY_DELAY_S = 2.0  # time from the start of the cold servers to a sidecar's notification
+RELATIVE_CAPACITIES = (0.8, 1.6)  # capacities by kind, if servers are unequal
 CELL_COUNT = 3
 SLOW_CELL, SLOW_CELL_CAPACITY = 0, 0.5  # relative to the same kinds in other cells
-MIN_RELATIVE_LOAD = 0.3  # of each sidecar, as a share of the mean; the rest is drawn exponentially
+MIN_RELATIVE_LOAD = 0.3  # load of each sidecar, as a share of the mean; the rest is drawn exponentially
 SEED_BITS = 32
 
 
@@ -49,7 +49,7 @@
 
     sidecars: int
     servers: int
-    replaced_share: float  # of the servers
+    replaced_share: float  # share of the servers that is replaced
     slow_while_warming_up: bool = False  # cold servers work at their ramp's speed, not at full speed
     unequal: bool = False  # two kinds of servers, and a slow cell
 
@@ -86,7 +86,7 @@
         self.number = 0
 
     def post(self, event: Any) -> None:
-        """Let the module handle an event, and perform its actions."""
+        """Let the decision module handle an event, and perform its actions."""
         api, clock = self.api, self.run.clock
         for action in self.balancer.handle(clock.now_ns, event):
             kind = type(action)
--- a/ochreflow/simulation/slow_start_server.py
+++ b/ochreflow/simulation/slow_start_server.py
@@ -7,7 +7,7 @@
 from .slow_start_metrics import CAPACITY_PER_S, slow_start_ramp
 
 MEAN_WORK_S = 0.02  # mean work of a request, at full speed
-THROTTLE_PERIOD_S = 0.1  # in which a server may use up its quota at full speed
+THROTTLE_PERIOD_S = 0.1  # period in which a server may use up its quota at full speed
 MAX_QUEUE_S = 0.5  # waiting time above which a server rejects requests
 
 
@@ -17,10 +17,10 @@
 
     started_s: float | None = None  # None: warm from the beginning
     slow_while_warming_up: bool = False  # works at its ramp's speed while cold, not at full speed
-    capacity_per_s: float = CAPACITY_PER_S  # when warm
+    capacity_per_s: float = CAPACITY_PER_S  # capacity when warm
     removed: bool = False
-    free_at_s: float = 0.0  # when the accepted work fits its quota again
-    sends: list[float] = field(default_factory=list)  # times in seconds since its start
+    free_at_s: float = 0.0  # time at which the accepted work fits the server's quota again
+    sends: list[float] = field(default_factory=list)  # send times in seconds since the server's start
     answered: int = 0
 
     def accept(self, now_s: float, work_s: float) -> float | None:
--- a/ochreflow/simulator_adapter/host.py
+++ b/ochreflow/simulator_adapter/host.py
@@ -25,8 +25,8 @@
 
     def __init__(self) -> None:
         """Begin with no instances."""
-        self.balancers: dict[int, Balancer] = {}  # by instance number
-        self.lists: dict[int, list[api.Endpoint]] = {}  # by list number
+        self.balancers: dict[int, Balancer] = {}  # balancers by instance number
+        self.lists: dict[int, list[api.Endpoint]] = {}  # lists of servers by their number
 
     def reply_to(self, body: bytes) -> bytes:
         """Return the reply to one frame, which is given without its length field.
