--- a/ochreflow/lab/duplicates/treatment.py
+++ b/ochreflow/lab/duplicates/treatment.py
@@ -82,9 +82,9 @@
         Ending.REJECT_WITH_500,
     )
 )
-EARLY_SHARE = 0.4  # share of the attempts with a long enough body that end before it is complete
+EARLY_SHARE = 0.4  # share of the attempts with a long enough body that end before the body is complete
 MIN_EARLY_BODY_BYTES = 40_000  # a smaller body would leave the sender's buffers completely
-FREEZE_EARLY_SHARE = 0.6  # share of these attempts at whose end the sidecar is frozen
+FREEZE_EARLY_SHARE = 0.6  # share of the attempts ended early at whose end the sidecar is frozen
 FREEZE_COMPLETE_SHARE = 0.1  # the same share of the other attempts
 DRAIN_FIRST_SHARE = 0.7  # share of the attempts before whose end the system's buffers are emptied
 SECOND_RESPONSE_SHARE = 0.05  # share of the responses that are followed by a second one
--- a/ochreflow/lab/fake_node.py
+++ b/ochreflow/lab/fake_node.py
@@ -44,7 +44,7 @@
         self.loop = loop
         self.model = NodeModel(profile, seed, monotonic(), dedup_group)
         self.pending: dict[int, HttpRequest] = {}
-        self.request_numbers: dict[ServerConnection, int] = {}  # numbers of pending requests
+        self.request_numbers: dict[ServerConnection, int] = {}  # numbers of pending requests, by connection
         self.last_number = 0  # numbers identify requests to the model
         self.timer: asyncio.TimerHandle | None = None
         self.on_end_order: Callable[[], None] = lambda: None  # ends the node the way a killed process ends
--- a/ochreflow/lab/fake_server.py
+++ b/ochreflow/lab/fake_server.py
@@ -82,7 +82,7 @@
 
 
 async def serve(kind: str, log_dir: Path, server_options: list[dict[str, Any]]) -> None:
-    """Start the servers, print their addresses, serve until a signal arrives or the parent process ends."""
+    """Start the servers, print their addresses and serve until a signal or the end of the parent process."""
     loop = asyncio.get_running_loop()
     dedup_group = DeduplicationGroup()
     servers = [await open_server(kind, log_dir, options, dedup_group) for options in server_options]
--- a/ochreflow/lab/run_result.py
+++ b/ochreflow/lab/run_result.py
@@ -31,7 +31,7 @@
 
     @property
     def void(self) -> bool:
-        """Whether the clients fell behind, hence the run proves nothing about the sidecar."""
+        """Whether the clients fell behind, in which case the run proves nothing about the sidecar."""
         return self.max_send_delay_s > MAX_SEND_DELAY_S
 
     @property
--- a/ochreflow/simulation/policy_loader.py
+++ b/ochreflow/simulation/policy_loader.py
@@ -22,7 +22,7 @@
     ("", "RequestCancelled", "Dropped"),
 )
 _EARLIER_FIELDS = {"warm_up_ns": "warm_within_ns"}  # fields of `Settings`: current name, earlier name
-_EARLIER_ATTRIBUTES = {"limiter": "limit", "endpoints": "fleet"}  # attributes of `Balancer`: the same
+_EARLIER_ATTRIBUTES = {"limiter": "limit", "endpoints": "fleet"}  # attributes of `Balancer`, likewise
 
 
 class PolicyNotFoundError(OchreflowError, FileNotFoundError):
--- a/ochreflow/simulator_adapter/errors.py
+++ b/ochreflow/simulator_adapter/errors.py
@@ -6,7 +6,7 @@
 
 
 class FrameError(OchreflowError):
-    """The input is not a valid frame, hence nothing after that frame can be read."""
+    """The input is not a valid frame; nothing after that frame can be read."""
 
 
 class TruncatedInputError(FrameError):
