--- a/ochreflow/lab/arrivals.py
+++ b/ochreflow/lab/arrivals.py
@@ -77,7 +77,7 @@
     request_classes: list[RequestClass]
     rate_per_s: float
     key_count: int
-    rate_factor: Callable[[float], float] = _constant_rate  # factor of the rate at a time of the run
+    rate_factor: Callable[[float], float] = _constant_rate  # factor of the rate, by second of the run
     profile: ClientProfile = field(default_factory=ClientProfile)
 
 
