--- a/tests/checker.py
+++ b/tests/checker.py
@@ -37,7 +37,7 @@
         self.listed = set()
         self.requests = {}  # id -> [class, deadline, ended, attempts]
         self.warming_up = {}  # id -> [sends, OK responses] since its last listed start
-        self.response_times = []  # of all OK responses
+        self.response_times = []  # one for each OK response
 
     def observe_event(self, now, event):
         if isinstance(event, Membership):
--- a/tests/disconnecting_clients.py
+++ b/tests/disconnecting_clients.py
@@ -13,8 +13,8 @@
 from net_helpers import HOST, http_response, wait_until
 
 DISCONNECT_MODES = ["close", "reset", "half-close"]
-ATTEMPT_START_LIMIT_S = 0.1  # after a client's disconnect, by the protocol, no attempt may begin later
-LOOP_BLOCK_S = 1.5 * ATTEMPT_START_LIMIT_S  # the loop is blocked so long that a later attempt breaks the rule
+ATTEMPT_START_LIMIT_S = 0.1  # the protocol allows no attempt to begin later than this after a disconnect
+LOOP_BLOCK_S = 1.5 * ATTEMPT_START_LIMIT_S  # long enough that an attempt after the block breaks the rule
 
 
 def connect(port):
@@ -50,7 +50,7 @@
 
 
 def disconnect_while_loop_blocked(sidecar, sock, mode):
-    """Disconnect, and block the loop until the end has been readable for longer than the rule allows."""
+    """Disconnect, and block the loop until the EOF has been readable for longer than the protocol allows."""
     connection = sidecar_connection(sidecar, sock)
     disconnect(sock, mode)
     block_until_eof_readable(connection)
--- a/tests/duplicate_rule.py
+++ b/tests/duplicate_rule.py
@@ -15,11 +15,11 @@
     """One copy of a request that is sent to a server, as the check sees it."""
 
     server: int
-    group: dict  # by scope, as published when the first byte was sent
-    first_byte_at: int  # ns
+    group: dict  # scope -> the server's group, as published when the copy's first byte was sent
+    first_byte_at: int  # time in ns
     complete: bool = False  # the last byte has been sent
     ended: bool = False
-    never_ran: bool = False  # the server rejected it without running it
+    never_ran: bool = False  # the server rejected the copy without running it
 
     @property
     def may_have_run(self):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -53,7 +53,7 @@
 
 
 class EntryItem(pytest.Item):
-    """The test of one entry; it runs when all tests are collected."""
+    """A test item that checks one entry of the list after all tests have been collected."""
 
     def __init__(self, *, entry: Entry, known_red: "KnownRed", **pytest_arguments) -> None:
         super().__init__(**pytest_arguments)
@@ -91,7 +91,7 @@
         self.path = path
         self.entries = parse_entries(path.read_text()) if path.exists() else []
         self.expected = {entry.test: entry for entry in self.entries[:MAX_ENTRIES] if not entry.missing()}
-        self.collected: set[str] = set()  # by this process; of workers, only the listed tests
+        self.collected: set[str] = set()  # ids that this process collected; from workers, only listed ones
 
     def faults(self, entry: Entry) -> list[str]:
         """Return all faults of an entry; all tests must have been collected."""
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self.now = 1_000_000_000_000
-        self.epoch_offset_ns = 1_700_000_000_000_000_000  # from `now` to the time since the Unix epoch
+        self.epoch_offset_ns = 1_700_000_000_000_000_000  # Unix time in ns at which `now` is 0
 
     def advance(self, seconds: float) -> None:
         self.now += math.ceil(seconds * 1e9)
@@ -67,7 +67,7 @@
 class Outcome:
     """The result of a run."""
 
-    findings: list  # (rule, text) of each
+    findings: list  # a (rule, text) pair for each finding
     crashed: list  # uncaught exceptions, and sidecars that did not end
     requests: int  # attempts that clients sent
 
--- a/tests/simulated_environment.py
+++ b/tests/simulated_environment.py
@@ -73,7 +73,7 @@
 
     def __init__(self, scenario, run_dir, seed, event_log):
         super().__init__(scenario, run_dir, seed, event_log)
-        self.servers = {}  # by the name of the process in which they would run
+        self.servers = {}  # name of the process that would run them -> its servers
         self.sidecars = {}
 
     async def start_servers(self, kind, server_options):
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
 @pytest.mark.parametrize("eof_position", ["unread", "behind bytes", "paused"])
 def test_is_disconnected_detects_a_disconnect_without_a_loop_iteration(tmp_path, eof_position, how):
-    """The EOF is in the socket, and the loop has not reported it yet."""
+    """Guards against an attempt for a client whose EOF is in the socket but not yet reported by the loop."""
 
     async def scenario():
         server = Server()
@@ -93,11 +93,11 @@
             disconnect(client, how)
             block_until_eof_readable(connection)
             assert connection.is_disconnected(request) and connection.transport.is_closing()
-            assert connection.is_disconnected(request)  # the same before the next loop iteration
+            assert connection.is_disconnected(request)  # a second call before the next loop iteration
             await wait_until(
                 lambda: not sidecar.engine.requests.pending and not sidecar.http.clients.connections
             )
-            assert connection.is_disconnected(request)  # and by a later attempt
+            assert connection.is_disconnected(request)  # a call by a later attempt
             client.close()
         server.close()
 
--- a/tests/test_descriptor_limits.py
+++ b/tests/test_descriptor_limits.py
@@ -44,14 +44,14 @@
 UNOCCUPIED = 71  # descriptors that an `OccupiedProcess` can use: half of the clients' share and its own needs
 LOWERED_LIMIT = 100  # descriptors; set while clients use their share of MIN_SOCKETS
 IDLE_CLIENT_COUNT = 300  # more than MIN_SOCKETS
-RECONNECT_DELAY_S = 0.5  # of an idle client whose connection was closed
+RECONNECT_DELAY_S = 0.5  # until an idle client reconnects after its connection was closed
 DRAIN_GRACE_S = 0.5  # as in `config`
 TIMER_SLACK_S = 0.05  # added to each time limit on real sockets
 DISCOVERY_RECOVERY_S = 6.0  # from the restart of discovery until it has sent its list
 MANAGEMENT_TIMEOUT_S = 1.0
-MAX_IDLE_CPU_SHARE = 0.02  # of a core, beyond that without clients; a busy loop uses all of it
+MAX_IDLE_CPU_SHARE = 0.02  # of a core, in addition to the use without clients; a busy loop uses a whole core
 CPU_SAMPLE_S = 2.0  # time over which processor use is measured
-PEAK_INTERVAL_S = 0.01  # between samples of the number of descriptors
+PEAK_INTERVAL_S = 0.01  # time between samples of the number of descriptors
 HEALTHCHECK = b"GET /healthcheck HTTP/1.1\r\n\r\n"
 INCOMPLETE_REQUEST = b"POST /order/part HTTP/1.1\r\nHost: origin.svc\r\nX-Requ"
 LONG_TIMEOUTS = '[clients]\nhead_within = "60s"\nidle = "1h"\n'  # idle clients aren't timed out
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -112,8 +112,8 @@
     index: int = 1
     free_at: float = 0.0
     open_polls: list = field(default_factory=list)
-    request_times: list = field(default_factory=list)  # in seconds
-    complete_list_request_times: list = field(default_factory=list)  # of those for complete lists
+    request_times: list = field(default_factory=list)  # of all requests, in seconds
+    complete_list_request_times: list = field(default_factory=list)  # in seconds
 
     def get(self, request):
         self.request_times.append(self.loop.now)
@@ -215,7 +215,7 @@
 
     def __init__(self, loop, servers, fleet, grace, seed, known=1, pushed=False):
         self.loop = loop
-        self.notified_at = {}  # by index of the list, in seconds
+        self.notified_at = {}  # index of a list -> time of its first notification, in seconds
         grace_ns = int(grace * NS_PER_S)
         self.balancer = Balancer(
             settings(polling_required=not pushed, fleet_size=fleet, drain_grace_ns=grace_ns), seed
@@ -442,8 +442,8 @@
     assert endpoint_set_module.LIST_DEADLINE_NS == NOTIFIED_IN_S * NS_PER_S
 
 
-def test_a_discovery_that_drops_requests_for_complete_lists_is_not_polled_too_often():
-    """Guards against simultaneous polls of all sidecars every 2 s: 200 at once, 98 a second on average."""
+def test_a_discovery_service_that_drops_requests_for_complete_lists_is_not_polled_too_often():
+    """Guards against 200 sidecars that all poll at the same time every 2 s: 200 at once, 98/s on average."""
     mean, worst = requests_per_second(
         switched_at_once(200, 0.5, serves_complete_lists=False).second.request_times, 30.0, 90.0
     )
--- a/tests/test_duplicate_copies.py
+++ b/tests/test_duplicate_copies.py
@@ -79,7 +79,7 @@
     simulation.finish()
 
 
-def test_the_window_of_a_request_with_a_slow_body_starts_at_its_first_byte():
+def test_the_deduplication_window_of_a_request_with_a_slow_body_starts_at_its_first_byte():
     """A server may measure the window from the first byte; the last byte is sent much later."""
     simulation = EngineSimulation(["keyed everywhere"], warm_up_ns=0)
     request = simulation.submit(complete=False)
--- a/tests/test_duplicate_search.py
+++ b/tests/test_duplicate_search.py
@@ -50,7 +50,7 @@
     assert len(output.err.splitlines()) == 1
 
 
-# On sockets. The search has to detect a program that sends each request to two servers.
+# Tests on real sockets: the search has to detect a program that sends each request to two servers.
 
 DUPLICATING_SIDECAR = """
     import asyncio, json, os
--- a/tests/test_frontends.py
+++ b/tests/test_frontends.py
@@ -184,7 +184,7 @@
 
 @pytest.mark.parametrize(("result", "outcome"), [("silent", "failed"), (None, "refused")])
 def test_the_deadline_watchdog_answers_if_the_balancer_raises(tmp_path, frontend, result, outcome):
-    """It answers once, before the deadline: "failed" if the request may have run, otherwise "refused"."""
+    """The one answer comes before the deadline: "failed" if the request may have run, otherwise "refused"."""
 
     async def steps(sidecar, fake):
         handle = sidecar.engine.balancer.handle
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -137,12 +137,14 @@
 
 
 @pytest.mark.parametrize("name", FAILING_RUNS)
-def test_an_untolerated_result_or_an_invalid_entry_fails_the_run(tmp_path, name):
+def test_a_result_that_the_list_does_not_allow_or_an_invalid_entry_fails_the_run(tmp_path, name):
     check_failing_run(name, tmp_path)
 
 
 @pytest.mark.parametrize("name", FAILING_RUNS)
-def test_an_untolerated_result_or_an_invalid_entry_fails_the_run_with_workers_and_groups(tmp_path, name):
+def test_a_result_that_the_list_does_not_allow_or_an_invalid_entry_fails_the_run_with_workers_and_groups(
+    tmp_path, name
+):
     check_failing_run(name, tmp_path, GROUP_MARK, workers=2)
 
 
@@ -174,7 +176,7 @@
     assert summary_and_exit_code(run_pytest(tmp_path, RED_ENTRY, more)) == ("3 passed, 1 xfailed", 0)
 
 
-def test_a_run_of_one_file_does_not_judge_entries_of_other_files(tmp_path):
+def test_a_run_of_one_file_does_not_check_entries_for_tests_of_other_files(tmp_path):
     completed = run_pytest(tmp_path, RED_ENTRY, RED_TEST, "tests/test_other.py")
     assert summary_and_exit_code(completed) == ("1 passed", 0) and "known red" not in completed.stdout
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -153,7 +153,7 @@
             await asyncio.sleep(0.001)
         before = (tmp_path / "n.jsonl").read_bytes()
         assert (await send_request(other_port, request("b"))).body == b"m:b"
-        await asyncio.sleep(0.3)  # longer than the work in process takes
+        await asyncio.sleep(0.3)  # longer than the 0.2 s of work on the request in process
         for writer in writers:
             writer.close()
         other.end()
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -158,7 +158,7 @@
 
 
 def test_a_sidecar_with_low_traffic_sheds_in_overload_and_recovers():
-    """Incident i032b0e: 1476 sidecars with at most one request in flight each kept 88 servers overloaded."""
+    """Guards against 1476 sidecars that overload 88 servers with one request in flight each (i032b0e)."""
     balancer, now = make(entries=[endpoint(n) for n in range(40)], effect=Effect.NON_IDEMPOTENT)
     rejected = {}
     ident = 0
--- a/tests/test_net_upstream.py
+++ b/tests/test_net_upstream.py
@@ -384,7 +384,9 @@
     ],
     ids=lambda data: repr(data[:50]),
 )
-def test_a_malformed_response_ends_as_reset_at_once_and_its_connection_is_closed(malformed, monkeypatch):
+def test_a_malformed_response_ends_its_attempt_as_reset_at_once_and_closes_its_connection(
+    malformed, monkeypatch
+):
     """Otherwise the request would wait until its deadline on a connection that stays open."""
     monkeypatch.setattr(upstream_connection, "RESPONSE_STALL_TIMEOUT_S", 0.2)
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -112,7 +112,7 @@
 
 
 def test_the_baseline_latency_is_not_learned_from_a_collapse(generator):
-    """Incident i545f60: the baseline followed the collapse, so that the limit never rejected anything."""
+    """Guards against a baseline that rises with late answers, so that the limit never rejects (i545f60)."""
     generator.run(5, 300, fast)
     before = generator.balancer.latency.baseline[0]
     generator.run(8, 300, late)
@@ -120,7 +120,7 @@
 
 
 def test_the_limit_does_not_jump_after_a_reduction(generator):
-    """Incident i545f60: the limit grew tenfold within a second, and returning clients filled it at once."""
+    """Guards against a tenfold limit within a second, which returning clients fill at once (i545f60)."""
     generator.run(5, 100, fast)
     generator.run(5, 100, late)
     limits = []
@@ -188,7 +188,7 @@
 
 
 def test_the_limit_shrinks_at_once_with_the_number_of_servers(generator):
-    """Incident i8cc3a0: two servers got the traffic of seven until their answers were late."""
+    """Guards against two servers that get the traffic of seven until their answers are late (i8cc3a0)."""
     generator.run(5, 100, fast)
     before = generator.balancer.limiter.limit
     generator.balancer.handle(generator.now, Membership(ListKind.FULL, 2, [endpoint(100), endpoint(101)]))
@@ -206,7 +206,7 @@
 
 
 def test_one_long_request_does_not_eject_its_server():
-    """Incident i4efe13: a single attempt counted as a failure again each time it was overdue."""
+    """Guards against an attempt that counts as a failure again each time it is overdue (i4efe13)."""
     generator = LoadGenerator(*make_balancer(servers=6, effect=Effect.NON_IDEMPOTENT))
     generator.run(5, 100, fast)
     before = generator.ident
@@ -265,7 +265,7 @@
 
 @pytest.mark.parametrize("remaining_ns, marked", [(900 * MS, True), (600 * MS, True), (600 * MS, False)])
 def test_a_clients_late_retries_are_shed_first_and_only_in_overload(generator, remaining_ns, marked):
-    """Incident i8cc3a0: most admitted requests were late, counted from the client's first attempt."""
+    """Guards against admitting mostly requests that are late since the client's first attempt (i8cc3a0)."""
     aged = {
         "remaining_ns": lambda n: 900 * MS if n % 2 else remaining_ns,
         "is_retry": lambda n: marked and n % 2 == 0,
@@ -326,9 +326,9 @@
 
 
 def test_a_surge_is_admitted_if_answered_in_time_and_limited_while_no_answer_arrives():
-    """Incident ibe9fc7: a ceiling of four times the recent requests in flight grew with the surge.
+    """Guards against a ceiling on the limit that grows with the surge until all servers are overloaded.
 
-    It rose until all servers were overloaded.
+    In incident ibe9fc7 it was four times the recent requests in flight.
     """
     generator = LoadGenerator(*make_balancer(servers=40, effect=Effect.NON_IDEMPOTENT, fleet_size=8))
     generator.run(5, 50, fast)
@@ -341,7 +341,7 @@
 
 @pytest.mark.parametrize("effect", list(Effect))
 def test_an_ejected_server_gets_one_half_open_request_of_any_class_if_no_class_is_idempotent(effect):
-    """Incident ifc0f20: no class of the site was idempotent, so servers that recovered stayed ejected."""
+    """Guards against recovered servers that stay ejected if no class is idempotent (incident ifc0f20)."""
     balancer, now = make_balancer(servers=6, effect=effect)
     ejected = balancer.endpoints.servers[100]
     balancer.outlier_detector.record_failure(ejected, 5.0, 1.0)
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -63,7 +63,7 @@
 
 
 def test_answers_earn_no_tokens_once_the_load_of_warm_servers_is_known():
-    """With tokens for 1.5 requests for each answer, thirty sidecars together overloaded one server."""
+    """Guards against tokens for 1.5 requests for each answer: thirty sidecars overloaded one server."""
     balancer, now = make_balancer(entries=[endpoint(1), endpoint(2)], fleet_size=30)
     now, _ = serve_requests(balancer, now, range(100), 50 * MS)
     server = restart_server(balancer, now)
@@ -258,7 +258,7 @@
 
 
 def test_thirty_sidecars_together_do_not_overload_ten_cold_servers():
-    """With the former refill rate, the first seed reached 0.74 of the excess that is attributed to chance."""
+    """Guards against a refill rate at which the first seed had 0.74 of the excess attributed to chance."""
     results = [play(SlowStartCase(30, 10, REPLACED_SHARES["all"]), seed) for seed in (1, 4)]
     assert max(one.slack for one in results) <= 0.4, results
     assert sum(one.of_slow_start_ramp for one in results) > 0.5 * len(results)  # the servers are used
@@ -266,7 +266,7 @@
 
 @pytest.mark.parametrize("slow", [False, True])
 def test_one_cold_server_is_used_by_few_sidecars(slow):
-    """The bound is a share of its capacity, or of its ramp if it is slow: the picker prefers faster ones."""
+    """The bound is a share of the server's capacity, or of its ramp if slow: the picker prefers faster ones."""
     results = [
         play(SlowStartCase(5, 10, REPLACED_SHARES["one"], slow_while_warming_up=slow), seed)
         for seed in (1, 2, 3)
@@ -277,7 +277,7 @@
 
 
 def test_a_fleet_that_is_replaced_as_a_whole_is_used_again():
-    """With a refill rate that fell with the answers, 0.587 of requests were served, the mean of 20 seeds."""
+    """Guards against a refill rate that falls with the answers: it served 0.587 (mean of 20 seeds)."""
     results = [play(SlowStartCase(5, 10, REPLACED_SHARES["all"]), seed) for seed in (1, 2, 3)]
     assert max(one.slack for one in results) <= 0.4, results
     assert sum(one.served for one in results) > 0.7 * len(results), results
--- a/tests/test_package.py
+++ b/tests/test_package.py
@@ -23,7 +23,7 @@
 )
 
 ROOT = Path(__file__).parent.parent
-MAX_MODULE_LINES = 400  # of one file: a longer one has more than one job
+MAX_MODULE_LINES = 400  # lines of a file; a longer file has more than one job
 
 
 def test_the_readme_example_runs():
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -54,7 +54,7 @@
         self.port = 0
         self.management_port = 0
         self.arguments = []
-        self.lines = []  # of the log
+        self.lines = []  # lines of the log
         self.log_changed = asyncio.Condition()
 
     def _limit(self):
@@ -483,7 +483,7 @@
         async def poll_new(message, reader, writer):
             if len(moved.received) > 1:
                 await reader.read()
-            else:  # its index is far lower than the old discovery's
+            else:  # the index of this list is far lower than the old discovery's
                 writer.write(
                     http_response(200, json.dumps(endpoint_update(2, entry("s2", after.address))).encode())
                 )
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -86,7 +86,8 @@
     retried = []
     for step in range(1, 400):
         retried += actions_of_type(balancer.handle(now + step * 5 * MS, Timer(balancer.timer_token)), Send)
-    assert 0 < len(retried) < 0.2 * 64  # in proportion to first attempts, not to failures
+    # The retries are limited to a share of the 64 first attempts, not of the failures.
+    assert 0 < len(retried) < 0.2 * 64
     assert len(retried) + rejected == 24
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -191,7 +191,7 @@
         return chosen
 
     assert run(3, answers=True) > 5
-    assert run(5, answers=False) < 25  # of 250: silence counts before any attempt times out
+    assert run(5, answers=False) < 25  # of 250 requests: missing answers count before any attempt times out
 
 
 def test_a_server_with_fast_errors_gets_fewer_requests_than_any_other():
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -48,7 +48,7 @@
     scenario(7.0, 100, 2, (0.1, "gone", [1]), (0.12, "come", [3]), warm_within=60.0, start_capacity=0.05),
     sidecar_count=4,
 )
-MUTATIONS = {  # by broken rule: the file, the text, its replacement, and a scenario that shows the violation
+MUTATIONS = {  # broken rule -> the file, the text, its replacement, and a scenario that shows the violation
     "one final answer": (
         "core/request_manager.py",
         "        pending.response_sink.respond(pending.request, response)",
--- a/tests/test_second_response.py
+++ b/tests/test_second_response.py
@@ -39,7 +39,7 @@
 PAYLOAD = b"GET /lookup HTTP/1.1\r\nX-Request-Id: ab\r\n\r\n"
 LONG_SETTLING_TIME_S = 0.3  # long enough for data sent right at its beginning to arrive
 ENDLESS_SETTLING_TIME_S = 3600.0
-SERVER_TIMEOUT_S = 2.0  # until a server that waits for a connection or a request gives up
+SERVER_TIMEOUT_S = 2.0  # longest wait of a server for a connection or a request
 
 
 @pytest.fixture
@@ -285,7 +285,8 @@
         setup = PoolWithServer()
         server, end = await wait_for_connection_as_another_is_answered(setup)
         server.sendall(REJECTION)
-        await wait_until(lambda: len(setup.pool.connections) == 1)  # the new one, which is delayed
+        # Only the new connection remains, whose connect is delayed.
+        await wait_until(lambda: len(setup.pool.connections) == 1)
         setup.pool.loop.open.set()
         other = await setup.accept()
         await setup.read(other)
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -218,7 +218,8 @@
             if draining == "the sidecar":
                 assert await reader.read() == b""  # then the connection is closed
             else:
-                assert not sidecar.upstreams.connections  # the draining server may get no further request
+                # A draining server gets no further request, so the connection to it is closed.
+                assert not sidecar.upstreams.connections
             assert sidecar.engine.stats.results[2] == [1, 0, 0]
             writer.close()
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -32,7 +32,7 @@
     assert not simulate(replace(scenario, duration_s=16.0), 1).report.findings
 
 
-def test_a_trace_counts_each_request_once_and_the_oracle_follows_the_capacity():
+def test_a_trace_counts_each_request_once_and_its_oracle_is_limited_by_the_capacity_of_the_fleet():
     scenario, fault_end = LIMIT_SCENARIOS["step"]
     traced, summary = trace(scenario, 2, fault_end)
     assert len(traced.limit) == len(traced.offered) == 60
--- a/tests/test_unwritten.py
+++ b/tests/test_unwritten.py
@@ -32,7 +32,7 @@
 SEND_BUFFER = 32 * 1024
 RECEIVE_BUFFER = 8 * 1024
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-REST_BYTES = 2_000  # by which a body exceeds both buffers; these bytes stay in the event loop
+REST_BYTES = 2_000  # part of a body that exceeds both buffers and stays in the event loop
 
 
 class SmallSendBufferLoop:
