--- a/tests/test_answered_at_the_end.py
+++ b/tests/test_answered_at_the_end.py
@@ -288,7 +288,7 @@
 
 @pytest.mark.parametrize("behind", [b"\0garbage\r\n\r\n", b"POST /order HTTP/1.1\r\nX-Half: "])
 def test_an_invalid_message_after_a_request_does_not_lose_the_response_to_the_request(tmp_path, behind):
-    """The message that follows is malformed, or is not completed in time."""
+    """The second message is malformed, or is not completed in time."""
 
     async def scenario():
         server = Server()
@@ -321,7 +321,7 @@
 
 @pytest.mark.parametrize("reason", ["time", "malformed", "memory"])
 def test_a_truncated_body_is_rejected_and_never_completed_at_the_server(tmp_path, reason):
-    """Part of it was forwarded before the body stalls or is malformed. A lack of memory has no effect."""
+    """Part of the body is forwarded before it stalls or is malformed; a lack of memory has no effect."""
 
     async def scenario():
         server = Server()
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -324,7 +324,7 @@
 
 
 def test_a_slow_reader_that_requests_connection_close_is_disconnected(tmp_path, monkeypatch):
-    """Otherwise its connection closes only after the response has been written, which never completes."""
+    """Otherwise the connection closes only after the write of the response, which never completes."""
     # Only the slow-reader timeout closes it.
     monkeypatch.setattr(closing_connection, "DRAINING_CLOSE_TIMEOUT_S", 1000.0)
 
--- a/tests/test_client_left_attempts.py
+++ b/tests/test_client_left_attempts.py
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("body", ["none", "half"])
 @pytest.mark.parametrize("how", DISCONNECT_MODES)
 def test_an_attempt_is_not_written_if_its_client_disconnects_during_a_slow_connect(tmp_path, how, body):
-    """With half a body, the sidecar stops reading until it can write, so the EOF is behind the body's rest."""
+    """With half a body, the sidecar stops reading until it can write; the EOF is behind the body's rest."""
 
     async def scenario():
         server = Server()
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -493,7 +493,7 @@
 
 
 def test_the_poll_rate_in_a_long_outage_is_close_to_the_minimum():
-    """A mean wait of 0.55 of the maximum needed a third more requests, and notified no sidecar earlier."""
+    """Guards against a mean wait of 0.55 of the maximum: a third more requests, no earlier notification."""
     simulation = SimulatedFleet(200, 0.5)
     simulation.loop.run(30.0)
     simulation.first.behaviour = "503"
--- a/tests/test_duplicate_crossings.py
+++ b/tests/test_duplicate_crossings.py
@@ -255,7 +255,7 @@
 
 
 def test_an_attempt_is_not_sent_if_its_body_was_streamed_to_another_attempt():
-    """The body is streamed elsewhere between the decision and the first byte."""
+    """Another attempt streams the body between the decision and the first byte of this one."""
     simulation = EngineSimulation(["safe"])
     request = simulation.submit(complete=False)
     attempt = simulation.attempt(request)
--- a/tests/test_first_byte.py
+++ b/tests/test_first_byte.py
@@ -387,7 +387,7 @@
 
 @pytest.mark.parametrize("size, status", [(8 * MB, Status.NOT_SENT), (32 * 1024, Status.CANCELLED)])
 def test_a_request_that_is_not_received_before_its_write_timeout_is_never_received(size, status):
-    """Its rest is in a buffer of the sidecar or the socket, and would arrive once the server reads again."""
+    """The unsent rest is in a sidecar's or socket's buffer and would arrive once the server reads again."""
 
     async def scenario():
         loop = asyncio.get_running_loop()
@@ -451,7 +451,7 @@
 
 @pytest.mark.parametrize("further", [False, True], ids=["first", "further"])
 def test_a_request_announces_the_time_left_when_its_connection_is_established(tmp_path, further):
-    """The time left at the decision is too long: with slow connects, it was so for a quarter of requests."""
+    """The time left at the decision is too long: slow connects made it so for a quarter of requests."""
 
     async def scenario():
         harnesses = []
--- a/tests/test_low_traffic.py
+++ b/tests/test_low_traffic.py
@@ -45,7 +45,7 @@
 
 
 def test_a_sidecar_with_low_traffic_samples_few_servers_and_a_busy_one_samples_all():
-    """If all are sampled, each gets two requests a minute, too few to detect a slow or hung server."""
+    """If all servers are sampled, each gets 2 requests a minute, too few to detect a slow or hung one."""
     entries = [endpoint(n) for n in range(40)]
     low_traffic, now = make(entries=entries)
     assert len(set(trickle(low_traffic, now, range(60), lambda server: 40 * MS)[1])) <= 4
@@ -54,7 +54,7 @@
 
 
 def test_all_servers_are_sampled_where_they_outnumber_sidecars_even_with_low_traffic():
-    """One of four sidecars sampled only a small subset after a restart, and then got half of the traffic."""
+    """Guards against a small subset in a restarted sidecar, one of four, that gets half of the traffic."""
     balancer, now = make_any(entries=[endpoint(n) for n in range(40)], fleet_size=4)
     assert len(set(trickle(balancer, now, range(60), lambda server: 40 * MS)[1])) > 20
 
@@ -82,7 +82,7 @@
 
 
 def test_an_overloaded_zone_and_a_slow_kind_get_fewer_requests_within_forty_answers():
-    """A zone with 61% of the traffic and 31% of the capacity was overloaded within two seconds of a run."""
+    """Guards against overload, within 2 s of a run, of a zone with 61% of traffic and 31% of capacity."""
     for name in ("zone", "kind"):
         entries = [
             Endpoint(n, n % 2 if name == "zone" else 0, n % 2 if name == "kind" else 0, 0, State.READY)
@@ -117,7 +117,7 @@
 
 
 def test_restarted_servers_are_used_once_listed_but_not_by_all_sidecars_at_once():
-    """A third of a fleet restarted after a crash and stayed idle for 14 s, until it had earned tokens."""
+    """Guards against a restarted third of a fleet that stays idle for 14 s, until it has earned tokens."""
     warm = [endpoint(n) for n in range(1, 9)]
     restarted_at = START + 5 * SECOND
     first = []
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize("servers, failures", [(60, 1), (6, 2)])
 def test_a_rarely_used_server_is_ejected_after_one_failed_connect(servers, failures):
-    """Scenario herd+vast: with two failures needed, a sidecar had ejected 3 of 30 lost servers after 5 s."""
+    """Guards against requiring two failures: then 3 of 30 lost servers were ejected in 5 s (herd+vast)."""
     balancer, now = make_any(servers=servers, effect=Effect.NON_IDEMPOTENT, fleet_size=40)
     for ident in range(100):
         now += 50 * MS
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -266,7 +266,7 @@
 
 @pytest.mark.parametrize("slow", [False, True])
 def test_one_cold_server_is_used_by_few_sidecars(slow):
-    """The bound is a share of the server's capacity, or of its ramp if slow: the picker prefers faster ones."""
+    """The bound is a share of a server's capacity, or of its ramp if slow: the picker prefers fast ones."""
     results = [
         play(SlowStartCase(5, 10, REPLACED_SHARES["one"], slow_while_warming_up=slow), seed)
         for seed in (1, 2, 3)
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -311,7 +311,7 @@
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 1000000", b"Transfer-Encoding: chunked"])
 def test_a_truncated_response_does_not_lose_the_response_before_it(tmp_path, framing):
-    """Its beginning must arrive too: a client that has read nothing of a response sends its request again."""
+    """The truncated part must arrive too: a client that read no byte of a response resends its request."""
 
     async def scenario():
         async def truncate(got, reader, writer):
